--- a/crates/gate/src/answer.rs
+++ b/crates/gate/src/answer.rs
@@ -7,7 +7,7 @@
 
 use bytes::{Bytes, BytesMut};
 use chestnut_base::{Code, Refusal, ServerName};
-use chestnut_pool::{Ended, Follow};
+use chestnut_pool::{AttemptOutcome, RetryDecision};
 use futures::stream::unfold;
 use http::header::CONTENT_TYPE;
 use http::{Response, response};
@@ -79,7 +79,7 @@
             answered.flight.broke();
             let now = job.shared.now();
             if let Some(server) = job.shared.fleet().get_mut(answered.place.key) {
-                server.health.failed(now);
+                server.health.record_failure(now);
             }
             let message = format!("the server's answer broke off ({why})");
             Refusal::in_doubt(Code::Broken, message)
@@ -240,7 +240,7 @@
                 let pause = now.saturating_duration_since(self.at);
                 self.pace.pause = self.pace.pause.max(pause);
                 if let Some(tokens) = self.event_tokens {
-                    self.job.shared.speeds().learn_step(pause, tokens);
+                    self.job.shared.speeds().record_event_gap(pause, tokens);
                 }
             }
         }
@@ -255,7 +255,7 @@
         if let Some(old) = &old {
             let now = self.job.shared.now();
             if let Some(server) = self.job.shared.fleet().get_mut(old.place.key) {
-                server.health.failed(now);
+                server.health.record_failure(now);
             }
         }
         self.job.begun = true;
@@ -263,8 +263,9 @@
         let run = old.as_ref().map(|old| old.place.run());
         // The old run ends with its connection, before the new one begins.
         drop(old);
-        let follow = run.map(|run| self.job.attempts.end(run, Ended::Broken));
-        if follow != Some(Follow::IfGranted) {
+        let follow =
+            run.map(|run| self.job.attempts.record(run, AttemptOutcome::Interrupted));
+        if follow != Some(RetryDecision::RetryWithinBudget) {
             return false;
         }
         info!(self.job.shared.log, "stream resumes elsewhere"; "id" => self.job.id(),
@@ -279,7 +280,9 @@
                     return true;
                 }
                 Ok(_) | Err(Missed::Late) => return false,
-                Err(missed) => drop(self.job.attempts.end(place.run(), missed.ended())),
+                Err(missed) => {
+                    drop(self.job.attempts.record(place.run(), missed.ended()))
+                }
             }
         }
         false
--- a/crates/gate/src/ask.rs
+++ b/crates/gate/src/ask.rs
@@ -9,9 +9,10 @@
 use chestnut_base::{MemberId, ServerName};
 use chestnut_edge::Engine;
 use chestnut_member::ClaimKey;
-use chestnut_pool::choose::SILENT_COST;
+use chestnut_pool::choose::UNRESPONSIVE_HOLDER_COST_MS;
 use chestnut_pool::{
-    Bid, Candidate, Run, Server, ServerKey, Want, bid, estimate, local_cost,
+    Bid, Candidate, GenerationRequest, Incarnation, Server, ServerKey, bid,
+    estimate_wait_ms, local_cost_ms,
 };
 use futures::future::join_all;
 use indexmap::IndexMap;
@@ -84,13 +85,14 @@
     let mut bids = ask(&job.shared, &runners, &want, &engine).await;
     let cost = |runner: &Runner| {
         let bid = bids.get(&runner.name);
-        let cost = bid.map_or(runner.own + SILENT_COST, |bid| bid.cost);
+        let cost =
+            bid.map_or(runner.own + UNRESPONSIVE_HOLDER_COST_MS, |bid| bid.cost_ms);
         cost + runner.local
     };
     let best = runners.iter().min_by(|a, b| cost(a).total_cmp(&cost(b)))?;
-    let silent = Bid { wait: best.own, cost: best.own, requests: 0 };
+    let silent = Bid { wait_ms: best.own, cost_ms: best.own, requests: 0 };
     let bid = bids.swap_remove(&best.name).unwrap_or(silent);
-    if bid.cost.is_infinite() {
+    if bid.cost_ms.is_infinite() {
         return None;
     }
     Some(Candidate { key: best.key, bid })
@@ -100,14 +102,14 @@
     let shared = &job.shared;
     let Some(target) = &job.call.target else { return Vec::new() };
     let now = shared.now();
-    let token = shared.speeds().token(&target.model);
+    let token = shared.speeds().token_time(&target.model);
     let fleet = shared.fleet();
-    let only = job.attempts.only_on(|run| {
+    let only = job.attempts.restricted_to(|run| {
         let known = fleet.key(&run.server).and_then(|key| fleet.get(key));
         known.is_some_and(|server| is_run(server, run))
     });
     let holding = fleet
-        .open(&job.service, now)
+        .available(&job.service, now)
         .filter(|(_, server)| server.entry.holds(&target.model))
         .filter(|(_, server)| !avoid.contains(&server.entry.name))
         .filter(|(_, server)| {
@@ -117,15 +119,15 @@
         .map(|(key, server)| Runner {
             key,
             name: server.entry.name.clone(),
-            own: estimate(server.own, job.call.size, token),
-            local: local_cost(server, &shared.settings.domain, now),
+            own: estimate_wait_ms(server.own_usage, job.call.size, token),
+            local: local_cost_ms(server, &shared.settings.domain, now),
         })
         .collect()
 }
 
 /// Whether a server is in that run still.
-fn is_run(server: &Server, run: &Run) -> bool {
-    server.entry.name == run.server && server.entry.born == run.born
+fn is_run(server: &Server, run: &Incarnation) -> bool {
+    server.entry.name == run.server && server.entry.born == run.started_at
 }
 
 /// Leaves a few of many runners: some that suit the request's adapter and prompt, and
@@ -151,7 +153,7 @@
 async fn ask(
     shared: &Shared,
     runners: &[Runner],
-    want: &Want,
+    want: &GenerationRequest,
     engine: &Engine,
 ) -> IndexMap<ServerName, Bid> {
     let asked = sort_out(shared, runners);
@@ -195,7 +197,7 @@
     shared: &Shared,
     addr: SocketAddr,
     servers: Vec<ServerName>,
-    want: &Want,
+    want: &GenerationRequest,
 ) -> Vec<(ServerName, Bid)> {
     let (number, mut answer) = shared.peers.expect();
     let message = Message::Ask { number, servers, want: want.clone() };
@@ -211,7 +213,7 @@
 pub fn answer(
     shared: &Shared,
     servers: Vec<ServerName>,
-    want: &Want,
+    want: &GenerationRequest,
 ) -> Vec<(ServerName, Bid)> {
     let now = shared.now();
     let place = |name: ServerName| {
--- a/crates/gate/src/attempt.rs
+++ b/crates/gate/src/attempt.rs
@@ -7,7 +7,9 @@
 use bytes::Bytes;
 use chestnut_base::{ModelName, ServerName, ServiceName};
 use chestnut_edge::{Attempt, Reply};
-use chestnut_pool::{Asked, Ended, Flight, Outcome, Run, ServerKey};
+use chestnut_pool::{
+    AttemptOutcome, DemandCounts, InFlightRequest, Incarnation, PermitOutcome, ServerKey,
+};
 use http::{Request, response};
 use hyper::body::Incoming;
 use tokio::time::{timeout, timeout_at};
@@ -30,12 +32,12 @@
     shared: Arc<Shared>,
     /// The server.
     pub key: ServerKey,
-    flight: Flight,
+    flight: InFlightRequest,
     sent: Instant,
     /// The place in a plain service's queue that it was sent by.
     place: Option<Ticket>,
     /// What came of it.
-    outcome: Outcome,
+    outcome: PermitOutcome,
     /// The service and the model that it asks for, if it is a generation.
     target: Option<(ServiceName, ModelName)>,
 }
@@ -44,35 +46,35 @@
     /// Counts a request.
     pub fn new(job: &Job, place: &Place) -> Self {
         let shared = job.shared.clone();
-        let flight = Flight { size: job.size(), begun: false };
+        let flight = InFlightRequest { size: job.size(), responding: false };
         let key = place.key;
-        shared.fleet().begin(key, flight);
+        shared.fleet().begin_request(key, flight);
         sums::tell(&shared, key, job.call.target.clone(), None);
         let sent = shared.now();
         let plain = place.number.filter(|_| job.call.target.is_none());
         let place = plain.map(|number| Ticket { service: job.service.clone(), number });
         let target = job.call.target.as_ref();
         let target = target.map(|target| (job.service.clone(), target.model.clone()));
-        Self { shared, key, flight, sent, place, outcome: Outcome::Left, target }
+        Self { shared, key, flight, sent, place, outcome: PermitOutcome::Unused, target }
     }
 
     /// Takes note that the answer broke off.
     pub fn broke(&mut self) {
-        self.outcome = Outcome::Failed;
+        self.outcome = PermitOutcome::Failed;
     }
 
     /// Takes note that the server has begun to answer.
     ///
     /// `number` names the request to the runner's holder.
     pub fn begun(&mut self, number: Option<u64>) {
-        if self.flight.begun {
+        if self.flight.responding {
             return;
         }
         {
             let mut fleet = self.shared.fleet();
-            fleet.end(self.key, self.flight);
-            self.flight.begun = true;
-            fleet.begin(self.key, self.flight);
+            fleet.end_request(self.key, self.flight);
+            self.flight.responding = true;
+            fleet.begin_request(self.key, self.flight);
         }
         let after_ms =
             self.shared.now().saturating_duration_since(self.sent).as_millis() as u32;
@@ -83,15 +85,19 @@
 
 impl Drop for InFlight {
     fn drop(&mut self) {
-        self.shared.fleet().end(self.key, self.flight);
+        self.shared.fleet().end_request(self.key, self.flight);
         sums::tell(&self.shared, self.key, None, None);
-        if let Some((service, model)) = self.target.as_ref().filter(|_| self.flight.begun)
+        if let Some((service, model)) =
+            self.target.as_ref().filter(|_| self.flight.responding)
         {
             let stay = self.shared.now().saturating_duration_since(self.sent);
-            let ended =
-                Asked { ended: 1.0, stay: stay.as_secs_f64(), ..Asked::default() };
+            let ended = DemandCounts {
+                finished: 1.0,
+                service_s: stay.as_secs_f64(),
+                ..DemandCounts::default()
+            };
             planner::note(&self.shared, service, model, ended);
-            self.shared.speeds().learn_stay(stay);
+            self.shared.speeds().record_service_time(stay);
         }
         if let Some(place) = self.place.take() {
             place.give_back(&self.shared, self.outcome);
@@ -116,8 +122,8 @@
 
 impl Place {
     /// The server's present run.
-    pub fn run(&self) -> Run {
-        Run { server: self.name.clone(), born: self.born }
+    pub fn run(&self) -> Incarnation {
+        Incarnation { server: self.name.clone(), started_at: self.born }
     }
 }
 
@@ -165,13 +171,13 @@
     }
 
     /// What it says of the request.
-    pub fn ended(&self) -> Ended {
+    pub fn ended(&self) -> AttemptOutcome {
         match self {
-            Self::Unreachable(_) => Ended::Unsent,
-            Self::Rejected(_) => Ended::Rejected,
-            Self::Lost(_) => Ended::Lost,
-            Self::Silent => Ended::Silent,
-            Self::Late => Ended::Late,
+            Self::Unreachable(_) => AttemptOutcome::NotSent,
+            Self::Rejected(_) => AttemptOutcome::Rejected,
+            Self::Lost(_) => AttemptOutcome::ResponseLost,
+            Self::Silent => AttemptOutcome::Unresponsive,
+            Self::Late => AttemptOutcome::TimedOut,
         }
     }
 }
@@ -187,18 +193,20 @@
     let result = exchange(job, place, resume_after).await;
     let now = shared.now();
     flight.outcome = match &result {
-        Ok((head, ..)) if head.status.is_server_error() => Outcome::Failed,
-        Ok(_) => Outcome::Answered,
-        Err(Missed::Unreachable(_)) => Outcome::Unreachable,
-        Err(Missed::Lost(_) | Missed::Silent | Missed::Late) => Outcome::Failed,
-        Err(Missed::Rejected(_)) => Outcome::Rejected,
+        Ok((head, ..)) if head.status.is_server_error() => PermitOutcome::Failed,
+        Ok(_) => PermitOutcome::Answered,
+        Err(Missed::Unreachable(_)) => PermitOutcome::Unreachable,
+        Err(Missed::Lost(_) | Missed::Silent | Missed::Late) => PermitOutcome::Failed,
+        Err(Missed::Rejected(_)) => PermitOutcome::Rejected,
     };
     if let Some(server) = shared.fleet().get_mut(place.key) {
         match &result {
-            Ok((head, ..)) if head.status.is_server_error() => server.health.failed(now),
-            Ok(_) => server.health.answered(now),
-            Err(Missed::Unreachable(_)) => server.health.refused(now),
-            Err(Missed::Lost(_) | Missed::Silent) => server.health.failed(now),
+            Ok((head, ..)) if head.status.is_server_error() => {
+                server.health.record_failure(now)
+            }
+            Ok(_) => server.health.record_success(now),
+            Err(Missed::Unreachable(_)) => server.health.record_connection_failure(now),
+            Err(Missed::Lost(_) | Missed::Silent) => server.health.record_failure(now),
             Err(Missed::Rejected(_) | Missed::Late) => {}
         }
     }
@@ -256,7 +264,7 @@
 /// what may run again is sent again, and once: a second silence is a slow service.
 fn patience(job: &Job) -> Option<Duration> {
     let route = job.route();
-    if !job.attempts.may_be_silent() {
+    if !job.attempts.may_abandon() {
         return None;
     }
     let limit = job.arrived + route.objective * SILENCE;
--- a/crates/gate/src/driver.rs
+++ b/crates/gate/src/driver.rs
@@ -12,7 +12,7 @@
 use chestnut_edge::{Engine, Order, OrderAnswer, OrderStep, ServerEntry, TargetModel};
 use chestnut_member::wake;
 use chestnut_pool::AdapterNeed;
-use chestnut_pool::moving::Move;
+use chestnut_pool::moves::Move;
 use slog::{info, warn};
 use tokio::time::sleep;
 
@@ -67,15 +67,16 @@
     /// Has an adapter loaded; returns in how long it is there.
     pub async fn adapter(&self, target: &TargetModel, missed: bool) -> Option<Duration> {
         if missed {
-            self.holder.state().lacks(target);
+            self.holder.state().mark_adapter_missing(target);
         }
         for _ in 0..ADAPTER_STEPS {
             self.known().await?;
             let places = self.engine()?.adapter_slots;
-            let need = self.holder.state().need(target, places, self.shared.now());
+            let need =
+                self.holder.state().adapter_need(target, places, self.shared.now());
             match need {
-                AdapterNeed::Ready(time) => return Some(time),
-                AdapterNeed::Full => return None,
+                AdapterNeed::ReadyIn(time) => return Some(time),
+                AdapterNeed::SlotsInUse => return None,
                 AdapterNeed::Order(step) => drop(self.order(step, ADAPTER_TIME).await),
             }
         }
@@ -135,7 +136,7 @@
             _ => return false,
         }
         // Its runs end first; nothing else may be ordered until then.
-        self.holder.state().doubt();
+        self.holder.state().forget_order_count();
         let limit = self.shared.now() + UNLOAD_TIME;
         while self.shared.now() < limit {
             sleep(UNLOAD_POLL).await;
@@ -164,7 +165,7 @@
     }
 
     fn is_at_rest(&self) -> bool {
-        self.holder.state().busy(self.shared.now()).is_zero()
+        self.holder.state().order_time_left(self.shared.now()).is_zero()
     }
 
     fn entry(&self) -> Option<ServerEntry> {
@@ -179,7 +180,7 @@
 
     /// Asks the runner what it holds unless that is known.
     async fn known(&self) -> Option<()> {
-        if self.holder.state().orders().is_some() {
+        if self.holder.state().order_count().is_some() {
             return Some(());
         }
         if !self.is_at_rest() {
@@ -201,7 +202,7 @@
             Ok(report) => {
                 let current = report.born == self.entry().and_then(|entry| entry.born);
                 let now = self.shared.now();
-                let taken = current && self.holder.state().learn(&report, now);
+                let taken = current && self.holder.state().apply_report(&report, now);
                 info!(self.shared.log, "report"; "server" => self.holder.server.to_string(),
                     "orders" => report.orders, "busy" => report.busy, "taken" => taken,
                     "models" => report.models.len());
@@ -235,7 +236,7 @@
             return None;
         }
         let addr = self.addr()?;
-        let after = self.holder.state().orders()?;
+        let after = self.holder.state().order_count()?;
         let holder = self.shared.settings.vm.clone();
         let order = Order { server: server.clone(), step, after, holder, fence };
         let request = self.shared.dialect.write_order(&order);
@@ -263,19 +264,19 @@
         let now = self.shared.now();
         match answer {
             OrderAnswer::Accepted => {
-                self.holder.state().accepted(step, time, now);
+                self.holder.state().record_accepted(step, time, now);
                 if matches!(step, OrderStep::UnloadAdapter(..)) {
                     // Requests use it still; its place is free once a report says so.
-                    self.holder.state().doubt();
+                    self.holder.state().forget_order_count();
                 }
             }
-            OrderAnswer::Holds => self.holder.state().holds(step, now),
+            OrderAnswer::Holds => self.holder.state().record_in_force(step, now),
             OrderAnswer::Conflict | OrderAnswer::Unknown | OrderAnswer::Busy => {
-                self.holder.state().doubt();
+                self.holder.state().forget_order_count();
                 sleep(REPORT_AGE).await;
             }
             OrderAnswer::Fenced | OrderAnswer::Misdirected | OrderAnswer::Invalid => {
-                self.holder.state().doubt();
+                self.holder.state().forget_order_count();
             }
         }
     }
--- a/crates/gate/src/enqueue.rs
+++ b/crates/gate/src/enqueue.rs
@@ -9,7 +9,7 @@
 use std::time::Duration;
 
 use chestnut_base::{MemberId, ServerName, ServiceName};
-use chestnut_pool::{Outcome, PlainWant};
+use chestnut_pool::{PermitOutcome, PlainRequest};
 use slog::info;
 use tokio::sync::{mpsc, oneshot};
 use tokio::time::{sleep, timeout};
@@ -83,7 +83,7 @@
 
 impl Ticket {
     /// Tells the queue that the request needs its place no more.
-    pub fn give_back(self, shared: &Arc<Shared>, outcome: Outcome) {
+    pub fn give_back(self, shared: &Arc<Shared>, outcome: PermitOutcome) {
         let Self { service, number } = self;
         match holder(shared, &service) {
             Some((member, _)) if member == shared.peers.me => {
@@ -140,17 +140,17 @@
     queued
 }
 
-fn want(job: &Job, avoid: &[ServerName]) -> PlainWant {
+fn want(job: &Job, avoid: &[ServerName]) -> PlainRequest {
     let now = job.shared.now();
     let fleet = job.shared.fleet();
     let ours = fleet.iter().filter(|(_, server)| server.entry.service == job.service);
-    let shut = ours.filter(|(_, server)| !fleet.takes_work(server, now));
+    let shut = ours.filter(|(_, server)| !fleet.accepts_requests(server, now));
     let shut = shut.map(|(_, server)| server.entry.name.clone());
     let on_time = job.arrived + job.route().objective;
-    PlainWant {
+    PlainRequest {
         urgency: job.route().urgency,
         target_time: on_time.saturating_duration_since(now),
-        patience: job.deadline.saturating_duration_since(now),
+        wait_limit: job.deadline.saturating_duration_since(now),
         domain: job.shared.settings.domain.clone(),
         avoid: avoid.iter().cloned().chain(shut).collect(),
     }
@@ -164,7 +164,7 @@
 }
 
 impl Asked<'_> {
-    async fn here(&self, want: PlainWant) -> Queued {
+    async fn here(&self, want: PlainRequest) -> Queued {
         let shared = &self.job.shared;
         let (sender, receiver) = oneshot::channel();
         let asker = (shared.peers.me, self.number);
@@ -180,7 +180,7 @@
         &self,
         addr: SocketAddr,
         mut receiver: mpsc::UnboundedReceiver<Message>,
-        want: PlainWant,
+        want: PlainRequest,
     ) -> Queued {
         let (shared, number) = (&self.job.shared, self.number);
         let service = &self.job.service;
@@ -222,7 +222,7 @@
     fn drop(&mut self) {
         if !self.placed {
             let (service, number) = (self.job.service.clone(), self.number);
-            Ticket { service, number }.give_back(&self.job.shared, Outcome::Left);
+            Ticket { service, number }.give_back(&self.job.shared, PermitOutcome::Unused);
         }
     }
 }
--- a/crates/gate/src/grant.rs
+++ b/crates/gate/src/grant.rs
@@ -9,7 +9,10 @@
 
 use chestnut_base::MemberId;
 use chestnut_edge::Engine;
-use chestnut_pool::{AdapterState, Asker, Next, Room, Ticket, Waiting, Want};
+use chestnut_pool::{
+    AdapterState, GenerationRequest, PrefillAction, QueuedPrompt, RequestKey,
+    RunnerCapacity, Ticket,
+};
 use indexmap::IndexMap;
 use slog::info;
 use tokio::time::timeout_at;
@@ -37,9 +40,9 @@
 /// Asks when a request may be sent.
 pub struct Question {
     /// Names the request.
-    pub asker: Asker,
+    pub asker: RequestKey,
     /// What it needs.
-    pub want: Want,
+    pub want: GenerationRequest,
     /// Whether the runner has just said that it does not have the adapter.
     pub missed: bool,
 }
@@ -48,12 +51,12 @@
 #[derive(Default)]
 pub struct Desk {
     last: u64,
-    open: IndexMap<Asker, Entry>,
+    open: IndexMap<RequestKey, Entry>,
 }
 
 struct Entry {
     ticket: Ticket,
-    want: Want,
+    want: GenerationRequest,
     /// The prompt tokens that the runner had to read when the request was sent.
     unread: u32,
     /// Whether that number is known; the runner may keep parts from before this holder.
@@ -66,15 +69,15 @@
 
 impl Desk {
     /// What became of a request that was asked for before.
-    fn verdict(&self, asker: Asker) -> Option<Verdict> {
+    fn verdict(&self, asker: RequestKey) -> Option<Verdict> {
         let entry = self.open.get(&asker)?;
         Some(entry.decided.map_or(Verdict::Queued, |(verdict, _)| verdict))
     }
 
     fn enter(
         &mut self,
-        asker: Asker,
-        want: Want,
+        asker: RequestKey,
+        want: GenerationRequest,
         reply: Reply<Verdict>,
         now: Instant,
     ) -> Ticket {
@@ -88,7 +91,7 @@
         ticket
     }
 
-    fn find(&mut self, ticket: Ticket) -> Option<(Asker, &mut Entry)> {
+    fn find(&mut self, ticket: Ticket) -> Option<(RequestKey, &mut Entry)> {
         let mut open = self.open.iter_mut();
         let (asker, entry) = open.find(|(_, entry)| entry.ticket == ticket)?;
         Some((*asker, entry))
@@ -135,14 +138,14 @@
 /// When the runner has the adapter; nothing if it has to be loaded.
 fn adapter_ready(
     holder: &Holder,
-    want: &Want,
+    want: &GenerationRequest,
     missed: bool,
     engine: &Engine,
     now: Instant,
 ) -> Option<Instant> {
-    match holder.state().adapter(&want.target, engine.adapter_slots, now) {
+    match holder.state().adapter_state(&want.target, engine.adapter_slots, now) {
         AdapterState::Ready if !missed => Some(now),
-        AdapterState::Coming(left) if !missed => Some(now + left),
+        AdapterState::Loading(left) if !missed => Some(now + left),
         _ => None,
     }
 }
@@ -151,20 +154,20 @@
     shared: &Shared,
     holder: &Holder,
     ticket: Ticket,
-    want: &Want,
+    want: &GenerationRequest,
     ready: Option<Instant>,
 ) {
     let now = shared.now();
     let mut state = holder.state();
-    let work = state.reading(want, &shared.speeds());
-    state.lane.push(Waiting {
+    let work = state.prefill_time(want, &shared.speeds());
+    state.prefill_queue.push(QueuedPrompt {
         ticket,
-        work,
-        tokens: want.size.tokens(),
+        prefill_time: work,
+        kv_tokens: want.size.tokens(),
         urgency: want.urgency,
         target: now + want.target_time,
-        deadline: now + want.patience,
-        ready,
+        deadline: now + want.wait_limit,
+        adapter_ready_at: ready,
     });
 }
 
@@ -173,20 +176,22 @@
     shared: &Shared,
     holder: &Holder,
     ticket: Ticket,
-    want: Want,
+    want: GenerationRequest,
     missed: bool,
 ) {
     match holder.prepare(want.target, missed).await {
-        Some(ready) => holder.state().lane.set_ready(ticket, shared.now() + ready),
+        Some(ready) => {
+            holder.state().prefill_queue.set_adapter_ready(ticket, shared.now() + ready)
+        }
         None => decide(shared, holder, ticket, Verdict::Denied),
     }
     holder.changed.notify_one();
 }
 
 /// Takes in that a request is not sent after all.
-pub fn leave(holder: &Holder, asker: Asker) {
+pub fn leave(holder: &Holder, asker: RequestKey) {
     let Some(entry) = holder.desk().open.swap_remove(&asker) else { return };
-    holder.state().lane.remove(entry.ticket);
+    holder.state().prefill_queue.remove(entry.ticket);
     holder.changed.notify_one();
 }
 
@@ -198,10 +203,10 @@
         (entry.ticket, entry.want.target.model.clone(), entry.unread, entry.sure)
     };
     let time = Duration::from_millis(begun.after_ms.into());
-    let base = shared.speeds().base(&model);
-    let free = holder.state().lane.begun(ticket, time, base);
+    let base = shared.speeds().first_event_overhead(&model);
+    let free = holder.state().prefill_queue.record_first_event(ticket, time, base);
     if free && sure {
-        shared.speeds().learn(&model, unread, time);
+        shared.speeds().record_first_event(&model, unread, time);
     }
 }
 
@@ -224,12 +229,16 @@
         deny_all(shared, holder);
         return Some(later);
     };
-    let next = holder.state().lane.next(room, now);
+    let next = holder.state().prefill_queue.next_action(room, now);
     match next {
-        Next::Send(waiting) => decide(shared, holder, waiting.ticket, Verdict::Send),
-        Next::Expired(waiting) => decide(shared, holder, waiting.ticket, Verdict::Denied),
-        Next::Wait(until) => return Some(until.min(later)),
-        Next::Idle => return Some(later),
+        PrefillAction::Send(waiting) => {
+            decide(shared, holder, waiting.ticket, Verdict::Send)
+        }
+        PrefillAction::Expired(waiting) => {
+            decide(shared, holder, waiting.ticket, Verdict::Denied)
+        }
+        PrefillAction::WaitUntil(until) => return Some(until.min(later)),
+        PrefillAction::Idle => return Some(later),
     }
     None
 }
@@ -261,7 +270,7 @@
     match verdict {
         Verdict::Send => note_sent(shared, holder, ticket, &want),
         Verdict::Denied | Verdict::Queued | Verdict::Moved => {
-            holder.state().lane.remove(ticket);
+            holder.state().prefill_queue.remove(ticket);
             info!(shared.log, "turn denied"; "server" => holder.server.to_string(),
                 "daemon" => asker.0.to_string(), "number" => asker.1);
         }
@@ -271,15 +280,15 @@
     }
 }
 
-fn note_sent(shared: &Shared, holder: &Holder, ticket: Ticket, want: &Want) {
+fn note_sent(shared: &Shared, holder: &Holder, ticket: Ticket, want: &GenerationRequest) {
     let now = shared.now();
     let capacity = shared.engine_of(&holder.server).map_or(0, |engine| engine.kv_tokens);
     let (unread, sure) = {
         let mut state = holder.state();
-        let unread = state.unread(want);
-        let doubtful = state.prefixes.doubtful(&want.target, &want.parts);
-        state.prefixes.sent(&want.target, &want.parts, capacity);
-        state.touch(&want.target, now);
+        let unread = state.uncached_tokens(want);
+        let doubtful = state.prefix_cache.uncertain_tokens(&want.target, &want.parts);
+        state.prefix_cache.record_sent(&want.target, &want.parts, capacity);
+        state.mark_adapter_used(&want.target, now);
         (unread, f64::from(doubtful) <= DOUBTFUL_SHARE * f64::from(unread))
     };
     if let Some((_, entry)) = holder.desk().find(ticket) {
@@ -292,7 +301,7 @@
 }
 
 /// What the runner has room for; nothing if it takes no new requests.
-fn room(shared: &Shared, holder: &Holder, now: Instant) -> Option<Room> {
+fn room(shared: &Shared, holder: &Holder, now: Instant) -> Option<RunnerCapacity> {
     let open = {
         let fleet = shared.fleet();
         let server = fleet.get(fleet.key(&holder.server)?)?;
@@ -302,12 +311,12 @@
         return None;
     }
     let engine = shared.engine_of(&holder.server)?;
-    let total = holder.state().total(now);
-    Some(Room {
+    let total = holder.state().total_usage(now);
+    Some(RunnerCapacity {
         requests: engine.slots.saturating_sub(total.requests),
-        tokens: engine.usable_tokens().saturating_sub(total.tokens),
-        pause: shared.declared().and_then(|declared| declared.least_pause()),
-        step: shared.speeds().step(),
-        event_steps: engine.event_tokens,
+        kv_tokens: engine.usable_tokens().saturating_sub(total.kv_tokens),
+        max_event_gap: shared.declared().and_then(|declared| declared.least_pause()),
+        step_time: shared.speeds().step_time(),
+        steps_per_event: engine.event_tokens,
     })
 }
--- a/crates/gate/src/holder.rs
+++ b/crates/gate/src/holder.rs
@@ -11,8 +11,8 @@
 use chestnut_base::ServerName;
 use chestnut_edge::TargetModel;
 use chestnut_member::ClaimKey;
-use chestnut_pool::Runner;
-use chestnut_pool::moving::Move;
+use chestnut_pool::RunnerView;
+use chestnut_pool::moves::Move;
 use tokio::sync::{Notify, mpsc, oneshot};
 
 use crate::driver::Driver;
@@ -36,7 +36,7 @@
     desk: Mutex<Desk>,
     /// Wakes whoever sees to the runner's lane.
     pub changed: Notify,
-    state: Mutex<Runner>,
+    state: Mutex<RunnerView>,
     commands: mpsc::Sender<Command>,
 }
 
@@ -60,7 +60,7 @@
 
 impl Holder {
     /// What is known of the runner.
-    pub fn state(&self) -> MutexGuard<'_, Runner> {
+    pub fn state(&self) -> MutexGuard<'_, RunnerView> {
         self.state.lock().expect("no holder of the lock panics")
     }
 
--- a/crates/gate/src/job.rs
+++ b/crates/gate/src/job.rs
@@ -7,7 +7,7 @@
 use bytes::Bytes;
 use chestnut_base::{Refusal, ServiceName};
 use chestnut_edge::{Call, Declared, Engine, Route, RouteKind, Size};
-use chestnut_pool::{Asked, Attempts, Want};
+use chestnut_pool::{Attempts, DemandCounts, GenerationRequest};
 use http::request;
 use slog::info;
 
@@ -92,16 +92,16 @@
     }
 
     /// What the request needs of a runner, if it is a generation.
-    pub fn want(&self) -> Option<Want> {
+    pub fn want(&self) -> Option<GenerationRequest> {
         let now = self.shared.now();
         let on_time = self.arrived + self.route().objective;
-        Some(Want {
+        Some(GenerationRequest {
             target: self.call.target.clone()?,
             size: self.size(),
             parts: self.call.parts.clone(),
             urgency: self.route().urgency,
             target_time: on_time.saturating_duration_since(now),
-            patience: self.patience().saturating_duration_since(now),
+            wait_limit: self.patience().saturating_duration_since(now),
         })
     }
 
@@ -114,12 +114,17 @@
     }
 
     /// What the request asks of its model's runners.
-    pub fn asked(&self) -> Asked {
+    pub fn asked(&self) -> DemandCounts {
         let size = self.call.size;
         let guess = self.call.guess.map_or(f64::from(size.output), f64::from);
         let output = (guess * GUESS_MEAN).min(size.output.into());
         let prompt = f64::from(size.prompt);
-        Asked { requests: 1.0, prompt, tokens: prompt + output, ..Asked::default() }
+        DemandCounts {
+            requests: 1.0,
+            prompt_tokens: prompt,
+            kv_tokens: prompt + output,
+            ..DemandCounts::default()
+        }
     }
 
     /// The size to plan with: callers' guesses are right at the median.
--- a/crates/gate/src/learnt.rs
+++ b/crates/gate/src/learnt.rs
@@ -12,7 +12,7 @@
 
 use chestnut_base::ServiceName;
 use chestnut_edge::{Change, Commit, CommitAnswer};
-use chestnut_pool::speed::Learnt;
+use chestnut_pool::timing::LearnedTimings;
 use slog::{info, warn};
 
 use crate::follow::{Follower, OWN};
@@ -28,7 +28,7 @@
 /// What the store holds of a service's runners, and when this daemon last wrote it.
 #[derive(Debug, Default)]
 pub struct Kept {
-    learnt: Learnt,
+    learnt: LearnedTimings,
     written: Option<Instant>,
     /// When this daemon last told the planner what it has learnt.
     told: Option<Instant>,
@@ -43,13 +43,13 @@
         let name = change.key.strip_prefix(PREFIX).unwrap_or_default();
         let Ok(service) = ServiceName::try_from(name) else { return };
         let Some(value) = &change.value else { return };
-        match serde_json::from_slice::<Learnt>(value) {
+        match serde_json::from_slice::<LearnedTimings>(value) {
             Ok(learnt) => {
                 info!(shared.log, "engine known"; "service" => name,
                     "version" => change.version, "models" => learnt.models.len(),
-                    "step_us" => learnt.step.as_micros() as u64,
-                    "stay_ms" => learnt.stay.as_millis() as u64);
-                shared.speeds().hear(&learnt);
+                    "step_us" => learnt.step_time.as_micros() as u64,
+                    "stay_ms" => learnt.service_time.as_millis() as u64);
+                shared.speeds().merge(&learnt);
                 shared.kept().entry(service).or_default().learnt = learnt;
             }
             Err(error) => warn!(shared.log, "engine's row refused"; "key" => &change.key,
@@ -59,14 +59,14 @@
 }
 
 /// What the holder of a service's runners has learnt, if the planner is to be told.
-pub fn news(shared: &Shared, service: &ServiceName) -> Option<Learnt> {
+pub fn news(shared: &Shared, service: &ServiceName) -> Option<LearnedTimings> {
     let now = shared.now();
-    let learnt = shared.speeds().learnt();
+    let learnt = shared.speeds().learned();
     let mut kept = shared.kept();
     let kept = kept.entry(service.clone()).or_default();
     let recent = |at: Instant| now.saturating_duration_since(at) < PERIOD;
     let due = !learnt.models.is_empty()
-        && learnt.is_news(&kept.learnt)
+        && learnt.differs_from(&kept.learnt)
         && !kept.told.is_some_and(recent);
     due.then(|| {
         kept.told = Some(now);
@@ -77,12 +77,12 @@
 /// Writes what was learnt of a service's runners, if it is news.
 pub fn keep(shared: &Arc<Shared>, service: &ServiceName) {
     let now = shared.now();
-    let learnt = shared.speeds().learnt_by_all();
+    let learnt = shared.speeds().learned_by_all();
     {
         let mut kept = shared.kept();
         let kept = kept.entry(service.clone()).or_default();
         let recent = |at: Instant| now.saturating_duration_since(at) < PERIOD;
-        if kept.written.is_some_and(recent) || !learnt.is_news(&kept.learnt) {
+        if kept.written.is_some_and(recent) || !learnt.differs_from(&kept.learnt) {
             return;
         }
         kept.written = Some(now);
--- a/crates/gate/src/message.rs
+++ b/crates/gate/src/message.rs
@@ -5,9 +5,11 @@
 
 use chestnut_base::{MemberId, ModelName, ServerName, ServiceName};
 use chestnut_edge::TargetModel;
-use chestnut_pool::moving::Move;
-use chestnut_pool::speed::Learnt;
-use chestnut_pool::{Asked, Bid, Outcome, PlainWant, Usage, Want};
+use chestnut_pool::moves::Move;
+use chestnut_pool::timing::LearnedTimings;
+use chestnut_pool::{
+    Bid, DemandCounts, GenerationRequest, PermitOutcome, PlainRequest, Usage,
+};
 use serde::{Deserialize, Serialize};
 
 /// A datagram.
@@ -45,7 +47,7 @@
         /// The runners.
         servers: Vec<ServerName>,
         /// What the request needs.
-        want: Want,
+        want: GenerationRequest,
     },
     /// Answers `Ask`.
     Bids {
@@ -63,7 +65,7 @@
         /// The runner.
         server: ServerName,
         /// What the request needs.
-        want: Want,
+        want: GenerationRequest,
         /// Whether the runner has just said that it does not have the adapter.
         missed: bool,
     },
@@ -90,7 +92,7 @@
         /// The service.
         service: ServiceName,
         /// What the request needs.
-        want: PlainWant,
+        want: PlainRequest,
     },
     /// Answers `Enqueue`.
     Dequeued {
@@ -106,7 +108,7 @@
         /// The service.
         service: ServiceName,
         /// What came of it.
-        outcome: Outcome,
+        outcome: PermitOutcome,
     },
     /// What callers have asked of a service's models, to the planner; in parts, since all
     /// models may be too many for a datagram.
@@ -116,11 +118,11 @@
         /// The number of the part.
         part: usize,
         /// What was asked for since the daemon's start, by model.
-        asked: Vec<(ModelName, Asked)>,
+        asked: Vec<(ModelName, DemandCounts)>,
         /// Servers that the daemon can't connect to.
         lost: Vec<ServerName>,
         /// What it has learnt of its runners since it last told.
-        learnt: Option<Learnt>,
+        learnt: Option<LearnedTimings>,
     },
     /// The planner asks a runner's holder to change what the runner holds.
     Move(Move),
--- a/crates/gate/src/observe.rs
+++ b/crates/gate/src/observe.rs
@@ -197,8 +197,9 @@
         let dump = ServerDump {
             service: server.entry.service.to_string(),
             phase: format!("{:?}", server.entry.phase),
-            open: fleet.takes_work(server, now) && server.health.is_open(now),
-            requests: server.own.requests as usize,
+            open: fleet.accepts_requests(server, now)
+                && server.health.allows_requests(now),
+            requests: server.own_usage.requests as usize,
         };
         (server.entry.name.clone(), dump)
     };
@@ -212,9 +213,9 @@
         let state = holder.state();
         let dump = HeldDump {
             models: state.models().iter().map(ToString::to_string).collect(),
-            orders: state.orders(),
-            busy: state.busy(now),
-            requests: state.total(now).requests as usize,
+            orders: state.order_count(),
+            busy: state.order_time_left(now),
+            requests: state.total_usage(now).requests as usize,
         };
         (name, dump)
     };
--- a/crates/gate/src/pick.rs
+++ b/crates/gate/src/pick.rs
@@ -9,7 +9,7 @@
 use std::time::Duration;
 
 use chestnut_base::ServerName;
-use chestnut_pool::{Bid, Candidate, Outcome, choose};
+use chestnut_pool::{Bid, Candidate, PermitOutcome, choose};
 use slog::info;
 use tokio::time::{Instant, timeout_at};
 
@@ -94,7 +94,7 @@
             return pick_plain(job, avoid).await;
         }
         let chosen = ask::pick(job, avoid).await.ok_or(NoPlace::Nowhere)?;
-        let wait = Duration::from_secs_f64(chosen.bid.wait.max(0.0) / 1000.0);
+        let wait = Duration::from_secs_f64(chosen.bid.wait_ms.max(0.0) / 1000.0);
         if job.shared.now() + wait > job.patience() {
             return Err(NoPlace::Full(wait));
         }
@@ -139,16 +139,16 @@
         let fleet = job.shared.fleet();
         let key = fleet.key(server);
         let known = key.and_then(|key| Some((key, fleet.get(key)?)));
-        let open = known.filter(|(_, server)| fleet.takes_work(server, now));
+        let open = known.filter(|(_, server)| fleet.accepts_requests(server, now));
         open.map(|(key, server)| {
-            let requests = server.own.requests;
-            Candidate { key, bid: Bid { wait: 0.0, cost: 0.0, requests } }
+            let requests = server.own_usage.requests;
+            Candidate { key, bid: Bid { wait_ms: 0.0, cost_ms: 0.0, requests } }
         })
     };
     let place = chosen.and_then(|chosen| place(job, chosen));
     if place.is_none() {
         enqueue::Ticket { service: job.service.clone(), number }
-            .give_back(&job.shared, Outcome::Left);
+            .give_back(&job.shared, PermitOutcome::Unused);
     }
     Some(Place { number: Some(number), ..place? })
 }
@@ -158,7 +158,7 @@
     let shared = &job.shared;
     let (now, domain) = (shared.now(), &shared.settings.domain);
     let fleet = shared.fleet();
-    let open = || fleet.open(&job.service, now);
+    let open = || fleet.available(&job.service, now);
     let fresh = open().filter(|(_, server)| !avoid.contains(&server.entry.name));
     // Where all have rejected it, one may have room by now.
     choose(fresh, domain, now).or_else(|| choose(open(), domain, now))
@@ -172,7 +172,7 @@
     let registry = job.shared.tables.servers.news(job.shared.now());
     info!(job.shared.log, "server picked"; "id" => job.id(), "server" => name.to_string(),
         "target" => job.call.target.as_ref().map(|target| target.to_string()),
-        "cost_ms" => chosen.bid.cost as u64, "requests" => chosen.bid.requests,
+        "cost_ms" => chosen.bid.cost_ms as u64, "requests" => chosen.bid.requests,
         "registry_version" => registry.map(|(version, _)| version),
         "registry_age_ms" => registry.map(|(_, age)| age));
     Some(Place { key: chosen.key, name, born, addr, number: None })
--- a/crates/gate/src/planner.rs
+++ b/crates/gate/src/planner.rs
@@ -12,9 +12,9 @@
 use chestnut_base::{MemberId, ModelName, ServerName, ServiceName};
 use chestnut_edge::{Engine, ServerEntry};
 use chestnut_member::ClaimKey;
-use chestnut_pool::Asked;
-use chestnut_pool::moving::Move;
-use chestnut_pool::placing::{Placing, Scene};
+use chestnut_pool::DemandCounts;
+use chestnut_pool::moves::Move;
+use chestnut_pool::placement::{PlacementInput, PlacementPlanner};
 use indexmap::IndexMap;
 use slog::info;
 use tokio::time::sleep;
@@ -36,19 +36,24 @@
 /// What callers have asked of this daemon, by service and model.
 #[derive(Debug, Default)]
 pub struct Counts {
-    asked: IndexMap<ServiceName, IndexMap<ModelName, Asked>>,
+    asked: IndexMap<ServiceName, IndexMap<ModelName, DemandCounts>>,
 }
 
 impl Counts {
     /// Adds to what was asked of a model.
-    pub fn add(&mut self, service: &ServiceName, model: &ModelName, asked: Asked) {
+    pub fn add(&mut self, service: &ServiceName, model: &ModelName, asked: DemandCounts) {
         let models = self.asked.entry(service.clone()).or_default();
         *models.entry(model.clone()).or_default() += asked;
     }
 }
 
 /// Counts for the planner what was asked of a model.
-pub fn note(shared: &Shared, service: &ServiceName, model: &ModelName, asked: Asked) {
+pub fn note(
+    shared: &Shared,
+    service: &ServiceName,
+    model: &ModelName,
+    asked: DemandCounts,
+) {
     shared.counts().add(service, model, asked);
 }
 
@@ -57,21 +62,21 @@
     shared: &Shared,
     from: MemberId,
     (service, part): (ServiceName, usize),
-    asked: Vec<(ModelName, Asked)>,
+    asked: Vec<(ModelName, DemandCounts)>,
     lost: Vec<ServerName>,
 ) {
     let now = shared.now();
     let mut plans = shared.plans();
-    let placing = plans.entry(service).or_insert_with(|| Placing::new(now));
-    placing.count(from, part, asked);
-    placing.hear_lost(from, lost, now);
+    let placing = plans.entry(service).or_insert_with(|| PlacementPlanner::new(now));
+    placing.update_demand(from, part, asked);
+    placing.record_unreachable(from, lost, now);
 }
 
 /// Takes in that a runner's holder could not make a move.
 pub fn fail(shared: &Shared, change: &Move) {
     let now = shared.now();
     for placing in shared.plans().values_mut() {
-        placing.fail(change, now);
+        placing.record_failure(change, now);
     }
 }
 
@@ -105,7 +110,7 @@
     shared: &Shared,
     planner: SocketAddr,
     service: &ServiceName,
-    asked: &[(ModelName, Asked)],
+    asked: &[(ModelName, DemandCounts)],
     lost: &[ServerName],
 ) {
     let mut learnt = learnt::news(shared, service);
@@ -144,7 +149,7 @@
     row.map_or(Planner::Nobody, |row| Planner::There(row.peer_addr))
 }
 
-fn own_counts(shared: &Shared, service: &ServiceName) -> Vec<(ModelName, Asked)> {
+fn own_counts(shared: &Shared, service: &ServiceName) -> Vec<(ModelName, DemandCounts)> {
     let counts = shared.counts();
     let models = counts.asked.get(service).into_iter().flatten();
     models.map(|(model, asked)| (model.clone(), *asked)).collect()
@@ -164,17 +169,22 @@
     let daemons = members::count(shared);
     let mut runners = runners(shared, service);
     if let Some(placing) = shared.plans().get(service) {
-        runners.retain(|runner| !placing.is_lost(&runner.name, daemons, now));
+        runners.retain(|runner| !placing.is_unreachable(&runner.name, daemons, now));
     }
     let fixed = fixed(shared, &runners);
     let bound = shared.bounds.borrow().loads(engine);
     let changes: Vec<Move> = {
         let mut plans = shared.plans();
         let speeds = shared.speeds();
-        let scene =
-            Scene { runners: &runners, fixed: &fixed, engine, bound, speeds: &speeds };
+        let scene = PlacementInput {
+            runners: &runners,
+            fixed: &fixed,
+            engine,
+            load_bound: bound,
+            timings: &speeds,
+        };
         let Some(placing) = plans.get_mut(service) else { return };
-        for change in placing.decide(&scene, now) {
+        for change in placing.plan(&scene, now) {
             let demand = change.load.as_ref().map(|model| placing.demand(model));
             shared.metrics.count(Step::Move, "planned");
             info!(shared.log, "move planned"; "server" => change.server.to_string(),
--- a/crates/gate/src/queue.rs
+++ b/crates/gate/src/queue.rs
@@ -8,7 +8,9 @@
 use std::time::{Duration, Instant};
 
 use chestnut_base::ServiceName;
-use chestnut_pool::{Asker, Listed, Outcome, PlainWant, Queue, QueueStep};
+use chestnut_pool::{
+    ListedServer, PermitOutcome, PermitQueue, PlainRequest, QueueDecision, RequestKey,
+};
 use indexmap::IndexMap;
 use tokio::sync::Notify;
 use tokio::time::timeout_at;
@@ -36,9 +38,9 @@
 
 #[derive(Default)]
 struct State {
-    queue: Queue,
+    queue: PermitQueue,
     /// Where answers to requests that wait go.
-    replies: IndexMap<Asker, Reply<Placed>>,
+    replies: IndexMap<RequestKey, Reply<Placed>>,
     /// The change of the registry that the servers were listed at, and when.
     listed: Option<(u64, Instant)>,
 }
@@ -52,12 +54,12 @@
     /// caller left (2 to 20 of 1,400 plain requests sent at once).
     fn take(
         &mut self,
-        asker: Asker,
-        want: PlainWant,
+        asker: RequestKey,
+        want: PlainRequest,
         reply: Reply<Placed>,
         now: Instant,
     ) -> Option<(Reply<Placed>, Placed)> {
-        if let Some(server) = self.queue.place(asker) {
+        if let Some(server) = self.queue.permit(asker) {
             return Some((reply, Placed::Send(server.clone())));
         }
         self.queue.push(asker, want, now);
@@ -125,8 +127,8 @@
 pub fn take(
     shared: &Shared,
     service: &ServiceName,
-    asker: Asker,
-    want: PlainWant,
+    asker: RequestKey,
+    want: PlainRequest,
     reply: Reply<Placed>,
 ) {
     let Some(queue) = shared.queues().get(service).cloned() else {
@@ -142,11 +144,16 @@
 }
 
 /// Takes in that a request needs its place no more, or does not wait any longer.
-pub fn finish(shared: &Shared, service: &ServiceName, asker: Asker, outcome: Outcome) {
+pub fn finish(
+    shared: &Shared,
+    service: &ServiceName,
+    asker: RequestKey,
+    outcome: PermitOutcome,
+) {
     let Some(queue) = shared.queues().get(service).cloned() else { return };
     {
         let mut state = queue.state();
-        state.queue.end(asker, outcome, shared.now());
+        state.queue.release(asker, outcome, shared.now());
         state.replies.swap_remove(&asker);
     }
     serve(shared, &queue);
@@ -158,7 +165,7 @@
         let Some(held) = queue.upgrade() else { return };
         serve(&shared, &held);
         let now = shared.now();
-        let wake = held.state().queue.wake(now).unwrap_or(now + PATIENCE);
+        let wake = held.state().queue.next_wake(now).unwrap_or(now + PATIENCE);
         let until = tokio::time::Instant::from_std(wake.min(now + PATIENCE));
         // Either something changed or it is time to look again.
         let _ = timeout_at(until, held.changed.notified()).await;
@@ -172,13 +179,13 @@
     loop {
         let (asker, reply, placed) = {
             let mut state = queue.state();
-            let Some(step) = state.queue.next(now) else { return };
+            let Some(step) = state.queue.next_decision(now) else { return };
             let (asker, placed) = match step {
-                QueueStep::Send(asker, server) => (asker, Placed::Send(server)),
-                QueueStep::Full(asker, wait) => {
+                QueueDecision::Grant(asker, server) => (asker, Placed::Send(server)),
+                QueueDecision::Full(asker, wait) => {
                     (asker, Placed::Full(wait.as_millis() as u32))
                 }
-                QueueStep::Nowhere(asker) => (asker, Placed::Nowhere),
+                QueueDecision::NoServer(asker) => (asker, Placed::Nowhere),
             };
             (asker, state.replies.swap_remove(&asker), placed)
         };
@@ -195,11 +202,11 @@
     if queue.state().listed.is_some_and(|(seen, at)| seen == version && !old(at)) {
         return;
     }
-    let listed: Vec<Listed> = {
+    let listed: Vec<ListedServer> = {
         let fleet = shared.fleet();
         let ours = fleet.iter().filter(|(_, one)| one.entry.service == queue.service);
         let open = ours.filter(|(_, one)| fleet.is_listed(one, now));
-        let listed = open.map(|(_, one)| Listed {
+        let listed = open.map(|(_, one)| ListedServer {
             name: one.entry.name.clone(),
             slots: one.entry.slots,
             domain: one.entry.domain.clone(),
@@ -207,11 +214,11 @@
         listed.collect()
     };
     let mut state = queue.state();
-    state.queue.list(listed, now);
+    state.queue.update_servers(listed, now);
     state.listed = Some((version, now));
 }
 
-fn answer(shared: &Shared, asker: Asker, reply: Reply<Placed>, placed: Placed) {
+fn answer(shared: &Shared, asker: RequestKey, reply: Reply<Placed>, placed: Placed) {
     let number = asker.1;
     reply.send(&shared.peers, placed, |verdict| Message::Dequeued { number, verdict });
 }
--- a/crates/gate/src/read.rs
+++ b/crates/gate/src/read.rs
@@ -8,7 +8,7 @@
 use chestnut_base::{Code, Refusal, ServiceName};
 use chestnut_edge::{Call, Declared, Route};
 use chestnut_pool::Attempts;
-use chestnut_pool::fleet::RETURN_TIME;
+use chestnut_pool::fleet::RELIST_GRACE;
 use http::{Response, request};
 use http_body_util::{BodyExt, LengthLimitError, Limited};
 use hyper::body::Incoming;
@@ -123,7 +123,7 @@
     let message = "the daemon has just started and knows no routes yet; use another";
     // The store does not answer; entries of servers come back after it has.
     let away = shared.age() > STORE_TIME;
-    let after = if away { RETURN_TIME } else { START_TIME };
+    let after = if away { RELIST_GRACE } else { START_TIME };
     Refusal::not_run(Code::Leaving, message).after(after)
 }
 
--- a/crates/gate/src/receive.rs
+++ b/crates/gate/src/receive.rs
@@ -61,7 +61,7 @@
         }
         Message::Demand { service, part, asked, lost, learnt } => {
             if let Some(learnt) = learnt {
-                shared.speeds().hear(&learnt);
+                shared.speeds().merge(&learnt);
             }
             planner::take(shared, packet.from, (service, part), asked, lost);
         }
--- a/crates/gate/src/registry.rs
+++ b/crates/gate/src/registry.rs
@@ -62,7 +62,7 @@
                 info!(shared.log, "server listed"; "server" => entry.name.to_string(),
                     "version" => change.version, "service" => entry.service.to_string(),
                     "phase" => format!("{:?}", entry.phase), "models" => names(&entry));
-                shared.fleet().list(entry);
+                shared.fleet().update(entry);
             }
             Err(error) => {
                 // An entry that can't be read names no server to use.
@@ -76,15 +76,15 @@
     fn settled(&mut self) {
         let now = self.0.now();
         if *self.0.listed.borrow() == 0 {
-            self.0.fleet().excuse(now);
+            self.0.fleet().start_grace(now);
         }
-        self.0.fleet().tidy(now);
+        self.0.fleet().remove_missing(now);
         self.0.listed.send_modify(|count| *count += 1);
     }
 
     fn regained(&mut self) {
         let now = self.0.now();
-        self.0.fleet().excuse(now);
+        self.0.fleet().start_grace(now);
     }
 }
 
@@ -97,5 +97,5 @@
 fn unlist(shared: &Shared, key: &str, version: u64) {
     let Ok(name) = ServerName::try_from(key) else { return };
     info!(shared.log, "server gone from the registry"; "server" => key, "version" => version);
-    shared.fleet().unlist(&name, shared.now());
+    shared.fleet().mark_missing(&name, shared.now());
 }
--- a/crates/gate/src/run.rs
+++ b/crates/gate/src/run.rs
@@ -170,7 +170,7 @@
     loop {
         sleep(TIDY_PERIOD).await;
         shared.client.tidy();
-        shared.fleet().tidy(shared.now());
+        shared.fleet().remove_missing(shared.now());
     }
 }
 
--- a/crates/gate/src/serve.rs
+++ b/crates/gate/src/serve.rs
@@ -10,7 +10,7 @@
 
 use bytes::Bytes;
 use chestnut_base::{Code, Refusal, ServerName};
-use chestnut_pool::{Ended, Follow};
+use chestnut_pool::{AttemptOutcome, RetryDecision};
 use http::{Request, Response};
 use http_body_util::{BodyExt, Full};
 use hyper::body::Incoming;
@@ -107,7 +107,7 @@
         job.shared.metrics.count(Step::Missed, missed.name());
         info!(job.shared.log, "attempt missed"; "id" => job.id(),
             "server" => place.name.to_string(), "why" => format!("{missed:?}"));
-        let follow = job.attempts.end(place.run(), missed.ended());
+        let follow = job.attempts.record(place.run(), missed.ended());
         match missed {
             // Its adapter may have been dropped; one that says so twice is left alone.
             Missed::Rejected(MISDIRECTED) if !missing.contains(&place.name) => {
@@ -144,16 +144,16 @@
     if !answered.head.status.is_server_error() {
         return false;
     }
-    let follow = job.attempts.end(answered.place.run(), Ended::Failed);
-    follow == Follow::IfGranted && take_repeat(job, "failed")
+    let follow = job.attempts.record(answered.place.run(), AttemptOutcome::Failed);
+    follow == RetryDecision::RetryWithinBudget && take_repeat(job, "failed")
 }
 
 /// Whether another server is tried after one brought no answer.
-fn allow_another(job: &Job, follow: Follow, missed: &Missed) -> bool {
+fn allow_another(job: &Job, follow: RetryDecision, missed: &Missed) -> bool {
     match follow {
-        Follow::Nothing => false,
-        Follow::IfGranted => take_repeat(job, missed.name()),
-        Follow::Again => {
+        RetryDecision::GiveUp => false,
+        RetryDecision::RetryWithinBudget => take_repeat(job, missed.name()),
+        RetryDecision::Retry => {
             // Its repeat was taken when the server was given up.
             if *missed == Missed::Silent {
                 job.shared.metrics.count(Step::Repeat, missed.name());
@@ -199,7 +199,7 @@
     match job.attempts.may_have_run() {
         true => Refusal::in_doubt(Code::Broken, message),
         false => {
-            let returns = job.shared.fleet().returns_in(job.shared.now());
+            let returns = job.shared.fleet().grace_left(job.shared.now());
             let away = if is_resident(job) { AWAY } else { NOT_RESIDENT };
             Refusal::not_run(Code::Unavailable, message).after(returns.max(away))
         }
@@ -210,7 +210,7 @@
 fn is_resident(job: &Job) -> bool {
     let Some(target) = &job.call.target else { return true };
     let fleet = job.shared.fleet();
-    let mut open = fleet.open(&job.service, job.shared.now());
+    let mut open = fleet.available(&job.service, job.shared.now());
     open.any(|(_, server)| server.entry.holds(&target.model))
 }
 
--- a/crates/gate/src/shared.rs
+++ b/crates/gate/src/shared.rs
@@ -7,8 +7,8 @@
 use chestnut_edge::{Declared, Dialect, Engine};
 use chestnut_member::{ClaimKey, Known, Wake};
 use chestnut_pool::budget::RetryBound;
-use chestnut_pool::placing::Placing;
-use chestnut_pool::{Fleet, RetryBudget, Speeds};
+use chestnut_pool::placement::PlacementPlanner;
+use chestnut_pool::{EngineTimings, Fleet, RetryBudget};
 use indexmap::IndexMap;
 use slog::{Logger, warn};
 use tokio::sync::watch;
@@ -95,10 +95,10 @@
     /// Until when the holders of plain services' queues are not asked.
     silent: Mutex<IndexMap<ServiceName, Instant>>,
     budgets: Mutex<IndexMap<ServiceName, RetryBudget>>,
-    speeds: Mutex<Speeds>,
+    speeds: Mutex<EngineTimings>,
     kept: Mutex<IndexMap<ServiceName, Kept>>,
     counts: Mutex<Counts>,
-    plans: Mutex<IndexMap<ServiceName, Placing>>,
+    plans: Mutex<IndexMap<ServiceName, PlacementPlanner>>,
     /// From when on this daemon may give orders under claims that it took.
     turns: Mutex<IndexMap<ClaimKey, Instant>>,
     /// The process that ran on this VM before.
@@ -211,7 +211,7 @@
     }
 
     /// How fast runners read prompts.
-    pub fn speeds(&self) -> MutexGuard<'_, Speeds> {
+    pub fn speeds(&self) -> MutexGuard<'_, EngineTimings> {
         self.speeds.lock().expect("no holder of the lock panics")
     }
 
@@ -226,7 +226,7 @@
     }
 
     /// What is known of the services that this daemon plans for.
-    pub fn plans(&self) -> MutexGuard<'_, IndexMap<ServiceName, Placing>> {
+    pub fn plans(&self) -> MutexGuard<'_, IndexMap<ServiceName, PlacementPlanner>> {
         self.plans.lock().expect("no holder of the lock panics")
     }
 
@@ -307,7 +307,7 @@
     /// Takes note of a request for a service.
     pub fn note_request(&self, service: &ServiceName) {
         let (window, now) = (self.bounds.borrow().retry_window, self.now());
-        self.with_budget(service, |budget| budget.request(window, now));
+        self.with_budget(service, |budget| budget.record_request(window, now));
     }
 
     /// Takes a repeat out of the service's budget, if there is one.
@@ -321,7 +321,7 @@
         };
         let known = *self.own_read.borrow();
         let daemons = known.then(|| members::count(self));
-        self.with_budget(service, |budget| budget.take(bound, daemons, now))
+        self.with_budget(service, |budget| budget.try_take(bound, daemons, now))
     }
 
     fn with_budget<T>(
--- a/crates/gate/src/sums.rs
+++ b/crates/gate/src/sums.rs
@@ -31,7 +31,7 @@
         if server.entry.models.is_empty() {
             return;
         }
-        (server.entry.name.clone(), server.own)
+        (server.entry.name.clone(), server.own_usage)
     };
     tell_sum(shared, server, usage, target, begun);
 }
@@ -63,9 +63,9 @@
     let now = shared.now();
     {
         let mut state = holder.state();
-        state.report(from, usage, now);
+        state.update_usage(from, usage, now);
         if let Some(target) = target {
-            state.touch(target, now);
+            state.mark_adapter_used(target, now);
         }
     }
     if let Some(begun) = begun {
@@ -81,9 +81,9 @@
         sleep(REPEAT).await;
         let sums: Vec<(ServerName, Usage)> = {
             let fleet = shared.fleet();
-            let busy = fleet.iter().filter(|(_, server)| server.own.requests > 0);
+            let busy = fleet.iter().filter(|(_, server)| server.own_usage.requests > 0);
             busy.filter(|(_, server)| !server.entry.models.is_empty())
-                .map(|(_, server)| (server.entry.name.clone(), server.own))
+                .map(|(_, server)| (server.entry.name.clone(), server.own_usage))
                 .collect()
         };
         for (server, usage) in sums {
--- a/crates/gate/tests/attempts.rs
+++ b/crates/gate/tests/attempts.rs
@@ -10,7 +10,7 @@
 use chestnut_base::ServerName;
 use chestnut_edge::RouteKind;
 use chestnut_gate::events::{Events, Sequence};
-use chestnut_pool::{Attempts, Ended, Follow, Run};
+use chestnut_pool::{AttemptOutcome, Attempts, Incarnation, RetryDecision};
 use proptest::prelude::*;
 
 const SERVERS: usize = 4;
@@ -102,15 +102,15 @@
         self.ran.extend(due.map(|(began, _)| began));
     }
 
-    fn is_up(&self, run: &Run) -> bool {
+    fn is_up(&self, run: &Incarnation) -> bool {
         (0..SERVERS).any(|server| named(self.run(server)) == *run)
     }
 }
 
-fn named(began: Began) -> Run {
+fn named(began: Began) -> Incarnation {
     let name = format!("s{}", began.server);
     let server = ServerName::try_from(name).expect("a valid name");
-    Run { server, born: Some(began.born) }
+    Incarnation { server, started_at: Some(began.born) }
 }
 
 /// A daemon that serves one request.
@@ -131,7 +131,7 @@
 /// What an attempt brought.
 enum Brought {
     Told(Told),
-    Missed(Ended),
+    Missed(AttemptOutcome),
 }
 
 impl Daemon {
@@ -161,8 +161,8 @@
         for step in steps {
             self.servers.advance(step.restart);
             let began = self.servers.run(step.server);
-            let up = |run: &Run| self.servers.is_up(run);
-            let only = self.attempts.only_on(up);
+            let up = |run: &Incarnation| self.servers.is_up(run);
+            let only = self.attempts.restricted_to(up);
             if only.is_some_and(|runs| !runs.contains(&named(began))) {
                 continue;
             }
@@ -171,28 +171,28 @@
                 Brought::Told(told) => return told,
                 Brought::Missed(ended) => ended,
             };
-            let follow = self.attempts.end(named(began), ended);
+            let follow = self.attempts.record(named(began), ended);
             let goes_on = match (follow, begun) {
                 // A stream that goes on has no other end than its last event.
-                (_, true) => step.granted && ended != Ended::Late,
-                (Follow::Again, _) => true,
-                (Follow::IfGranted, _) => step.granted,
-                (Follow::Nothing, _) => false,
+                (_, true) => step.granted && ended != AttemptOutcome::TimedOut,
+                (RetryDecision::Retry, _) => true,
+                (RetryDecision::RetryWithinBudget, _) => step.granted,
+                (RetryDecision::GiveUp, _) => false,
             };
             if !goes_on {
                 return self.give_up(ended);
             }
         }
-        self.give_up(Ended::Unsent)
+        self.give_up(AttemptOutcome::NotSent)
     }
 
-    fn give_up(&self, ended: Ended) -> Told {
+    fn give_up(&self, ended: AttemptOutcome) -> Told {
         if self.begun {
             return Told::Cut;
         }
         match ended {
-            Ended::Failed => Told::Failed,
-            Ended::Lost | Ended::Late => Told::InDoubt,
+            AttemptOutcome::Failed => Told::Failed,
+            AttemptOutcome::ResponseLost | AttemptOutcome::TimedOut => Told::InDoubt,
             _ if self.attempts.may_have_run() => Told::InDoubt,
             _ => Told::NotRun,
         }
@@ -201,15 +201,17 @@
     fn send(&mut self, began: Began, fate: Fate) -> Brought {
         let streams = matches!(self.kind, RouteKind::Stream { .. });
         match fate {
-            Fate::Unsent => return Brought::Missed(Ended::Unsent),
-            Fate::Rejected => return Brought::Missed(Ended::Rejected),
-            Fate::LostBefore => return Brought::Missed(Ended::Lost),
+            Fate::Unsent => return Brought::Missed(AttemptOutcome::NotSent),
+            Fate::Rejected => return Brought::Missed(AttemptOutcome::Rejected),
+            Fate::LostBefore => return Brought::Missed(AttemptOutcome::ResponseLost),
             Fate::Frozen { steps, seen } => {
                 self.servers.unread.push((began, steps));
                 return Brought::Missed(match seen {
-                    Given::Silent if self.attempts.may_be_silent() => Ended::Silent,
-                    Given::Late => Ended::Late,
-                    Given::Lost | Given::Silent => Ended::Lost,
+                    Given::Silent if self.attempts.may_abandon() => {
+                        AttemptOutcome::Unresponsive
+                    }
+                    Given::Late => AttemptOutcome::TimedOut,
+                    Given::Lost | Given::Silent => AttemptOutcome::ResponseLost,
                 });
             }
             Fate::LostAfter | Fate::Failed => {}
@@ -217,11 +219,11 @@
         }
         self.servers.ran.push(began);
         match fate {
-            Fate::Failed => Brought::Missed(Ended::Failed),
+            Fate::Failed => Brought::Missed(AttemptOutcome::Failed),
             Fate::Streams { bytes, early } if streams => self.relay(bytes, early),
             Fate::Answered if streams => self.relay(usize::MAX, false),
             Fate::Answered => Brought::Told(Told::Whole),
-            _ => Brought::Missed(Ended::Lost),
+            _ => Brought::Missed(AttemptOutcome::ResponseLost),
         }
     }
 
@@ -237,13 +239,13 @@
         self.events.push(&stream.as_bytes()[..arrived]).expect("events are small");
         while let Some(event) = self.events.take_next() {
             if self.sequence.pass(&event).is_err() {
-                return Brought::Missed(Ended::Broken);
+                return Brought::Missed(AttemptOutcome::Interrupted);
             }
             self.passed.extend(event.id);
         }
         match arrived == stream.len() {
             true => Brought::Told(Told::Whole),
-            false => Brought::Missed(Ended::Broken),
+            false => Brought::Missed(AttemptOutcome::Interrupted),
         }
     }
 }
--- a/crates/lab/src/decisions.rs
+++ b/crates/lab/src/decisions.rs
@@ -10,9 +10,10 @@
     Urgency,
 };
 use chestnut_edge::{Engine, HeldModel, Model, Phase, ServerEntry};
-use chestnut_pool::placing::{Placing, Scene};
+use chestnut_pool::placement::{PlacementInput, PlacementPlanner};
 use chestnut_pool::{
-    Asked, Asker, Listed, LoadBound, Outcome, PlainWant, Queue, QueueStep, Speeds,
+    DemandCounts, EngineTimings, ListedServer, LoadBound, PermitOutcome, PermitQueue,
+    PlainRequest, QueueDecision, RequestKey,
 };
 use chestnut_route::{Ask, Candidate, Note, Policy, Report, Router};
 
@@ -122,13 +123,13 @@
 /// can be sent is sent, with nine places of ten taken or with requests that wait.
 fn place(servers: u64, waiting: u64, rounds: u32) -> u128 {
     let now = Instant::now();
-    let mut queue = Queue::default();
-    let listed = |index| Listed {
+    let mut queue = PermitQueue::default();
+    let listed = |index| ListedServer {
         name: ServerName::try_from(format!("server-{index}")).expect("well formed"),
         slots: SLOTS,
         domain: domain(index),
     };
-    queue.list((0..servers).map(listed).collect(), now);
+    queue.update_servers((0..servers).map(listed).collect(), now);
     let asker = |number: u64| (MemberId(number % 100), number);
     let full = servers * u64::from(SLOTS);
     let busy = if waiting > 0 { full * 2 + waiting } else { full * 9 / 10 };
@@ -143,7 +144,7 @@
         queue.push(asker(number), want(number), now);
         sent.extend(next(&mut queue, now));
         if let Some(done) = sent.pop_front() {
-            queue.end(done, Outcome::Answered, now);
+            queue.release(done, PermitOutcome::Answered, now);
             sent.extend(next(&mut queue, now));
         }
     }
@@ -160,25 +161,37 @@
     let entry =
         |at: usize| runner(at, [names[at % models], names[(at * 7 + 1) % models]]);
     let entries: Vec<ServerEntry> = (0..runners).map(entry).collect();
-    let speeds = Speeds::default();
+    let speeds = EngineTimings::default();
     let window = Duration::from_secs(5);
     let bound = LoadBound { rate: engine.loads_per_s, window, overshoot: 1.1 };
-    let scene =
-        Scene { runners: &entries, fixed: &[], engine: &engine, bound, speeds: &speeds };
-    let mut placing = Placing::new(now);
+    let scene = PlacementInput {
+        runners: &entries,
+        fixed: &[],
+        engine: &engine,
+        load_bound: bound,
+        timings: &speeds,
+    };
+    let mut placing = PlacementPlanner::new(now);
     let asked = |look: u32| {
         let asked = |(at, name): (usize, &&ModelName)| {
             let busy = if at.is_multiple_of(20) { 20.0 } else { 0.05 };
             let requests = busy * f64::from(look + 1);
             let prompt = requests * 800.0;
-            ((*name).clone(), Asked { requests, prompt, ..Asked::default() })
+            (
+                (*name).clone(),
+                DemandCounts {
+                    requests,
+                    prompt_tokens: prompt,
+                    ..DemandCounts::default()
+                },
+            )
         };
         names.iter().enumerate().map(asked).collect()
     };
     let start = Instant::now();
     for look in 0..LOOKS {
-        placing.count(MemberId(1), 0, asked(look));
-        std::hint::black_box(placing.decide(&scene, now + PLAN_PERIOD * look));
+        placing.update_demand(MemberId(1), 0, asked(look));
+        std::hint::black_box(placing.plan(&scene, now + PLAN_PERIOD * look));
     }
     start.elapsed().as_micros() / u128::from(LOOKS)
 }
@@ -231,21 +244,21 @@
 }
 
 /// The requests that are sent now.
-fn next(queue: &mut Queue, now: Instant) -> Vec<Asker> {
+fn next(queue: &mut PermitQueue, now: Instant) -> Vec<RequestKey> {
     let mut sent = Vec::new();
-    while let Some(step) = queue.next(now) {
-        if let QueueStep::Send(asker, _) = step {
+    while let Some(step) = queue.next_decision(now) {
+        if let QueueDecision::Grant(asker, _) = step {
             sent.push(asker);
         }
     }
     sent
 }
 
-fn want(number: u64) -> PlainWant {
-    PlainWant {
+fn want(number: u64) -> PlainRequest {
+    PlainRequest {
         urgency: (number % 3) as u8,
         target_time: Duration::from_secs(60),
-        patience: Duration::from_secs(60),
+        wait_limit: Duration::from_secs(60),
         domain: domain(number),
         avoid: Vec::new(),
     }
--- a/crates/pool/src/attempts.rs
+++ b/crates/pool/src/attempts.rs
@@ -14,41 +14,41 @@
 
 /// How an attempt ended.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Ended {
+pub enum AttemptOutcome {
     /// No byte was sent.
-    Unsent,
+    NotSent,
     /// The server said that it did not run the request and never will.
     Rejected,
     /// It was sent, and what became of it is not known.
-    Lost,
+    ResponseLost,
     /// It was sent, and its server was silent for longer than it should be.
-    Silent,
+    Unresponsive,
     /// It was sent, and the time ran out.
-    Late,
+    TimedOut,
     /// The server ran it and says that it failed.
     Failed,
     /// The answer broke off when the caller had a part of it.
-    Broken,
+    Interrupted,
 }
 
 /// What may follow an attempt.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Follow {
+pub enum RetryDecision {
     /// Another attempt.
-    Again,
+    Retry,
     /// Another attempt, if the service's budget has a repeat left.
-    IfGranted,
+    RetryWithinBudget,
     /// None.
-    Nothing,
+    GiveUp,
 }
 
 /// A run of a server, from its start to its end.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Run {
+pub struct Incarnation {
     /// The server.
     pub server: ServerName,
     /// Its start, in Unix milliseconds; the next run under its name has another.
-    pub born: Option<u64>,
+    pub started_at: Option<u64>,
 }
 
 /// The attempts of one request.
@@ -58,7 +58,7 @@
     /// On how many servers it may run.
     most: u32,
     /// Where it may have run without bringing a whole answer, in order.
-    runs: Vec<Run>,
+    runs: Vec<Incarnation>,
 }
 
 impl Attempts {
@@ -68,29 +68,39 @@
     }
 
     /// Takes in how an attempt ended, and says what may follow.
-    pub fn end(&mut self, run: Run, ended: Ended) -> Follow {
+    pub fn record(&mut self, run: Incarnation, ended: AttemptOutcome) -> RetryDecision {
         match ended {
-            Ended::Unsent => return Follow::Again,
-            Ended::Rejected => return Follow::IfGranted,
-            Ended::Lost | Ended::Silent | Ended::Late | Ended::Failed | Ended::Broken => {
+            AttemptOutcome::NotSent => return RetryDecision::Retry,
+            AttemptOutcome::Rejected => return RetryDecision::RetryWithinBudget,
+            AttemptOutcome::ResponseLost
+            | AttemptOutcome::Unresponsive
+            | AttemptOutcome::TimedOut
+            | AttemptOutcome::Failed
+            | AttemptOutcome::Interrupted => {
                 self.runs.push(run);
             }
         }
         match ended {
-            Ended::Silent if self.may_run() => Follow::Again,
-            Ended::Lost if self.may_run() => Follow::IfGranted,
+            AttemptOutcome::Unresponsive if self.may_run() => RetryDecision::Retry,
+            AttemptOutcome::ResponseLost if self.may_run() => {
+                RetryDecision::RetryWithinBudget
+            }
             // A stream's own failure is an answer, which its caller may act on.
-            Ended::Failed if self.kind == RouteKind::Idempotent && self.may_run() => {
-                Follow::IfGranted
+            AttemptOutcome::Failed
+                if self.kind == RouteKind::Idempotent && self.may_run() =>
+            {
+                RetryDecision::RetryWithinBudget
             }
             // Where it goes on is bounded by [`Self::only_on`].
-            Ended::Broken if self.kind.is_repeatable() => Follow::IfGranted,
-            _ => Follow::Nothing,
+            AttemptOutcome::Interrupted if self.kind.is_repeatable() => {
+                RetryDecision::RetryWithinBudget
+            }
+            _ => RetryDecision::GiveUp,
         }
     }
 
     /// Whether an attempt may be given up as silent, with another one to follow.
-    pub fn may_be_silent(&self) -> bool {
+    pub fn may_abandon(&self) -> bool {
         self.kind == RouteKind::Idempotent && self.runs.len() as u32 + 1 < self.most
     }
 
@@ -104,11 +114,15 @@
     /// A stream that breaks off again and again goes on at the servers that had it before,
     /// once it was on as many as its route allows; otherwise one that breaks servers would
     /// reach all of them. Servers that have ended since, by `is_up`, do not count.
-    pub fn only_on(&self, is_up: impl Fn(&Run) -> bool) -> Option<&[Run]> {
+    pub fn restricted_to(
+        &self,
+        is_up: impl Fn(&Incarnation) -> bool,
+    ) -> Option<&[Incarnation]> {
         if self.runs.len() < self.most as usize {
             return None;
         }
-        let mut up: Vec<&Run> = self.runs.iter().filter(|one| is_up(one)).collect();
+        let mut up: Vec<&Incarnation> =
+            self.runs.iter().filter(|one| is_up(one)).collect();
         up.sort_by(|a, b| a.server.cmp(&b.server));
         up.dedup();
         (up.len() >= self.most as usize).then_some(&self.runs)
--- a/crates/pool/src/budget.rs
+++ b/crates/pool/src/budget.rs
@@ -50,20 +50,20 @@
     ///
     /// What is older than `window` is forgotten here too: a service that fails nothing
     /// has no repeats for years, and would fill the memory with its requests.
-    pub fn request(&mut self, window: Duration, now: Instant) {
+    pub fn record_request(&mut self, window: Duration, now: Instant) {
         self.forget(window, now);
         self.requests.push_back(now);
     }
 
     /// How many requests and repeats are remembered.
-    pub fn remembered(&self) -> usize {
+    pub fn tracked(&self) -> usize {
         self.requests.len() + self.repeats.len()
     }
 
     /// Takes a repeat out of the budget, if there is one.
     ///
     /// `daemons` share the slack; while their number is not known there is none.
-    pub fn take(
+    pub fn try_take(
         &mut self,
         bound: RetryBound,
         daemons: Option<usize>,
--- a/crates/pool/src/choose.rs
+++ b/crates/pool/src/choose.rs
@@ -23,15 +23,15 @@
 use serde_with::{DurationMilliSeconds, serde_as};
 
 use crate::fleet::{Server, ServerKey};
-use crate::lane::Ahead;
-use crate::runner::{AdapterState, Runner};
-use crate::speed::Speeds;
+use crate::prefill_queue::Backlog;
+use crate::runner::{AdapterState, RunnerView};
+use crate::timing::EngineTimings;
 use crate::usage::Usage;
 
 /// What a generation needs.
 #[serde_as]
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
-pub struct Want {
+pub struct GenerationRequest {
     /// The model.
     pub target: TargetModel,
     /// The size of the generation.
@@ -45,17 +45,20 @@
     pub target_time: Duration,
     /// How much longer the caller waits for a first event.
     #[serde_as(as = "DurationMilliSeconds<u64>")]
-    pub patience: Duration,
+    #[serde(rename = "patience")]
+    pub wait_limit: Duration,
 }
 
 /// An estimate of how soon a server would answer.
 #[derive(Debug, Clone, Copy, PartialEq, Serialize, Deserialize)]
 pub struct Bid {
     /// The time to the first event, in milliseconds.
-    pub wait: f64,
+    #[serde(rename = "wait")]
+    pub wait_ms: f64,
     /// That time, with what the request costs itself and others besides; the least is
     /// chosen.
-    pub cost: f64,
+    #[serde(rename = "cost")]
+    pub cost_ms: f64,
     /// Requests in flight there, from all daemons.
     pub requests: u32,
 }
@@ -101,57 +104,64 @@
 const PAUSED_COST: f64 = 250.0;
 
 /// What a server costs whose holder did not answer, in milliseconds.
-pub const SILENT_COST: f64 = 60.0;
+pub const UNRESPONSIVE_HOLDER_COST_MS: f64 = 60.0;
 
 /// Estimates a server's answer from what is in flight there, if a token is read in `token`.
-pub fn estimate(usage: Usage, size: Size, token: Duration) -> f64 {
-    let unread = usage.unread as f64 + f64::from(size.prompt);
+pub fn estimate_wait_ms(usage: Usage, size: Size, token: Duration) -> f64 {
+    let unread = usage.pending_prompt_tokens as f64 + f64::from(size.prompt);
     unread * millis(token) + f64::from(usage.requests) * RUN_COST
 }
 
 /// The estimate of a runner's holder.
 pub fn bid(
-    runner: &Runner,
-    want: &Want,
-    speeds: &Speeds,
+    runner: &RunnerView,
+    want: &GenerationRequest,
+    speeds: &EngineTimings,
     engine: &Engine,
     now: Instant,
 ) -> Bid {
-    let requests = runner.total(now).requests;
-    if runner.unloads(&want.target.model) {
-        return Bid { wait: f64::INFINITY, cost: f64::INFINITY, requests };
+    let requests = runner.total_usage(now).requests;
+    if runner.is_unloading(&want.target.model) {
+        return Bid { wait_ms: f64::INFINITY, cost_ms: f64::INFINITY, requests };
     }
     // The runner takes one order at a time.
-    let busy = millis(runner.busy(now));
-    let prepare = match runner.adapter(&want.target, engine.adapter_slots, now) {
+    let busy = millis(runner.order_time_left(now));
+    let prepare = match runner.adapter_state(&want.target, engine.adapter_slots, now) {
         AdapterState::Ready => 0.0,
-        AdapterState::Coming(left) => millis(left),
-        AdapterState::Free => busy + ADAPTER_COST,
-        AdapterState::Evict => busy + ADAPTER_COST + EVICTION_COST,
-        AdapterState::Full => busy + FULL_COST,
+        AdapterState::Loading(left) => millis(left),
+        AdapterState::SlotFree => busy + ADAPTER_COST,
+        AdapterState::NeedsEviction => busy + ADAPTER_COST + EVICTION_COST,
+        AdapterState::SlotsInUse => busy + FULL_COST,
     };
-    let ahead = runner.lane.ahead(want.urgency, want.target_time.is_zero(), now);
-    let room = room_wait(runner.total(now), ahead, want.size, engine, speeds.stay());
-    let wait = millis(ahead.work).max(prepare).max(room);
-    let reading = runner.reading(want, speeds);
-    let pauses = pause_cost(runner, reading, requests, speeds.stay(), now);
+    let ahead =
+        runner.prefill_queue.backlog_ahead(want.urgency, want.target_time.is_zero(), now);
+    let room = room_wait(
+        runner.total_usage(now),
+        ahead,
+        want.size,
+        engine,
+        speeds.service_time(),
+    );
+    let wait = millis(ahead.prefill_time).max(prepare).max(room);
+    let reading = runner.prefill_time(want, speeds);
+    let pauses = pause_cost(runner, reading, requests, speeds.service_time(), now);
     let wait = wait + millis(reading) + f64::from(requests) * RUN_COST;
-    Bid { wait, cost: wait + pauses, requests }
+    Bid { wait_ms: wait, cost_ms: wait + pauses, requests }
 }
 
 /// What streams that are paused for too long cost, in milliseconds: those that run, if
 /// this prompt is long, and otherwise the request itself, by the long prompts that come.
 fn pause_cost(
-    runner: &Runner,
+    runner: &RunnerView,
     reading: Duration,
     requests: u32,
     stay: Duration,
     now: Instant,
 ) -> f64 {
-    if runner.lane.is_long(reading) {
+    if runner.prefill_queue.exceeds_event_gap(reading) {
         return (f64::from(requests) * PAUSED_STREAM).min(PAUSED_MOST);
     }
-    let met = runner.lane.long_rate(now) * stay.as_secs_f64();
+    let met = runner.prefill_queue.long_prompt_rate(now) * stay.as_secs_f64();
     met.min(1.0) * PAUSED_COST
 }
 
@@ -160,13 +170,13 @@
 /// Requests stay for `stay` in the mean.
 fn room_wait(
     usage: Usage,
-    ahead: Ahead,
+    ahead: Backlog,
     size: Size,
     engine: &Engine,
     stay: Duration,
 ) -> f64 {
     let requests = f64::from(usage.requests + ahead.requests + 1);
-    let tokens = (usage.tokens + ahead.tokens + size.tokens()) as f64;
+    let tokens = (usage.kv_tokens + ahead.kv_tokens + size.tokens()) as f64;
     // As streams end one by one, a share of the room is free after that share of a stay.
     let short = |need: f64, room: f64| ((need - room) / room.max(1.0)).max(0.0);
     let places = short(requests, f64::from(engine.slots));
@@ -174,7 +184,7 @@
 }
 
 /// What a daemon itself adds to a server's cost, in milliseconds.
-pub fn local_cost(server: &Server, domain: &DomainName, now: Instant) -> f64 {
+pub fn local_cost_ms(server: &Server, domain: &DomainName, now: Instant) -> f64 {
     let away = if server.entry.domain == *domain { 0.0 } else { DOMAIN_COST };
     server.health.penalty(now) * FAILURE_COST + away
 }
@@ -186,12 +196,13 @@
     now: Instant,
 ) -> Option<Candidate> {
     let candidate = |(key, server): (ServerKey, &Server)| {
-        let requests = f64::from(server.own.requests);
-        let cost = requests * RUN_COST + local_cost(server, domain, now);
-        let bid = Bid { wait: cost, cost, requests: server.own.requests };
+        let requests = f64::from(server.own_usage.requests);
+        let cost = requests * RUN_COST + local_cost_ms(server, domain, now);
+        let bid =
+            Bid { wait_ms: cost, cost_ms: cost, requests: server.own_usage.requests };
         Candidate { key, bid }
     };
-    servers.map(candidate).min_by(|a, b| a.bid.cost.total_cmp(&b.bid.cost))
+    servers.map(candidate).min_by(|a, b| a.bid.cost_ms.total_cmp(&b.bid.cost_ms))
 }
 
 fn millis(time: Duration) -> f64 {
--- a/crates/pool/src/demand.rs
+++ b/crates/pool/src/demand.rs
@@ -19,7 +19,7 @@
 use indexmap::IndexMap;
 use serde::{Deserialize, Serialize};
 
-use crate::speed::Speeds;
+use crate::timing::EngineTimings;
 
 /// How far back the two averages look.
 const FAST: Duration = Duration::from_millis(500);
@@ -43,40 +43,44 @@
 
 /// What callers have asked of a model at one daemon since its start.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Serialize, Deserialize)]
-pub struct Asked {
+pub struct DemandCounts {
     /// Requests.
     pub requests: f64,
     /// Tokens of their prompts.
-    pub prompt: f64,
+    #[serde(rename = "prompt")]
+    pub prompt_tokens: f64,
     /// Tokens that they take in the KV cache, answers included.
-    pub tokens: f64,
+    #[serde(rename = "tokens")]
+    pub kv_tokens: f64,
     /// Requests that have ended after a runner began to answer them.
-    pub ended: f64,
+    #[serde(rename = "ended")]
+    pub finished: f64,
     /// How long these were at their runners, in seconds.
-    pub stay: f64,
+    #[serde(rename = "stay")]
+    pub service_s: f64,
 }
 
-impl Asked {
+impl DemandCounts {
     /// What was asked since an earlier sum of the same daemon.
     fn since(self, before: Self) -> Self {
         let more = |now: f64, before: f64| (now - before).max(0.0);
         Self {
             requests: more(self.requests, before.requests),
-            prompt: more(self.prompt, before.prompt),
-            tokens: more(self.tokens, before.tokens),
-            ended: more(self.ended, before.ended),
-            stay: more(self.stay, before.stay),
+            prompt_tokens: more(self.prompt_tokens, before.prompt_tokens),
+            kv_tokens: more(self.kv_tokens, before.kv_tokens),
+            finished: more(self.finished, before.finished),
+            service_s: more(self.service_s, before.service_s),
         }
     }
 }
 
-impl AddAssign for Asked {
+impl AddAssign for DemandCounts {
     fn add_assign(&mut self, other: Self) {
         self.requests += other.requests;
-        self.prompt += other.prompt;
-        self.tokens += other.tokens;
-        self.ended += other.ended;
-        self.stay += other.stay;
+        self.prompt_tokens += other.prompt_tokens;
+        self.kv_tokens += other.kv_tokens;
+        self.finished += other.finished;
+        self.service_s += other.service_s;
     }
 }
 
@@ -94,10 +98,10 @@
 }
 
 impl Stay {
-    fn learn(&mut self, asked: Asked, time: Duration) {
+    fn learn(&mut self, asked: DemandCounts, time: Duration) {
         let kept = (-time.as_secs_f64() / STAY_MEMORY.as_secs_f64()).exp();
-        self.ended = self.ended * kept + asked.ended;
-        self.seconds = self.seconds * kept + asked.stay;
+        self.ended = self.ended * kept + asked.finished;
+        self.seconds = self.seconds * kept + asked.service_s;
     }
 
     fn mean(self) -> f64 {
@@ -132,11 +136,11 @@
 
 /// How much callers ask for of each model.
 #[derive(Debug)]
-pub struct Demands {
+pub struct DemandEstimator {
     /// The last count of each daemon, by part and model.
-    counts: IndexMap<(MemberId, usize), IndexMap<ModelName, Asked>>,
+    counts: IndexMap<(MemberId, usize), IndexMap<ModelName, DemandCounts>>,
     /// What was asked for since the last average.
-    fresh: IndexMap<ModelName, Asked>,
+    fresh: IndexMap<ModelName, DemandCounts>,
     stays: IndexMap<ModelName, Stay>,
     averages: IndexMap<ModelName, Averages>,
     /// For how long anything was asked for.
@@ -144,7 +148,7 @@
     at: Instant,
 }
 
-impl Demands {
+impl DemandEstimator {
     /// Starts with no demand.
     pub fn new(now: Instant) -> Self {
         Self {
@@ -159,7 +163,12 @@
 
     /// Takes in what callers have asked of a daemon since its start, in one of the parts
     /// in which it tells that; a model is always in the same part.
-    pub fn count(&mut self, from: MemberId, part: usize, asked: Vec<(ModelName, Asked)>) {
+    pub fn update(
+        &mut self,
+        from: MemberId,
+        part: usize,
+        asked: Vec<(ModelName, DemandCounts)>,
+    ) {
         let first = !self.counts.contains_key(&(from, part));
         let known = self.counts.entry((from, part)).or_default();
         for (model, asked) in asked {
@@ -172,7 +181,7 @@
     }
 
     /// Takes what was counted since the last call into the averages.
-    pub fn average(&mut self, engine: &Engine, speeds: &Speeds, now: Instant) {
+    pub fn advance(&mut self, engine: &Engine, speeds: &EngineTimings, now: Instant) {
         let time = now.saturating_duration_since(self.at);
         self.at = now;
         let fresh = std::mem::take(&mut self.fresh);
@@ -183,13 +192,13 @@
             let asked = fresh.get(model).copied().unwrap_or_default();
             let stay = self.stays.entry(model.clone()).or_default();
             stay.learn(asked, time);
-            let work = work(asked, stay.mean(), speeds.token(model), engine);
+            let work = work(asked, stay.mean(), speeds.token_time(model), engine);
             self.averages.entry(model.clone()).or_default().add(work, time);
         }
     }
 
     /// Whether what is asked for has been seen for long enough to tell what is not.
-    pub fn is_known(&self) -> bool {
+    pub fn is_established(&self) -> bool {
         self.known >= KNOWN
     }
 
@@ -201,9 +210,9 @@
 
 /// The time of a runner that requests take, in seconds, if they stay for `stay` seconds
 /// and an unread token takes `token`.
-fn work(asked: Asked, stay: f64, token: Duration, engine: &Engine) -> f64 {
-    let reading = asked.prompt * token.as_secs_f64() / READ_SHARE;
+fn work(asked: DemandCounts, stay: f64, token: Duration, engine: &Engine) -> f64 {
+    let reading = asked.prompt_tokens * token.as_secs_f64() / READ_SHARE;
     let places = asked.requests * stay / f64::from(engine.slots.max(1));
-    let memory = asked.tokens * stay / (engine.usable_tokens().max(1) as f64);
+    let memory = asked.kv_tokens * stay / (engine.usable_tokens().max(1) as f64);
     reading.max(places).max(memory)
 }
--- a/crates/pool/src/fleet.rs
+++ b/crates/pool/src/fleet.rs
@@ -8,7 +8,7 @@
 use slotmap::{SlotMap, new_key_type};
 
 use crate::health::Health;
-use crate::usage::{Flight, Usage};
+use crate::usage::{InFlightRequest, Usage};
 
 new_key_type! {
     /// A run of a backend server: a server that starts again gets a new key.
@@ -23,9 +23,9 @@
     /// How far its answers can be trusted.
     pub health: Health,
     /// What this daemon has in flight there.
-    pub own: Usage,
+    pub own_usage: Usage,
     /// Since when the registry does not list it.
-    pub missing: Option<Instant>,
+    pub missing_since: Option<Instant>,
 }
 
 /// The table of backend servers.
@@ -40,18 +40,18 @@
 /// How long after an outage of the registry a missing entry may still return.
 ///
 /// The platform says about two seconds.
-pub const RETURN_TIME: Duration = Duration::from_secs(2);
+pub const RELIST_GRACE: Duration = Duration::from_secs(2);
 
 impl Fleet {
     /// Takes in what a server says of itself.
-    pub fn list(&mut self, entry: ServerEntry) -> ServerKey {
+    pub fn update(&mut self, entry: ServerEntry) -> ServerKey {
         let known = self.names.get(&entry.name).copied();
         if let Some(key) = known
             && let Some(server) = self.servers.get_mut(key)
             && server.entry.born == entry.born
         {
             server.entry = entry;
-            server.missing = None;
+            server.missing_since = None;
             return key;
         }
         if let Some(key) = known {
@@ -59,7 +59,12 @@
         }
         let name = entry.name.clone();
         let (health, own) = (Health::default(), Usage::default());
-        let key = self.servers.insert(Server { entry, health, own, missing: None });
+        let key = self.servers.insert(Server {
+            entry,
+            health,
+            own_usage: own,
+            missing_since: None,
+        });
         self.names.insert(name, key);
         key
     }
@@ -68,11 +73,11 @@
     ///
     /// It may be a server that leaves and still serves, so that it is kept for what
     /// is in flight; it gets nothing new, unless the registry was away.
-    pub fn unlist(&mut self, name: &ServerName, now: Instant) {
+    pub fn mark_missing(&mut self, name: &ServerName, now: Instant) {
         if let Some(key) = self.names.get(name)
             && let Some(server) = self.servers.get_mut(*key)
         {
-            server.missing.get_or_insert(now);
+            server.missing_since.get_or_insert(now);
         }
     }
 
@@ -80,22 +85,24 @@
     /// time: whether it was away before is not known then.
     ///
     /// Entries lapse meanwhile though their servers live.
-    pub fn excuse(&mut self, now: Instant) {
-        self.excused = Some(now + RETURN_TIME);
+    pub fn start_grace(&mut self, now: Instant) {
+        self.excused = Some(now + RELIST_GRACE);
     }
 
     /// How much longer entries may be missing though their servers live.
-    pub fn returns_in(&self, now: Instant) -> Duration {
+    pub fn grace_left(&self, now: Instant) -> Duration {
         let until = self.excused.unwrap_or(now);
         until.saturating_duration_since(now)
     }
 
     /// Forgets servers that are gone and have nothing in flight.
-    pub fn tidy(&mut self, now: Instant) {
-        if !self.returns_in(now).is_zero() {
+    pub fn remove_missing(&mut self, now: Instant) {
+        if !self.grace_left(now).is_zero() {
             return;
         }
-        let gone = |server: &Server| server.missing.is_some() && server.own.requests == 0;
+        let gone = |server: &Server| {
+            server.missing_since.is_some() && server.own_usage.requests == 0
+        };
         self.servers.retain(|_, server| !gone(server));
         let servers = &self.servers;
         self.names.retain(|_, key| servers.contains_key(*key));
@@ -103,23 +110,23 @@
 
     /// Whether the registry lists a server as one that takes new requests.
     pub fn is_listed(&self, server: &Server, now: Instant) -> bool {
-        let excused = !self.returns_in(now).is_zero();
-        (server.missing.is_none() || excused) && server.entry.phase == Phase::Ready
+        let excused = !self.grace_left(now).is_zero();
+        (server.missing_since.is_none() || excused) && server.entry.phase == Phase::Ready
     }
 
     /// Whether a server may get new requests.
-    pub fn takes_work(&self, server: &Server, now: Instant) -> bool {
-        self.is_listed(server, now) && server.health.is_open(now)
+    pub fn accepts_requests(&self, server: &Server, now: Instant) -> bool {
+        self.is_listed(server, now) && server.health.allows_requests(now)
     }
 
     /// The servers of a service that may get new requests.
-    pub fn open<'a>(
+    pub fn available<'a>(
         &'a self,
         service: &'a ServiceName,
         now: Instant,
     ) -> impl Iterator<Item = (ServerKey, &'a Server)> {
         self.servers.iter().filter(move |(_, server)| {
-            server.entry.service == *service && self.takes_work(server, now)
+            server.entry.service == *service && self.accepts_requests(server, now)
         })
     }
 
@@ -144,16 +151,16 @@
     }
 
     /// Counts a request that is sent.
-    pub fn begin(&mut self, key: ServerKey, flight: Flight) {
+    pub fn begin_request(&mut self, key: ServerKey, flight: InFlightRequest) {
         if let Some(server) = self.servers.get_mut(key) {
-            server.own += flight.into();
+            server.own_usage += flight.into();
         }
     }
 
     /// Counts a request that has ended.
-    pub fn end(&mut self, key: ServerKey, flight: Flight) {
+    pub fn end_request(&mut self, key: ServerKey, flight: InFlightRequest) {
         if let Some(server) = self.servers.get_mut(key) {
-            server.own -= flight.into();
+            server.own_usage -= flight.into();
         }
     }
 }
--- a/crates/pool/src/health.rs
+++ b/crates/pool/src/health.rs
@@ -48,7 +48,7 @@
 
 impl Health {
     /// Takes note of an answer.
-    pub fn answered(&mut self, now: Instant) {
+    pub fn record_success(&mut self, now: Instant) {
         self.refused = 0;
         self.blocked = None;
         self.penalty = self.penalty(now) * 0.9;
@@ -56,13 +56,13 @@
     }
 
     /// Takes note of an answer that failed or broke off.
-    pub fn failed(&mut self, now: Instant) {
+    pub fn record_failure(&mut self, now: Instant) {
         self.penalty = (self.penalty(now) + 1.0).min(LIMIT);
         self.at = Some(now);
     }
 
     /// Takes note of a connection that could not be opened.
-    pub fn refused(&mut self, now: Instant) {
+    pub fn record_connection_failure(&mut self, now: Instant) {
         let pause = FIRST_PAUSE * (1 << self.refused.min(4));
         self.refused += 1;
         self.refused_at = Some(now);
@@ -70,7 +70,7 @@
     }
 
     /// Whether the server may be sent to.
-    pub fn is_open(&self, now: Instant) -> bool {
+    pub fn allows_requests(&self, now: Instant) -> bool {
         self.blocked.is_none_or(|until| now >= until)
     }
 
--- a/crates/pool/src/moving.rs
+++ b/crates/pool/src/moves.rs
@@ -44,67 +44,67 @@
 
 /// A move under way.
 #[derive(Debug)]
-pub struct Moving {
+pub struct ActiveMove {
     /// The move.
-    pub change: Move,
+    pub planned: Move,
     stage: Stage,
 }
 
-impl Moving {
+impl ActiveMove {
     /// Starts to make room.
-    pub fn drain(change: Move, now: Instant) -> Self {
-        Self { change, stage: Stage::Draining(now + DROP_TIME) }
+    pub fn start_drain(change: Move, now: Instant) -> Self {
+        Self { planned: change, stage: Stage::Draining(now + DROP_TIME) }
     }
 
     /// Starts a load that takes `load`, into room that is there.
-    pub fn load(change: Move, load: Duration, now: Instant) -> Self {
-        Self { change, stage: Stage::Loading(now + load + MOVE_SLACK) }
+    pub fn start_load(change: Move, load: Duration, now: Instant) -> Self {
+        Self { planned: change, stage: Stage::Loading(now + load + MOVE_SLACK) }
     }
 
     /// What the runner is to do now.
-    pub fn step(&self) -> Move {
-        let server = self.change.server.clone();
+    pub fn current_step(&self) -> Move {
+        let server = self.planned.server.clone();
         match self.stage {
-            Stage::Draining(_) => Move { load: None, ..self.change.clone() },
+            Stage::Draining(_) => Move { load: None, ..self.planned.clone() },
             Stage::Loading(_) => {
-                Move { server, drop: Vec::new(), load: self.change.load.clone() }
+                Move { server, drop: Vec::new(), load: self.planned.load.clone() }
             }
         }
     }
 
     /// The model that the runner is to hold in the end.
-    pub fn wants(&self) -> Option<&ModelName> {
-        self.change.load.as_ref()
+    pub fn target_model(&self) -> Option<&ModelName> {
+        self.planned.load.as_ref()
     }
 
     /// The model that room is made for.
-    pub fn awaits_room(&self) -> Option<&ModelName> {
+    pub fn awaiting_room(&self) -> Option<&ModelName> {
         match self.stage {
-            Stage::Draining(_) => self.change.load.as_ref(),
+            Stage::Draining(_) => self.planned.load.as_ref(),
             Stage::Loading(_) => None,
         }
     }
 
     /// The model that is being loaded, for which there was room.
-    pub fn loads(&self) -> Option<&ModelName> {
+    pub fn loading(&self) -> Option<&ModelName> {
         match self.stage {
             Stage::Draining(_) => None,
-            Stage::Loading(_) => self.change.load.as_ref(),
+            Stage::Loading(_) => self.planned.load.as_ref(),
         }
     }
 
     /// Whether what it drops is gone, as far as the registry tells.
     pub fn is_drained(&self, runner: &ServerEntry) -> bool {
-        !self.change.drop.iter().any(|model| runner.holds(model))
+        !self.planned.drop.iter().any(|model| runner.holds(model))
     }
 
     /// Whether the move is under way still, as far as the registry tells.
-    pub fn lasts(&self, runner: &ServerEntry, now: Instant) -> bool {
+    pub fn is_active(&self, runner: &ServerEntry, now: Instant) -> bool {
         match self.stage {
             Stage::Draining(until) => now < until && !self.is_drained(runner),
             Stage::Loading(until) => {
                 let loaded =
-                    self.change.load.as_ref().is_none_or(|model| runner.holds(model));
+                    self.planned.load.as_ref().is_none_or(|model| runner.holds(model));
                 now < until && !loaded
             }
         }
--- a/crates/pool/src/pace.rs
+++ b/crates/pool/src/pacer.rs
@@ -44,19 +44,19 @@
 
 /// How fast loads from the weight store may begin.
 #[derive(Debug, Clone, Copy)]
-pub struct Pace {
+pub struct LoadPacer {
     saved: f64,
     at: Instant,
 }
 
-impl Pace {
+impl LoadPacer {
     /// Starts with nothing saved up.
     pub fn new(now: Instant) -> Self {
         Self { saved: 0.0, at: now }
     }
 
     /// The loads that may begin now.
-    pub fn left(&mut self, bound: LoadBound, now: Instant) -> usize {
+    pub fn available(&mut self, bound: LoadBound, now: Instant) -> usize {
         let gone = now.saturating_duration_since(self.at).as_secs_f64();
         self.saved = (self.saved + gone * bound.rate).min(bound.most_saved());
         self.at = now;
--- a/crates/pool/src/placing.rs
+++ b/crates/pool/src/placement.rs
@@ -17,11 +17,11 @@
 use chestnut_place::{ModelState, Placement, PoolState, RunnerState, plan};
 use indexmap::{IndexMap, IndexSet};
 
-use crate::demand::{Asked, Demands};
-use crate::lost::Lost;
-use crate::moving::{Move, Moving};
-use crate::pace::{LoadBound, Pace};
-use crate::speed::Speeds;
+use crate::demand::{DemandCounts, DemandEstimator};
+use crate::moves::{ActiveMove, Move};
+use crate::pacer::{LoadBound, LoadPacer};
+use crate::timing::EngineTimings;
+use crate::unreachable::UnreachableReports;
 
 /// What one runner serves in time, in runners.
 const THROUGHPUT: f64 = 1.0;
@@ -59,18 +59,18 @@
 
 /// What is known of a service's placement.
 #[derive(Debug)]
-pub struct Placing {
-    demands: Demands,
-    pace: Pace,
-    lost: Lost,
+pub struct PlacementPlanner {
+    demands: DemandEstimator,
+    pace: LoadPacer,
+    lost: UnreachableReports,
     /// Moves under way.
-    moving: IndexMap<ServerName, Moving>,
+    moving: IndexMap<ServerName, ActiveMove>,
     /// Runners where a move failed, and until when they are left alone.
     failed: IndexMap<ServerName, Instant>,
 }
 
 /// A service's runners as the registry lists them, and what it declares.
-pub struct Scene<'a> {
+pub struct PlacementInput<'a> {
     /// Runners that take new requests.
     pub runners: &'a [ServerEntry],
     /// Runners that nobody can give orders to now.
@@ -78,41 +78,60 @@
     /// What is declared of them.
     pub engine: &'a Engine,
     /// What operators allow of loads from the weight store.
-    pub bound: LoadBound,
+    pub load_bound: LoadBound,
     /// How fast they read prompts.
-    pub speeds: &'a Speeds,
+    pub timings: &'a EngineTimings,
 }
 
-impl Placing {
+impl PlacementPlanner {
     /// Starts to plan, with no load saved up.
     pub fn new(now: Instant) -> Self {
         Self {
-            demands: Demands::new(now),
-            pace: Pace::new(now),
-            lost: Lost::default(),
+            demands: DemandEstimator::new(now),
+            pace: LoadPacer::new(now),
+            lost: UnreachableReports::default(),
             moving: IndexMap::new(),
             failed: IndexMap::new(),
         }
     }
 
     /// Takes in a part of what callers have asked of a daemon since its start.
-    pub fn count(&mut self, from: MemberId, part: usize, asked: Vec<(ModelName, Asked)>) {
-        self.demands.count(from, part, asked);
+    pub fn update_demand(
+        &mut self,
+        from: MemberId,
+        part: usize,
+        asked: Vec<(ModelName, DemandCounts)>,
+    ) {
+        self.demands.update(from, part, asked);
     }
 
     /// Takes in which servers a daemon can't connect to.
-    pub fn hear_lost(&mut self, from: MemberId, servers: Vec<ServerName>, now: Instant) {
-        self.lost.hear(from, servers, now);
+    pub fn record_unreachable(
+        &mut self,
+        from: MemberId,
+        servers: Vec<ServerName>,
+        now: Instant,
+    ) {
+        self.lost.record(from, servers, now);
     }
 
     /// Whether daemons can't connect to a server; `daemons` is their number.
-    pub fn is_lost(&self, server: &ServerName, daemons: usize, now: Instant) -> bool {
-        self.lost.is_lost(server, daemons, now)
+    pub fn is_unreachable(
+        &self,
+        server: &ServerName,
+        daemons: usize,
+        now: Instant,
+    ) -> bool {
+        self.lost.is_unreachable(server, daemons, now)
     }
 
     /// Takes in that a runner's holder could not make a move.
-    pub fn fail(&mut self, change: &Move, now: Instant) {
-        if self.moving.get(&change.server).is_some_and(|known| known.step() == *change) {
+    pub fn record_failure(&mut self, change: &Move, now: Instant) {
+        if self
+            .moving
+            .get(&change.server)
+            .is_some_and(|known| known.current_step() == *change)
+        {
             self.moving.swap_remove(&change.server);
             self.failed.insert(change.server.clone(), now + FAILED_TIME);
         }
@@ -124,8 +143,8 @@
     }
 
     /// Decides what to move; returns the moves that are new.
-    pub fn decide(&mut self, scene: &Scene, now: Instant) -> Vec<Move> {
-        self.demands.average(scene.engine, scene.speeds, now);
+    pub fn plan(&mut self, scene: &PlacementInput, now: Instant) -> Vec<Move> {
+        self.demands.advance(scene.engine, scene.timings, now);
         self.forget_done(scene, now);
         let mut fresh = self.loads(scene, now);
         fresh.extend(self.drains(scene, now));
@@ -135,22 +154,22 @@
 
     /// What runners are to do for the moves under way.
     pub fn steps(&self) -> impl Iterator<Item = Move> {
-        self.moving.values().map(Moving::step)
+        self.moving.values().map(ActiveMove::current_step)
     }
 
-    fn forget_done(&mut self, scene: &Scene, now: Instant) {
+    fn forget_done(&mut self, scene: &PlacementInput, now: Instant) {
         self.failed.retain(|_, until| now < *until);
         self.moving.retain(|server, moving| {
             let runner = scene.runners.iter().find(|runner| runner.name == *server);
-            runner.is_some_and(|runner| moving.lasts(runner, now))
+            runner.is_some_and(|runner| moving.is_active(runner, now))
         });
     }
 
     /// Models that no runner holds or is loading.
-    fn missing(&self, scene: &Scene) -> Vec<ModelName> {
+    fn missing(&self, scene: &PlacementInput) -> Vec<ModelName> {
         let held = scene.runners.iter().flat_map(|runner| &runner.models);
         let held = held.map(|held| &held.model);
-        let loading = self.moving.values().filter_map(Moving::loads);
+        let loading = self.moving.values().filter_map(ActiveMove::loading);
         let there: IndexSet<&ModelName> = held.chain(loading).collect();
         let models = scene.engine.models.keys();
         models.filter(|model| !there.contains(model)).cloned().collect()
@@ -159,7 +178,7 @@
     /// Whether a load may begin now, which it then does.
     fn may_load(
         &mut self,
-        scene: &Scene,
+        scene: &PlacementInput,
         runner: &ServerEntry,
         model: &ModelName,
         now: Instant,
@@ -167,7 +186,7 @@
         if is_near(runner, model) {
             return true;
         }
-        let free = self.pace.left(scene.bound, now) > 0;
+        let free = self.pace.available(scene.load_bound, now) > 0;
         if free {
             self.pace.take();
         }
@@ -175,9 +194,10 @@
     }
 
     /// Begins loads into room that is free, whatever it was made for.
-    fn loads(&mut self, scene: &Scene, now: Instant) -> Vec<Move> {
-        let parallel = self.pace.left(scene.bound, now) + self.count_moves(Moving::loads);
-        let mut pool = self.pool_state(scene, Moving::loads);
+    fn loads(&mut self, scene: &PlacementInput, now: Instant) -> Vec<Move> {
+        let parallel = self.pace.available(scene.load_bound, now)
+            + self.count_moves(ActiveMove::loading);
+        let mut pool = self.pool_state(scene, ActiveMove::loading);
         (pool.parallel, pool.frozen) = (parallel, true);
         for (state, runner) in pool.runners.iter_mut().zip(scene.runners) {
             state.fixed |= self.moving.contains_key(&runner.name);
@@ -192,8 +212,8 @@
                 && self.may_load(scene, runner, &model, now)
             {
                 let time = runner.load_time(&model, &scene.engine.models[&model]);
-                let moving = Moving::load(change, time, now);
-                fresh.push(moving.step());
+                let moving = ActiveMove::start_load(change, time, now);
+                fresh.push(moving.current_step());
                 self.moving.insert(runner.name.clone(), moving);
             }
         }
@@ -201,54 +221,56 @@
     }
 
     /// Has runners make room for loads that can begin by then.
-    fn drains(&mut self, scene: &Scene, now: Instant) -> Vec<Move> {
-        let parallel = self.loads_ahead(scene, now) + self.count_moves(Moving::wants);
-        let mut pool = self.pool_state(scene, Moving::wants);
+    fn drains(&mut self, scene: &PlacementInput, now: Instant) -> Vec<Move> {
+        let parallel =
+            self.loads_ahead(scene, now) + self.count_moves(ActiveMove::target_model);
+        let mut pool = self.pool_state(scene, ActiveMove::target_model);
         pool.parallel = parallel;
         let mut fresh = Vec::new();
         for change in moves(scene, &pool, &plan(&pool)) {
             if change.drop.is_empty() || self.moving.contains_key(&change.server) {
                 continue;
             }
-            let moving = Moving::drain(change, now);
-            fresh.push(moving.step());
-            self.moving.insert(moving.change.server.clone(), moving);
+            let moving = ActiveMove::start_drain(change, now);
+            fresh.push(moving.current_step());
+            self.moving.insert(moving.planned.server.clone(), moving);
         }
         fresh
     }
 
-    fn count_moves(&self, which: impl Fn(&Moving) -> Option<&ModelName>) -> usize {
+    fn count_moves(&self, which: impl Fn(&ActiveMove) -> Option<&ModelName>) -> usize {
         self.moving.values().filter(|moving| which(moving).is_some()).count()
     }
 
     /// The loads from the weight store that may be planned now: they can begin once a
     /// runner has made room, beside those for which runners make room already. Models that
     /// nobody holds don't wait for those.
-    fn loads_ahead(&mut self, scene: &Scene, now: Instant) -> usize {
-        let soon = (scene.bound.rate * DRAIN_AHEAD.as_secs_f64()) as usize;
+    fn loads_ahead(&mut self, scene: &PlacementInput, now: Instant) -> usize {
+        let soon = (scene.load_bound.rate * DRAIN_AHEAD.as_secs_f64()) as usize;
         let waits = |runner: &ServerEntry| {
             let moving = self.moving.get(&runner.name);
-            let model = moving.and_then(Moving::awaits_room);
+            let model = moving.and_then(ActiveMove::awaiting_room);
             model.is_some_and(|model| !is_near(runner, model))
         };
         let waiting = scene.runners.iter().filter(|runner| waits(runner)).count();
-        let ahead = (self.pace.left(scene.bound, now) + soon).saturating_sub(waiting);
+        let ahead =
+            (self.pace.available(scene.load_bound, now) + soon).saturating_sub(waiting);
         ahead.max(self.missing(scene).len())
     }
 
     /// Drops replicas that are not asked for where no room is left for a load.
-    fn drops(&mut self, scene: &Scene, now: Instant) -> Vec<Move> {
+    fn drops(&mut self, scene: &PlacementInput, now: Instant) -> Vec<Move> {
         let mut replicas: IndexMap<&ModelName, usize> = IndexMap::new();
         for model in scene.runners.iter().flat_map(|runner| &runner.models) {
             *replicas.entry(&model.model).or_default() += 1;
         }
-        for model in self.moving.values().flat_map(|moving| &moving.change.drop) {
+        for model in self.moving.values().flat_map(|moving| &moving.planned.drop) {
             if let Some(count) = replicas.get_mut(model) {
                 *count = count.saturating_sub(1);
             }
         }
         let mut fresh = Vec::new();
-        if !self.demands.is_known() {
+        if !self.demands.is_established() {
             return fresh;
         }
         for runner in scene.runners {
@@ -276,8 +298,8 @@
             }
             let drop = vec![model.clone()];
             let change = Move { server: runner.name.clone(), drop, load: None };
-            let moving = Moving::drain(change, now);
-            fresh.push(moving.step());
+            let moving = ActiveMove::start_drain(change, now);
+            fresh.push(moving.current_step());
             self.moving.insert(runner.name.clone(), moving);
         }
         fresh
@@ -292,8 +314,8 @@
     /// The pool as it is once what `coming` tells of moves has been loaded.
     fn pool_state(
         &self,
-        scene: &Scene,
-        coming: impl Fn(&Moving) -> Option<&ModelName> + Copy,
+        scene: &PlacementInput,
+        coming: impl Fn(&ActiveMove) -> Option<&ModelName> + Copy,
     ) -> PoolState {
         let runners = scene.runners;
         let domains: IndexSet<&DomainName> =
@@ -324,22 +346,22 @@
         }
     }
 
-    fn is_fixed(&self, scene: &Scene, runner: &ServerEntry) -> bool {
+    fn is_fixed(&self, scene: &PlacementInput, runner: &ServerEntry) -> bool {
         let failed = self.failed.contains_key(&runner.name);
         failed || scene.fixed.contains(&runner.name)
     }
 
     fn model_state(
         &self,
-        scene: &Scene,
+        scene: &PlacementInput,
         name: &ModelName,
-        coming: impl Fn(&Moving) -> Option<&ModelName>,
+        coming: impl Fn(&ActiveMove) -> Option<&ModelName>,
     ) -> ModelState {
         let declared = &scene.engine.models[name];
         let moving = |runner: &ServerEntry| self.moving.get(&runner.name);
         let loads = |runner: &ServerEntry| moving(runner).and_then(&coming) == Some(name);
         let drops = |runner: &ServerEntry| {
-            moving(runner).is_some_and(|moving| moving.change.drop.contains(name))
+            moving(runner).is_some_and(|moving| moving.planned.drop.contains(name))
         };
         let there =
             |runner: &ServerEntry| loads(runner) || runner.holds(name) && !drops(runner);
@@ -374,7 +396,7 @@
 
 /// The changes that lead from what runners hold to a placement, in its order; a runner
 /// carries out one at a time.
-fn moves(scene: &Scene, pool: &PoolState, placement: &Placement) -> Vec<Move> {
+fn moves(scene: &PlacementInput, pool: &PoolState, placement: &Placement) -> Vec<Move> {
     let models: Vec<&ModelName> = scene.engine.models.keys().collect();
     let mut moves: IndexMap<usize, Move> = IndexMap::new();
     for (load, runner) in placement.added.iter().copied() {
--- a/crates/pool/src/lane.rs
+++ b/crates/pool/src/prefill_queue.rs
@@ -37,13 +37,13 @@
 
 /// A prompt that waits.
 #[derive(Debug, Clone, PartialEq)]
-pub struct Waiting {
+pub struct QueuedPrompt {
     /// Its name.
     pub ticket: Ticket,
     /// How long the engine takes to read it.
-    pub work: Duration,
+    pub prefill_time: Duration,
     /// The tokens that it takes in the KV cache with its answer.
-    pub tokens: u64,
+    pub kv_tokens: u64,
     /// How urgent it is; 0 goes first.
     pub urgency: u8,
     /// When its first event has to come to be on time.
@@ -51,52 +51,52 @@
     /// When its caller gives up.
     pub deadline: Instant,
     /// When its adapter is there; nothing while that is not known.
-    pub ready: Option<Instant>,
+    pub adapter_ready_at: Option<Instant>,
 }
 
 /// What a runner has room for.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Room {
+pub struct RunnerCapacity {
     /// Further requests.
     pub requests: u32,
     /// Further tokens in the KV cache.
-    pub tokens: u64,
+    pub kv_tokens: u64,
     /// The longest pause between events for which its streams are on time.
-    pub pause: Option<Duration>,
+    pub max_event_gap: Option<Duration>,
     /// The time of a step beside what is read in it.
-    pub step: Duration,
+    pub step_time: Duration,
     /// The steps that one event of a stream takes.
-    pub event_steps: u32,
+    pub steps_per_event: u32,
 }
 
 /// What goes before a prompt.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
-pub struct Ahead {
+pub struct Backlog {
     /// Requests.
     pub requests: u32,
     /// Their tokens in the KV cache.
-    pub tokens: u64,
+    pub kv_tokens: u64,
     /// How long the engine takes to read them.
-    pub work: Duration,
+    pub prefill_time: Duration,
 }
 
 /// What a lane does next.
 #[derive(Debug, Clone, PartialEq)]
-pub enum Next {
+pub enum PrefillAction {
     /// The prompt may be sent now.
-    Send(Waiting),
+    Send(QueuedPrompt),
     /// The prompt's caller has given up.
-    Expired(Waiting),
+    Expired(QueuedPrompt),
     /// Nothing can be sent before this time.
-    Wait(Instant),
+    WaitUntil(Instant),
     /// Nothing can be sent until something changes.
     Idle,
 }
 
 /// Prompts on their way to a runner.
 #[derive(Debug, Default)]
-pub struct Lane {
-    waiting: Vec<Waiting>,
+pub struct PrefillQueue {
+    waiting: Vec<QueuedPrompt>,
     /// The last prompts that were sent, as far as one event of a stream can span them.
     recent: VecDeque<Sent>,
     /// Prompts that were sent and have no first event yet, in order.
@@ -133,9 +133,9 @@
     idle: u32,
 }
 
-impl Lane {
+impl PrefillQueue {
     /// Adds a prompt.
-    pub fn push(&mut self, waiting: Waiting) {
+    pub fn push(&mut self, waiting: QueuedPrompt) {
         self.waiting.push(waiting);
     }
 
@@ -147,10 +147,10 @@
     }
 
     /// Takes note of when a prompt's adapter is there.
-    pub fn set_ready(&mut self, ticket: Ticket, at: Instant) {
+    pub fn set_adapter_ready(&mut self, ticket: Ticket, at: Instant) {
         let mut waiting = self.waiting.iter_mut();
         if let Some(one) = waiting.find(|waiting| waiting.ticket == ticket) {
-            one.ready = Some(at);
+            one.adapter_ready_at = Some(at);
         }
     }
 
@@ -166,50 +166,51 @@
 
     /// What would go before a prompt that came now; before one that is late already,
     /// all that wait.
-    pub fn ahead(&self, urgency: u8, late: bool, now: Instant) -> Ahead {
+    pub fn backlog_ahead(&self, urgency: u8, late: bool, now: Instant) -> Backlog {
         let last = self.recent.back();
         let reading = last.map(|sent| sent.end.saturating_duration_since(now));
-        let before = |waiting: &&Waiting| {
+        let before = |waiting: &&QueuedPrompt| {
             late || waiting.urgency <= urgency && !is_late(waiting, now)
         };
-        let mut ahead = Ahead { work: reading.unwrap_or_default(), ..Ahead::default() };
+        let mut ahead =
+            Backlog { prefill_time: reading.unwrap_or_default(), ..Backlog::default() };
         for waiting in self.waiting.iter().filter(before) {
             ahead.requests += 1;
-            ahead.tokens += waiting.tokens;
-            ahead.work += waiting.work;
+            ahead.kv_tokens += waiting.kv_tokens;
+            ahead.prefill_time += waiting.prefill_time;
         }
         ahead
     }
 
     /// Whether reading a prompt alone pauses the streams that run for too long.
-    pub fn is_long(&self, work: Duration) -> bool {
+    pub fn exceeds_event_gap(&self, work: Duration) -> bool {
         self.limit.is_some_and(|limit| work > limit)
     }
 
     /// How many such prompts were sent lately, in a second.
-    pub fn long_rate(&self, now: Instant) -> f64 {
+    pub fn long_prompt_rate(&self, now: Instant) -> f64 {
         let gone = self.long_at.map(|at| now.saturating_duration_since(at));
         let gone = gone.unwrap_or_default().as_secs_f64();
         self.long_rate * (-gone / LONG_MEMORY.as_secs_f64()).exp()
     }
 
     /// Decides what to do now, with the runner's room.
-    pub fn next(&mut self, room: Room, now: Instant) -> Next {
-        self.step = room.step;
-        let event = room.step * room.event_steps;
-        self.limit = Some(room.pause.unwrap_or(PAUSE).saturating_sub(event));
+    pub fn next_action(&mut self, room: RunnerCapacity, now: Instant) -> PrefillAction {
+        self.step = room.step_time;
+        let event = room.step_time * room.steps_per_event;
+        self.limit = Some(room.max_event_gap.unwrap_or(PAUSE).saturating_sub(event));
         if let Some(at) = self.waiting.iter().position(|one| now >= one.deadline) {
-            return Next::Expired(self.waiting.swap_remove(at));
+            return PrefillAction::Expired(self.waiting.swap_remove(at));
         }
         let Some(at) = self.best(room, now) else { return self.sleep(now) };
-        if let Some(start) = self.start(self.waiting[at].work, room, now)
+        if let Some(start) = self.start(self.waiting[at].prefill_time, room, now)
             && start > now
         {
-            return Next::Wait(start);
+            return PrefillAction::WaitUntil(start);
         }
         let waiting = self.waiting.swap_remove(at);
-        self.note_sent(&waiting, room.event_steps, now);
-        Next::Send(waiting)
+        self.note_sent(&waiting, room.steps_per_event, now);
+        PrefillAction::Send(waiting)
     }
 
     /// Takes in that a prompt had its first event, and `base` of the time since its
@@ -218,7 +219,12 @@
     /// The engine may be behind, or ahead of, what was assumed; what was sent after
     /// this prompt is read from now on. Only the time of a prompt that the engine was
     /// free for tells how fast it reads.
-    pub fn begun(&mut self, ticket: Ticket, after: Duration, base: Duration) -> bool {
+    pub fn record_first_event(
+        &mut self,
+        ticket: Ticket,
+        after: Duration,
+        base: Duration,
+    ) -> bool {
         let Some(place) = self.open.iter().position(|open| open.ticket == ticket) else {
             return false;
         };
@@ -236,15 +242,15 @@
         free
     }
 
-    fn note_sent(&mut self, waiting: &Waiting, event_steps: u32, now: Instant) {
-        let work = waiting.work;
+    fn note_sent(&mut self, waiting: &QueuedPrompt, event_steps: u32, now: Instant) {
+        let work = waiting.prefill_time;
         let old = |open: &Open| now.saturating_duration_since(open.at) > OPEN_TIME;
         while self.open.front().is_some_and(old) {
             self.open.pop_front();
         }
         self.open.push_back(Open { ticket: waiting.ticket, work, at: now });
-        if self.is_long(work) {
-            self.long_rate = self.long_rate(now) + 1.0 / LONG_MEMORY.as_secs_f64();
+        if self.exceeds_event_gap(work) {
+            self.long_rate = self.long_prompt_rate(now) + 1.0 / LONG_MEMORY.as_secs_f64();
             self.long_at = Some(now);
         }
         let idle = self.idle_steps(now);
@@ -263,12 +269,17 @@
     }
 
     /// The prompt to send first among those that can be sent.
-    fn best(&self, room: Room, now: Instant) -> Option<usize> {
-        let fits = |waiting: &Waiting| room.requests > 0 && waiting.tokens <= room.tokens;
-        let ready = |waiting: &Waiting| waiting.ready.is_some_and(|at| at <= now);
-        let able = |(_, waiting): &(usize, &Waiting)| ready(waiting) && fits(waiting);
-        let rank =
-            |waiting: &Waiting| (is_late(waiting, now), waiting.urgency, waiting.target);
+    fn best(&self, room: RunnerCapacity, now: Instant) -> Option<usize> {
+        let fits = |waiting: &QueuedPrompt| {
+            room.requests > 0 && waiting.kv_tokens <= room.kv_tokens
+        };
+        let ready =
+            |waiting: &QueuedPrompt| waiting.adapter_ready_at.is_some_and(|at| at <= now);
+        let able =
+            |(_, waiting): &(usize, &QueuedPrompt)| ready(waiting) && fits(waiting);
+        let rank = |waiting: &QueuedPrompt| {
+            (is_late(waiting, now), waiting.urgency, waiting.target)
+        };
         let able = self.waiting.iter().enumerate().filter(able);
         able.min_by_key(|(_, waiting)| rank(waiting)).map(|(index, _)| index)
     }
@@ -279,21 +290,26 @@
     /// that went shortly before count as long as an event can span their steps and the new
     /// one's. Where they are too much, as many steps without a prompt go between as bring
     /// the first of them out of reach.
-    fn start(&self, work: Duration, room: Room, now: Instant) -> Option<Instant> {
+    fn start(
+        &self,
+        work: Duration,
+        room: RunnerCapacity,
+        now: Instant,
+    ) -> Option<Instant> {
         let last = self.recent.back()?;
-        let pause = room.pause.unwrap_or(PAUSE);
-        let limit = pause.saturating_sub(room.step * room.event_steps + MARGIN);
+        let pause = room.max_event_gap.unwrap_or(PAUSE);
+        let limit = pause.saturating_sub(room.step_time * room.steps_per_event + MARGIN);
         let (mut behind, mut sum) = (self.idle_steps(now), work);
         for sent in self.recent.iter().rev() {
             // An event that ends with the new prompt's step began at most this many steps
             // before it.
-            let span = room.event_steps.saturating_sub(1);
+            let span = room.steps_per_event.saturating_sub(1);
             if behind >= span {
                 break;
             }
             sum += sent.work;
             if sum > limit {
-                return Some(last.end + room.step * (span - behind));
+                return Some(last.end + room.step_time * (span - behind));
             }
             behind = behind.saturating_add(1).saturating_add(sent.idle);
         }
@@ -301,15 +317,15 @@
     }
 
     /// Until when nothing can be sent, as far as time alone decides.
-    fn sleep(&self, now: Instant) -> Next {
-        let ready = self.waiting.iter().filter_map(|waiting| waiting.ready);
+    fn sleep(&self, now: Instant) -> PrefillAction {
+        let ready = self.waiting.iter().filter_map(|waiting| waiting.adapter_ready_at);
         let deadlines = self.waiting.iter().map(|waiting| waiting.deadline);
         let times = ready.filter(|at| *at > now).chain(deadlines);
-        times.min().map_or(Next::Idle, Next::Wait)
+        times.min().map_or(PrefillAction::Idle, PrefillAction::WaitUntil)
     }
 }
 
 /// Whether a prompt's first event would be late if it were sent now.
-fn is_late(waiting: &Waiting, now: Instant) -> bool {
-    now + waiting.work > waiting.target
+fn is_late(waiting: &QueuedPrompt, now: Instant) -> bool {
+    now + waiting.prefill_time > waiting.target
 }
--- a/crates/pool/src/prefix.rs
+++ b/crates/pool/src/prefix.rs
@@ -19,16 +19,16 @@
 
 /// Which parts of prompts a runner has read lately.
 #[derive(Debug, Default)]
-pub struct Prefixes {
+pub struct PrefixCache {
     /// The tokens of each part, the one used the longest time ago first.
     parts: IndexMap<Chain, u32>,
     /// The sum of the tokens.
     tokens: u64,
 }
 
-impl Prefixes {
+impl PrefixCache {
     /// The prompt tokens that the runner need not read.
-    pub fn kept(&self, target: &TargetModel, parts: &[PromptPart]) -> u32 {
+    pub fn cached_tokens(&self, target: &TargetModel, parts: &[PromptPart]) -> u32 {
         let known =
             chains(target, parts).take_while(|(chain, _)| self.parts.contains_key(chain));
         known.map(|(_, tokens)| tokens).sum()
@@ -36,7 +36,7 @@
 
     /// The prompt tokens of which it is not known whether the runner keeps them: parts
     /// that requests share and that were not seen here. The last part is a request's own.
-    pub fn doubtful(&self, target: &TargetModel, parts: &[PromptPart]) -> u32 {
+    pub fn uncertain_tokens(&self, target: &TargetModel, parts: &[PromptPart]) -> u32 {
         let shared = &parts[..parts.len().saturating_sub(1)];
         let unseen = chains(target, shared)
             .skip_while(|(chain, _)| self.parts.contains_key(chain));
@@ -44,7 +44,12 @@
     }
 
     /// Takes note of a prompt that is sent; `capacity` tokens fit into the cache.
-    pub fn sent(&mut self, target: &TargetModel, parts: &[PromptPart], capacity: u64) {
+    pub fn record_sent(
+        &mut self,
+        target: &TargetModel,
+        parts: &[PromptPart],
+        capacity: u64,
+    ) {
         for (chain, tokens) in chains(target, parts) {
             if let Some(old) = self.parts.shift_remove(&chain) {
                 self.tokens -= u64::from(old);
--- a/crates/pool/src/queue.rs
+++ b/crates/pool/src/queue.rs
@@ -18,10 +18,10 @@
 use serde_with::{DurationMilliSeconds, serde_as};
 
 use crate::choose::DOMAIN_COST;
-use crate::lost::Lost;
+use crate::unreachable::UnreachableReports;
 
 /// Names a request: the daemon that asks, and its number there.
-pub type Asker = (MemberId, u64);
+pub type RequestKey = (MemberId, u64);
 
 /// The time that a request takes, as long as none has ended.
 const FIRST_TIME: Duration = Duration::from_millis(30);
@@ -77,7 +77,7 @@
 /// What a plain request needs.
 #[serde_as]
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
-pub struct PlainWant {
+pub struct PlainRequest {
     /// How urgent it is; 0 goes first.
     pub urgency: u8,
     /// The time that is left to an answer that is on time.
@@ -85,7 +85,8 @@
     pub target_time: Duration,
     /// How much longer its caller waits.
     #[serde_as(as = "DurationMilliSeconds<u64>")]
-    pub patience: Duration,
+    #[serde(rename = "patience")]
+    pub wait_limit: Duration,
     /// The failure domain that it is sent from.
     pub domain: DomainName,
     /// Servers that did not serve it, or that its daemon can't reach.
@@ -94,7 +95,7 @@
 
 /// What came of a place.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
-pub enum Outcome {
+pub enum PermitOutcome {
     /// The server answered.
     Answered,
     /// The server failed, broke off or was silent.
@@ -104,23 +105,24 @@
     /// The server could not be connected to.
     Unreachable,
     /// The request was not sent, or its caller left.
-    Left,
+    #[serde(rename = "Left")]
+    Unused,
 }
 
 /// What becomes of a request.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub enum QueueStep {
+pub enum QueueDecision {
     /// It is to be sent to this server now.
-    Send(Asker, ServerName),
+    Grant(RequestKey, ServerName),
     /// It would wait for longer than its caller; there is room in this time.
-    Full(Asker, Duration),
+    Full(RequestKey, Duration),
     /// No server takes requests.
-    Nowhere(Asker),
+    NoServer(RequestKey),
 }
 
 /// A server as the registry lists it.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Listed {
+pub struct ListedServer {
     /// Its name.
     pub name: ServerName,
     /// Requests that it runs at the same time.
@@ -131,13 +133,13 @@
 
 /// The queue of a plain service and the places at its servers.
 #[derive(Debug)]
-pub struct Queue {
+pub struct PermitQueue {
     servers: IndexMap<ServerName, Server>,
     waiting: Vec<Waiting>,
-    taken: IndexMap<Asker, Taken>,
+    taken: IndexMap<RequestKey, Taken>,
     /// No place is free by its caller's time before this.
     expiry: Option<Instant>,
-    lost: Lost,
+    lost: UnreachableReports,
     /// Since when requests wait without a break.
     since: Option<Instant>,
     /// The mean time of a request, in milliseconds.
@@ -146,7 +148,7 @@
 
 #[derive(Debug)]
 struct Server {
-    listed: Listed,
+    listed: ListedServer,
     /// How many entries of `taken` name it.
     busy: u32,
     /// The share of requests that failed lately, as of `at`.
@@ -160,8 +162,8 @@
 
 #[derive(Debug)]
 struct Waiting {
-    asker: Asker,
-    want: PlainWant,
+    asker: RequestKey,
+    want: PlainRequest,
     /// When an answer would be late.
     target: Instant,
     /// When its caller gives up.
@@ -178,23 +180,23 @@
     until: Instant,
 }
 
-impl Default for Queue {
+impl Default for PermitQueue {
     fn default() -> Self {
         Self {
             servers: IndexMap::new(),
             waiting: Vec::new(),
             taken: IndexMap::new(),
             expiry: None,
-            lost: Lost::default(),
+            lost: UnreachableReports::default(),
             since: None,
             time: millis(FIRST_TIME),
         }
     }
 }
 
-impl Queue {
+impl PermitQueue {
     /// Takes in which servers take new requests.
-    pub fn list(&mut self, listed: Vec<Listed>, now: Instant) {
+    pub fn update_servers(&mut self, listed: Vec<ListedServer>, now: Instant) {
         self.servers.retain(|name, _| listed.iter().any(|one| one.name == *name));
         for one in listed {
             let here = |taken: &&Taken| taken.server == one.name;
@@ -212,40 +214,40 @@
     }
 
     /// Takes in a request; one that has a place already is told the same again.
-    pub fn push(&mut self, asker: Asker, want: PlainWant, now: Instant) {
+    pub fn push(&mut self, asker: RequestKey, want: PlainRequest, now: Instant) {
         let known = |waiting: &Waiting| waiting.asker == asker;
         if self.waiting.iter().any(known) || self.taken.contains_key(&asker) {
             return;
         }
-        let (target, deadline) = (now + want.target_time, now + want.patience);
+        let (target, deadline) = (now + want.target_time, now + want.wait_limit);
         self.waiting.push(Waiting { asker, want, target, deadline, fresh: true });
     }
 
     /// The server at which a request has a place.
-    pub fn place(&self, asker: Asker) -> Option<&ServerName> {
+    pub fn permit(&self, asker: RequestKey) -> Option<&ServerName> {
         self.taken.get(&asker).map(|taken| &taken.server)
     }
 
     /// Takes in that a request needs its place no more, or does not wait any longer.
-    pub fn end(&mut self, asker: Asker, outcome: Outcome, now: Instant) {
+    pub fn release(&mut self, asker: RequestKey, outcome: PermitOutcome, now: Instant) {
         self.waiting.retain(|waiting| waiting.asker != asker);
         let Some(taken) = self.taken.swap_remove(&asker) else { return };
         let time = millis(now.saturating_duration_since(taken.at));
         let mean = self.time;
-        if outcome == Outcome::Unreachable {
-            self.lost.hear(asker.0, vec![taken.server.clone()], now);
+        if outcome == PermitOutcome::Unreachable {
+            self.lost.record(asker.0, vec![taken.server.clone()], now);
         }
         let Some(server) = self.servers.get_mut(&taken.server) else { return };
         server.busy -= 1;
         match outcome {
-            Outcome::Answered => {
+            PermitOutcome::Answered => {
                 self.time += (time - self.time) * TIME_WEIGHT;
                 server.learn(0.0, now);
                 server.rejected = 0;
             }
-            Outcome::Failed => server.learn(1.0, now),
-            Outcome::Rejected => server.reject(mean, now),
-            Outcome::Unreachable | Outcome::Left => {}
+            PermitOutcome::Failed => server.learn(1.0, now),
+            PermitOutcome::Rejected => server.reject(mean, now),
+            PermitOutcome::Unreachable | PermitOutcome::Unused => {}
         }
     }
 
@@ -253,15 +255,18 @@
     ///
     /// Called for each message of all daemons, so that what is done while every place is
     /// taken costs no more than a look at each request that waits.
-    pub fn next(&mut self, now: Instant) -> Option<QueueStep> {
+    pub fn next_decision(&mut self, now: Instant) -> Option<QueueDecision> {
         self.expire(now);
         let on_time = Duration::from_secs_f64(self.time * START_TIMES / 1000.0);
         if let Some(index) = self.hopeless(on_time, now) {
             let asker = self.waiting.swap_remove(index).asker;
-            return Some(QueueStep::Full(asker, self.wait(0)));
+            return Some(QueueDecision::Full(asker, self.wait(0)));
         }
         if self.servers.is_empty() {
-            return self.waiting.pop().map(|waiting| QueueStep::Nowhere(waiting.asker));
+            return self
+                .waiting
+                .pop()
+                .map(|waiting| QueueDecision::NoServer(waiting.asker));
         }
         if !self.servers.values().any(|server| self.is_free(server, now)) {
             return self.refuse_new(on_time, now);
@@ -272,7 +277,7 @@
             match self.best(&self.waiting[index].want, before, now) {
                 None => {
                     let asker = self.waiting.swap_remove(index).asker;
-                    return Some(QueueStep::Nowhere(asker));
+                    return Some(QueueDecision::NoServer(asker));
                 }
                 Some((server, true)) => return Some(self.send(index, server, now)),
                 Some((_, false)) => {}
@@ -306,7 +311,7 @@
 
     /// Refuses a request that has just come and would wait for longer than its caller does,
     /// or for so long that it is late, where servers can't keep up.
-    fn refuse_new(&mut self, on_time: Duration, now: Instant) -> Option<QueueStep> {
+    fn refuse_new(&mut self, on_time: Duration, now: Instant) -> Option<QueueDecision> {
         let crowded = self.is_crowded(now);
         for index in 0..self.waiting.len() {
             if !std::mem::replace(&mut self.waiting[index].fresh, false) {
@@ -320,7 +325,7 @@
             let late = crowded && one.is_late(now + wait, on_time);
             if late || now + wait > one.deadline {
                 let asker = self.waiting.swap_remove(index).asker;
-                return Some(QueueStep::Full(asker, wait));
+                return Some(QueueDecision::Full(asker, wait));
             }
         }
         None
@@ -337,7 +342,7 @@
     }
 
     /// When to look again, if nothing happens before.
-    pub fn wake(&self, now: Instant) -> Option<Instant> {
+    pub fn next_wake(&self, now: Instant) -> Option<Instant> {
         let deadlines = self.waiting.iter().map(|waiting| waiting.deadline);
         let pauses = self.servers.values().filter_map(|server| server.full);
         let times = deadlines.chain(self.expiry).chain(pauses).filter(|at| *at > now);
@@ -354,7 +359,7 @@
         self.waiting.is_empty()
     }
 
-    fn send(&mut self, index: usize, server: ServerName, now: Instant) -> QueueStep {
+    fn send(&mut self, index: usize, server: ServerName, now: Instant) -> QueueDecision {
         let Waiting { asker, deadline, .. } = self.waiting.swap_remove(index);
         if let Some(server) = self.servers.get_mut(&server) {
             server.busy += 1;
@@ -362,7 +367,7 @@
         self.expiry = Some(self.expiry.map_or(deadline, |at| at.min(deadline)));
         let taken = Taken { server: server.clone(), at: now, until: deadline };
         self.taken.insert(asker, taken);
-        QueueStep::Send(asker, server)
+        QueueDecision::Grant(asker, server)
     }
 
     /// The server that would serve a request best, and whether it has a place free.
@@ -370,12 +375,13 @@
     /// So many requests go before it.
     fn best(
         &self,
-        want: &PlainWant,
+        want: &PlainRequest,
         before: usize,
         now: Instant,
     ) -> Option<(ServerName, bool)> {
-        let open =
-            |server: &&Server| !self.lost.is_lost(&server.listed.name, usize::MAX, now);
+        let open = |server: &&Server| {
+            !self.lost.is_unreachable(&server.listed.name, usize::MAX, now)
+        };
         let fresh = |server: &&Server| !want.avoid.contains(&server.listed.name);
         let servers: Vec<&Server> = self.servers.values().filter(open).collect();
         let fresh: Vec<&Server> = servers.iter().copied().filter(fresh).collect();
--- a/crates/pool/src/runner.rs
+++ b/crates/pool/src/runner.rs
@@ -11,10 +11,10 @@
 use chestnut_edge::{Engine, EngineReport, HeldModel, OrderStep, TargetModel};
 use indexmap::IndexMap;
 
-use crate::choose::Want;
-use crate::lane::Lane;
-use crate::prefix::Prefixes;
-use crate::speed::Speeds;
+use crate::choose::GenerationRequest;
+use crate::prefill_queue::PrefillQueue;
+use crate::prefix::PrefixCache;
+use crate::timing::EngineTimings;
 use crate::usage::Usage;
 
 /// How long a daemon's sum counts without being repeated.
@@ -55,29 +55,29 @@
     /// It is there.
     Ready,
     /// It is on its way.
-    Coming(Duration),
+    Loading(Duration),
     /// It is not there, and a place is free.
-    Free,
+    SlotFree,
     /// It is not there, and another one that is not in use has to go.
-    Evict,
+    NeedsEviction,
     /// It is not there, and all places are in use.
-    Full,
+    SlotsInUse,
 }
 
 /// What is to be done to have an adapter on a runner.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum AdapterNeed {
     /// Nothing; it is there in this time.
-    Ready(Duration),
+    ReadyIn(Duration),
     /// This order.
     Order(OrderStep),
     /// It can't be had: all places are in use.
-    Full,
+    SlotsInUse,
 }
 
 /// What the holder of a runner's claim knows of it.
 #[derive(Debug, Default)]
-pub struct Runner {
+pub struct RunnerView {
     /// What each daemon has in flight there.
     sums: IndexMap<MemberId, (Usage, Instant)>,
     adapters: IndexMap<TargetModel, Slot>,
@@ -91,14 +91,14 @@
     /// Until when an order is expected to be in progress.
     busy: Option<Instant>,
     /// Prompts that wait to be sent to the runner.
-    pub lane: Lane,
+    pub prefill_queue: PrefillQueue,
     /// What it has read lately.
-    pub prefixes: Prefixes,
+    pub prefix_cache: PrefixCache,
 }
 
-impl Runner {
+impl RunnerView {
     /// Takes in what a daemon has in flight.
-    pub fn report(&mut self, from: MemberId, usage: Usage, now: Instant) {
+    pub fn update_usage(&mut self, from: MemberId, usage: Usage, now: Instant) {
         match usage == Usage::default() {
             true => drop(self.sums.swap_remove(&from)),
             false => drop(self.sums.insert(from, (usage, now))),
@@ -106,7 +106,7 @@
     }
 
     /// What all daemons have in flight.
-    pub fn total(&self, now: Instant) -> Usage {
+    pub fn total_usage(&self, now: Instant) -> Usage {
         let fresh = |at: Instant| now.saturating_duration_since(at) < SUM_TIME;
         let mut total = Usage::default();
         for (usage, at) in self.sums.values() {
@@ -122,7 +122,7 @@
     /// Reports are some hundred milliseconds old. One from before the last order
     /// shows models that are gone and memory that is taken: loading by it would
     /// crash the runner.
-    pub fn learn(&mut self, report: &EngineReport, now: Instant) -> bool {
+    pub fn apply_report(&mut self, report: &EngineReport, now: Instant) -> bool {
         if report.orders < self.floor {
             return false;
         }
@@ -161,12 +161,12 @@
 
     /// Forgets what is known of the runner's orders, after an answer that does not
     /// fit or was lost.
-    pub fn doubt(&mut self) {
+    pub fn forget_order_count(&mut self) {
         self.orders = None;
     }
 
     /// The number of orders that the runner has accepted.
-    pub fn orders(&self) -> Option<u64> {
+    pub fn order_count(&self) -> Option<u64> {
         self.orders
     }
 
@@ -176,28 +176,32 @@
     }
 
     /// Whether a model is being unloaded.
-    pub fn unloads(&self, model: &ModelName) -> bool {
+    pub fn is_unloading(&self, model: &ModelName) -> bool {
         self.leaving.as_ref() == Some(model)
     }
 
     /// The tokens that the runner has to read of a prompt.
-    pub fn unread(&self, want: &Want) -> u32 {
-        let kept = self.prefixes.kept(&want.target, &want.parts);
+    pub fn uncached_tokens(&self, want: &GenerationRequest) -> u32 {
+        let kept = self.prefix_cache.cached_tokens(&want.target, &want.parts);
         want.size.prompt.saturating_sub(kept)
     }
 
     /// How long the runner takes to read a prompt.
-    pub fn reading(&self, want: &Want, speeds: &Speeds) -> Duration {
-        speeds.reading(&want.target.model, self.unread(want))
+    pub fn prefill_time(
+        &self,
+        want: &GenerationRequest,
+        speeds: &EngineTimings,
+    ) -> Duration {
+        speeds.prefill_time(&want.target.model, self.uncached_tokens(want))
     }
 
     /// How long an order is expected to be in progress.
-    pub fn busy(&self, now: Instant) -> Duration {
+    pub fn order_time_left(&self, now: Instant) -> Duration {
         self.busy.map_or(Duration::ZERO, |until| until.saturating_duration_since(now))
     }
 
     /// Takes in that the runner has accepted an order that takes `time`.
-    pub fn accepted(&mut self, step: &OrderStep, time: Duration, now: Instant) {
+    pub fn record_accepted(&mut self, step: &OrderStep, time: Duration, now: Instant) {
         self.orders = self.orders.map(|orders| orders + 1);
         self.floor = self.orders.unwrap_or(self.floor);
         match step {
@@ -219,7 +223,7 @@
     }
 
     /// Takes in that what was ordered holds.
-    pub fn holds(&mut self, step: &OrderStep, now: Instant) {
+    pub fn record_in_force(&mut self, step: &OrderStep, now: Instant) {
         match step {
             OrderStep::Load(model) if !self.models.contains(model) => {
                 self.models.push(model.clone());
@@ -243,7 +247,7 @@
     }
 
     /// Takes note that a request for an adapter is sent.
-    pub fn touch(&mut self, target: &TargetModel, now: Instant) {
+    pub fn mark_adapter_used(&mut self, target: &TargetModel, now: Instant) {
         if let Some(slot) = self.adapters.get_mut(target) {
             slot.used = now;
         }
@@ -255,14 +259,14 @@
     /// It may be on its way there, so that its place counts as taken until an order or a
     /// report tells. Counted as free while no order could be given, the next adapter went
     /// beyond what the runner holds, and the runner crashed.
-    pub fn lacks(&mut self, target: &TargetModel) {
+    pub fn mark_adapter_missing(&mut self, target: &TargetModel) {
         if let Some(slot) = self.adapters.get_mut(target) {
             slot.missed = true;
         }
     }
 
     /// How far the runner is from serving an adapter; it has `places` in all.
-    pub fn adapter(
+    pub fn adapter_state(
         &self,
         target: &TargetModel,
         places: usize,
@@ -274,41 +278,46 @@
         if let Some(slot) = self.adapters.get(target) {
             if slot.missed {
                 // Its own place is there for it.
-                return AdapterState::Free;
+                return AdapterState::SlotFree;
             }
             let left = slot.ready.saturating_duration_since(now);
             return match left.is_zero() {
                 true => AdapterState::Ready,
-                false => AdapterState::Coming(left),
+                false => AdapterState::Loading(left),
             };
         }
         if self.adapters.len() < places {
-            return AdapterState::Free;
+            return AdapterState::SlotFree;
         }
-        match self.victim(now) {
-            Some(_) => AdapterState::Evict,
-            None => AdapterState::Full,
+        match self.eviction_candidate(now) {
+            Some(_) => AdapterState::NeedsEviction,
+            None => AdapterState::SlotsInUse,
         }
     }
 
     /// What is to be done to have an adapter; the runner has `places` in all.
-    pub fn need(&self, target: &TargetModel, places: usize, now: Instant) -> AdapterNeed {
+    pub fn adapter_need(
+        &self,
+        target: &TargetModel,
+        places: usize,
+        now: Instant,
+    ) -> AdapterNeed {
         let Some(adapter) = target.adapter.clone() else {
-            return AdapterNeed::Ready(Duration::ZERO);
+            return AdapterNeed::ReadyIn(Duration::ZERO);
         };
-        match self.adapter(target, places, now) {
-            AdapterState::Ready => AdapterNeed::Ready(Duration::ZERO),
-            AdapterState::Coming(left) => AdapterNeed::Ready(left),
-            AdapterState::Free => {
+        match self.adapter_state(target, places, now) {
+            AdapterState::Ready => AdapterNeed::ReadyIn(Duration::ZERO),
+            AdapterState::Loading(left) => AdapterNeed::ReadyIn(left),
+            AdapterState::SlotFree => {
                 let step = OrderStep::LoadAdapter(target.model.clone(), adapter);
                 AdapterNeed::Order(step)
             }
-            AdapterState::Evict | AdapterState::Full => {
-                let victim = self.victim(now).cloned();
+            AdapterState::NeedsEviction | AdapterState::SlotsInUse => {
+                let victim = self.eviction_candidate(now).cloned();
                 let step = victim.and_then(|victim| {
                     Some(OrderStep::UnloadAdapter(victim.model, victim.adapter?))
                 });
-                step.map_or(AdapterNeed::Full, AdapterNeed::Order)
+                step.map_or(AdapterNeed::SlotsInUse, AdapterNeed::Order)
             }
         }
     }
@@ -327,7 +336,7 @@
     }
 
     /// The adapter that was not asked for the longest, if it is not in use.
-    pub fn victim(&self, now: Instant) -> Option<&TargetModel> {
+    pub fn eviction_candidate(&self, now: Instant) -> Option<&TargetModel> {
         let idle = |slot: &Slot| now.saturating_duration_since(slot.used) >= ADAPTER_USE;
         let oldest = self.adapters.iter().min_by_key(|(_, slot)| slot.used)?;
         idle(oldest.1).then_some(oldest.0)
--- a/crates/pool/src/speed.rs
+++ b/crates/pool/src/timing.rs
@@ -109,7 +109,7 @@
 
 impl Line {
     /// Starts with what is expected, which counts for so many samples.
-    fn new(expected: Reading, weight: f64) -> Self {
+    fn new(expected: PrefillTiming, weight: f64) -> Self {
         let zero = Self {
             weight: 0.0,
             tokens: 0.0,
@@ -119,13 +119,18 @@
             time_squared: 0.0,
         };
         let expect = |line: Self, tokens: f64| {
-            line.with(tokens, tokens * expected.token + expected.base, weight, 1.0)
+            line.with(
+                tokens,
+                tokens * expected.token_ms + expected.overhead_ms,
+                weight,
+                1.0,
+            )
         };
         EXPECTED_AT.into_iter().fold(zero, expect)
     }
 
-    fn reading(&self) -> Reading {
-        Reading { token: self.slope(), base: self.base() }
+    fn reading(&self) -> PrefillTiming {
+        PrefillTiming { token_ms: self.slope(), overhead_ms: self.base() }
     }
 
     fn with(self, tokens: f64, time: f64, weight: f64, fade: f64) -> Self {
@@ -188,18 +193,20 @@
 
 /// How fast prompts are read.
 #[derive(Debug, Clone, Copy, PartialEq, Serialize, Deserialize)]
-pub struct Reading {
+pub struct PrefillTiming {
     /// The time for a token, in milliseconds.
-    pub token: f64,
+    #[serde(rename = "token")]
+    pub token_ms: f64,
     /// What a first event takes besides, in milliseconds.
-    pub base: f64,
+    #[serde(rename = "base")]
+    pub overhead_ms: f64,
 }
 
-impl Reading {
-    const GUESS: Self = Self { token: FIRST_GUESS, base: FIRST_BASE };
+impl PrefillTiming {
+    const GUESS: Self = Self { token_ms: FIRST_GUESS, overhead_ms: FIRST_BASE };
 
     fn differs(self, other: Self) -> bool {
-        (self.token - other.token).abs() > TOLD_CHANGE * other.token
+        (self.token_ms - other.token_ms).abs() > TOLD_CHANGE * other.token_ms
     }
 }
 
@@ -207,33 +214,36 @@
 #[serde_as]
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(default)]
-pub struct Learnt {
+pub struct LearnedTimings {
     /// How fast prompts of each model are read.
-    pub models: IndexMap<ModelName, Reading>,
+    pub models: IndexMap<ModelName, PrefillTiming>,
     /// The time of a step beside what is read in it.
     #[serde_as(as = "DurationMicroSeconds<u64>")]
-    pub step: Duration,
+    #[serde(rename = "step")]
+    pub step_time: Duration,
     /// How long requests stay at a runner, in the mean.
     #[serde_as(as = "DurationMicroSeconds<u64>")]
-    pub stay: Duration,
+    #[serde(rename = "stay")]
+    pub service_time: Duration,
 }
 
-impl Default for Learnt {
+impl Default for LearnedTimings {
     fn default() -> Self {
-        Self { models: IndexMap::new(), step: FIRST_STEP, stay: FIRST_STAY }
+        Self { models: IndexMap::new(), step_time: FIRST_STEP, service_time: FIRST_STAY }
     }
 }
 
-impl Learnt {
+impl LearnedTimings {
     /// Whether this tells something that an earlier account does not.
-    pub fn is_news(&self, before: &Self) -> bool {
-        let news = |now: Reading, before: Option<&Reading>| {
+    pub fn differs_from(&self, before: &Self) -> bool {
+        let news = |now: PrefillTiming, before: Option<&PrefillTiming>| {
             before.is_none_or(|before| now.differs(*before))
         };
         let far = |now: Duration, before: Duration| {
             now.abs_diff(before) > before.mul_f64(TOLD_CHANGE * 2.0)
         };
-        let times = far(self.step, before.step) || far(self.stay, before.stay);
+        let times = far(self.step_time, before.step_time)
+            || far(self.service_time, before.service_time);
         let mut models = self.models.iter();
         times || models.any(|(model, now)| news(*now, before.models.get(model)))
     }
@@ -241,33 +251,33 @@
 
 /// How fast runners work.
 #[derive(Debug)]
-pub struct Speeds {
+pub struct EngineTimings {
     /// What was learnt here of each model.
     models: IndexMap<ModelName, Line>,
     /// What others have learnt.
-    known: IndexMap<ModelName, Reading>,
+    known: IndexMap<ModelName, PrefillTiming>,
     step: Duration,
     stay: Duration,
 }
 
-impl Default for Speeds {
+impl Default for EngineTimings {
     fn default() -> Self {
         let (models, known) = (IndexMap::new(), IndexMap::new());
         Self { models, known, step: FIRST_STEP, stay: FIRST_STAY }
     }
 }
 
-impl Speeds {
+impl EngineTimings {
     /// Takes in that a prompt of so many unread tokens, which the engine was free for,
     /// had its first event after `time`.
-    pub fn learn(&mut self, model: &ModelName, tokens: u32, time: Duration) {
+    pub fn record_first_event(&mut self, model: &ModelName, tokens: u32, time: Duration) {
         let millis = time.as_secs_f64() * 1000.0;
         let line = self.line(model).with(effort(tokens), millis, 1.0, FADE);
         self.models.insert(model.clone(), line);
     }
 
     /// Takes in the pause before an event of `tokens` tokens.
-    pub fn learn_step(&mut self, pause: Duration, tokens: u32) {
+    pub fn record_event_gap(&mut self, pause: Duration, tokens: u32) {
         if pause < LEAST_PAUSE {
             return;
         }
@@ -279,41 +289,41 @@
     }
 
     /// Takes in how long a request stayed at its runner.
-    pub fn learn_stay(&mut self, stay: Duration) {
+    pub fn record_service_time(&mut self, stay: Duration) {
         let kept = self.stay.mul_f64(1.0 - STAY_GAIN);
         self.stay = kept + stay.mul_f64(STAY_GAIN);
     }
 
     /// The time of a step beside what is read in it, on the long side.
-    pub fn step(&self) -> Duration {
+    pub fn step_time(&self) -> Duration {
         self.step.mul_f64(FULL_STEP)
     }
 
     /// How long requests stay at a runner, in the mean.
-    pub fn stay(&self) -> Duration {
+    pub fn service_time(&self) -> Duration {
         self.stay
     }
 
     /// Takes in what another daemon has learnt.
-    pub fn hear(&mut self, learnt: &Learnt) {
+    pub fn merge(&mut self, learnt: &LearnedTimings) {
         if self.models.is_empty() {
-            self.step = learnt.step.clamp(STEPS.0, STEPS.1);
-            self.stay = learnt.stay.min(LONGEST_STAY);
+            self.step = learnt.step_time.clamp(STEPS.0, STEPS.1);
+            self.stay = learnt.service_time.min(LONGEST_STAY);
         }
         self.known.extend(learnt.models.clone());
     }
 
     /// What was learnt here.
-    pub fn learnt(&self) -> Learnt {
+    pub fn learned(&self) -> LearnedTimings {
         let models = self.well_known();
         let models = models.map(|(model, line)| (model.clone(), line.reading()));
         let models = models.take(TOLD_MODELS).collect();
-        Learnt { models, step: self.step, stay: self.stay }
+        LearnedTimings { models, step_time: self.step, service_time: self.stay }
     }
 
     /// What was learnt here or by others.
-    pub fn learnt_by_all(&self) -> Learnt {
-        let mut learnt = self.learnt();
+    pub fn learned_by_all(&self) -> LearnedTimings {
+        let mut learnt = self.learned();
         for (model, known) in &self.known {
             if learnt.models.len() < TOLD_MODELS {
                 learnt.models.entry(model.clone()).or_insert(*known);
@@ -323,18 +333,18 @@
     }
 
     /// How long a first event takes besides reading.
-    pub fn base(&self, model: &ModelName) -> Duration {
+    pub fn first_event_overhead(&self, model: &ModelName) -> Duration {
         Duration::from_secs_f64(self.line(model).base() / 1000.0)
     }
 
     /// How long a runner takes to read one token of a short prompt.
-    pub fn token(&self, model: &ModelName) -> Duration {
+    pub fn token_time(&self, model: &ModelName) -> Duration {
         Duration::from_secs_f64(self.line(model).slope() / 1000.0)
     }
 
     /// How long a runner takes to read tokens, on the long side: prompts that are sent
     /// too soon make all streams pause, those that are sent late only wait.
-    pub fn reading(&self, model: &ModelName, tokens: u32) -> Duration {
+    pub fn prefill_time(&self, model: &ModelName, tokens: u32) -> Duration {
         Duration::from_secs_f64(effort(tokens) * self.line(model).cautious() / 1000.0)
     }
 
@@ -350,9 +360,9 @@
         }
         let learnt = self.well_known().map(|(_, line)| line.reading());
         let known = learnt.chain(self.known.values().copied());
-        match known.max_by(|a, b| a.token.total_cmp(&b.token)) {
+        match known.max_by(|a, b| a.token_ms.total_cmp(&b.token_ms)) {
             Some(slowest) => Line::new(slowest, OTHERS_WEIGHT),
-            None => Line::new(Reading::GUESS, GUESS_WEIGHT),
+            None => Line::new(PrefillTiming::GUESS, GUESS_WEIGHT),
         }
     }
 
--- a/crates/pool/src/lost.rs
+++ b/crates/pool/src/unreachable.rs
@@ -19,13 +19,13 @@
 
 /// Who can't connect to which server.
 #[derive(Debug, Default)]
-pub struct Lost {
+pub struct UnreachableReports {
     words: IndexMap<ServerName, IndexMap<MemberId, Instant>>,
 }
 
-impl Lost {
+impl UnreachableReports {
     /// Takes in which servers a daemon can't connect to.
-    pub fn hear(&mut self, from: MemberId, servers: Vec<ServerName>, now: Instant) {
+    pub fn record(&mut self, from: MemberId, servers: Vec<ServerName>, now: Instant) {
         for server in servers {
             self.words.entry(server).or_default().insert(from, now);
         }
@@ -36,7 +36,12 @@
     }
 
     /// Whether a server counts as lost among so many daemons.
-    pub fn is_lost(&self, server: &ServerName, daemons: usize, now: Instant) -> bool {
+    pub fn is_unreachable(
+        &self,
+        server: &ServerName,
+        daemons: usize,
+        now: Instant,
+    ) -> bool {
         let Some(words) = self.words.get(server) else { return false };
         let fresh = |at: &&Instant| now.saturating_duration_since(**at) < WORD_TIME;
         words.values().filter(fresh).count() >= QUORUM.min(daemons)
--- a/crates/pool/src/usage.rs
+++ b/crates/pool/src/usage.rs
@@ -7,11 +7,11 @@
 
 /// One request in flight, as far as it takes room at a server.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Flight {
+pub struct InFlightRequest {
     /// The size of the generation; zero for plain requests.
     pub size: Size,
     /// Whether the server has begun to answer.
-    pub begun: bool,
+    pub responding: bool,
 }
 
 /// The sum of what is in flight at a server.
@@ -20,18 +20,20 @@
     /// Requests in flight.
     pub requests: u32,
     /// Prompt tokens of requests that have no first event yet.
-    pub unread: u64,
+    #[serde(rename = "unread")]
+    pub pending_prompt_tokens: u64,
     /// Tokens that the requests may take in the KV cache.
-    pub tokens: u64,
+    #[serde(rename = "tokens")]
+    pub kv_tokens: u64,
 }
 
-impl From<Flight> for Usage {
-    fn from(flight: Flight) -> Self {
+impl From<InFlightRequest> for Usage {
+    fn from(flight: InFlightRequest) -> Self {
         let prompt = u64::from(flight.size.prompt);
         Self {
             requests: 1,
-            unread: if flight.begun { 0 } else { prompt },
-            tokens: prompt + u64::from(flight.size.output),
+            pending_prompt_tokens: if flight.responding { 0 } else { prompt },
+            kv_tokens: prompt + u64::from(flight.size.output),
         }
     }
 }
@@ -39,8 +41,8 @@
 impl AddAssign for Usage {
     fn add_assign(&mut self, other: Self) {
         self.requests += other.requests;
-        self.unread += other.unread;
-        self.tokens += other.tokens;
+        self.pending_prompt_tokens += other.pending_prompt_tokens;
+        self.kv_tokens += other.kv_tokens;
     }
 }
 
@@ -48,7 +50,8 @@
     /// Saturates: a server that started again was counted anew.
     fn sub_assign(&mut self, other: Self) {
         self.requests = self.requests.saturating_sub(other.requests);
-        self.unread = self.unread.saturating_sub(other.unread);
-        self.tokens = self.tokens.saturating_sub(other.tokens);
+        self.pending_prompt_tokens =
+            self.pending_prompt_tokens.saturating_sub(other.pending_prompt_tokens);
+        self.kv_tokens = self.kv_tokens.saturating_sub(other.kv_tokens);
     }
 }
--- a/crates/pool/tests/bounds.rs
+++ b/crates/pool/tests/bounds.rs
@@ -3,7 +3,7 @@
 use std::time::{Duration, Instant};
 
 use chestnut_pool::budget::RetryBound;
-use chestnut_pool::{LoadBound, Pace, RetryBudget};
+use chestnut_pool::{LoadBound, LoadPacer, RetryBudget};
 use proptest::prelude::*;
 
 const BOUND: RetryBound =
@@ -16,9 +16,9 @@
     let start = Instant::now();
     let mut budget = RetryBudget::new(start);
     for second in 0..3600 {
-        budget.request(BOUND.window, start + Duration::from_secs(second));
+        budget.record_request(BOUND.window, start + Duration::from_secs(second));
     }
-    assert_eq!(budget.remembered(), 11);
+    assert_eq!(budget.tracked(), 11);
 }
 
 fn load_bound(rate: f64) -> LoadBound {
@@ -31,11 +31,11 @@
     // sixteen loads a second that are allowed, eight begin.
     let bound = load_bound(16.0);
     let start = Instant::now();
-    let mut pace = Pace::new(start);
+    let mut pace = LoadPacer::new(start);
     let mut begun = 0;
     for look in 1..=20 {
         let now = start + Duration::from_millis(250) * look;
-        while pace.left(bound, now) > 0 {
+        while pace.available(bound, now) > 0 {
             pace.take();
             begun += 1;
         }
@@ -62,10 +62,10 @@
             if step == restart {
                 daemons.fill_with(|| RetryBudget::new(now));
             }
-            daemons[daemon].request(BOUND.window, now);
+            daemons[daemon].record_request(BOUND.window, now);
             requests.push(now);
             for _ in 0..tries {
-                if daemons[daemon].take(BOUND, Some(6), now) {
+                if daemons[daemon].try_take(BOUND, Some(6), now) {
                     repeats.push(now);
                 }
             }
@@ -85,8 +85,8 @@
         let start = Instant::now();
         let now = start + BOUND.window;
         let mut budget = RetryBudget::new(start);
-        (0..requests).for_each(|_| budget.request(BOUND.window, now));
-        let granted = (0..100).filter(|_| budget.take(BOUND, None, now)).count();
+        (0..requests).for_each(|_| budget.record_request(BOUND.window, now));
+        let granted = (0..100).filter(|_| budget.try_take(BOUND, None, now)).count();
         prop_assert!(granted as f64 <= f64::from(requests) * BOUND.ratio);
     }
 
@@ -101,14 +101,14 @@
     ) {
         let bound = load_bound(rate);
         let mut now = Instant::now();
-        let mut pace = Pace::new(now);
+        let mut pace = LoadPacer::new(now);
         let mut loads: Vec<Instant> = Vec::new();
         for (index, wait) in waits.into_iter().enumerate() {
             now += Duration::from_millis(wait);
             if index == takeover {
-                pace = Pace::new(now);
+                pace = LoadPacer::new(now);
             }
-            while pace.left(bound, now) > 0 {
+            while pace.available(bound, now) > 0 {
                 pace.take();
                 loads.push(now);
             }
--- a/crates/pool/tests/lane.rs
+++ b/crates/pool/tests/lane.rs
@@ -4,7 +4,9 @@
 
 use std::time::{Duration, Instant};
 
-use chestnut_pool::{Lane, Next, Room, Speeds, Ticket, Waiting};
+use chestnut_pool::{
+    EngineTimings, PrefillAction, PrefillQueue, QueuedPrompt, RunnerCapacity, Ticket,
+};
 use proptest::prelude::*;
 
 use support::{Answer, TimedEngine, at, model};
@@ -12,21 +14,27 @@
 /// The longest pause between events for which a stream is on time.
 const PAUSE: f64 = 250.0;
 
-fn room() -> Room {
+fn room() -> RunnerCapacity {
     let pause = Some(Duration::from_millis(PAUSE as u64));
     let step = Duration::from_millis(12);
-    Room { requests: 64, tokens: 150_000, pause, step, event_steps: 3 }
+    RunnerCapacity {
+        requests: 64,
+        kv_tokens: 150_000,
+        max_event_gap: pause,
+        step_time: step,
+        steps_per_event: 3,
+    }
 }
 
-fn waiting(number: u64, tokens: u32, urgency: u8, start: Instant) -> Waiting {
-    Waiting {
+fn waiting(number: u64, tokens: u32, urgency: u8, start: Instant) -> QueuedPrompt {
+    QueuedPrompt {
         ticket: Ticket(number),
-        work: Duration::from_micros(u64::from(tokens) * 50),
-        tokens: u64::from(tokens),
+        prefill_time: Duration::from_micros(u64::from(tokens) * 50),
+        kv_tokens: u64::from(tokens),
         urgency,
         target: start + Duration::from_millis(800),
         deadline: start + Duration::from_secs(15),
-        ready: Some(start),
+        adapter_ready_at: Some(start),
     }
 }
 
@@ -56,13 +64,18 @@
 
 /// Sends what the lane says.
 fn through_lane(load: &[(f64, u32)]) -> Vec<Answer> {
-    let (mut engine, mut lane) = (TimedEngine::default(), Lane::default());
+    let (mut engine, mut lane) = (TimedEngine::default(), PrefillQueue::default());
     drive(load, &mut engine, &mut lane, room());
     engine.answers.into_values().collect()
 }
 
 /// Sends an engine what the lane says until all is answered.
-fn drive(load: &[(f64, u32)], engine: &mut TimedEngine, lane: &mut Lane, room: Room) {
+fn drive(
+    load: &[(f64, u32)],
+    engine: &mut TimedEngine,
+    lane: &mut PrefillQueue,
+    room: RunnerCapacity,
+) {
     let start = Instant::now();
     let mut came = 0;
     while came < load.len() || engine.load() > 0 || !lane.is_empty() {
@@ -71,8 +84,8 @@
             lane.push(waiting(came as u64, load[came].1, 0, now));
             came += 1;
         }
-        while let Next::Send(one) = lane.next(room, now) {
-            engine.take(one.ticket.0 as usize, one.tokens as u32, 40);
+        while let PrefillAction::Send(one) = lane.next_action(room, now) {
+            engine.take(one.ticket.0 as usize, one.kv_tokens as u32, 40);
         }
         engine.step();
     }
@@ -100,14 +113,18 @@
     let (step, event_steps) = (5.0, 9);
     let load: Vec<(f64, u32)> =
         (0..80).map(|at| (f64::from(at / 8) * 700.0, 700)).collect();
-    let room = Room { step: Duration::from_millis(5), event_steps, ..room() };
+    let room = RunnerCapacity {
+        step_time: Duration::from_millis(5),
+        steps_per_event: event_steps,
+        ..room()
+    };
     let engine = || TimedEngine::new(step, event_steps);
-    let through = |room: Room| {
-        let (mut engine, mut lane) = (engine(), Lane::default());
+    let through = |room: RunnerCapacity| {
+        let (mut engine, mut lane) = (engine(), PrefillQueue::default());
         drive(&load, &mut engine, &mut lane, room);
         late(&engine.answers.into_values().collect::<Vec<_>>())
     };
-    let short = through(Room { event_steps: 3, ..room });
+    let short = through(RunnerCapacity { steps_per_event: 3, ..room });
     assert!(short > load.len() / 4, "{short} streams are late if three steps count");
     assert_eq!(through(room), 0, "streams are late if the event's steps count");
 }
@@ -126,27 +143,27 @@
     let start = Instant::now();
     let name = model("m");
     let mut engine = TimedEngine::default();
-    let (mut lane, mut speeds) = (Lane::default(), Speeds::default());
+    let (mut lane, mut speeds) = (PrefillQueue::default(), EngineTimings::default());
     let mut sent = vec![0.0; load.len()];
     let mut events: Vec<(f64, usize)> = Vec::new();
     let mut came = 0;
     while came < load.len() || engine.load() > 0 || !lane.is_empty() {
         let now = at(start, engine.now);
         while came < load.len() && load[came].0 <= engine.now {
-            let work = speeds.reading(&name, load[came].1);
+            let work = speeds.prefill_time(&name, load[came].1);
             let one = waiting(came as u64, load[came].1, 0, now);
-            lane.push(Waiting { work, ..one });
+            lane.push(QueuedPrompt { prefill_time: work, ..one });
             came += 1;
         }
         for (seen, one) in events.extract_if(.., |(seen, _)| *seen <= engine.now) {
             let after = Duration::from_secs_f64((seen - sent[one]) / 1000.0);
-            let base = speeds.base(&name);
-            let free = lane.begun(Ticket(one as u64), after, base);
+            let base = speeds.first_event_overhead(&name);
+            let free = lane.record_first_event(Ticket(one as u64), after, base);
             if free && one >= HIDDEN {
-                speeds.learn(&name, load[one].1, after);
+                speeds.record_first_event(&name, load[one].1, after);
             }
         }
-        while let Next::Send(one) = lane.next(room(), now) {
+        while let PrefillAction::Send(one) = lane.next_action(room(), now) {
             let index = one.ticket.0 as usize;
             sent[index] = engine.now;
             let hidden = if index < HIDDEN { load[index].1 / 2 } else { 0 };
@@ -155,7 +172,7 @@
         let begun = engine.step();
         events.extend(begun.into_iter().map(|one| (engine.now + BASE, one)));
     }
-    let thousand = speeds.reading(&name, 1000).as_secs_f64() * 1000.0;
+    let thousand = speeds.prefill_time(&name, 1000).as_secs_f64() * 1000.0;
     (engine.answers.into_values().collect(), thousand)
 }
 
@@ -180,13 +197,13 @@
     // The runner was behind: an old request is late in any case. One that came just now
     // can still be on time and goes first; the old one is not forgotten.
     let start = Instant::now();
-    let mut lane = Lane::default();
-    let old = Waiting { target: start, ..waiting(1, 1000, 0, start) };
+    let mut lane = PrefillQueue::default();
+    let old = QueuedPrompt { target: start, ..waiting(1, 1000, 0, start) };
     lane.push(old);
     lane.push(waiting(2, 1000, 2, start));
     let now = start + Duration::from_millis(100);
-    let sent = |lane: &mut Lane, now| match lane.next(room(), now) {
-        Next::Send(one) => Some(one.ticket.0),
+    let sent = |lane: &mut PrefillQueue, now| match lane.next_action(room(), now) {
+        PrefillAction::Send(one) => Some(one.ticket.0),
         _ => None,
     };
     assert_eq!(sent(&mut lane, now), Some(2));
@@ -196,11 +213,11 @@
 #[test]
 fn urgent_requests_go_first() {
     let start = Instant::now();
-    let mut lane = Lane::default();
+    let mut lane = PrefillQueue::default();
     lane.push(waiting(1, 400, 2, start));
     lane.push(waiting(2, 400, 0, start));
     assert!(
-        matches!(lane.next(room(), start), Next::Send(one) if one.ticket == Ticket(2))
+        matches!(lane.next_action(room(), start), PrefillAction::Send(one) if one.ticket == Ticket(2))
     );
 }
 
@@ -208,17 +225,17 @@
 fn a_request_waits_for_its_adapter_and_holds_up_nobody() {
     // A caller's adapter is on its way for 20 ms. Others' prompts go meanwhile.
     let start = Instant::now();
-    let mut lane = Lane::default();
-    lane.push(Waiting { ready: None, ..waiting(1, 100, 0, start) });
+    let mut lane = PrefillQueue::default();
+    lane.push(QueuedPrompt { adapter_ready_at: None, ..waiting(1, 100, 0, start) });
     lane.push(waiting(2, 100, 2, start));
     assert!(
-        matches!(lane.next(room(), start), Next::Send(one) if one.ticket == Ticket(2))
+        matches!(lane.next_action(room(), start), PrefillAction::Send(one) if one.ticket == Ticket(2))
     );
     let ready = start + Duration::from_millis(20);
-    lane.set_ready(Ticket(1), ready);
-    assert_eq!(lane.next(room(), start), Next::Wait(ready));
+    lane.set_adapter_ready(Ticket(1), ready);
+    assert_eq!(lane.next_action(room(), start), PrefillAction::WaitUntil(ready));
     assert!(
-        matches!(lane.next(room(), ready), Next::Send(one) if one.ticket == Ticket(1))
+        matches!(lane.next_action(room(), ready), PrefillAction::Send(one) if one.ticket == Ticket(1))
     );
 }
 
@@ -227,11 +244,11 @@
     // All slots are taken: a request that is sent nonetheless waits at the engine, out
     // of reach of the order by urgency, and is rejected when the queue there is full.
     let start = Instant::now();
-    let mut lane = Lane::default();
+    let mut lane = PrefillQueue::default();
     lane.push(waiting(1, 100, 0, start));
-    let full = Room { requests: 0, ..room() };
-    assert!(!matches!(lane.next(full, start), Next::Send(_)));
-    assert!(matches!(lane.next(room(), start), Next::Send(_)));
+    let full = RunnerCapacity { requests: 0, ..room() };
+    assert!(!matches!(lane.next_action(full, start), PrefillAction::Send(_)));
+    assert!(matches!(lane.next_action(room(), start), PrefillAction::Send(_)));
 }
 
 #[test]
@@ -239,27 +256,27 @@
     // Guards against an overflow of the idle steps between prompts: an old prompt would count
     // as one of the last few, or a debug build would panic.
     let (start, step) = (Instant::now(), Duration::from_micros(100));
-    let room = Room { step, event_steps: 9, ..room() };
-    let mut lane = Lane::default();
+    let room = RunnerCapacity { step_time: step, steps_per_event: 9, ..room() };
+    let mut lane = PrefillQueue::default();
     let days = start + Duration::from_secs(8 * 24 * 3600);
     for (number, now) in [(1, start), (2, days)] {
         lane.push(waiting(number, 1500, 1, now));
-        assert!(matches!(lane.next(room, now), Next::Send(_)));
+        assert!(matches!(lane.next_action(room, now), PrefillAction::Send(_)));
     }
     let third = waiting(3, 1500, 1, days);
-    let read = days + third.work + step;
+    let read = days + third.prefill_time + step;
     lane.push(third);
-    assert_eq!(lane.next(room, days), Next::Wait(read));
+    assert_eq!(lane.next_action(room, days), PrefillAction::WaitUntil(read));
 }
 
 #[test]
 fn a_caller_that_has_left_is_not_served() {
     let start = Instant::now();
-    let mut lane = Lane::default();
+    let mut lane = PrefillQueue::default();
     lane.push(waiting(1, 100, 0, start));
     let late = start + Duration::from_secs(16);
     assert!(
-        matches!(lane.next(room(), late), Next::Expired(one) if one.ticket == Ticket(1))
+        matches!(lane.next_action(room(), late), PrefillAction::Expired(one) if one.ticket == Ticket(1))
     );
     assert!(lane.is_empty());
 }
@@ -269,16 +286,16 @@
     // The engine is slower than assumed: the first event comes 200 ms late. What was
     // sent is still being read, and the next prompt waits for it.
     let start = Instant::now();
-    let mut lane = Lane::default();
+    let mut lane = PrefillQueue::default();
     lane.push(waiting(1, 400, 0, start));
-    assert!(matches!(lane.next(room(), start), Next::Send(_)));
+    assert!(matches!(lane.next_action(room(), start), PrefillAction::Send(_)));
     lane.push(waiting(2, 400, 0, start));
-    assert!(!matches!(lane.next(room(), start), Next::Send(_)));
-    lane.begun(Ticket(1), Duration::from_millis(220), Duration::ZERO);
+    assert!(!matches!(lane.next_action(room(), start), PrefillAction::Send(_)));
+    lane.record_first_event(Ticket(1), Duration::from_millis(220), Duration::ZERO);
     let assumed = start + Duration::from_millis(60);
-    assert!(!matches!(lane.next(room(), assumed), Next::Send(_)));
+    assert!(!matches!(lane.next_action(room(), assumed), PrefillAction::Send(_)));
     let read = start + Duration::from_millis(221);
-    assert!(matches!(lane.next(room(), read), Next::Send(_)));
+    assert!(matches!(lane.next_action(room(), read), PrefillAction::Send(_)));
 }
 
 #[test]
@@ -287,15 +304,19 @@
     // Nothing was learnt of it yet. If all of that time is taken for reading, the next
     // callers wait for an engine that is idle, after each prompt anew.
     let start = Instant::now();
-    let mut lane = Lane::default();
+    let mut lane = PrefillQueue::default();
     lane.push(waiting(1, 400, 0, start));
-    assert!(matches!(lane.next(room(), start), Next::Send(_)));
+    assert!(matches!(lane.next_action(room(), start), PrefillAction::Send(_)));
     let first = Duration::from_millis(20 + BASE as u64);
-    let free = lane.begun(Ticket(1), first, Speeds::default().base(&model("m")));
+    let free = lane.record_first_event(
+        Ticket(1),
+        first,
+        EngineTimings::default().first_event_overhead(&model("m")),
+    );
     assert!(free, "nothing was sent before");
     let now = start + Duration::from_millis(60);
     lane.push(waiting(2, 400, 0, now));
-    assert!(matches!(lane.next(room(), now), Next::Send(_)));
+    assert!(matches!(lane.next_action(room(), now), PrefillAction::Send(_)));
 }
 
 proptest! {
@@ -306,19 +327,19 @@
         load in prop::collection::vec((0u64..3000, 50u32..4000, 0u8..3), 1..40),
     ) {
         let start = Instant::now();
-        let mut lane = Lane::default();
+        let mut lane = PrefillQueue::default();
         for (number, (_, tokens, urgency)) in load.iter().enumerate() {
             lane.push(waiting(number as u64, *tokens, *urgency, start));
         }
         let (mut now, mut sent) = (start, Vec::new());
         for _ in 0..load.len() * 4 {
-            match lane.next(room(), now) {
-                Next::Send(one) | Next::Expired(one) => sent.push(one.ticket.0),
-                Next::Wait(until) => {
+            match lane.next_action(room(), now) {
+                PrefillAction::Send(one) | PrefillAction::Expired(one) => sent.push(one.ticket.0),
+                PrefillAction::WaitUntil(until) => {
                     prop_assert!(until > now);
                     now = until;
                 }
-                Next::Idle => break,
+                PrefillAction::Idle => break,
             }
         }
         sent.sort_unstable();
--- a/crates/pool/tests/orders.rs
+++ b/crates/pool/tests/orders.rs
@@ -12,7 +12,7 @@
 
 use chestnut_base::ModelName;
 use chestnut_edge::{Engine, EngineReport, HeldModel, OrderStep, TargetModel};
-use chestnut_pool::{AdapterNeed, Runner};
+use chestnut_pool::{AdapterNeed, RunnerView};
 use proptest::prelude::*;
 
 use support::{engine, model, with_adapter};
@@ -209,7 +209,7 @@
 struct World {
     now: Instant,
     truth: Truth,
-    known: Runner,
+    known: RunnerView,
     /// The start of the runner that the registry lists.
     born: u64,
 }
@@ -217,7 +217,7 @@
 impl World {
     fn new() -> Self {
         let now = Instant::now();
-        Self { now, truth: Truth::new(now), known: Runner::default(), born: 1 }
+        Self { now, truth: Truth::new(now), known: RunnerView::default(), born: 1 }
     }
 
     fn apply(&mut self, op: Op) {
@@ -241,15 +241,15 @@
                 }
             }
             Op::Missed { model, number } => {
-                self.known.lacks(&with_adapter(SIZES[model].0, number));
+                self.known.mark_adapter_missing(&with_adapter(SIZES[model].0, number));
             }
             Op::Restart => {
                 self.truth.restart(self.now);
                 // The registry says so, and the holder starts anew.
                 self.born = self.truth.born;
-                self.known = Runner::default();
+                self.known = RunnerView::default();
             }
-            Op::Takeover => self.known = Runner::default(),
+            Op::Takeover => self.known = RunnerView::default(),
         }
     }
 
@@ -259,36 +259,38 @@
             return;
         }
         let places = self.truth.declared.adapter_slots;
-        if let AdapterNeed::Order(step) = self.known.need(target, places, self.now) {
+        if let AdapterNeed::Order(step) =
+            self.known.adapter_need(target, places, self.now)
+        {
             self.order(step, fate);
         }
     }
 
     /// Whether the holder knows what the runner holds.
     fn learn(&mut self) -> bool {
-        if self.known.orders().is_some() {
+        if self.known.order_count().is_some() {
             return true;
         }
         let report = self.truth.report(self.now);
-        report.born == Some(self.born) && self.known.learn(&report, self.now)
+        report.born == Some(self.born) && self.known.apply_report(&report, self.now)
     }
 
     fn order(&mut self, step: OrderStep, fate: Fate) {
-        let Some(after) = self.known.orders() else { return };
+        let Some(after) = self.known.order_count() else { return };
         if let Fate::Late(millis) = fate {
             let at = self.now + Duration::from_millis(millis);
             self.truth.late.push((step, after, at));
-            return self.known.doubt();
+            return self.known.forget_order_count();
         }
         let (accepted, holds) = self.truth.order(step.clone(), after, self.now);
         let in_use = matches!(step, OrderStep::UnloadAdapter(..));
         match (fate, accepted, holds) {
-            (Fate::Lost, ..) | (_, false, false) => self.known.doubt(),
+            (Fate::Lost, ..) | (_, false, false) => self.known.forget_order_count(),
             // An adapter that nothing uses is dropped at once.
-            (_, true, _) if in_use => self.known.holds(&step, self.now),
-            (_, true, _) => self.known.accepted(&step, LOAD, self.now),
-            (_, _, true) if in_use => self.known.doubt(),
-            (_, _, true) => self.known.holds(&step, self.now),
+            (_, true, _) if in_use => self.known.record_in_force(&step, self.now),
+            (_, true, _) => self.known.record_accepted(&step, LOAD, self.now),
+            (_, _, true) if in_use => self.known.forget_order_count(),
+            (_, _, true) => self.known.record_in_force(&step, self.now),
         }
     }
 }
--- a/crates/pool/tests/places.rs
+++ b/crates/pool/tests/places.rs
@@ -4,7 +4,9 @@
 use std::time::{Duration, Instant};
 
 use chestnut_base::{DomainName, MemberId, ServerName};
-use chestnut_pool::{Asker, Listed, Outcome, PlainWant, Queue, QueueStep};
+use chestnut_pool::{
+    ListedServer, PermitOutcome, PermitQueue, PlainRequest, QueueDecision, RequestKey,
+};
 use proptest::prelude::*;
 
 const SERVERS: usize = 3;
@@ -16,16 +18,16 @@
 #[derive(Debug, Clone)]
 enum Op {
     Push { patience: u64 },
-    End { index: usize, outcome: Outcome },
+    End { index: usize, outcome: PermitOutcome },
     Wait(u64),
     List(Vec<usize>),
 }
 
 fn op() -> impl Strategy<Value = Op> {
     let outcome = prop_oneof![
-        3 => Just(Outcome::Answered),
-        1 => Just(Outcome::Failed),
-        1 => Just(Outcome::Left),
+        3 => Just(PermitOutcome::Answered),
+        1 => Just(PermitOutcome::Failed),
+        1 => Just(PermitOutcome::Unused),
     ];
     prop_oneof![
         8 => (50u64..2000).prop_map(|patience| Op::Push { patience }),
@@ -39,8 +41,8 @@
     ServerName::try_from(format!("s{number}")).expect("a valid name")
 }
 
-fn listed(numbers: &[usize]) -> Vec<Listed> {
-    let one = |number: &usize| Listed {
+fn listed(numbers: &[usize]) -> Vec<ListedServer> {
+    let one = |number: &usize| ListedServer {
         name: server(*number),
         slots: SLOTS as u32,
         domain: DomainName::try_from("north").expect("a valid name"),
@@ -50,19 +52,19 @@
 
 /// The holder of a queue, and what it has sent that has not ended.
 struct Holder {
-    queue: Queue,
+    queue: PermitQueue,
     now: Instant,
     listed: Vec<usize>,
     /// When callers' times are over, by the requests' numbers.
     times: Vec<Instant>,
-    sent: Vec<(Asker, ServerName)>,
+    sent: Vec<(RequestKey, ServerName)>,
 }
 
 impl Holder {
     fn new() -> Self {
         let now = Instant::now();
         let mut holder = Self {
-            queue: Queue::default(),
+            queue: PermitQueue::default(),
             now,
             listed: Vec::new(),
             times: Vec::new(),
@@ -73,16 +75,16 @@
     }
 
     fn list(&mut self, numbers: Vec<usize>) {
-        self.queue.list(listed(&numbers), self.now);
+        self.queue.update_servers(listed(&numbers), self.now);
         self.listed = numbers;
     }
 
     fn push(&mut self, patience: u64) {
         let patience = Duration::from_millis(patience);
-        let want = PlainWant {
+        let want = PlainRequest {
             urgency: 1,
             target_time: patience,
-            patience,
+            wait_limit: patience,
             domain: DomainName::try_from("north").expect("a valid name"),
             avoid: Vec::new(),
         };
@@ -91,10 +93,10 @@
         self.queue.push((MemberId(1), number), want, self.now);
     }
 
-    fn end(&mut self, index: usize, outcome: Outcome) {
+    fn end(&mut self, index: usize, outcome: PermitOutcome) {
         if index < self.sent.len() {
             let (asker, _) = self.sent.swap_remove(index);
-            self.queue.end(asker, outcome, self.now);
+            self.queue.release(asker, outcome, self.now);
         }
     }
 
@@ -103,8 +105,8 @@
         let times = &self.times;
         self.sent.retain(|((_, number), _)| self.now < times[*number as usize]);
         let before = self.sent.len();
-        while let Some(step) = self.queue.next(self.now) {
-            if let QueueStep::Send(asker, at) = step {
+        while let Some(step) = self.queue.next_decision(self.now) {
+            if let QueueDecision::Grant(asker, at) = step {
                 assert!(self.listed.iter().any(|number| server(*number) == at));
                 self.sent.push((asker, at));
             }
@@ -135,7 +137,7 @@
             holder.serve();
         }
         while !holder.sent.is_empty() {
-            holder.end(0, Outcome::Answered);
+            holder.end(0, PermitOutcome::Answered);
         }
         // Failures fade, and callers' times are over.
         holder.now += Duration::from_secs(60);
--- a/crates/pool/tests/placing.rs
+++ b/crates/pool/tests/placing.rs
@@ -6,9 +6,9 @@
 
 use chestnut_base::{DomainName, MemberId, ModelName, ServerName, ServiceName};
 use chestnut_edge::{Engine, HeldModel, Phase, ServerEntry};
-use chestnut_pool::moving::Move;
-use chestnut_pool::placing::{Placing, Scene};
-use chestnut_pool::{Asked, LoadBound, Speeds};
+use chestnut_pool::moves::Move;
+use chestnut_pool::placement::{PlacementInput, PlacementPlanner};
+use chestnut_pool::{DemandCounts, EngineTimings, LoadBound};
 
 use support::{engine, model};
 
@@ -43,8 +43,8 @@
 }
 
 /// Prompts of so many tokens in all.
-fn of(prompt: f64) -> Asked {
-    Asked { prompt, ..Asked::default() }
+fn of(prompt: f64) -> DemandCounts {
+    DemandCounts { prompt_tokens: prompt, ..DemandCounts::default() }
 }
 
 #[test]
@@ -62,28 +62,28 @@
     ];
     runners[1].warm = vec![model("hot")];
     let start = Instant::now();
-    let speeds = Speeds::default();
-    let mut placing = Placing::new(start);
+    let speeds = EngineTimings::default();
+    let mut placing = PlacementPlanner::new(start);
     let mut asked = 0.0;
     let mut dropped = Vec::new();
     for look in 1..32 {
         let now = start + PERIOD * look;
         asked += 15_000.0;
-        placing.count(
+        placing.update_demand(
             MemberId(1),
             0,
             vec![(model("hot"), of(asked)), (model("old"), of(1.0))],
         );
         let silent = if now < start + ORPHANED { &runners[1..2] } else { &[] };
         let fixed: Vec<_> = silent.iter().map(|runner| runner.name.clone()).collect();
-        let scene = Scene {
+        let scene = PlacementInput {
             runners: &runners,
             fixed: &fixed,
             engine: &declared,
-            bound: bound(&declared),
-            speeds: &speeds,
+            load_bound: bound(&declared),
+            timings: &speeds,
         };
-        for change in placing.decide(&scene, now) {
+        for change in placing.plan(&scene, now) {
             if change.drop.contains(&model("old")) && !dropped.contains(&change.server) {
                 dropped.push(change.server);
             }
@@ -113,16 +113,16 @@
     }
 
     /// Has the planner decide, and carries out what it says.
-    fn plan(&mut self, placing: &mut Placing, declared: &Engine, now: Instant) {
-        let speeds = Speeds::default();
-        let scene = Scene {
+    fn plan(&mut self, placing: &mut PlacementPlanner, declared: &Engine, now: Instant) {
+        let speeds = EngineTimings::default();
+        let scene = PlacementInput {
             runners: &self.runners,
             fixed: &[],
             engine: declared,
-            bound: bound(declared),
-            speeds: &speeds,
+            load_bound: bound(declared),
+            timings: &speeds,
         };
-        for change in placing.decide(&scene, now) {
+        for change in placing.plan(&scene, now) {
             self.take(&change, now);
         }
     }
@@ -164,7 +164,7 @@
     runners[0] = runner("r0", &["hot", "x"]);
     let mut carried = Carried { runners, under_way: Vec::new() };
     let start = Instant::now();
-    let mut placing = Placing::new(start);
+    let mut placing = PlacementPlanner::new(start);
     let (mut old, mut hot) = (0.0, 0.0);
     let mut served = None;
     for look in 1..60 {
@@ -173,7 +173,7 @@
         let shifted = now > start + Duration::from_secs(3);
         old += if shifted { 500.0 } else { 10_000.0 };
         hot += if shifted { 15_000.0 } else { 1_000.0 };
-        placing.count(
+        placing.update_demand(
             MemberId(1),
             0,
             vec![(model("old"), of(old)), (model("hot"), of(hot))],
@@ -201,7 +201,7 @@
     runners.push(runner("r8", &["lost", "x"]));
     let mut carried = Carried { runners, under_way: Vec::new() };
     let start = Instant::now();
-    let mut placing = Placing::new(start);
+    let mut placing = PlacementPlanner::new(start);
     let (mut old, mut hot, mut lost) = (0.0, 0.0, 0.0);
     let mut served = None;
     for look in 1..60 {
@@ -217,7 +217,7 @@
         lost += 300.0;
         let asked = [("old", old), ("hot", hot), ("lost", lost)];
         let asked = asked.map(|(name, prompt)| (model(name), of(prompt)));
-        placing.count(MemberId(1), 0, asked.to_vec());
+        placing.update_demand(MemberId(1), 0, asked.to_vec());
         carried.plan(&mut placing, &declared, now);
         if gone && carried.replicas("lost") > 0 {
             served.get_or_insert(now.duration_since(start));
@@ -240,7 +240,7 @@
     runners[0] = runner("r0", &["burst", "hot"]);
     let mut carried = Carried { runners, under_way: Vec::new() };
     let start = Instant::now();
-    let mut placing = Placing::new(start);
+    let mut placing = PlacementPlanner::new(start);
     let (mut burst, mut hot) = (0.0, 0.0);
     for look in 1..46 {
         let now = start + PERIOD * look;
@@ -251,7 +251,7 @@
         hot += if gone >= 5.0 { more } else { less };
         let asked = [("burst", burst), ("hot", hot)];
         let asked = asked.map(|(name, prompt)| (model(name), of(prompt)));
-        placing.count(MemberId(1), 0, asked.to_vec());
+        placing.update_demand(MemberId(1), 0, asked.to_vec());
         carried.plan(&mut placing, &declared, now);
     }
     let replicas = (carried.replicas("burst"), carried.replicas("hot"));
@@ -265,19 +265,19 @@
     let declared = engine(&[("a", 80.0), ("b", 80.0)]);
     let runners = [runner("r1", &["a", "b"])];
     let start = Instant::now();
-    let speeds = Speeds::default();
-    let mut placing = Placing::new(start);
-    let scene = Scene {
+    let speeds = EngineTimings::default();
+    let mut placing = PlacementPlanner::new(start);
+    let scene = PlacementInput {
         runners: &runners,
         fixed: &[],
         engine: &declared,
-        bound: bound(&declared),
-        speeds: &speeds,
+        load_bound: bound(&declared),
+        timings: &speeds,
     };
     let mut tell = |asked: f64, look: u32| {
-        placing.count(MemberId(1), 0, vec![(model("a"), of(asked))]);
-        placing.count(MemberId(1), 1, vec![(model("b"), of(asked))]);
-        placing.decide(&scene, start + PERIOD * look);
+        placing.update_demand(MemberId(1), 0, vec![(model("a"), of(asked))]);
+        placing.update_demand(MemberId(1), 1, vec![(model("b"), of(asked))]);
+        placing.plan(&scene, start + PERIOD * look);
         (placing.demand(&model("a")), placing.demand(&model("b")))
     };
     assert_eq!(tell(1e6, 1), (0.0, 0.0));
