--- a/crates/pool/tests/queue.rs
+++ b/crates/pool/tests/queue.rs
@@ -6,7 +6,8 @@
 use chestnut_base::{DomainName, MemberId, ServerName, ServiceName};
 use chestnut_edge::{Phase, ServerEntry, Size};
 use chestnut_pool::{
-    Asker, Fleet, Flight, Listed, Outcome, PlainWant, Queue, QueueStep, choose,
+    Fleet, InFlightRequest, ListedServer, PermitOutcome, PermitQueue, PlainRequest,
+    QueueDecision, RequestKey, choose,
 };
 use indexmap::IndexMap;
 use rand::rngs::SmallRng;
@@ -32,23 +33,26 @@
     DomainName::try_from(format!("d{}", number % 3)).expect("a valid name")
 }
 
-fn listed(count: usize) -> Vec<Listed> {
-    let one =
-        |number| Listed { name: server(number), slots: SLOTS, domain: domain(number) };
+fn listed(count: usize) -> Vec<ListedServer> {
+    let one = |number| ListedServer {
+        name: server(number),
+        slots: SLOTS,
+        domain: domain(number),
+    };
     (0..count).map(one).collect()
 }
 
-fn want(number: u64) -> PlainWant {
-    PlainWant {
+fn want(number: u64) -> PlainRequest {
+    PlainRequest {
         urgency: 2,
         target_time: OBJECTIVE,
-        patience: Duration::from_millis(1200),
+        wait_limit: Duration::from_millis(1200),
         domain: domain(number as usize),
         avoid: Vec::new(),
     }
 }
 
-fn asker(number: u64) -> Asker {
+fn asker(number: u64) -> RequestKey {
     (MemberId(number % DAEMONS), number)
 }
 
@@ -73,9 +77,9 @@
 /// `fail` makes a server fail what it runs.
 fn by_queue(servers: usize, arrivals: &[(u64, u64)], fail: Option<usize>) -> (f64, f64) {
     let start = Instant::now();
-    let mut queue = Queue::default();
-    queue.list(listed(servers), start);
-    let mut running: VecDeque<(u64, Asker, ServerName)> = VecDeque::new();
+    let mut queue = PermitQueue::default();
+    queue.update_servers(listed(servers), start);
+    let mut running: VecDeque<(u64, RequestKey, ServerName)> = VecDeque::new();
     let mut places: IndexMap<ServerName, [u64; SLOTS as usize]> =
         (0..servers).map(|number| (server(number), Default::default())).collect();
     let (mut late, mut failed, mut next) = (0, 0, 0);
@@ -90,20 +94,21 @@
         for (_, asker, at) in ended {
             let broken = fail.is_some_and(|number| server(number) == at);
             failed += u32::from(broken);
-            let outcome = if broken { Outcome::Failed } else { Outcome::Answered };
-            queue.end(asker, outcome, now);
+            let outcome =
+                if broken { PermitOutcome::Failed } else { PermitOutcome::Answered };
+            queue.release(asker, outcome, now);
             let arrived = arrivals[asker.1 as usize].0;
             late += u32::from(ms - arrived > OBJECTIVE.as_millis() as u64);
         }
-        while let Some(step) = queue.next(now) {
+        while let Some(step) = queue.next_decision(now) {
             match step {
-                QueueStep::Send(asker, at) => {
+                QueueDecision::Grant(asker, at) => {
                     let work = arrivals[asker.1 as usize].1;
                     let place = places[&at].iter_mut().min().expect("there are places");
                     *place = (*place).max(ms + WAY) + work;
                     running.push_back((*place + WAY, asker, at));
                 }
-                QueueStep::Full(..) | QueueStep::Nowhere(_) => late += 1,
+                QueueDecision::Full(..) | QueueDecision::NoServer(_) => late += 1,
             }
         }
         for number in 0..servers {
@@ -119,11 +124,11 @@
 }
 
 trait Due {
-    fn extract_if_due(&mut self, ms: u64) -> Vec<(u64, Asker, ServerName)>;
+    fn extract_if_due(&mut self, ms: u64) -> Vec<(u64, RequestKey, ServerName)>;
 }
 
-impl Due for VecDeque<(u64, Asker, ServerName)> {
-    fn extract_if_due(&mut self, ms: u64) -> Vec<(u64, Asker, ServerName)> {
+impl Due for VecDeque<(u64, RequestKey, ServerName)> {
+    fn extract_if_due(&mut self, ms: u64) -> Vec<(u64, RequestKey, ServerName)> {
         let due: Vec<_> = self.iter().filter(|(end, ..)| *end <= ms).cloned().collect();
         self.retain(|(end, ..)| *end > ms);
         due
@@ -154,11 +159,11 @@
     let mut fleets: Vec<Fleet> = (0..DAEMONS).map(|_| Fleet::default()).collect();
     for fleet in &mut fleets {
         for number in 0..servers {
-            fleet.list(entry(number));
+            fleet.update(entry(number));
         }
     }
     let service = ServiceName::try_from("ledger").expect("a valid name");
-    let flight = Flight { size: Size::default(), begun: false };
+    let flight = InFlightRequest { size: Size::default(), responding: false };
     let mut running: Vec<(u64, usize, ServerName)> = Vec::new();
     let mut due: IndexMap<usize, u64> = IndexMap::new();
     let (mut late, mut next) = (0, 0);
@@ -170,7 +175,7 @@
         }
         for (_, number, at) in running.extract_if(.., |(end, ..)| *end <= ms) {
             let fleet = &mut fleets[number % DAEMONS as usize];
-            fleet.end(fleet.key(&at).expect("it is listed"), flight);
+            fleet.end_request(fleet.key(&at).expect("it is listed"), flight);
             let arrived = arrivals[number].0;
             late += u32::from(ms - arrived > OBJECTIVE.as_millis() as u64);
         }
@@ -182,7 +187,7 @@
             let mut avoid: Vec<ServerName> = Vec::new();
             let sent = loop {
                 let fleet = &fleets[daemon];
-                let open = fleet.open(&service, now);
+                let open = fleet.available(&service, now);
                 let fresh = open.filter(|(_, one)| !avoid.contains(&one.entry.name));
                 let chosen = choose(fresh, &domain(number), now);
                 let Some(chosen) = chosen else { break None };
@@ -195,7 +200,7 @@
             };
             match sent {
                 Some((key, name)) => {
-                    fleets[daemon].begin(key, flight);
+                    fleets[daemon].begin_request(key, flight);
                     running.push((ms + arrivals[number].1, number, name));
                 }
                 None => drop(due.insert(number, ms + 500)),
@@ -233,20 +238,20 @@
     // than their callers do are told so when they come, with the time after which there is
     // room; nobody is held until the caller has left.
     let now = Instant::now();
-    let mut queue = Queue::default();
-    queue.list(listed(2), now);
+    let mut queue = PermitQueue::default();
+    queue.update_servers(listed(2), now);
     for number in 0..700 {
         queue.push(asker(number), want(number), now);
     }
     let (mut sent, mut full) = (0, 0);
-    while let Some(step) = queue.next(now) {
+    while let Some(step) = queue.next_decision(now) {
         match step {
-            QueueStep::Send(..) => sent += 1,
-            QueueStep::Full(_, wait) => {
+            QueueDecision::Grant(..) => sent += 1,
+            QueueDecision::Full(_, wait) => {
                 full += 1;
                 assert!(wait > Duration::from_millis(1200), "{wait:?}");
             }
-            QueueStep::Nowhere(_) => panic!("there are servers"),
+            QueueDecision::NoServer(_) => panic!("there are servers"),
         }
     }
     assert_eq!(sent, 2 * (SLOTS + AHEAD) as usize);
@@ -271,18 +276,18 @@
     // A daemon takes all places and dies. Its requests never end; when their callers have
     // left, others get the places.
     let now = Instant::now();
-    let mut queue = Queue::default();
-    queue.list(listed(1), now);
+    let mut queue = PermitQueue::default();
+    queue.update_servers(listed(1), now);
     for number in 0..u64::from(SLOTS + AHEAD) {
         queue.push((MemberId(1), number), want(0), now);
-        assert!(matches!(queue.next(now), Some(QueueStep::Send(..))));
+        assert!(matches!(queue.next_decision(now), Some(QueueDecision::Grant(..))));
     }
     queue.push((MemberId(2), 1), want(0), now);
-    assert_eq!(queue.next(now + Duration::from_millis(100)), None);
+    assert_eq!(queue.next_decision(now + Duration::from_millis(100)), None);
     let later = now + Duration::from_millis(1250);
     queue.push((MemberId(2), 2), want(0), later);
-    let steps: Vec<_> = std::iter::from_fn(|| queue.next(later)).collect();
-    let sent = QueueStep::Send((MemberId(2), 2), server(0));
+    let steps: Vec<_> = std::iter::from_fn(|| queue.next_decision(later)).collect();
+    let sent = QueueDecision::Grant((MemberId(2), 2), server(0));
     assert!(steps.contains(&sent), "{steps:?}");
 }
 
@@ -291,29 +296,30 @@
     // A server is gone and still listed. Two daemons fail to connect to it; the next
     // requests go to the other server, even if they have to wait there.
     let now = Instant::now();
-    let mut queue = Queue::default();
-    queue.list(listed(2), now);
+    let mut queue = PermitQueue::default();
+    queue.update_servers(listed(2), now);
     let mut number = 0;
     let mut reported = 0;
     while reported < 2 {
         let asker = asker(number);
         queue.push(asker, want(0), now);
-        let Some(QueueStep::Send(_, at)) = queue.next(now) else {
+        let Some(QueueDecision::Grant(_, at)) = queue.next_decision(now) else {
             panic!("there is room")
         };
         let gone = at == server(0);
         reported += u32::from(gone);
-        let outcome = if gone { Outcome::Unreachable } else { Outcome::Answered };
-        queue.end(asker, outcome, now);
+        let outcome =
+            if gone { PermitOutcome::Unreachable } else { PermitOutcome::Answered };
+        queue.release(asker, outcome, now);
         number += 1;
     }
     for number in 100..100 + u64::from(SLOTS + AHEAD) {
         queue.push(asker(number), want(0), now);
-        let expected = QueueStep::Send(asker(number), server(1));
-        assert_eq!(queue.next(now), Some(expected));
+        let expected = QueueDecision::Grant(asker(number), server(1));
+        assert_eq!(queue.next_decision(now), Some(expected));
     }
     queue.push(asker(200), want(0), now);
-    assert_eq!(queue.next(now), None);
+    assert_eq!(queue.next_decision(now), None);
 }
 
 #[test]
@@ -321,14 +327,14 @@
     // Daemons that know nothing of the queue have taken a server's places. It rejects what
     // is sent there and is left alone until a place may be free.
     let now = Instant::now();
-    let mut queue = Queue::default();
-    queue.list(listed(1), now);
+    let mut queue = PermitQueue::default();
+    queue.update_servers(listed(1), now);
     queue.push(asker(1), want(0), now);
-    assert!(matches!(queue.next(now), Some(QueueStep::Send(..))));
-    queue.end(asker(1), Outcome::Rejected, now);
+    assert!(matches!(queue.next_decision(now), Some(QueueDecision::Grant(..))));
+    queue.release(asker(1), PermitOutcome::Rejected, now);
     queue.push(asker(2), want(0), now);
-    assert_eq!(queue.next(now), None);
-    let wake = queue.wake(now).expect("there is a time to look again");
+    assert_eq!(queue.next_decision(now), None);
+    let wake = queue.next_wake(now).expect("there is a time to look again");
     assert!(wake <= now + Duration::from_millis(10));
-    assert!(matches!(queue.next(wake), Some(QueueStep::Send(..))));
+    assert!(matches!(queue.next_decision(wake), Some(QueueDecision::Grant(..))));
 }
--- a/crates/pool/tests/servers.rs
+++ b/crates/pool/tests/servers.rs
@@ -6,8 +6,8 @@
 
 use chestnut_base::{DomainName, MemberId, ServerName, ServiceName};
 use chestnut_edge::{Phase, ServerEntry, Size};
-use chestnut_pool::lost::Lost;
-use chestnut_pool::{Fleet, Flight, Health};
+use chestnut_pool::unreachable::UnreachableReports;
+use chestnut_pool::{Fleet, Health, InFlightRequest};
 
 fn entry(name: &str, born: u64, phase: Phase) -> ServerEntry {
     ServerEntry {
@@ -32,7 +32,7 @@
 
 fn open(fleet: &Fleet, now: Instant) -> usize {
     let service = ServiceName::try_from("letters").expect("a valid name");
-    fleet.open(&service, now).count()
+    fleet.available(&service, now).count()
 }
 
 #[test]
@@ -40,11 +40,11 @@
     // A runner says that it leaves, another one's entry vanishes without a word: it may
     // be leaving too. Callers' new requests go to neither.
     let (mut fleet, now) = (Fleet::default(), Instant::now());
-    fleet.list(entry("r1", 1, Phase::Ready));
-    fleet.list(entry("r2", 1, Phase::Ready));
+    fleet.update(entry("r1", 1, Phase::Ready));
+    fleet.update(entry("r2", 1, Phase::Ready));
     assert_eq!(open(&fleet, now), 2);
-    fleet.list(entry("r1", 1, Phase::Leaving(None)));
-    fleet.unlist(&server("r2"), now);
+    fleet.update(entry("r1", 1, Phase::Leaving(None)));
+    fleet.mark_missing(&server("r2"), now);
     assert_eq!(open(&fleet, now), 0);
 }
 
@@ -53,10 +53,10 @@
     // The registry is down; servers can't renew their entries, which lapse one by one as
     // it returns. The servers live. Two seconds later a missing one is gone for good.
     let (mut fleet, now) = (Fleet::default(), Instant::now());
-    fleet.list(entry("r1", 1, Phase::Ready));
-    fleet.excuse(now);
-    fleet.unlist(&server("r1"), now);
-    fleet.tidy(now);
+    fleet.update(entry("r1", 1, Phase::Ready));
+    fleet.start_grace(now);
+    fleet.mark_missing(&server("r1"), now);
+    fleet.remove_missing(now);
     assert_eq!(open(&fleet, now + Duration::from_millis(1900)), 1);
     assert_eq!(open(&fleet, now + Duration::from_millis(2100)), 0);
 }
@@ -67,11 +67,11 @@
     // is nearly empty; its callers are refused, and those that come back before the
     // entries do are refused once more and may not come back again.
     let (mut fleet, now) = (Fleet::default(), Instant::now());
-    assert_eq!(fleet.returns_in(now), Duration::ZERO);
-    fleet.excuse(now);
+    assert_eq!(fleet.grace_left(now), Duration::ZERO);
+    fleet.start_grace(now);
     let later = now + Duration::from_millis(500);
-    assert_eq!(fleet.returns_in(later), Duration::from_millis(1500));
-    assert_eq!(fleet.returns_in(now + Duration::from_secs(3)), Duration::ZERO);
+    assert_eq!(fleet.grace_left(later), Duration::from_millis(1500));
+    assert_eq!(fleet.grace_left(now + Duration::from_secs(3)), Duration::ZERO);
 }
 
 #[test]
@@ -80,13 +80,13 @@
     // its former run, and the end of an old request must not count against the new run.
     let (mut fleet, now) = (Fleet::default(), Instant::now());
     let size = Size { prompt: 100, output: 10 };
-    let flight = Flight { size, begun: false };
-    let old = fleet.list(entry("r1", 1, Phase::Ready));
-    fleet.begin(old, flight);
-    let new = fleet.list(entry("r1", 2, Phase::Ready));
-    fleet.begin(new, flight);
-    fleet.end(old, flight);
-    assert_eq!(fleet.get(new).map(|server| server.own.requests), Some(1));
+    let flight = InFlightRequest { size, responding: false };
+    let old = fleet.update(entry("r1", 1, Phase::Ready));
+    fleet.begin_request(old, flight);
+    let new = fleet.update(entry("r1", 2, Phase::Ready));
+    fleet.begin_request(new, flight);
+    fleet.end_request(old, flight);
+    assert_eq!(fleet.get(new).map(|server| server.own_usage.requests), Some(1));
     assert!(fleet.get(old).is_none());
     assert_eq!(open(&fleet, now), 1);
 }
@@ -96,15 +96,15 @@
     // A crashed runner refuses at once and would draw a burst of requests; it is tried
     // again soon, as it is back after seconds.
     let (mut health, now) = (Health::default(), Instant::now());
-    health.refused(now);
-    assert!(!health.is_open(now + Duration::from_millis(100)));
-    assert!(health.is_open(now + Duration::from_millis(250)));
+    health.record_connection_failure(now);
+    assert!(!health.allows_requests(now + Duration::from_millis(100)));
+    assert!(health.allows_requests(now + Duration::from_millis(250)));
     for _ in 0..10 {
-        health.refused(now);
+        health.record_connection_failure(now);
     }
-    assert!(health.is_open(now + Duration::from_millis(1001)));
-    health.answered(now);
-    assert!(health.is_open(now));
+    assert!(health.allows_requests(now + Duration::from_millis(1001)));
+    health.record_success(now);
+    assert!(health.allows_requests(now));
 }
 
 #[test]
@@ -113,7 +113,7 @@
     // keeps little of its share meanwhile and has it back some seconds later.
     let (mut health, now) = (Health::default(), Instant::now());
     for _ in 0..4 {
-        health.failed(now);
+        health.record_failure(now);
     }
     let soon = health.penalty(now + Duration::from_millis(100));
     let later = health.penalty(now + Duration::from_secs(10));
@@ -124,11 +124,11 @@
 fn one_daemon_alone_declares_no_server_lost() {
     // A daemon is cut off from half of the runners. Its word must not move their models;
     // two daemons' word must, long before the registry forgets the runners.
-    let (mut lost, now) = (Lost::default(), Instant::now());
-    lost.hear(MemberId(1), vec![server("r1")], now);
-    assert!(!lost.is_lost(&server("r1"), 6, now));
-    assert!(lost.is_lost(&server("r1"), 1, now));
-    lost.hear(MemberId(2), vec![server("r1")], now);
-    assert!(lost.is_lost(&server("r1"), 6, now));
-    assert!(!lost.is_lost(&server("r1"), 6, now + Duration::from_secs(1)));
+    let (mut lost, now) = (UnreachableReports::default(), Instant::now());
+    lost.record(MemberId(1), vec![server("r1")], now);
+    assert!(!lost.is_unreachable(&server("r1"), 6, now));
+    assert!(lost.is_unreachable(&server("r1"), 1, now));
+    lost.record(MemberId(2), vec![server("r1")], now);
+    assert!(lost.is_unreachable(&server("r1"), 6, now));
+    assert!(!lost.is_unreachable(&server("r1"), 6, now + Duration::from_secs(1)));
 }
