--- a/crates/admit/src/lead.rs
+++ b/crates/admit/src/controller.rs
@@ -1,4 +1,4 @@
-//! The state of one backend server at its lead; [`room`] makes room in it.
+//! The state of one backend server at its lead; [`overload`] makes room in it.
 //!
 //! Load pattern: a burst of urgent requests finds all streams taken by drafts that
 //! have minutes. Waiting for one to end costs a seat check its deadline, and
@@ -7,15 +7,15 @@
 //! fall by 4 to 15 in 100 without it, a tenth of the streams in reserve does not
 //! make up for it, and letting normal work preempt, or be preempted, gains nothing.
 
-mod room;
+mod overload;
 
 use std::time::{Duration, Instant};
 
 use chestnut_base::Urgency;
 use slotmap::SlotMap;
 
-use crate::job::{Effect, Job, Reason, Rejection, Ticket};
-use crate::limits::{Limits, Rule, Shed};
+use crate::job::{Effect, Job, RejectReason, Rejection, Ticket};
+use crate::limits::{AdmissionPolicy, Limits, Shed};
 use crate::pace::Pace;
 use crate::plan::{Held, Item, Room, starts};
 use crate::queue::Place;
@@ -45,28 +45,28 @@
 
 /// How an attempt ended.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum How {
+pub enum AttemptEnd {
     /// The answer is whole.
-    Done,
+    Completed,
     /// The backend server broke off.
-    Broken,
+    Failed,
     /// The caller or the shell gave up, or the stream was preempted.
     Cancelled,
 }
 
 /// How loaded a backend server is.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
-pub struct Snapshot {
+pub struct LoadSnapshot {
     /// Requests that run.
     pub running: u32,
     /// Requests that wait.
     pub queued: u32,
     /// Tokens that they may occupy.
-    pub tokens: u64,
+    pub cache_tokens: u64,
     /// The estimated wait of a request that comes now and is due last.
-    pub wait: Duration,
+    pub estimated_wait: Duration,
     /// The time of a step.
-    pub step: Duration,
+    pub step_time: Duration,
 }
 
 /// What a request at the lead is doing.
@@ -86,7 +86,7 @@
     foreseen: Duration,
     /// When the last token came; the dispatch if none has.
     last: Instant,
-    /// What [`Lead::prompts`] was then.
+    /// What [`AdmissionController::prompts`] was then.
     prompts: u64,
     got: u32,
 }
@@ -103,12 +103,12 @@
 /// The state of one backend server at its lead.
 ///
 /// Requests that are not waiting hold a stream each; there are never more of them
-/// than [`Limits::streams`], and they never occupy more than [`Limits::tokens`]
+/// than [`Limits::max_streams`], and they never occupy more than [`Limits::max_cache_tokens`]
 /// unless a single one does.
 #[derive(Debug)]
-pub struct Lead {
+pub struct AdmissionController {
     limits: Limits,
-    rule: Rule,
+    rule: AdmissionPolicy,
     pace: Pace,
     usage: Usage,
     jobs: SlotMap<Ticket, Entry>,
@@ -126,9 +126,9 @@
     tidied: Instant,
 }
 
-impl Lead {
+impl AdmissionController {
     /// Starts with nothing in flight.
-    pub fn new(limits: Limits, rule: Rule, now: Instant) -> Self {
+    pub fn new(limits: Limits, rule: AdmissionPolicy, now: Instant) -> Self {
         Self {
             limits,
             rule,
@@ -140,7 +140,7 @@
             effects: Vec::new(),
             number: 0,
             prompts: 0,
-            step: limits.step,
+            step: limits.step_time,
             closed: false,
             tidied: now,
         }
@@ -167,9 +167,9 @@
         self.step = self.foresee_step();
         self.charge(ticket, self.cost(ticket), now);
         if self.closed {
-            self.refuse(ticket, Reason::Closed, Some(RETRY.0), now);
+            self.refuse(ticket, RejectReason::Closed, Some(RETRY.0), now);
         } else if !resumed && self.is_short(ticket, now) {
-            self.refuse(ticket, Reason::Short, None, now);
+            self.refuse(ticket, RejectReason::Short, None, now);
         } else {
             self.dispatch(now);
             self.make_room(now);
@@ -179,7 +179,7 @@
     }
 
     /// Notes tokens of a dispatched request; the first ones include the prefill.
-    pub fn tokens(&mut self, ticket: Ticket, count: u32, now: Instant) {
+    pub fn record_tokens(&mut self, ticket: Ticket, count: u32, now: Instant) {
         let Some(entry) = self.jobs.get_mut(ticket) else { return };
         let (State::Running(progress) | State::Stopping(progress)) = &mut entry.state
         else {
@@ -187,8 +187,8 @@
         };
         let took = now.saturating_duration_since(progress.last);
         if progress.got == 0 {
-            self.pace.first(entry.job.prompt, took);
-            self.prompts += u64::from(entry.job.prompt);
+            self.pace.first(entry.job.prompt_tokens, took);
+            self.prompts += u64::from(entry.job.prompt_tokens);
         } else {
             self.pace.tokens(self.prompts - progress.prompts, count, took);
         }
@@ -199,7 +199,7 @@
 
     /// Notes the end of a request, dispatched or not; later events about it are
     /// ignored.
-    pub fn finish(&mut self, ticket: Ticket, how: How, now: Instant) {
+    pub fn finish(&mut self, ticket: Ticket, how: AttemptEnd, now: Instant) {
         let Some(entry) = self.remove(ticket) else { return };
         let (spent, got) = match entry.state {
             State::Waiting => (0.0, 0),
@@ -207,9 +207,9 @@
                 (now.saturating_duration_since(at.since).as_secs_f64(), at.got)
             }
         };
-        if let (How::Done, State::Running(at)) = (how, entry.state) {
+        if let (AttemptEnd::Completed, State::Running(at)) = (how, entry.state) {
             self.pace.ran(at.foreseen, now.saturating_duration_since(at.since));
-            self.pace.ended(entry.job.urgency, got, entry.job.output);
+            self.pace.ended(entry.job.urgency, got, entry.job.max_output_tokens);
         }
         self.account(&entry.job, spent - entry.charged, now);
         self.step = self.foresee_step();
@@ -233,29 +233,29 @@
     pub fn close(&mut self, now: Instant) {
         self.closed = true;
         for ticket in self.waiting.clone() {
-            self.refuse(ticket, Reason::Closed, Some(RETRY.0), now);
+            self.refuse(ticket, RejectReason::Closed, Some(RETRY.0), now);
         }
     }
 
-    /// Takes offers again after [`Lead::close`].
+    /// Takes offers again after [`AdmissionController::close`].
     pub fn reopen(&mut self) {
         self.closed = false;
     }
 
     /// Takes the effects that have come up.
-    pub fn effects(&mut self) -> Vec<Effect> {
+    pub fn take_effects(&mut self) -> Vec<Effect> {
         std::mem::take(&mut self.effects)
     }
 
     /// How loaded the backend server is.
-    pub fn snapshot(&self, now: Instant) -> Snapshot {
-        let tokens = self.jobs.values().map(|entry| entry.job.tokens()).sum();
-        Snapshot {
+    pub fn snapshot(&self, now: Instant) -> LoadSnapshot {
+        let tokens = self.jobs.values().map(|entry| entry.job.cache_tokens()).sum();
+        LoadSnapshot {
             running: self.running.len() as u32,
             queued: self.waiting.len() as u32,
-            tokens,
-            wait: self.wait(now),
-            step: self.step,
+            cache_tokens: tokens,
+            estimated_wait: self.wait(now),
+            step_time: self.step,
         }
     }
 
@@ -266,7 +266,8 @@
 
     /// Requests that hold a stream, and the tokens that they occupy.
     pub fn in_flight(&self) -> (usize, u64) {
-        let tokens = self.running.iter().map(|&ticket| self.jobs[ticket].job.tokens());
+        let tokens =
+            self.running.iter().map(|&ticket| self.jobs[ticket].job.cache_tokens());
         (self.running.len(), tokens.sum())
     }
 
@@ -299,7 +300,7 @@
         while let Some(&ticket) = self.waiting.get(index) {
             let item = self.item(ticket);
             if let Some(late) = self.hopeless(ticket, item.run, now) {
-                self.refuse(ticket, Reason::Late, Some(late), now);
+                self.refuse(ticket, RejectReason::Late, Some(late), now);
             } else if room.takes(running, used, item.tokens, item.urgent) {
                 self.waiting.remove(index);
                 self.running.push(ticket);
@@ -332,12 +333,15 @@
 
     /// Keeps the queue within its bound.
     fn bound(&mut self, now: Instant) {
-        while self.waiting.len() > self.limits.queue {
+        while self.waiting.len() > self.limits.max_queued {
             let victim = self.dearest(&self.waiting);
             let Some(victim) = victim else { break };
             let told = self.rule.shed != Shed::Full;
-            let reason =
-                if told && self.is_hot(victim) { Reason::Share } else { Reason::Full };
+            let reason = if told && self.is_hot(victim) {
+                RejectReason::Share
+            } else {
+                RejectReason::Full
+            };
             let wait = told.then(|| self.wait(now));
             self.refuse(victim, reason, wait, now);
         }
@@ -346,7 +350,7 @@
     fn refuse(
         &mut self,
         ticket: Ticket,
-        reason: Reason,
+        reason: RejectReason,
         retry: Option<Duration>,
         now: Instant,
     ) {
@@ -354,7 +358,8 @@
         self.account(&entry.job, -entry.charged, now);
         let left = entry.job.deadline.saturating_duration_since(now);
         let retry = retry.map(|wait| wait.max(left / RETURNS).clamp(RETRY.0, RETRY.1));
-        self.effects.push(Effect::Refuse(ticket, Rejection { reason, retry }));
+        self.effects
+            .push(Effect::Refuse(ticket, Rejection { reason, retry_after: retry }));
     }
 
     fn remove(&mut self, ticket: Ticket) -> Option<Entry> {
@@ -379,7 +384,12 @@
     /// Whether even an idle backend server could not finish a request in time.
     fn is_short(&self, ticket: Ticket, now: Instant) -> bool {
         let job = &self.jobs[ticket].job;
-        let run = self.pace.run(job.urgency, job.prompt, job.output, self.pace.step(0.0));
+        let run = self.pace.run(
+            job.urgency,
+            job.prompt_tokens,
+            job.max_output_tokens,
+            self.pace.step(0.0),
+        );
         self.rule.shed != Shed::Full && now + run > job.deadline
     }
 
@@ -399,7 +409,7 @@
                 State::Running(at) => (at.last + self.run(entry)).max(now),
                 State::Waiting | State::Stopping(_) => now,
             };
-            Held { end, tokens: entry.job.tokens() }
+            Held { end, tokens: entry.job.cache_tokens() }
         })
     }
 
@@ -407,7 +417,7 @@
         let entry = &self.jobs[ticket];
         Item {
             run: self.run(entry),
-            tokens: entry.job.tokens(),
+            tokens: entry.job.cache_tokens(),
             urgent: entry.job.urgency == Urgency::Urgent,
         }
     }
@@ -417,14 +427,14 @@
         let (job, step) = (&entry.job, self.step);
         match entry.state {
             State::Running(at) if at.got > 0 => {
-                self.pace.rest(job.urgency, job.output, at.got, step)
+                self.pace.rest(job.urgency, job.max_output_tokens, at.got, step)
             }
             State::Stopping(at) => {
-                self.pace.rest(job.urgency, job.output, at.got, step)
-                    + self.pace.prefill(job.prompt + at.got)
+                self.pace.rest(job.urgency, job.max_output_tokens, at.got, step)
+                    + self.pace.prefill(job.prompt_tokens + at.got)
             }
             State::Waiting | State::Running(_) => {
-                self.pace.run(job.urgency, job.prompt, job.output, step)
+                self.pace.run(job.urgency, job.prompt_tokens, job.max_output_tokens, step)
             }
         }
     }
@@ -438,8 +448,8 @@
     fn foresee_step(&self) -> Duration {
         let (mut prompts, mut outputs) = (0.0, 0.0);
         for entry in self.jobs.values() {
-            prompts += f64::from(entry.job.prompt);
-            outputs += self.pace.expected(entry.job.urgency, entry.job.output);
+            prompts += f64::from(entry.job.prompt_tokens);
+            outputs += self.pace.expected(entry.job.urgency, entry.job.max_output_tokens);
         }
         let streams = self.jobs.len().min(self.room().streams) as f64;
         let share = if outputs > 0.0 { streams * prompts / outputs } else { 0.0 };
@@ -447,9 +457,13 @@
     }
 
     fn room(&self) -> Room {
-        let streams = self.limits.streams.max(1) as usize;
+        let streams = self.limits.max_streams.max(1) as usize;
         let reserve = (streams as f64 * self.rule.reserve) as usize;
-        Room { streams, reserve: reserve.min(streams - 1), tokens: self.limits.tokens }
+        Room {
+            streams,
+            reserve: reserve.min(streams - 1),
+            tokens: self.limits.max_cache_tokens,
+        }
     }
 }
 
--- a/crates/admit/src/lead/room.rs
+++ b/crates/admit/src/controller/overload.rs
@@ -4,13 +4,13 @@
 
 use chestnut_base::Urgency;
 
-use super::{Lead, SLOW, State};
-use crate::job::{Effect, Reason, Ticket};
+use super::{AdmissionController, SLOW, State};
+use crate::job::{Effect, RejectReason, Ticket};
 use crate::limits::Shed;
 use crate::plan::starts;
 use crate::shed::Price;
 
-impl Lead {
+impl AdmissionController {
     /// Preempts and refuses until all that wait are foreseen to be in time.
     pub(super) fn make_room(&mut self, now: Instant) {
         if self.rule.shed == Shed::Full {
@@ -25,9 +25,9 @@
             let ahead = &self.waiting[..=index.expect("a late request waits")];
             let victim = self.dearest(ahead).unwrap_or(late);
             let reason = match (victim == late, self.is_hot(victim)) {
-                (_, true) => Reason::Share,
-                (true, _) => Reason::Late,
-                (false, _) => Reason::Displaced,
+                (_, true) => RejectReason::Share,
+                (true, _) => RejectReason::Late,
+                (false, _) => RejectReason::Displaced,
             };
             self.refuse(victim, reason, Some(by), now);
         }
@@ -105,16 +105,16 @@
     /// A server that turns slow takes what already runs there beyond its deadline;
     /// what comes later is refused or goes elsewhere by itself.
     pub(super) fn rescue(&mut self, now: Instant) {
-        if !self.rule.preempt || self.step < self.limits.step * SLOW {
+        if !self.rule.preempt || self.step < self.limits.step_time * SLOW {
             return;
         }
-        let step = self.limits.step * 3 / 2;
+        let step = self.limits.step_time * 3 / 2;
         for &ticket in &self.running {
             let entry = &self.jobs[ticket];
             let (job, State::Running(at)) = (&entry.job, entry.state) else { continue };
             let here = at.last + self.run(entry);
-            let left = job.output.saturating_sub(at.got);
-            let there = now + step * left + self.pace.prefill(job.prompt + at.got);
+            let left = job.max_output_tokens.saturating_sub(at.got);
+            let there = now + step * left + self.pace.prefill(job.prompt_tokens + at.got);
             if job.resumable && here > job.deadline && there <= job.deadline {
                 self.effects.push(Effect::Preempt(ticket));
                 self.jobs[ticket].state = State::Stopping(at);
--- a/crates/admit/src/job.rs
+++ b/crates/admit/src/job.rs
@@ -27,9 +27,9 @@
     /// When the answer must be whole.
     pub deadline: Instant,
     /// The length of the prompt, in tokens.
-    pub prompt: u32,
+    pub prompt_tokens: u32,
     /// The greatest length of the answer that is still to come, in tokens.
-    pub output: u32,
+    pub max_output_tokens: u32,
     /// Whether it can be cancelled and go on from the tokens already sent.
     pub resumable: bool,
     /// Whether the caller already holds the first part of the answer.
@@ -41,8 +41,8 @@
 
 impl Job {
     /// The tokens that it may occupy in the engine's cache.
-    pub fn tokens(&self) -> u64 {
-        u64::from(self.prompt) + u64::from(self.output)
+    pub fn cache_tokens(&self) -> u64 {
+        u64::from(self.prompt_tokens) + u64::from(self.max_output_tokens)
     }
 }
 
@@ -61,14 +61,14 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Rejection {
     /// Why.
-    pub reason: Reason,
+    pub reason: RejectReason,
     /// When the caller should come back; absent if that is of no use.
-    pub retry: Option<Duration>,
+    pub retry_after: Option<Duration>,
 }
 
 /// Why a request is refused.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Reason {
+pub enum RejectReason {
     /// Even an idle backend server could not finish it in time.
     Short,
     /// It would finish too late behind the requests before it.
@@ -84,7 +84,7 @@
     Closed,
 }
 
-impl Reason {
+impl RejectReason {
     /// The code that the caller is told.
     pub fn code(self) -> Code {
         match self {
@@ -96,7 +96,7 @@
     }
 
     /// Whether another backend server may take the request.
-    pub fn elsewhere(self) -> bool {
+    pub fn may_retry_elsewhere(self) -> bool {
         !matches!(self, Self::Short)
     }
 
--- a/crates/admit/src/lib.rs
+++ b/crates/admit/src/lib.rs
@@ -6,20 +6,20 @@
 //!
 //! A request passes through these stages:
 //!
-//! 1. [`Lead::offer`] estimates with [`Pace`] and [`plan`] when it would finish;
+//! 1. [`AdmissionController::offer`] estimates with [`Pace`] and [`plan`] when it would finish;
 //!    what can't finish in time is refused at once, with the time to come back,
 //! 2. it waits in the order of [`queue`]; [`Usage`] decides whose request goes
 //!    when there is not room for all,
 //! 3. it is dispatched within the [`Limits`] and holds a stream until
-//!    [`Lead::finish`],
+//!    [`AdmissionController::finish`],
 //! 4. a slow stream may be preempted on the way for an urgent request; the shell
 //!    cancels it and offers the rest again.
 //!
 //! [`plan`]: mod@plan
 //! [`queue`]: mod@queue
 
+pub mod controller;
 pub mod job;
-pub mod lead;
 pub mod limits;
 pub mod pace;
 pub mod plan;
@@ -27,8 +27,8 @@
 pub mod shed;
 pub mod usage;
 
-pub use job::{Effect, Job, Reason, Rejection, Ticket};
-pub use lead::{How, Lead, Snapshot};
-pub use limits::{Limits, Order, Rule, Shed};
+pub use controller::{AdmissionController, AttemptEnd, LoadSnapshot};
+pub use job::{Effect, Job, RejectReason, Rejection, Ticket};
+pub use limits::{AdmissionPolicy, Limits, Order, Shed};
 pub use pace::{Line, Pace};
 pub use usage::Usage;
--- a/crates/admit/src/limits.rs
+++ b/crates/admit/src/limits.rs
@@ -6,18 +6,18 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Limits {
     /// Streams that run at the same time; at least 1.
-    pub streams: u32,
+    pub max_streams: u32,
     /// Tokens that running streams may occupy together.
     ///
     /// A single request that needs more is let in alone, since the engine decides
     /// whether it fits.
-    pub tokens: u64,
+    pub max_cache_tokens: u64,
     /// Requests that wait at the lead.
-    pub queue: usize,
+    pub max_queued: usize,
     /// The expected time of an engine step, until it is measured.
     ///
     /// For a plain service, the expected time of a call.
-    pub step: Duration,
+    pub step_time: Duration,
 }
 
 /// The order in which waiting requests are dispatched.
@@ -47,7 +47,7 @@
 /// The defaults are the ones chosen in `docs/POLICY.md`; the others are there to
 /// be compared with them.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub struct Rule {
+pub struct AdmissionPolicy {
     /// The order of the queue.
     pub order: Order,
     /// What is refused when there is not room for all.
@@ -64,9 +64,9 @@
     pub margin: f64,
 }
 
-impl Rule {
+impl AdmissionPolicy {
     /// First come, first served, and no look at deadlines: the naive baseline.
-    pub const NAIVE: Self = Self {
+    pub const FIFO: Self = Self {
         order: Order::Arrival,
         shed: Shed::Full,
         fair: false,
@@ -77,7 +77,7 @@
     };
 }
 
-impl Default for Rule {
+impl Default for AdmissionPolicy {
     fn default() -> Self {
         Self {
             order: Order::Deadline,
--- a/crates/admit/src/pace.rs
+++ b/crates/admit/src/pace.rs
@@ -86,7 +86,7 @@
 impl Pace {
     /// Starts from what is declared.
     pub fn new(limits: &Limits) -> Self {
-        let step = limits.step.as_secs_f64();
+        let step = limits.step_time.as_secs_f64();
         Self {
             step: Line::new(MEMORY, 0.0, step, 5.0),
             first: Line::new(MEMORY, 0.0, step, 5.0),
--- a/crates/admit/tests/properties.rs
+++ b/crates/admit/tests/properties.rs
@@ -4,13 +4,19 @@
 use std::time::{Duration, Instant};
 
 use chestnut_admit::queue::Place;
-use chestnut_admit::{Effect, How, Job, Lead, Limits, Order, Rule, Ticket};
+use chestnut_admit::{
+    AdmissionController, AdmissionPolicy, AttemptEnd, Effect, Job, Limits, Order, Ticket,
+};
 use chestnut_base::{CallerName, TeamName, Urgency};
 use indexmap::{IndexMap, IndexSet};
 use proptest::prelude::*;
 
-const LIMITS: Limits =
-    Limits { streams: 4, tokens: 400, queue: 6, step: Duration::from_millis(10) };
+const LIMITS: Limits = Limits {
+    max_streams: 4,
+    max_cache_tokens: 400,
+    max_queued: 6,
+    step_time: Duration::from_millis(10),
+};
 
 #[derive(Debug, Clone)]
 enum Step {
@@ -37,7 +43,7 @@
 
 /// A lead and what the shell around it would know.
 struct Shell {
-    lead: Lead,
+    lead: AdmissionController,
     now: Instant,
     /// Offered, neither dispatched nor refused nor taken back.
     waiting: IndexSet<Ticket>,
@@ -48,10 +54,10 @@
 }
 
 impl Shell {
-    fn new(rule: Rule) -> Self {
+    fn new(rule: AdmissionPolicy) -> Self {
         let now = Instant::now();
         Self {
-            lead: Lead::new(LIMITS, rule, now),
+            lead: AdmissionController::new(LIMITS, rule, now),
             now,
             waiting: IndexSet::new(),
             running: IndexMap::new(),
@@ -64,20 +70,21 @@
         match *step {
             Step::Offer { caller, class, within, prompt, output } => {
                 let job = job(caller, class, self.now, within, prompt, output);
-                let tokens = job.tokens();
+                let tokens = job.cache_tokens();
                 let ticket = self.lead.offer(job, self.now);
                 self.waiting.insert(ticket);
                 self.tokens.insert(ticket, tokens);
             }
             Step::Tokens { which, count } => {
                 if let Some(ticket) = pick(self.running.keys(), which) {
-                    self.lead.tokens(ticket, count, self.now);
+                    self.lead.record_tokens(ticket, count, self.now);
                 }
             }
             Step::Finish { which, done } => {
                 let all = self.running.keys().chain(&self.waiting);
                 if let Some(ticket) = pick(all, which) {
-                    let how = if done { How::Done } else { How::Cancelled };
+                    let how =
+                        if done { AttemptEnd::Completed } else { AttemptEnd::Cancelled };
                     self.end(ticket, how);
                 }
             }
@@ -89,7 +96,7 @@
         self.take_effects();
     }
 
-    fn end(&mut self, ticket: Ticket, how: How) {
+    fn end(&mut self, ticket: Ticket, how: AttemptEnd) {
         self.waiting.swap_remove(&ticket);
         self.running.swap_remove(&ticket);
         self.lead.finish(ticket, how, self.now);
@@ -98,7 +105,7 @@
     }
 
     fn take_effects(&mut self) {
-        for effect in self.lead.effects() {
+        for effect in self.lead.take_effects() {
             match effect {
                 Effect::Dispatch(ticket) => {
                     // Each ticket is dispatched once, and never after a refusal.
@@ -110,7 +117,7 @@
                     // Refused means not dispatched, and told at once.
                     assert!(self.waiting.swap_remove(&ticket));
                     assert!(self.refused.insert(ticket));
-                    assert!(rejection.retry.is_none_or(|retry| !retry.is_zero()));
+                    assert!(rejection.retry_after.is_none_or(|retry| !retry.is_zero()));
                 }
                 Effect::Preempt(ticket) => assert!(self.running.contains_key(&ticket)),
             }
@@ -122,9 +129,9 @@
         assert_eq!(running, self.running.len());
         assert_eq!(tokens, self.running.values().sum::<u64>());
         assert_eq!(self.lead.queued(), self.waiting.len());
-        assert!(running <= LIMITS.streams as usize);
-        assert!(tokens <= LIMITS.tokens || running == 1);
-        assert!(self.lead.queued() <= LIMITS.queue);
+        assert!(running <= LIMITS.max_streams as usize);
+        assert!(tokens <= LIMITS.max_cache_tokens || running == 1);
+        assert!(self.lead.queued() <= LIMITS.max_queued);
     }
 }
 
@@ -135,9 +142,9 @@
     fn counts_are_exact_and_within_limits(
         steps in prop::collection::vec(step(), 1..120),
         rule in prop_oneof![
-            Just(Rule::default()),
-            Just(Rule::NAIVE),
-            Just(Rule { reserve: 0.5, order: Order::Class, ..Rule::default() }),
+            Just(AdmissionPolicy::default()),
+            Just(AdmissionPolicy::FIFO),
+            Just(AdmissionPolicy { reserve: 0.5, order: Order::Class, ..AdmissionPolicy::default() }),
         ],
     ) {
         let mut shell = Shell::new(rule);
@@ -153,7 +160,7 @@
     fn nothing_waits_beyond_its_deadline(
         steps in prop::collection::vec(step(), 1..120),
     ) {
-        let mut shell = Shell::new(Rule::default());
+        let mut shell = Shell::new(AdmissionPolicy::default());
         for step in &steps {
             shell.apply(step);
         }
@@ -161,7 +168,7 @@
         for _ in 0..90 {
             let running: Vec<_> = shell.running.keys().copied().collect();
             for ticket in running {
-                shell.end(ticket, How::Done);
+                shell.end(ticket, AttemptEnd::Completed);
                 shell.take_effects();
             }
             shell.apply(&Step::Pass { millis: 100 });
@@ -232,8 +239,8 @@
         share: 1,
         urgency: urgency(class),
         deadline: now + Duration::from_millis(within),
-        prompt,
-        output,
+        prompt_tokens: prompt,
+        max_output_tokens: output,
         resumable: class == 2,
         resumed: false,
     }
--- a/crates/lab/src/decisions.rs
+++ b/crates/lab/src/decisions.rs
@@ -4,7 +4,7 @@
 use std::time::{Duration, Instant};
 
 use bpaf::Bpaf;
-use chestnut_admit::{Job, Lead, Limits, Rule};
+use chestnut_admit::{AdmissionController, AdmissionPolicy, Job, Limits};
 use chestnut_base::{
     CallerName, DomainName, MemberId, ModelName, ServerName, ServiceName, TeamName,
     Urgency,
@@ -14,7 +14,9 @@
 use chestnut_pool::{
     Asked, Asker, Listed, LoadBound, Outcome, PlainWant, Queue, QueueStep, Speeds,
 };
-use chestnut_route::{Ask, Candidate, Note, Policy, Report, Router};
+use chestnut_route::{
+    Candidate, Feedback, LoadReport, RouteRequest, Router, RoutingPolicy,
+};
 
 /// Requests that a server of a plain service runs at the same time, as the users' do.
 const SLOTS: u32 = 6;
@@ -35,11 +37,11 @@
 pub fn run(options: &Options) {
     for count in [9, 21, 1200] {
         for (name, policy) in [
-            ("round-robin", Policy::RoundRobin),
-            ("least-in-flight", Policy::LeastInFlight),
-            ("two-choices", Policy::TwoChoices),
-            ("k-choice", Policy::KChoice(2)),
-            ("chosen", Policy::Estimate),
+            ("round-robin", RoutingPolicy::RoundRobin),
+            ("least-in-flight", RoutingPolicy::LeastInFlight),
+            ("two-choices", RoutingPolicy::TwoChoices),
+            ("k-choice", RoutingPolicy::KChoice(2)),
+            ("chosen", RoutingPolicy::Estimate),
         ] {
             let nanos = choice(policy, count, options.rounds);
             println!(
@@ -65,30 +67,39 @@
             "{{\"decision\":\"plan\",\"runners\":{runners},\"models\":{models},\"us\":{micros}}}"
         );
     }
-    println!("{{\"bytes_per_request\":{}}}", chestnut_admit::lead::bytes_per_request());
+    println!(
+        "{{\"bytes_per_request\":{}}}",
+        chestnut_admit::controller::bytes_per_request()
+    );
 }
 
 /// Nanoseconds of a choice among `count` candidates.
-fn choice(policy: Policy, count: u32, rounds: u32) -> u128 {
+fn choice(policy: RoutingPolicy, count: u32, rounds: u32) -> u128 {
     let now = Instant::now();
     let mut router = Router::new(policy, 1);
     let candidates: Vec<_> = (0..count)
         .map(|index| {
             let name = ServerName::try_from(format!("server-{index}"));
-            let server = router.key(&name.expect("the name is well formed"));
-            let report = Report {
+            let server = router.server_key(&name.expect("the name is well formed"));
+            let report = LoadReport {
                 running: index % 32,
                 queued: 0,
-                wait: Duration::from_millis(u64::from(index % 7)),
-                step: Duration::from_micros(10_000),
+                estimated_wait: Duration::from_millis(u64::from(index % 7)),
+                step_time: Duration::from_micros(10_000),
             };
-            router.note(server, Note::Load(report), now);
-            Candidate { server, far: Duration::ZERO, streams: 32, step: report.step }
+            router.record(server, Feedback::Load(report), now);
+            Candidate {
+                server,
+                extra_latency: Duration::ZERO,
+                streams: 32,
+                step_time: report.step_time,
+            }
         })
         .collect();
     let prefix: Vec<u64> = (0..20).collect();
-    router.begin(candidates[0].server, &prefix);
-    let ask = Ask { prompt: 600, output: 200, prefix: &prefix };
+    router.begin_attempt(candidates[0].server, &prefix);
+    let ask =
+        RouteRequest { prompt_tokens: 600, output_tokens: 200, prefix_blocks: &prefix };
     let start = Instant::now();
     for _ in 0..rounds {
         std::hint::black_box(router.choose(&candidates, ask, now));
@@ -100,20 +111,20 @@
 fn admission(waiting: u32, rounds: u32) -> u128 {
     let now = Instant::now();
     let limits = Limits {
-        streams: 32,
-        tokens: 1 << 20,
-        queue: 512,
-        step: Duration::from_millis(10),
+        max_streams: 32,
+        max_cache_tokens: 1 << 20,
+        max_queued: 512,
+        step_time: Duration::from_millis(10),
     };
-    let mut lead = Lead::new(limits, Rule::default(), now);
+    let mut lead = AdmissionController::new(limits, AdmissionPolicy::default(), now);
     for index in 0..32 + waiting {
         lead.offer(job(index, now), now);
     }
     let start = Instant::now();
     for index in 0..rounds {
         let ticket = lead.offer(job(index, now), now);
-        lead.finish(ticket, chestnut_admit::How::Cancelled, now);
-        lead.effects();
+        lead.finish(ticket, chestnut_admit::AttemptEnd::Cancelled, now);
+        lead.take_effects();
     }
     start.elapsed().as_nanos() / u128::from(rounds)
 }
@@ -263,8 +274,8 @@
         share: 1,
         urgency: Urgency::Normal,
         deadline: now + Duration::from_secs(3600),
-        prompt: 500,
-        output: 200,
+        prompt_tokens: 500,
+        max_output_tokens: 200,
         resumable: true,
         resumed: false,
     }
--- a/crates/lab/src/policies/mod.rs
+++ b/crates/lab/src/policies/mod.rs
@@ -16,8 +16,8 @@
 pub mod world;
 
 use bpaf::Bpaf;
-use chestnut_admit::Rule;
-use chestnut_route::Policy;
+use chestnut_admit::AdmissionPolicy;
+use chestnut_route::RoutingPolicy;
 
 use shape::{Deployment, Pattern, Shape};
 use tally::{Figures, Tally};
@@ -50,9 +50,9 @@
     /// Its name in the output.
     pub name: &'static str,
     /// How entries choose.
-    pub policy: Policy,
+    pub policy: RoutingPolicy,
     /// How leads decide.
-    pub rule: Rule,
+    pub rule: AdmissionPolicy,
     /// Whether it is what the daemon uses.
     pub chosen: bool,
 }
@@ -95,18 +95,26 @@
 
 /// The policies that are compared.
 pub fn contenders() -> Vec<Contender> {
-    let naive =
-        |name, policy| Contender { name, policy, rule: Rule::NAIVE, chosen: false };
-    let led =
-        |name, policy| Contender { name, policy, rule: Rule::default(), chosen: false };
+    let naive = |name, policy| Contender {
+        name,
+        policy,
+        rule: AdmissionPolicy::FIFO,
+        chosen: false,
+    };
+    let led = |name, policy| Contender {
+        name,
+        policy,
+        rule: AdmissionPolicy::default(),
+        chosen: false,
+    };
     vec![
-        naive("round-robin", Policy::RoundRobin),
-        naive("least-in-flight", Policy::LeastInFlight),
-        naive("two-choices", Policy::TwoChoices),
-        naive("k-choice", Policy::KChoice(2)),
-        led("round-robin+lead", Policy::RoundRobin),
-        led("k-choice+lead", Policy::KChoice(2)),
-        Contender { chosen: true, ..led("chosen", Policy::Estimate) },
+        naive("round-robin", RoutingPolicy::RoundRobin),
+        naive("least-in-flight", RoutingPolicy::LeastInFlight),
+        naive("two-choices", RoutingPolicy::TwoChoices),
+        naive("k-choice", RoutingPolicy::KChoice(2)),
+        led("round-robin+lead", RoutingPolicy::RoundRobin),
+        led("k-choice+lead", RoutingPolicy::KChoice(2)),
+        Contender { chosen: true, ..led("chosen", RoutingPolicy::Estimate) },
     ]
 }
 
--- a/crates/lab/src/policies/world/entry.rs
+++ b/crates/lab/src/policies/world/entry.rs
@@ -2,8 +2,8 @@
 
 use std::time::Duration;
 
-use chestnut_route::retry::TRIES;
-use chestnut_route::{Ask, Candidate, Note, Policy, Report};
+use chestnut_route::retry::MAX_REJECTED_OFFERS;
+use chestnut_route::{Candidate, Feedback, LoadReport, RouteRequest, RoutingPolicy};
 use rand::RngExt;
 
 use super::{Event, KEEP, Place, UNTOLD, World, prefix};
@@ -25,7 +25,7 @@
         track.retry = None;
         track.attempt += 1;
         let attempt = track.attempt;
-        self.entries[entry].budget.earn();
+        self.entries[entry].budget.deposit();
         self.after(self.shape.near, Event::Try(index, attempt));
     }
 
@@ -33,15 +33,20 @@
     pub(super) fn try_at(&mut self, index: usize) {
         let request = self.request(index);
         let tries = self.tracks[index].tried.len();
-        let candidates = if tries < TRIES { self.candidates(index) } else { Vec::new() };
+        let candidates =
+            if tries < MAX_REJECTED_OFFERS { self.candidates(index) } else { Vec::new() };
         let prefix = prefix(request);
-        let ask = Ask { prompt: request.prompt, output: request.output, prefix: &prefix };
+        let ask = RouteRequest {
+            prompt_tokens: request.prompt,
+            output_tokens: request.output,
+            prefix_blocks: &prefix,
+        };
         let now = self.instant();
         let entry = &mut self.entries[self.tracks[index].entry];
         let Some(key) = entry.router.choose(&candidates, ask, now) else {
             return self.tell(index);
         };
-        entry.router.begin(key, &prefix);
+        entry.router.begin_attempt(key, &prefix);
         let server = entry.keys.iter().position(|&other| other == key);
         let server = server.expect("the router chooses among its candidates");
         let track = &mut self.tracks[index];
@@ -59,9 +64,9 @@
             .filter(|server| !track.tried.contains(server))
             .map(|server| Candidate {
                 server: self.entries[track.entry].keys[server],
-                far: Duration::ZERO,
+                extra_latency: Duration::ZERO,
                 streams: self.shape.streams as u32,
-                step: self.shape.step(self.shape.streams / 2),
+                step_time: self.shape.step(self.shape.streams / 2),
             })
             .collect()
     }
@@ -83,21 +88,21 @@
     pub(super) fn failed(&mut self, index: usize, server: usize) {
         let (now, entry) = (self.instant(), self.tracks[index].entry);
         let key = self.entries[entry].keys[server];
-        self.entries[entry].router.note(key, Note::Failed, now);
+        self.entries[entry].router.record(key, Feedback::Failed, now);
         self.uncount(index);
-        if !self.entries[entry].budget.take() {
+        if !self.entries[entry].budget.try_withdraw() {
             return self.tell(index);
         }
         let track = &mut self.tracks[index];
         track.attempt += 1;
-        let (attempt, pause) = (track.attempt, track.backoff.pause(&mut self.rng));
+        let (attempt, pause) = (track.attempt, track.backoff.next_delay(&mut self.rng));
         self.after(pause, Event::Try(index, attempt));
     }
 
     pub(super) fn whole(&mut self, index: usize, server: usize) {
         let (now, entry) = (self.instant(), self.tracks[index].entry);
         let key = self.entries[entry].keys[server];
-        self.entries[entry].router.note(key, Note::Answered, now);
+        self.entries[entry].router.record(key, Feedback::Responded, now);
         self.report(index, server);
         self.uncount(index);
         self.fates[index].whole = Some(self.now + self.shape.near);
@@ -106,19 +111,19 @@
 
     /// Takes the lead's load, which came with its answer.
     fn report(&mut self, index: usize, server: usize) {
-        if self.contender.policy != Policy::Estimate {
+        if self.contender.policy != RoutingPolicy::Estimate {
             return;
         }
         let (now, entry) = (self.instant(), self.tracks[index].entry);
         let load = self.servers[server].lead.snapshot(now);
-        let report = Report {
+        let report = LoadReport {
             running: load.running,
             queued: load.queued,
-            wait: load.wait,
-            step: load.step,
+            estimated_wait: load.estimated_wait,
+            step_time: load.step_time,
         };
         let entry = &mut self.entries[entry];
-        entry.router.note(entry.keys[server], Note::Load(report), now);
+        entry.router.record(entry.keys[server], Feedback::Load(report), now);
     }
 
     /// Tells the caller that its request was refused; it comes back.
@@ -141,7 +146,7 @@
     pub(super) fn uncount(&mut self, index: usize) {
         let track = &mut self.tracks[index];
         if let Some(key) = track.counted.take() {
-            self.entries[track.entry].router.end(key);
+            self.entries[track.entry].router.end_attempt(key);
         }
     }
 }
--- a/crates/lab/src/policies/world/mod.rs
+++ b/crates/lab/src/policies/world/mod.rs
@@ -14,9 +14,9 @@
 use std::collections::BinaryHeap;
 use std::time::{Duration, Instant};
 
-use chestnut_admit::{How, Lead, Limits, Ticket};
+use chestnut_admit::{AdmissionController, AttemptEnd, Limits, Ticket};
 use chestnut_base::{CallerName, TeamName};
-use chestnut_route::{Backoff, Budget, Router, ServerKey};
+use chestnut_route::{Backoff, RetryBudget, Router, ServerKey};
 use indexmap::IndexMap;
 use rand::SeedableRng;
 use rand::rngs::SmallRng;
@@ -95,7 +95,7 @@
 
 /// A server with its lead.
 struct Server {
-    lead: Lead,
+    lead: AdmissionController,
     engine: Engine,
     /// The requests of the lead's tickets.
     tickets: IndexMap<Ticket, usize>,
@@ -109,7 +109,7 @@
 struct Entry {
     router: Router,
     keys: Vec<ServerKey>,
-    budget: Budget,
+    budget: RetryBudget,
 }
 
 /// Plays a run in virtual time.
@@ -141,7 +141,7 @@
         let start = Instant::now();
         let limits = limits(shape);
         let server = |_| Server {
-            lead: Lead::new(limits, contender.rule, start),
+            lead: AdmissionController::new(limits, contender.rule, start),
             engine: Engine::default(),
             tickets: IndexMap::new(),
             dead: false,
@@ -150,9 +150,10 @@
         };
         let entry = |index| {
             let mut router = Router::new(contender.policy, seed * 64 + index as u64);
-            let keys =
-                (0..shape.servers).map(|s| router.key(&name("server", s))).collect();
-            Entry { router, keys, budget: Budget::new() }
+            let keys = (0..shape.servers)
+                .map(|s| router.server_key(&name("server", s)))
+                .collect();
+            Entry { router, keys, budget: RetryBudget::new() }
         };
         let track = Track {
             place: Place::Away,
@@ -249,7 +250,7 @@
                 self.fates[index].cut = self.fates[index].tokens > before;
                 let state = &mut self.servers[server];
                 state.tickets.swap_remove(&ticket);
-                state.lead.finish(ticket, How::Cancelled, now);
+                state.lead.finish(ticket, AttemptEnd::Cancelled, now);
                 self.carry_out(server);
             }
         }
@@ -303,10 +304,10 @@
 /// What each lead and its engine can take.
 fn limits(shape: &Shape) -> Limits {
     Limits {
-        streams: shape.streams as u32,
-        tokens: shape.tokens,
-        queue: QUEUE,
-        step: shape.step(shape.streams / 2),
+        max_streams: shape.streams as u32,
+        max_cache_tokens: shape.tokens,
+        max_queued: QUEUE,
+        step_time: shape.step(shape.streams / 2),
     }
 }
 
--- a/crates/lab/src/policies/world/server.rs
+++ b/crates/lab/src/policies/world/server.rs
@@ -1,7 +1,7 @@
 //! A server with its lead: what waits there, runs, and breaks off.
 
-use chestnut_admit::{Effect, How, Job, Lead, Rejection, Ticket};
-use chestnut_route::retry::TRIES;
+use chestnut_admit::{AdmissionController, AttemptEnd, Effect, Job, Rejection, Ticket};
+use chestnut_route::retry::MAX_REJECTED_OFFERS;
 
 use super::super::engine::Given;
 use super::{Event, Place, World, limits};
@@ -23,8 +23,8 @@
             share: 1,
             urgency: request.urgency,
             deadline: self.start + request.deadline - self.shape.near,
-            prompt: request.prompt + got,
-            output: request.output - got,
+            prompt_tokens: request.prompt + got,
+            max_output_tokens: request.output - got,
             resumable: true,
             resumed: got > 0,
         };
@@ -37,7 +37,7 @@
 
     /// Carries out what a lead has decided.
     pub(super) fn carry_out(&mut self, server: usize) {
-        for effect in self.servers[server].lead.effects() {
+        for effect in self.servers[server].lead.take_effects() {
             match effect {
                 Effect::Dispatch(ticket) => self.dispatch(server, ticket),
                 Effect::Refuse(ticket, rejection) => {
@@ -61,9 +61,9 @@
             return;
         };
         self.tracks[index].place = Place::Away;
-        let retry = rejection.retry.map(|retry| retry.as_millis() as u64);
-        if !rejection.reason.elsewhere() {
-            self.tracks[index].tried.resize(TRIES, server);
+        let retry = rejection.retry_after.map(|retry| retry.as_millis() as u64);
+        if !rejection.reason.may_retry_elsewhere() {
+            self.tracks[index].tried.resize(MAX_REJECTED_OFFERS, server);
         }
         let attempt = self.tracks[index].attempt;
         self.after(self.shape.hop, Event::Refused(index, attempt, server, retry));
@@ -76,7 +76,7 @@
             return;
         };
         self.stop(server, index);
-        self.servers[server].lead.finish(ticket, How::Cancelled, now);
+        self.servers[server].lead.finish(ticket, AttemptEnd::Cancelled, now);
         self.fates[index].preempted += 1;
         self.uncount(index);
         let track = &mut self.tracks[index];
@@ -121,7 +121,7 @@
         let Place::Led(_, ticket) = self.tracks[index].place else { return };
         let lead = &mut self.servers[server].lead;
         if count > 0 {
-            lead.tokens(ticket, count, now);
+            lead.record_tokens(ticket, count, now);
         }
         match given {
             Given::First(_) => {
@@ -130,7 +130,7 @@
             }
             Given::More(..) => {}
             Given::Whole(..) => {
-                lead.finish(ticket, How::Done, now);
+                lead.finish(ticket, AttemptEnd::Completed, now);
                 self.servers[server].tickets.swap_remove(&ticket);
                 let actual = u64::from(self.request(index).actual);
                 self.fates[index].tokens += actual - u64::from(self.tracks[index].got);
@@ -143,7 +143,7 @@
 
     pub(super) fn death(&mut self, server: usize) {
         let limits = limits(self.shape);
-        let lead = Lead::new(limits, self.contender.rule, self.instant());
+        let lead = AdmissionController::new(limits, self.contender.rule, self.instant());
         let state = &mut self.servers[server];
         state.dead = true;
         state.life += 1;
--- a/crates/node/src/lead.rs
+++ b/crates/node/src/lead.rs
@@ -11,7 +11,7 @@
 use std::sync::{Arc, Mutex};
 use std::time::{Duration, Instant};
 
-use chestnut_admit::{How as End, Job, Limits, Rejection};
+use chestnut_admit::{AttemptEnd, Job, Limits, Rejection};
 use chestnut_base::{Code, Refusal, ServerName, Target};
 use chestnut_config::Catalog;
 use chestnut_member::{ClaimKey, ServerRole};
@@ -85,7 +85,7 @@
     server: ServerName,
     number: u64,
     call: bool,
-    how: End,
+    how: AttemptEnd,
 }
 
 /// How an attempt ended.
@@ -178,7 +178,7 @@
             server: run.server.clone(),
             number,
             call: matches!(run.work.target, Target::Service { .. }),
-            how: End::Cancelled,
+            how: AttemptEnd::Cancelled,
         };
         let (reply, decision) = oneshot::channel();
         let (server, at) = (run.server.clone(), self.now());
@@ -188,10 +188,10 @@
     }
 
     fn refusal(&self, server: &ServerName, rejection: Rejection) -> (Refusal, Hint) {
-        let Rejection { reason, retry } = rejection;
+        let Rejection { reason, retry_after } = rejection;
         let mut refusal = Refusal::not_run(reason.code(), reason.message());
-        refusal.retry_after = retry;
-        let elsewhere = reason.elsewhere();
+        refusal.retry_after = retry_after;
+        let elsewhere = reason.may_retry_elsewhere();
         (refusal, Hint { elsewhere, load: load(&self.loads, server) })
     }
 
@@ -248,9 +248,9 @@
     /// Ends the attempt and tells the load that remains.
     pub fn finish(mut self, how: How) -> Load {
         self.hold.how = match how {
-            How::Whole => End::Done,
-            How::Refused | How::Broken => End::Broken,
-            How::Abandoned => End::Cancelled,
+            How::Whole => AttemptEnd::Completed,
+            How::Refused | How::Broken => AttemptEnd::Failed,
+            How::Abandoned => AttemptEnd::Cancelled,
         };
         let load = load(&self.loads, &self.hold.server).unwrap_or_default();
         Load { running: load.running.saturating_sub(1), ..load }
@@ -310,11 +310,21 @@
         ServerRole::Runner(pool) => {
             let pool = catalog.pools.get(pool)?;
             let (streams, tokens, step) = (pool.streams, pool.tokens, pool.step);
-            Some(Limits { streams, tokens, queue: QUEUE, step })
+            Some(Limits {
+                max_streams: streams,
+                max_cache_tokens: tokens,
+                max_queued: QUEUE,
+                step_time: step,
+            })
         }
         ServerRole::Service(name) => {
             let streams = catalog.services.get(name)?.parallel;
-            Some(Limits { streams, tokens: u64::MAX, queue: QUEUE, step: CALL })
+            Some(Limits {
+                max_streams: streams,
+                max_cache_tokens: u64::MAX,
+                max_queued: QUEUE,
+                step_time: CALL,
+            })
         }
     }
 }
@@ -336,8 +346,8 @@
         share: caller.map_or(1, |caller| caller.share),
         urgency: work.urgency,
         deadline: now + work.budget,
-        prompt: prompt.saturating_add(have),
-        output: output.saturating_sub(have),
+        prompt_tokens: prompt.saturating_add(have),
+        max_output_tokens: output.saturating_sub(have),
         resumable: work.idempotent && matches!(work.target, Target::Model { .. }),
         resumed: have > 0,
     }
--- a/crates/node/src/lead/table.rs
+++ b/crates/node/src/lead/table.rs
@@ -3,7 +3,10 @@
 use std::sync::{Arc, Mutex};
 use std::time::Instant;
 
-use chestnut_admit::{Effect, How, Job, Lead, Limits, Rejection, Rule, Ticket};
+use chestnut_admit::{
+    AdmissionController, AdmissionPolicy, AttemptEnd, Effect, Job, Limits, Rejection,
+    Ticket,
+};
 use chestnut_base::ServerName;
 use chestnut_member::ClaimKey;
 use chestnut_wire::Load;
@@ -36,7 +39,7 @@
         /// The request's number.
         number: u64,
         /// How.
-        how: How,
+        how: AttemptEnd,
         /// Whether it was a call of a plain service, which counts as one token.
         call: bool,
         /// When.
@@ -83,7 +86,7 @@
 
 /// One backend server that this daemon leads.
 struct Led {
-    lead: Lead,
+    lead: AdmissionController,
     waiting: IndexMap<Ticket, oneshot::Sender<Decision>>,
     running: IndexMap<Ticket, Option<oneshot::Sender<()>>>,
 }
@@ -104,7 +107,7 @@
     fn offer(&mut self, offer: Offer) {
         let Offer { number, server, job, limits, at, reply } = offer;
         let led = self.led.entry(server.clone()).or_insert_with(|| Led {
-            lead: Lead::new(limits, Rule::default(), at),
+            lead: AdmissionController::new(limits, AdmissionPolicy::default(), at),
             waiting: IndexMap::new(),
             running: IndexMap::new(),
         });
@@ -118,17 +121,17 @@
     fn tokens(&mut self, number: u64, count: u32, at: Instant) {
         let Some((server, ticket)) = self.places.get(&number) else { return };
         if let Some(led) = self.led.get_mut(server) {
-            led.lead.tokens(*ticket, count, at);
+            led.lead.record_tokens(*ticket, count, at);
         }
     }
 
-    fn finish(&mut self, number: u64, how: How, call: bool, at: Instant) {
+    fn finish(&mut self, number: u64, how: AttemptEnd, call: bool, at: Instant) {
         let Some((server, ticket)) = self.places.swap_remove(&number) else { return };
         if let Some(led) = self.led.get_mut(&server) {
             led.waiting.swap_remove(&ticket);
             led.running.swap_remove(&ticket);
-            if call && how == How::Done {
-                led.lead.tokens(ticket, 1, at);
+            if call && how == AttemptEnd::Completed {
+                led.lead.record_tokens(ticket, 1, at);
             }
             led.lead.finish(ticket, how, at);
         }
@@ -163,7 +166,7 @@
     /// Carries out what a lead has decided and publishes its load.
     fn settle(&mut self, server: &ServerName, now: Instant) {
         let Some(led) = self.led.get_mut(server) else { return };
-        for effect in led.lead.effects() {
+        for effect in led.lead.take_effects() {
             match effect {
                 Effect::Dispatch(ticket) => {
                     self.counters.dispatched.inc();
@@ -230,13 +233,13 @@
     }
 }
 
-fn load(lead: &Lead, now: Instant) -> Load {
+fn load(lead: &AdmissionController, now: Instant) -> Load {
     let snapshot = lead.snapshot(now);
     Load {
         running: snapshot.running,
         queued: snapshot.queued,
-        tokens: snapshot.tokens,
-        wait_ms: u32::try_from(snapshot.wait.as_millis()).unwrap_or(u32::MAX),
-        step_us: u32::try_from(snapshot.step.as_micros()).unwrap_or(u32::MAX),
+        tokens: snapshot.cache_tokens,
+        wait_ms: u32::try_from(snapshot.estimated_wait.as_millis()).unwrap_or(u32::MAX),
+        step_us: u32::try_from(snapshot.step_time.as_micros()).unwrap_or(u32::MAX),
     }
 }
--- a/crates/node/src/pick.rs
+++ b/crates/node/src/pick.rs
@@ -13,7 +13,10 @@
 use chestnut_base::{Clock, Code, Fence, MemberId, Refusal, ServerName, Target, Work};
 use chestnut_config::Catalog;
 use chestnut_member::{ClaimKey, Server, ServerRole, View};
-use chestnut_route::{Ask, Budget, Candidate, Policy, Report, Router, ServerKey};
+use chestnut_route::{
+    Candidate, Feedback, LoadReport, RetryBudget, RouteRequest, Router, RoutingPolicy,
+    ServerKey,
+};
 use chestnut_wire::Load;
 use indexmap::IndexMap;
 use xxhash_rust::xxh3::xxh3_64;
@@ -77,7 +80,7 @@
 
 struct State {
     router: Router,
-    budget: Budget,
+    budget: RetryBudget,
     picks: u64,
     /// Who led a backend server when it was last picked.
     members: IndexMap<ServerName, MemberId>,
@@ -106,8 +109,8 @@
     /// Creates a picker that knows no load yet; daemons need different seeds.
     pub fn new(clock: Arc<dyn Clock>, seed: u64) -> Self {
         let state = State {
-            router: Router::new(Policy::Estimate, seed),
-            budget: Budget::new(),
+            router: Router::new(RoutingPolicy::Estimate, seed),
+            budget: RetryBudget::new(),
             picks: 0,
             members: IndexMap::new(),
             silent: IndexMap::new(),
@@ -136,13 +139,17 @@
             Target::Model { .. } => (work.prompt, work.output),
             Target::Service { .. } => (0, 1),
         };
-        let ask = Ask { prompt, output, prefix: &prefix };
+        let ask = RouteRequest {
+            prompt_tokens: prompt,
+            output_tokens: output,
+            prefix_blocks: &prefix,
+        };
         let Some(key) = state.router.choose(&candidates, ask, now) else {
             return Err(nowhere(work));
         };
         let index = candidates.iter().position(|candidate| candidate.server == key);
         let option = options.swap_remove(index.expect("the router chooses a candidate"));
-        state.router.begin(key, &prefix);
+        state.router.begin_attempt(key, &prefix);
         state.members.insert(option.server.clone(), option.member);
         Ok(Choice {
             server: option.server,
@@ -155,18 +162,17 @@
 
     /// Takes note of what became of an attempt.
     pub fn note(&self, server: &ServerName, note: Note) {
-        use chestnut_route::Note as Learnt;
         let now = self.clock.now();
         let mut state = self.lock();
-        let key = state.router.key(server);
+        let key = state.router.server_key(server);
         match note {
             Note::Load(load) => {
-                state.router.note(key, Learnt::Load(report(load)), now);
-                state.router.note(key, Learnt::Answered, now);
+                state.router.record(key, Feedback::Load(report(load)), now);
+                state.router.record(key, Feedback::Responded, now);
             }
-            Note::Tokens(_) => state.router.note(key, Learnt::Answered, now),
+            Note::Tokens(_) => state.router.record(key, Feedback::Responded, now),
             Note::Refused => {}
-            Note::Broken { .. } => state.router.note(key, Learnt::Failed, now),
+            Note::Broken { .. } => state.router.record(key, Feedback::Failed, now),
             Note::Unreachable => {
                 if let Some(&member) = state.members.get(server) {
                     state.silent.insert(member, now);
@@ -177,12 +183,12 @@
 
     /// Whether the budget allows one more attempt after a broken one.
     pub fn may_retry(&self, _shared: &Shared) -> bool {
-        self.lock().budget.take()
+        self.lock().budget.try_withdraw()
     }
 
     /// Retries that the budget still allows.
     pub fn retries_left(&self) -> u32 {
-        self.lock().budget.left()
+        self.lock().budget.remaining()
     }
 
     fn lock(&self) -> MutexGuard<'_, State> {
@@ -194,9 +200,9 @@
     /// Counts a pick, and forgets what is gone from time to time.
     fn begin(&mut self, view: &View, first: bool) {
         self.picks += 1;
-        self.router.set_entries(view.members.len());
+        self.router.set_entry_count(view.members.len());
         if first {
-            self.budget.earn();
+            self.budget.deposit();
         }
         if self.picks.is_multiple_of(TIDY) {
             self.router.retain(|name| view.servers.contains_key(name));
@@ -217,16 +223,16 @@
     }
 
     fn candidate(&mut self, option: &Prospect) -> Candidate {
-        let server = self.router.key(&option.server);
+        let server = self.router.server_key(&option.server);
         let (far, streams, step) = (option.far, option.streams, option.step);
-        Candidate { server, far, streams, step }
+        Candidate { server, extra_latency: far, streams, step_time: step }
     }
 }
 
 impl Drop for Flight {
     fn drop(&mut self) {
         let mut state = self.state.lock().expect("no holder of the state panics");
-        state.router.end(self.key);
+        state.router.end_attempt(self.key);
     }
 }
 
@@ -282,12 +288,12 @@
     work.prefix.iter().map(|block| block ^ seed).collect()
 }
 
-fn report(load: Load) -> Report {
-    Report {
+fn report(load: Load) -> LoadReport {
+    LoadReport {
         running: load.running,
         queued: load.queued,
-        wait: Duration::from_millis(load.wait_ms.into()),
-        step: Duration::from_micros(load.step_us.into()),
+        estimated_wait: Duration::from_millis(load.wait_ms.into()),
+        step_time: Duration::from_micros(load.step_us.into()),
     }
 }
 
--- a/crates/node/src/relay.rs
+++ b/crates/node/src/relay.rs
@@ -8,7 +8,7 @@
 use std::time::{Duration, Instant};
 
 use chestnut_base::{AttemptId, Code, Outcome, Refusal, ServerName, Target, Work};
-use chestnut_route::retry::TRIES;
+use chestnut_route::retry::MAX_REJECTED_OFFERS;
 use chestnut_wire::{Ask, Call, Hint, Resume, Run, Say};
 use std::sync::Arc;
 use tokio::sync::mpsc;
@@ -158,7 +158,7 @@
                 Next::Done => return None,
                 Next::Elsewhere(refusal) => {
                     full += usize::from(is_full(refusal.code));
-                    if full >= TRIES {
+                    if full >= MAX_REJECTED_OFFERS {
                         return Some(refusal);
                     }
                     refusal
--- a/crates/route/src/lib.rs
+++ b/crates/route/src/lib.rs
@@ -7,9 +7,9 @@
 //! 1. [`Router::choose`] takes the candidates, without those tried before,
 //! 2. [`health`] leaves out those that fail and lets them back little by little,
 //! 3. [`prefix`] tells where the start of the prompt is probably cached,
-//! 4. [`Policy`] picks one; [`Router::begin`] counts it in flight until
-//!    [`Router::end`],
-//! 5. [`Router::note`] takes the lead's answer,
+//! 4. [`RoutingPolicy`] picks one; [`Router::begin_attempt`] counts it in flight until
+//!    [`Router::end_attempt`],
+//! 5. [`Router::record`] takes the lead's answer,
 //! 6. [`retry`] says whether another attempt is within the budget, and when.
 
 pub mod health;
@@ -19,7 +19,7 @@
 pub mod retry;
 pub mod router;
 
-pub use load::Report;
-pub use policy::Policy;
-pub use retry::{Backoff, Budget};
-pub use router::{Ask, Candidate, Note, Router, ServerKey};
+pub use load::LoadReport;
+pub use policy::RoutingPolicy;
+pub use retry::{Backoff, RetryBudget};
+pub use router::{Candidate, Feedback, RouteRequest, Router, ServerKey};
--- a/crates/route/src/load.rs
+++ b/crates/route/src/load.rs
@@ -22,21 +22,21 @@
 
 /// How loaded a backend server is, as its lead last said.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub struct Report {
+pub struct LoadReport {
     /// Requests that run.
     pub running: u32,
     /// Requests that wait.
     pub queued: u32,
     /// The estimated wait of a request that came then.
-    pub wait: Duration,
+    pub estimated_wait: Duration,
     /// The measured time of an engine step; zero if not known.
-    pub step: Duration,
+    pub step_time: Duration,
 }
 
 /// What an entry knows of a backend server's load.
 #[derive(Debug, Clone, Copy, Default)]
 pub struct Known {
-    report: Option<(Report, Instant)>,
+    report: Option<(LoadReport, Instant)>,
     /// Own attempts in flight; exact.
     own: u32,
     /// Own attempts begun less those ended since the report.
@@ -57,7 +57,7 @@
     }
 
     /// Takes a report.
-    pub fn set(&mut self, report: Report, now: Instant) {
+    pub fn set(&mut self, report: LoadReport, now: Instant) {
         self.report = Some((report, now));
         self.since = 0;
     }
@@ -68,21 +68,21 @@
     }
 
     /// The report if it is still believed, and how much, from 0 to 1.
-    pub fn fresh(&self, now: Instant) -> Option<(Report, f64)> {
+    pub fn fresh(&self, now: Instant) -> Option<(LoadReport, f64)> {
         self.believed(now, FADE)
     }
 
     /// The time of a step, between the reported and the declared one.
     pub fn step(&self, now: Instant, declared: f64) -> f64 {
         match self.believed(now, RETURN) {
-            Some((report, belief)) if !report.step.is_zero() => {
-                belief * report.step.as_secs_f64() + (1.0 - belief) * declared
+            Some((report, belief)) if !report.step_time.is_zero() => {
+                belief * report.step_time.as_secs_f64() + (1.0 - belief) * declared
             }
             _ => declared,
         }
     }
 
-    fn believed(&self, now: Instant, fade: Duration) -> Option<(Report, f64)> {
+    fn believed(&self, now: Instant, fade: Duration) -> Option<(LoadReport, f64)> {
         let (report, at) = self.report?;
         let age = now.saturating_duration_since(at).as_secs_f64();
         let belief = 1.0 - age / fade.as_secs_f64();
--- a/crates/route/src/policy.rs
+++ b/crates/route/src/policy.rs
@@ -14,7 +14,7 @@
 
 /// A way of choosing among candidates.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Policy {
+pub enum RoutingPolicy {
     /// One after the other.
     RoundRobin,
     /// The one with the fewest own attempts in flight.
@@ -39,7 +39,7 @@
     pub trust: f64,
 }
 
-impl Policy {
+impl RoutingPolicy {
     /// The index of the chosen option, or nothing if there is none.
     ///
     /// `turn` counts the choices so far and `run` is the time of the request on an
--- a/crates/route/src/retry.rs
+++ b/crates/route/src/retry.rs
@@ -6,7 +6,7 @@
 //! saved up, so that a short failure of one server is covered whole while with a
 //! pool down the attempts stay below `1 + SHARE` times the requests. An offer that
 //! a lead refused as not run costs one hop and no work; it is bounded by the
-//! number of tries alone, [`TRIES`].
+//! number of tries alone, [`MAX_REJECTED_OFFERS`].
 //!
 //! Hedging is not done: a second copy of a model's answer doubles its tokens, and
 //! with a lead that knows its queue exactly the slow case is foreseen instead.
@@ -18,7 +18,7 @@
 /// Offers that are refused for want of room before the caller is told.
 ///
 /// Six, as many as there are candidates, found no more room under load.
-pub const TRIES: usize = 3;
+pub const MAX_REJECTED_OFFERS: usize = 3;
 
 /// Retries that one request earns.
 pub const SHARE: f64 = 0.1;
@@ -34,24 +34,24 @@
 
 /// The retries that an entry may still make.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub struct Budget {
+pub struct RetryBudget {
     /// Between 0 and [`SAVED`].
     saved: f64,
 }
 
-impl Budget {
+impl RetryBudget {
     /// Starts with all that can be saved.
     pub fn new() -> Self {
         Self { saved: SAVED }
     }
 
     /// Earns a request's share.
-    pub fn earn(&mut self) {
+    pub fn deposit(&mut self) {
         self.saved = (self.saved + SHARE).min(SAVED);
     }
 
     /// Takes a retry out of the budget, if there is one.
-    pub fn take(&mut self) -> bool {
+    pub fn try_withdraw(&mut self) -> bool {
         let granted = self.saved >= 1.0;
         if granted {
             self.saved -= 1.0;
@@ -60,12 +60,12 @@
     }
 
     /// Retries that are left.
-    pub fn left(&self) -> u32 {
+    pub fn remaining(&self) -> u32 {
         self.saved as u32
     }
 }
 
-impl Default for Budget {
+impl Default for RetryBudget {
     fn default() -> Self {
         Self::new()
     }
@@ -79,7 +79,7 @@
 
 impl Backoff {
     /// The pause before the next retry.
-    pub fn pause(&mut self, rng: &mut impl Rng) -> Duration {
+    pub fn next_delay(&mut self, rng: &mut impl Rng) -> Duration {
         let limit = (FIRST * (1 << self.retries.min(10))).min(LAST);
         self.retries += 1;
         limit.mul_f64(rng.random())
--- a/crates/route/src/router.rs
+++ b/crates/route/src/router.rs
@@ -10,8 +10,8 @@
 use slotmap::{SlotMap, new_key_type};
 
 use crate::health::Health;
-use crate::load::{Known, Report};
-use crate::policy::{Policy, Prospect};
+use crate::load::{Known, LoadReport};
+use crate::policy::{Prospect, RoutingPolicy};
 use crate::prefix::{Seen, rank};
 
 new_key_type! {
@@ -38,31 +38,31 @@
     /// The backend server.
     pub server: ServerKey,
     /// What the way to it costs more than to the nearest.
-    pub far: Duration,
+    pub extra_latency: Duration,
     /// Streams that it runs at the same time.
     pub streams: u32,
     /// The expected time of a step, until its lead tells.
-    pub step: Duration,
+    pub step_time: Duration,
 }
 
 /// What the choice depends on.
 #[derive(Debug, Clone, Copy)]
-pub struct Ask<'a> {
+pub struct RouteRequest<'a> {
     /// The length of the prompt, in tokens.
-    pub prompt: u32,
+    pub prompt_tokens: u32,
     /// The length of the answer, in tokens.
-    pub output: u32,
+    pub output_tokens: u32,
     /// Chained hashes of the prompt's blocks.
-    pub prefix: &'a [u64],
+    pub prefix_blocks: &'a [u64],
 }
 
 /// What an entry learns from an attempt.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub enum Note {
+pub enum Feedback {
     /// The lead told its load.
-    Load(Report),
+    Load(LoadReport),
     /// The attempt was answered.
-    Answered,
+    Responded,
     /// The server itself failed.
     Failed,
 }
@@ -86,7 +86,7 @@
 /// The state from which an entry chooses.
 #[derive(Debug)]
 pub struct Router {
-    policy: Policy,
+    policy: RoutingPolicy,
     names: IndexMap<ServerName, ServerKey>,
     servers: SlotMap<ServerKey, Server>,
     seen: Seen,
@@ -98,7 +98,7 @@
 
 impl Router {
     /// Starts knowing nothing; entries must have different seeds.
-    pub fn new(policy: Policy, seed: u64) -> Self {
+    pub fn new(policy: RoutingPolicy, seed: u64) -> Self {
         Self {
             policy,
             names: IndexMap::new(),
@@ -111,12 +111,12 @@
     }
 
     /// Says how many entries send to the same servers, with this one.
-    pub fn set_entries(&mut self, count: usize) {
+    pub fn set_entry_count(&mut self, count: usize) {
         self.entries = count.max(1) as f64;
     }
 
     /// The key of a backend server, new if it is not known.
-    pub fn key(&mut self, name: &ServerName) -> ServerKey {
+    pub fn server_key(&mut self, name: &ServerName) -> ServerKey {
         if let Some(&key) = self.names.get(name) {
             return key;
         }
@@ -142,12 +142,12 @@
     pub fn choose(
         &mut self,
         candidates: &[Candidate],
-        ask: Ask,
+        ask: RouteRequest,
         now: Instant,
     ) -> Option<ServerKey> {
         self.turn += 1;
         let affinity = match self.policy {
-            Policy::Estimate => self.affinity(candidates, ask),
+            RoutingPolicy::Estimate => self.affinity(candidates, ask),
             _ => Affinity::default(),
         };
         let looked = self.look(candidates, affinity, now);
@@ -160,30 +160,30 @@
         Some(looked[index].server)
     }
 
-    /// Counts an attempt in flight; [`Router::end`] must follow.
-    pub fn begin(&mut self, server: ServerKey, prefix: &[u64]) {
+    /// Counts an attempt in flight; [`Router::end_attempt`] must follow.
+    pub fn begin_attempt(&mut self, server: ServerKey, prefix: &[u64]) {
         if let Some(server) = self.servers.get_mut(server) {
             server.known.begin();
         }
-        if self.policy == Policy::Estimate {
+        if self.policy == RoutingPolicy::Estimate {
             self.seen.note(prefix);
         }
     }
 
     /// Ends an attempt in flight.
-    pub fn end(&mut self, server: ServerKey) {
+    pub fn end_attempt(&mut self, server: ServerKey) {
         if let Some(server) = self.servers.get_mut(server) {
             server.known.end();
         }
     }
 
     /// Takes what an attempt taught.
-    pub fn note(&mut self, key: ServerKey, note: Note, now: Instant) {
+    pub fn record(&mut self, key: ServerKey, note: Feedback, now: Instant) {
         let Some(server) = self.servers.get_mut(key) else { return };
         match note {
-            Note::Load(report) => server.known.set(report, now),
-            Note::Answered => server.health.answered(now),
-            Note::Failed => server.health.failed(now),
+            Feedback::Load(report) => server.known.set(report, now),
+            Feedback::Responded => server.health.answered(now),
+            Feedback::Failed => server.health.failed(now),
         }
     }
 
@@ -193,11 +193,11 @@
     }
 
     /// Where the start of a prompt belongs, and how much of it is known.
-    fn affinity(&self, candidates: &[Candidate], ask: Ask) -> Affinity {
-        let Some(&first) = ask.prefix.first() else { return Affinity::default() };
+    fn affinity(&self, candidates: &[Candidate], ask: RouteRequest) -> Affinity {
+        let Some(&first) = ask.prefix_blocks.first() else { return Affinity::default() };
         let rank = |c: &&Candidate| rank(first, self.servers[c.server].hash);
         let home = candidates.iter().max_by_key(rank).map(|c| c.server);
-        Affinity { home, blocks: self.seen.depth(ask.prefix) }
+        Affinity { home, blocks: self.seen.depth(ask.prefix_blocks) }
     }
 
     /// The candidates to look at: usable ones, drawn if there are many.
@@ -212,7 +212,7 @@
             let server = servers.get(candidate.server);
             server.is_some_and(|server| server.health.trust(now) > 0.0)
         };
-        if candidates.len() <= LOOK || *policy != Policy::Estimate {
+        if candidates.len() <= LOOK || *policy != RoutingPolicy::Estimate {
             let mut all: Vec<_> = candidates.iter().copied().filter(usable).collect();
             if all.is_empty() {
                 // All have failed: one of them is still better than no answer.
@@ -235,7 +235,7 @@
     fn prospect(
         &self,
         candidate: &Candidate,
-        ask: Ask,
+        ask: RouteRequest,
         affinity: Affinity,
         now: Instant,
     ) -> Prospect {
@@ -248,22 +248,22 @@
         let requests = server.known.requests(now, self.entries);
         // While an engine computes a prompt all its streams stand still, so that
         // the prefill costs as often its time as there are streams.
-        let time = candidate.far.as_secs_f64()
+        let time = candidate.extra_latency.as_secs_f64()
             + prefill * (1.0 + requests.min(streams))
             + decode * (1.0 + requests / streams);
         Prospect { own: server.known.own(), time, trust: server.health.trust(now) }
     }
 
     /// Seconds of the part of the prompt that is not cached.
-    fn prefill(&self, ask: Ask, blocks: usize) -> f64 {
+    fn prefill(&self, ask: RouteRequest, blocks: usize) -> f64 {
         let cached = (blocks * BLOCK_TOKENS) as f64;
-        (f64::from(ask.prompt) - cached).max(0.0) * PREFILL.as_secs_f64()
+        (f64::from(ask.prompt_tokens) - cached).max(0.0) * PREFILL.as_secs_f64()
     }
 
     /// Seconds of the answer on a server that is otherwise idle.
-    fn decode(&self, candidate: &Candidate, ask: Ask, now: Instant) -> f64 {
-        let declared = candidate.step.as_secs_f64();
+    fn decode(&self, candidate: &Candidate, ask: RouteRequest, now: Instant) -> f64 {
+        let declared = candidate.step_time.as_secs_f64();
         let step = self.servers[candidate.server].known.step(now, declared);
-        f64::from(ask.output) * step
+        f64::from(ask.output_tokens) * step
     }
 }
--- a/crates/route/tests/properties.rs
+++ b/crates/route/tests/properties.rs
@@ -5,16 +5,18 @@
 use chestnut_base::ServerName;
 use chestnut_route::health::{Health, LAST, RETURN};
 use chestnut_route::retry::{SAVED, SHARE};
-use chestnut_route::{Ask, Budget, Candidate, Note, Policy, Router, ServerKey};
+use chestnut_route::{
+    Candidate, Feedback, RetryBudget, RouteRequest, Router, RoutingPolicy, ServerKey,
+};
 use proptest::prelude::*;
 
-fn policy() -> impl Strategy<Value = Policy> {
+fn policy() -> impl Strategy<Value = RoutingPolicy> {
     prop_oneof![
-        Just(Policy::RoundRobin),
-        Just(Policy::LeastInFlight),
-        Just(Policy::TwoChoices),
-        (0..5usize).prop_map(Policy::KChoice),
-        Just(Policy::Estimate),
+        Just(RoutingPolicy::RoundRobin),
+        Just(RoutingPolicy::LeastInFlight),
+        Just(RoutingPolicy::TwoChoices),
+        (0..5usize).prop_map(RoutingPolicy::KChoice),
+        Just(RoutingPolicy::Estimate),
     ]
 }
 
@@ -31,23 +33,23 @@
         let mut now = Instant::now();
         let mut router = Router::new(policy, seed);
         let candidates = candidates(&mut router, count);
-        let ask = Ask { prompt: 100, output: 50, prefix: &[1, 2, 3] };
+        let ask = RouteRequest { prompt_tokens: 100, output_tokens: 50, prefix_blocks: &[1, 2, 3] };
         let mut open: Vec<ServerKey> = Vec::new();
         for (fails, ends) in rounds {
             now += Duration::from_millis(50);
             let chosen = router.choose(&candidates, ask, now).unwrap();
             prop_assert!(candidates.iter().any(|c| c.server == chosen));
-            router.begin(chosen, ask.prefix);
+            router.begin_attempt(chosen, ask.prefix_blocks);
             open.push(chosen);
-            let note = if fails { Note::Failed } else { Note::Answered };
-            router.note(chosen, note, now);
+            let note = if fails { Feedback::Failed } else { Feedback::Responded };
+            router.record(chosen, note, now);
             if ends {
-                router.end(open.remove(0));
+                router.end_attempt(open.remove(0));
             }
             let counted: u32 = candidates.iter().map(|c| router.in_flight(c.server)).sum();
             prop_assert_eq!(counted as usize, open.len());
         }
-        open.into_iter().for_each(|key| router.end(key));
+        open.into_iter().for_each(|key| router.end_attempt(key));
         prop_assert!(candidates.iter().all(|c| router.in_flight(c.server) == 0));
         prop_assert_eq!(router.choose(&[], ask, now), None);
     }
@@ -57,13 +59,13 @@
     fn retries_stay_within_their_share(
         steps in prop::collection::vec(any::<bool>(), 1..2000),
     ) {
-        let mut budget = Budget::new();
+        let mut budget = RetryBudget::new();
         let (mut requests, mut retries) = (0.0, 0.0);
         for is_request in steps {
             if is_request {
-                budget.earn();
+                budget.deposit();
                 requests += 1.0;
-            } else if budget.take() {
+            } else if budget.try_withdraw() {
                 retries += 1.0;
             }
             prop_assert!(retries <= SAVED + SHARE * requests + 1e-6);
@@ -90,13 +92,17 @@
     let now = Instant::now();
     let mut sent = [0; 9];
     for entry in 0..6 {
-        let mut router = Router::new(Policy::Estimate, entry);
-        router.set_entries(6);
+        let mut router = Router::new(RoutingPolicy::Estimate, entry);
+        router.set_entry_count(6);
         let candidates = candidates(&mut router, 9);
         for _ in 0..9 {
-            let ask = Ask { prompt: 100, output: 200, prefix: &[] };
+            let ask = RouteRequest {
+                prompt_tokens: 100,
+                output_tokens: 200,
+                prefix_blocks: &[],
+            };
             let chosen = router.choose(&candidates, ask, now).unwrap();
-            router.begin(chosen, &[]);
+            router.begin_attempt(chosen, &[]);
             sent[candidates.iter().position(|c| c.server == chosen).unwrap()] += 1;
         }
     }
@@ -107,10 +113,11 @@
 fn candidates(router: &mut Router, count: usize) -> Vec<Candidate> {
     (0..count)
         .map(|index| Candidate {
-            server: router.key(&ServerName::try_from(format!("s{index}")).unwrap()),
-            far: Duration::ZERO,
+            server: router
+                .server_key(&ServerName::try_from(format!("s{index}")).unwrap()),
+            extra_latency: Duration::ZERO,
             streams: 8,
-            step: Duration::from_millis(10),
+            step_time: Duration::from_millis(10),
         })
         .collect()
 }
--- a/crates/route/tests/scenarios.rs
+++ b/crates/route/tests/scenarios.rs
@@ -14,9 +14,13 @@
 use std::fmt::Write;
 use std::time::{Duration, Instant};
 
-use chestnut_admit::{Effect, How, Job, Lead, Limits, Rule, Ticket};
+use chestnut_admit::{
+    AdmissionController, AdmissionPolicy, AttemptEnd, Effect, Job, Limits, Ticket,
+};
 use chestnut_base::{CallerName, ServerName, TeamName, Urgency};
-use chestnut_route::{Ask, Candidate, Note, Policy, Report, Router, ServerKey};
+use chestnut_route::{
+    Candidate, Feedback, LoadReport, RouteRequest, Router, RoutingPolicy, ServerKey,
+};
 use indexmap::IndexMap;
 
 /// The unit in which virtual time passes.
@@ -34,8 +38,12 @@
         file.run(|case| {
             assert_eq!(case.directive, "load", "the only directive is `load`");
             let script = Script::parse(&case.input);
-            let chosen = Play::new(&script, Policy::Estimate, Rule::default()).run();
-            let naive = Play::new(&script, Policy::RoundRobin, Rule::NAIVE).run();
+            let chosen =
+                Play::new(&script, RoutingPolicy::Estimate, AdmissionPolicy::default())
+                    .run();
+            let naive =
+                Play::new(&script, RoutingPolicy::RoundRobin, AdmissionPolicy::FIFO)
+                    .run();
             let mut text = report("chosen", &script, &chosen);
             text.push_str(&report("naive", &script, &naive));
             text
@@ -132,7 +140,7 @@
 }
 
 struct Server {
-    lead: Lead,
+    lead: AdmissionController,
     key: ServerKey,
     tickets: IndexMap<Ticket, usize>,
     /// Running requests.
@@ -142,7 +150,7 @@
 
 struct Play<'a> {
     script: &'a Script,
-    policy: Policy,
+    policy: RoutingPolicy,
     router: Router,
     servers: Vec<Server>,
     fates: Vec<Fate>,
@@ -157,21 +165,21 @@
 }
 
 impl<'a> Play<'a> {
-    fn new(script: &'a Script, policy: Policy, rule: Rule) -> Self {
+    fn new(script: &'a Script, policy: RoutingPolicy, rule: AdmissionPolicy) -> Self {
         let start = Instant::now();
         let mut router = Router::new(policy, 7);
         let limits = Limits {
-            streams: script.streams,
-            tokens: 1 << 20,
-            queue: 64,
-            step: script.step,
+            max_streams: script.streams,
+            max_cache_tokens: 1 << 20,
+            max_queued: 64,
+            step_time: script.step,
         };
         let servers = (0..script.servers)
             .map(|index| {
                 let name = ServerName::try_from(format!("server-{index}")).unwrap();
                 Server {
-                    lead: Lead::new(limits, rule, start),
-                    key: router.key(&name),
+                    lead: AdmissionController::new(limits, rule, start),
+                    key: router.server_key(&name),
                     tickets: IndexMap::new(),
                     streams: Vec::new(),
                     next: Duration::ZERO,
@@ -227,26 +235,30 @@
             .filter(|server| !self.tried[index].contains(server))
             .map(|server| Candidate {
                 server: self.servers[server].key,
-                far: Duration::ZERO,
+                extra_latency: Duration::ZERO,
                 streams: self.script.streams,
-                step: self.script.step,
+                step_time: self.script.step,
             })
             .collect();
-        let ask = Ask { prompt: 10, output: request.tokens, prefix: &[] };
+        let ask = RouteRequest {
+            prompt_tokens: 10,
+            output_tokens: request.tokens,
+            prefix_blocks: &[],
+        };
         let Some(key) = self.router.choose(&candidates, ask, self.instant()) else {
             return;
         };
         let server = self.servers.iter().position(|server| server.key == key).unwrap();
         self.tried[index].push(server);
-        self.router.begin(key, &[]);
+        self.router.begin_attempt(key, &[]);
         let job = Job {
             caller: CallerName::try_from(request.caller.as_str()).unwrap(),
             team: TeamName::try_from(request.caller.as_str()).unwrap(),
             share: 1,
             urgency: request.urgency,
             deadline: self.start + deadline,
-            prompt: 10,
-            output: request.tokens - self.got[index],
+            prompt_tokens: 10,
+            max_output_tokens: request.tokens - self.got[index],
             resumable: true,
             resumed: self.got[index] > 0,
         };
@@ -257,7 +269,7 @@
     }
 
     fn carry_out(&mut self, server: usize) {
-        for effect in self.servers[server].lead.effects() {
+        for effect in self.servers[server].lead.take_effects() {
             match effect {
                 Effect::Dispatch(ticket) => {
                     let index = self.servers[server].tickets[&ticket];
@@ -269,12 +281,13 @@
                     let fate = &mut self.fates[index];
                     fate.refused += 1;
                     fate.told = fate.told.max(self.now - self.sent[index]);
-                    self.due[index] = Some(self.now + rejection.retry.unwrap_or(UNTOLD));
+                    self.due[index] =
+                        Some(self.now + rejection.retry_after.unwrap_or(UNTOLD));
                 }
                 Effect::Preempt(ticket) => {
                     let index = self.end(server, ticket);
                     let now = self.instant();
-                    self.servers[server].lead.finish(ticket, How::Cancelled, now);
+                    self.servers[server].lead.finish(ticket, AttemptEnd::Cancelled, now);
                     self.fates[index].preempted += 1;
                     self.tried[index].clear();
                     self.send(index);
@@ -288,7 +301,7 @@
         let server = &mut self.servers[server];
         let index = server.tickets.swap_remove(&ticket).unwrap();
         server.streams.retain(|&other| other != index);
-        self.router.end(server.key);
+        self.router.end_attempt(server.key);
         index
     }
 
@@ -308,12 +321,13 @@
                 continue;
             }
             self.got[index] += 1;
-            self.servers[server].lead.tokens(ticket, 1, now);
+            self.servers[server].lead.record_tokens(ticket, 1, now);
             let request = &self.script.requests[index];
             let whole = self.got[index] == request.tokens;
             let late = self.now > request.at + request.within;
             if whole || late {
-                let how = if whole { How::Done } else { How::Cancelled };
+                let how =
+                    if whole { AttemptEnd::Completed } else { AttemptEnd::Cancelled };
                 self.fates[index].in_time = whole && !late;
                 self.end(server, ticket);
                 self.servers[server].lead.finish(ticket, how, now);
@@ -324,18 +338,18 @@
     }
 
     fn report(&mut self, server: usize) {
-        if self.policy != Policy::Estimate {
+        if self.policy != RoutingPolicy::Estimate {
             return;
         }
         let now = self.instant();
         let load = self.servers[server].lead.snapshot(now);
-        let report = Report {
+        let report = LoadReport {
             running: load.running,
             queued: load.queued,
-            wait: load.wait,
-            step: load.step,
+            estimated_wait: load.estimated_wait,
+            step_time: load.step_time,
         };
-        self.router.note(self.servers[server].key, Note::Load(report), now);
+        self.router.record(self.servers[server].key, Feedback::Load(report), now);
     }
 
     fn instant(&self) -> Instant {
