--- a/crates/gate/src/ask.rs
+++ b/crates/gate/src/ask.rs
@@ -183,7 +183,7 @@
             asked.here.push(runner.name.clone());
             continue;
         }
-        if let Some(row) = known.row(holder) {
+        if let Some(row) = known.member_row(holder) {
             let servers = asked.there.entry((holder, row.peer_addr)).or_default();
             servers.push(runner.name.clone());
         }
--- a/crates/gate/src/claims.rs
+++ b/crates/gate/src/claims.rs
@@ -9,7 +9,7 @@
 
 use chestnut_base::{Fence, PoolName, ServerName, ServiceName};
 use chestnut_edge::{Change, Commit, CommitAnswer};
-use chestnut_member::{ClaimKey, ClaimRow, Step, plan};
+use chestnut_member::{ClaimChange, ClaimKey, ClaimRow, plan_claims};
 use slog::{info, warn};
 
 use crate::follow::{self, Follower, OWN};
@@ -100,7 +100,8 @@
     let keys = keys(shared);
     let steps = {
         let known = shared.known();
-        plan(&known, &shared.settings.vm, shared.peers.me, &keys, shared.now()).steps
+        plan_claims(&known, &shared.settings.vm, shared.peers.me, &keys, shared.now())
+            .changes
     };
     if steps.is_empty() {
         return;
@@ -124,22 +125,22 @@
     }
 }
 
-fn add(commit: Commit, step: &Step) -> Commit {
+fn add(commit: Commit, step: &ClaimChange) -> Commit {
     let key = format!("{PREFIX}{}", step.key);
     // Claims are plain structs, which always serialize.
     let value = serde_json::to_vec(&step.row).unwrap_or_default();
-    commit.check(OWN, &key, step.version).put(OWN, &key, value)
+    commit.check(OWN, &key, step.expected_version).put(OWN, &key, value)
 }
 
 /// Whether no other VM can have given orders under the claim lately.
-fn is_fresh(shared: &Shared, step: &Step) -> bool {
+fn is_fresh(shared: &Shared, step: &ClaimChange) -> bool {
     let known = shared.known();
     let holder = known.claims.get(&step.key).and_then(|(row, _)| row.holder);
     // An earlier process on this VM is the same holder to the engine.
-    step.version == 0 || holder.is_some() && holder == shared.previous()
+    step.expected_version == 0 || holder.is_some() && holder == shared.previous()
 }
 
-fn took(shared: &Shared, step: Step, version: u64, fresh: bool) {
+fn took(shared: &Shared, step: ClaimChange, version: u64, fresh: bool) {
     take(shared, step.key.clone(), Some(step.row), version);
     let mine = step.row.holder == Some(shared.peers.me);
     let from = if fresh { shared.now() } else { turn_from(shared) };
--- a/crates/gate/src/directory.rs
+++ b/crates/gate/src/directory.rs
@@ -59,7 +59,7 @@
     let rows: Vec<&MemberRow> = known.members.values().map(|(row, _)| row).collect();
     let ready = |row: &MemberRow| match row.member == me {
         true => own,
-        false => known.takes_claims(row) && shared.is_alive(row.member, now),
+        false => known.accepts_claims(row) && shared.is_alive(row.member, now),
     };
     let addresses = |which: &dyn Fn(&MemberRow) -> bool| -> Vec<SocketAddr> {
         let open = rows.iter().filter(|row| which(row));
@@ -71,7 +71,7 @@
     }
     // All have just started, or none hears the others: any may serve, and says when
     // to come back if it can't.
-    let listed = addresses(&|row| known.takes_claims(row));
+    let listed = addresses(&|row| known.accepts_claims(row));
     if !listed.is_empty() {
         return listed;
     }
--- a/crates/gate/src/driver.rs
+++ b/crates/gate/src/driver.rs
@@ -10,7 +10,7 @@
 
 use chestnut_base::ModelName;
 use chestnut_edge::{Engine, Order, OrderAnswer, OrderStep, ServerEntry, TargetModel};
-use chestnut_member::wake;
+use chestnut_member::suspension;
 use chestnut_pool::AdapterNeed;
 use chestnut_pool::moving::Move;
 use slog::{info, warn};
@@ -223,7 +223,7 @@
             true => None,
             false => self.shared.tables.own.age(now),
         };
-        wake::may_order(fenced, age)
+        suspension::may_send_order(fenced, age)
     }
 
     /// Gives an order; returns the answer if the order could be given.
--- a/crates/gate/src/enqueue.rs
+++ b/crates/gate/src/enqueue.rs
@@ -107,7 +107,7 @@
 fn holder(shared: &Shared, service: &ServiceName) -> Option<(MemberId, SocketAddr)> {
     let known = shared.known();
     let (claim, _) = known.claims.get(&pool_key(service)?)?;
-    let row = known.row(claim.holder?)?;
+    let row = known.member_row(claim.holder?)?;
     Some((row.member, row.peer_addr))
 }
 
--- a/crates/gate/src/follow.rs
+++ b/crates/gate/src/follow.rs
@@ -374,7 +374,7 @@
     let now = shared.now();
     let own = weighted_rendezvous(table, me.as_str(), shared.settings.weight());
     let others = known.members.iter().filter(|(vm, (row, _))| {
-        *vm != me && known.takes_claims(row) && shared.is_alive(row.member, now)
+        *vm != me && known.accepts_claims(row) && shared.is_alive(row.member, now)
     });
     let rank = |vm: &VmName, weight| weighted_rendezvous(table, vm.as_str(), weight);
     others.filter(|(vm, (row, _))| rank(vm, row.weight) > own).count()
--- a/crates/gate/src/holder.rs
+++ b/crates/gate/src/holder.rs
@@ -149,5 +149,5 @@
 pub fn addr(shared: &Shared, server: &ServerName) -> Option<SocketAddr> {
     let known = shared.known();
     let (row, _) = known.claims.get(&ClaimKey::Server(server.clone()))?;
-    known.row(row.holder?).map(|row| row.peer_addr)
+    known.member_row(row.holder?).map(|row| row.peer_addr)
 }
--- a/crates/gate/src/members.rs
+++ b/crates/gate/src/members.rs
@@ -11,7 +11,7 @@
 
 use chestnut_base::{MemberId, VmName};
 use chestnut_edge::{Change, Commit, CommitAnswer};
-use chestnut_member::{Known, MemberRow, watched, watchers};
+use chestnut_member::{MemberRow, MembershipRows, watched_vms, watchers};
 use indexmap::IndexMap;
 use rand::seq::IteratorRandom;
 use slog::{info, warn};
@@ -76,7 +76,7 @@
         let Self(shared) = self;
         let neighbours = {
             let mut known = shared.known();
-            known.note_seen(shared.now());
+            known.record_first_seen(shared.now());
             Neighbours::find(&known, &shared.settings.vm, shared.peers.me)
         };
         *shared.neighbours() = neighbours;
@@ -180,7 +180,7 @@
 /// Where a daemon says what changed in its copies of the store's tables.
 pub fn rows_addr(shared: &Shared, member: MemberId) -> Option<SocketAddr> {
     let known = shared.known();
-    known.row(member).map(|row| row.ops_addr)
+    known.member_row(member).map(|row| row.ops_addr)
 }
 
 /// Tells others that the daemon lives.
@@ -244,11 +244,13 @@
         self.addrs.contains_key(&member)
     }
 
-    fn find(known: &Known, vm: &VmName, me: MemberId) -> Self {
+    fn find(known: &MembershipRows, vm: &VmName, me: MemberId) -> Self {
         let few = known.members.len() <= MESH;
         let near: Vec<VmName> = match few {
             true => known.members.keys().cloned().collect(),
-            false => watched(known, vm).into_iter().chain(watchers(known, vm)).collect(),
+            false => {
+                watched_vms(known, vm).into_iter().chain(watchers(known, vm)).collect()
+            }
         };
         let rows = near.iter().filter_map(|vm| known.members.get(vm));
         let others = rows.filter(|(row, _)| row.member != me);
@@ -310,7 +312,7 @@
 fn check_own(shared: &Shared, commit: Commit) -> Option<Commit> {
     let vm = &shared.settings.vm;
     let known = shared.known();
-    let (_, version) = known.own(vm, shared.peers.me)?;
+    let (_, version) = known.own_row(vm, shared.peers.me)?;
     Some(commit.check(OWN, &key(vm.as_str()), version))
 }
 
@@ -324,7 +326,7 @@
         // It has just joined, or was gone before this daemon started.
         None => known.is_stable(member, now, SILENCE * 2),
     };
-    watched(&known, &shared.settings.vm)
+    watched_vms(&known, &shared.settings.vm)
         .into_iter()
         .filter_map(|vm| {
             let (row, version) = known.members.get(&vm)?;
@@ -336,13 +338,13 @@
 
 fn is_removed(shared: &Shared) -> bool {
     let known = shared.known();
-    known.own(&shared.settings.vm, shared.peers.me).is_none()
+    known.own_row(&shared.settings.vm, shared.peers.me).is_none()
 }
 
 /// Removes the own row at the end.
 pub async fn resign(shared: &Shared) {
     let vm = &shared.settings.vm;
-    let version = shared.known().own(vm, shared.peers.me).map(|(_, version)| version);
+    let version = shared.known().own_row(vm, shared.peers.me).map(|(_, version)| version);
     let Some(version) = version else { return };
     if let Err(fault) = store::commit(shared, &removal(vm, version)).await {
         warn!(shared.log, "own row remains"; "error" => fault.to_string());
--- a/crates/gate/src/observe.rs
+++ b/crates/gate/src/observe.rs
@@ -174,7 +174,7 @@
             vm: vm.clone(),
             member: row.member,
             alive: row.member == shared.peers.me || shared.is_alive(row.member, now),
-            open: known.takes_claims(row),
+            open: known.accepts_claims(row),
         };
     known.members.iter().map(member).collect()
 }
--- a/crates/gate/src/planner.rs
+++ b/crates/gate/src/planner.rs
@@ -140,7 +140,7 @@
     if holder == shared.peers.me {
         return Planner::Here;
     }
-    let row = known.row(holder);
+    let row = known.member_row(holder);
     row.map_or(Planner::Nobody, |row| Planner::There(row.peer_addr))
 }
 
--- a/crates/gate/src/settings.rs
+++ b/crates/gate/src/settings.rs
@@ -7,7 +7,7 @@
 
 use chestnut_base::{DomainName, VmName};
 use chestnut_edge::Engine;
-use chestnut_member::WHOLE_CORE;
+use chestnut_member::ONE_CORE_WEIGHT;
 use chestnut_pool::LoadBound;
 use serde::Deserialize;
 use serde_with::{DurationMilliSeconds, DurationSecondsWithFrac, serde_as};
@@ -178,7 +178,7 @@
 
     /// The daemon's weight among those that claims fall to.
     pub fn weight(&self) -> u32 {
-        (self.cores * f64::from(WHOLE_CORE)).round().max(1.0) as u32
+        (self.cores * f64::from(ONE_CORE_WEIGHT)).round().max(1.0) as u32
     }
 
     fn check(&self) -> Result<(), SettingsError> {
--- a/crates/gate/src/shared.rs
+++ b/crates/gate/src/shared.rs
@@ -5,7 +5,7 @@
 
 use chestnut_base::{Clock, MemberId, ServerName, ServiceName};
 use chestnut_edge::{Declared, Dialect, Engine};
-use chestnut_member::{ClaimKey, Known, Wake};
+use chestnut_member::{ClaimKey, MembershipRows, SuspensionDetector};
 use chestnut_pool::budget::RetryBound;
 use chestnut_pool::placing::Placing;
 use chestnut_pool::{Fleet, RetryBudget, Speeds};
@@ -87,7 +87,7 @@
     /// Whether daemons and claims were read.
     pub own_read: watch::Sender<bool>,
     fleet: Mutex<Fleet>,
-    known: Mutex<Known>,
+    known: Mutex<MembershipRows>,
     /// The daemons that this one exchanges beats with.
     neighbours: Mutex<Neighbours>,
     holders: Mutex<IndexMap<ServerName, Arc<Holder>>>,
@@ -103,7 +103,7 @@
     turns: Mutex<IndexMap<ClaimKey, Instant>>,
     /// The process that ran on this VM before.
     previous: Mutex<Option<MemberId>>,
-    wake: Mutex<Wake>,
+    wake: Mutex<SuspensionDetector>,
 }
 
 impl Shared {
@@ -166,7 +166,7 @@
     }
 
     /// Daemons and claims.
-    pub fn known(&self) -> MutexGuard<'_, Known> {
+    pub fn known(&self) -> MutexGuard<'_, MembershipRows> {
         self.known.lock().expect("no holder of the lock panics")
     }
 
@@ -239,7 +239,7 @@
     pub fn is_waking(&self) -> bool {
         let now = self.now();
         let mut wake = self.wake.lock().expect("no holder of the lock panics");
-        if let Some(gap) = wake.look(self.clock.suspended(), now) {
+        if let Some(gap) = wake.check(self.clock.suspended(), now) {
             warn!(self.log, "stood still"; "ms" => gap.as_millis() as u64);
             for table in follow::tables(self) {
                 table.mirror().doubt();
--- a/crates/lab/src/moves/mod.rs
+++ b/crates/lab/src/moves/mod.rs
@@ -18,7 +18,7 @@
 use std::time::{Duration, Instant};
 
 use bpaf::Bpaf;
-use chestnut_place::{ModelState, PoolState, RunnerState, plan};
+use chestnut_place::{ModelState, PoolState, RunnerState, plan_placement};
 use rand::rngs::SmallRng;
 use rand::{RngExt, SeedableRng};
 use serde::Serialize;
@@ -155,7 +155,7 @@
     let mut pool = large_pool(runners, models, &mut rng);
     let lap = |pool: &mut PoolState| {
         let start = Instant::now();
-        let placement = plan(pool);
+        let placement = plan_placement(pool);
         let time = start.elapsed();
         for (model, placed) in pool.models.iter_mut().zip(placement.placed) {
             model.placed = placed;
@@ -163,7 +163,7 @@
         time.as_secs_f64() * 1000.0
     };
     let first_ms = lap(&mut pool);
-    pool.parallel = runners / 60;
+    pool.parallel_loads = runners / 60;
     let mut later = Vec::new();
     for _ in 0..5 {
         for model in &mut pool.models {
@@ -188,27 +188,27 @@
     let model = |_| ModelState {
         bytes: rng.random_range(8..34),
         replicas: 1,
-        cold: Duration::from_secs(40),
+        load_time: Duration::from_secs(40),
         demand: demand * 10.0_f64.powf(rng.random_range(-1.0..1.0)) / 2.15,
         placed: Vec::new(),
         loading: 0,
-        copies: Vec::new(),
+        cached_on: Vec::new(),
     };
     let state = |runner| RunnerState {
         domain: runner % 20,
         capacity: 80,
-        other: 0,
-        stays: true,
-        fixed: false,
+        other_bytes: 0,
+        accepts_models: true,
+        locked: false,
     };
     PoolState {
         models: (0..models).map(model).collect(),
         runners: (0..runners).map(state).collect(),
-        throughput: THROUGHPUT,
-        parallel: models * 2,
+        runner_throughput: THROUGHPUT,
+        parallel_loads: models * 2,
         frozen: false,
         attainment_weight: 1.0,
         move_weight: 1.0,
-        horizon: chestnut_place::planner::HORIZON,
+        demand_horizon: chestnut_place::planner::DEMAND_HORIZON,
     }
 }
--- a/crates/lab/src/moves/policy.rs
+++ b/crates/lab/src/moves/policy.rs
@@ -2,9 +2,11 @@
 
 use std::time::Duration;
 
-use chestnut_place::balance::balance;
-use chestnut_place::planner::FILL;
-use chestnut_place::{Demand, ModelState, PoolState, RunnerState, plan};
+use chestnut_place::balance::distribute_load;
+use chestnut_place::planner::MAX_UTILIZATION;
+use chestnut_place::{
+    DemandEstimate, ModelState, PoolState, RunnerState, plan_placement,
+};
 
 use super::shifts::STEP;
 use super::site::Site;
@@ -42,7 +44,7 @@
 /// The state of a policy between its decisions.
 pub struct Decider {
     policy: Policy,
-    averages: Vec<Demand>,
+    averages: Vec<DemandEstimate>,
     /// For each model and runner, the step at which the replica was last needed.
     needed: Vec<Vec<u64>>,
     step: u64,
@@ -53,7 +55,7 @@
     pub fn new(policy: Policy, site: &Site) -> Self {
         Self {
             policy,
-            averages: vec![Demand::default(); site.models.len()],
+            averages: vec![DemandEstimate::default(); site.models.len()],
             needed: vec![vec![0; site.runners]; site.models.len()],
             step: 0,
         }
@@ -70,7 +72,7 @@
         self.step += 1;
         let time = Duration::from_secs_f64(STEP);
         for (average, rate) in self.averages.iter_mut().zip(observed) {
-            average.add(rate * STEP, time);
+            average.record(rate * STEP, time);
         }
         match self.policy {
             Policy::Planner => self.planned(site, placed, loading),
@@ -94,35 +96,35 @@
         let model = |index: usize| ModelState {
             bytes: site.models[index].bytes,
             replicas: 1,
-            cold: site.models[index].cold,
+            load_time: site.models[index].cold,
             demand: self.averages[index].estimate(),
             placed: placed[index].clone(),
             loading: loading[index],
-            copies: Vec::new(),
+            cached_on: Vec::new(),
         };
         let runner = |index| RunnerState {
             domain: index % site.domains,
             capacity: site.memory,
-            other: 0,
-            stays: true,
-            fixed: false,
+            other_bytes: 0,
+            accepts_models: true,
+            locked: false,
         };
         let pool = PoolState {
             runners: (0..site.runners).map(runner).collect(),
             models: (0..site.models.len()).map(model).collect(),
-            throughput: site.throughput,
-            parallel: site.parallel,
+            runner_throughput: site.throughput,
+            parallel_loads: site.parallel,
             frozen: false,
             attainment_weight: site.attainment_weight,
             move_weight: site.move_weight,
-            horizon: chestnut_place::planner::HORIZON,
+            demand_horizon: chestnut_place::planner::DEMAND_HORIZON,
         };
-        plan(&pool).placed
+        plan_placement(&pool).placed
     }
 
     /// Replaces the least recently needed replicas by one of the neediest model.
     fn least_recent(&mut self, site: &Site, observed: &[f64], held: &mut [Vec<usize>]) {
-        let spread = balance(observed, held, site.runners);
+        let spread = distribute_load(observed, held, site.runners);
         for (model, at) in held.iter().enumerate() {
             for (share, runner) in spread.shares[model].iter().zip(at) {
                 if *share > 0.02 * site.throughput {
@@ -186,7 +188,7 @@
 /// Gives the neediest model a replica, dropping whatever has least demand there.
 fn greedy(site: &Site, observed: &[f64], held: &mut [Vec<usize>]) {
     let Some(model) = neediest(site, observed, held) else { return };
-    let spread = balance(observed, held, site.runners);
+    let spread = distribute_load(observed, held, site.runners);
     let runner = (0..site.runners)
         .filter(|runner| !held[model].contains(runner))
         .min_by(|a, b| spread.loads[*a].total_cmp(&spread.loads[*b]));
@@ -206,8 +208,8 @@
 /// The model whose runners are overloaded most, if any is; one that is nowhere
 /// goes first.
 fn neediest(site: &Site, observed: &[f64], held: &[Vec<usize>]) -> Option<usize> {
-    let spread = balance(observed, held, site.runners);
-    let limit = FILL * site.throughput;
+    let spread = distribute_load(observed, held, site.runners);
+    let limit = MAX_UTILIZATION * site.throughput;
     let lack = |model: usize| {
         if held[model].is_empty() {
             return f64::MAX;
--- a/crates/lab/src/moves/pool.rs
+++ b/crates/lab/src/moves/pool.rs
@@ -1,7 +1,7 @@
 //! A pool of runners that load, hold and serve models.
 
-use chestnut_place::balance::balance;
-use chestnut_place::planner::FILL;
+use chestnut_place::balance::distribute_load;
+use chestnut_place::planner::MAX_UTILIZATION;
 
 use super::policy::{Decider, Policy};
 use super::shifts::{STEP, STEPS, Shifts};
@@ -156,14 +156,15 @@
             })
             .collect();
         let demands = &self.shifts.demands[step];
-        let spread = balance(demands, &ready, self.site.runners);
+        let spread = distribute_load(demands, &ready, self.site.runners);
         for (runner, load) in spread.loads.iter().enumerate() {
             let busy = self.loads.iter().any(|job| job.runner == runner && job.begun);
             let part = if busy { 1.0 - STALL } else { 1.0 };
-            self.outcome.served += load.min(FILL * part * self.site.throughput);
+            self.outcome.served +=
+                load.min(MAX_UTILIZATION * part * self.site.throughput);
         }
         let sum: f64 = demands.iter().sum();
-        let limit = FILL * self.site.throughput * self.site.runners as f64;
+        let limit = MAX_UTILIZATION * self.site.throughput * self.site.runners as f64;
         self.outcome.demand += sum;
         self.outcome.possible += sum.min(limit);
         let lacking = ready.iter().filter(|at| at.is_empty()).count();
--- a/crates/lab/src/slopes/rows.rs
+++ b/crates/lab/src/slopes/rows.rs
@@ -6,11 +6,11 @@
     DomainName, Fence, MemberId, ModelName, PoolName, ServerName, SlotId, VersionName,
 };
 use chestnut_member::{
-    ClaimKey, ClaimRow, LeaseRow, MemberRow, Server, ServerRole, WHOLE_CORE,
+    ClaimKey, ClaimRow, LeaseRow, MemberRow, ONE_CORE_WEIGHT, Server, ServerRole,
 };
 use chestnut_node::members::{CLAIMS, LEASES, MEMBERS, SERVERS};
 use chestnut_node::orders::rows::LEDGER;
-use chestnut_place::{Asset, Item, ItemState, Ledger};
+use chestnut_place::{Asset, Ledger, Reservation, ReservationState};
 use chestnut_plat::{PlatError, Table, Txn};
 use serde_json::json;
 
@@ -160,7 +160,7 @@
         peer_addr: address(n),
         ops_addr: address(n),
         leaving: false,
-        weight: WHOLE_CORE,
+        weight: ONE_CORE_WEIGHT,
     }
 }
 
@@ -180,18 +180,18 @@
 
 /// A runner's ledger; another `turn` holds other models.
 fn ledger(n: usize, models: usize, turn: usize) -> Ledger {
-    let item = |k: usize| Item {
+    let item = |k: usize| Reservation {
         asset: Asset::model(model((n * HELD + k + turn * 7) % models), version()),
         bytes: MODEL_BYTES,
-        state: ItemState::Ready,
+        state: ReservationState::Ready,
         loads: Vec::new(),
         unload: None,
     };
     Ledger {
         capacity: RUNNER_BYTES,
         incarnation: 1,
-        last: 1 + turn as u64,
+        last_order: 1 + turn as u64,
         down: false,
-        items: (0..HELD).map(item).collect(),
+        reservations: (0..HELD).map(item).collect(),
     }
 }
--- a/crates/member/src/assign.rs
+++ b/crates/member/src/assignment.rs
@@ -5,7 +5,7 @@
 //! for each claim by rendezvous hashing, so that they agree without talking and
 //! one member's change moves only that member's share. A claim that has a holder
 //! stays with it until the holder leaves or dies, or until the member that it
-//! falls to has been there for [`STABLE`]: without the pause a daemon that dies
+//! falls to has been there for [`STABLE_AFTER`]: without the pause a daemon that dies
 //! again and again soon after its start would each time take its share of the
 //! backend servers down with it until its lease lapses.
 //!
@@ -20,13 +20,13 @@
 use chestnut_base::{Fence, MemberId, VmName};
 use indexmap::IndexMap;
 
-use crate::known::{ClaimRow, Known, MemberRow};
+use crate::rows::{ClaimRow, MemberRow, MembershipRows};
 use crate::view::ClaimKey;
 
 /// How long a member must have been known before claims are handed to it.
 ///
 /// Longer than a lease, so that one that died right after its start is noticed.
-pub const STABLE: Duration = Duration::from_secs(10);
+pub const STABLE_AFTER: Duration = Duration::from_secs(10);
 
 /// The greatest number of claims that a holder hands over at a tick.
 ///
@@ -36,9 +36,9 @@
 
 /// What to do about the claims.
 #[derive(Debug, Clone, Default, PartialEq)]
-pub struct Plan {
+pub struct ClaimPlan {
     /// The steps, each of which is a transaction of its own or part of one.
-    pub steps: Vec<Step>,
+    pub changes: Vec<ClaimChange>,
 }
 
 /// What to do about a claim.
@@ -47,37 +47,37 @@
 /// that take the same claim can't both find the version, and a former holder
 /// that comes back finds that its own transactions fail on it.
 #[derive(Debug, Clone, PartialEq)]
-pub struct Step {
+pub struct ClaimChange {
     /// The claim.
     pub key: ClaimKey,
     /// The version that the claim's row must still have; 0 if it must not exist.
-    pub version: u64,
+    pub expected_version: u64,
     /// The new row.
     pub row: ClaimRow,
 }
 
 /// Decides what a daemon does about the claims on `keys`.
-pub fn plan(
-    known: &Known,
+pub fn plan_claims(
+    known: &MembershipRows,
     vm: &VmName,
     me: MemberId,
     keys: &[ClaimKey],
     now: Instant,
-) -> Plan {
-    let Some((own, _)) = known.own(vm, me) else {
-        return Plan::default();
+) -> ClaimPlan {
+    let Some((own, _)) = known.own_row(vm, me) else {
+        return ClaimPlan::default();
     };
     let able: Vec<(&VmName, &MemberRow)> = known
         .members
         .iter()
-        .filter(|(_, (row, _))| known.takes_claims(row))
+        .filter(|(_, (row, _))| known.accepts_claims(row))
         .map(|(vm, (row, _))| (vm, row))
         .collect();
     let alive: IndexMap<MemberId, ()> =
         known.members.values().map(|(row, _)| (row.member, ())).collect();
-    let stable = |member: &MemberId| known.is_stable(*member, now, STABLE);
+    let stable = |member: &MemberId| known.is_stable(*member, now, STABLE_AFTER);
     let mut spare = BALANCE_STEPS;
-    let leaving = !known.takes_claims(own);
+    let leaving = !known.accepts_claims(own);
 
     let mut steps = Vec::new();
     for key in keys {
@@ -107,9 +107,9 @@
             continue;
         };
         let row = ClaimRow { holder: next, fence: Fence(last + 1) };
-        steps.push(Step { key: key.clone(), version, row });
+        steps.push(ClaimChange { key: key.clone(), expected_version: version, row });
     }
-    Plan { steps }
+    ClaimPlan { changes: steps }
 }
 
 /// The member that a claim falls to if it has no holder.
--- a/crates/member/src/known.rs
+++ b/crates/member/src/rows.rs
@@ -30,10 +30,10 @@
 }
 
 /// The weight of a daemon that has a core, or whose row does not say.
-pub const WHOLE_CORE: u32 = 100;
+pub const ONE_CORE_WEIGHT: u32 = 100;
 
 fn whole_core() -> u32 {
-    WHOLE_CORE
+    ONE_CORE_WEIGHT
 }
 
 /// A daemon's lease, rewritten at each renewal.
@@ -59,7 +59,7 @@
 
 /// The rows of the platform's table as this daemon has read them.
 #[derive(Debug, Clone, Default)]
-pub struct Known {
+pub struct MembershipRows {
     /// Daemons and the versions of their rows.
     pub members: IndexMap<VmName, (MemberRow, u64)>,
     /// Claims and the versions of their rows.
@@ -69,40 +69,40 @@
     /// Daemons that said themselves that they are leaving, ahead of the table.
     pub leaving: IndexSet<MemberId>,
     /// When each member was first seen.
-    seen: IndexMap<MemberId, Instant>,
+    first_seen: IndexMap<MemberId, Instant>,
 }
 
-impl Known {
+impl MembershipRows {
     /// Takes note of who is there, to be called after each read.
-    pub fn note_seen(&mut self, now: Instant) {
+    pub fn record_first_seen(&mut self, now: Instant) {
         let present: IndexSet<MemberId> =
             self.members.values().map(|(row, _)| row.member).collect();
-        self.seen.retain(|member, _| present.contains(member));
+        self.first_seen.retain(|member, _| present.contains(member));
         for member in present {
-            self.seen.entry(member).or_insert(now);
+            self.first_seen.entry(member).or_insert(now);
         }
     }
 
     /// Whether the member has been there for `least`.
     pub fn is_stable(&self, member: MemberId, now: Instant, least: Duration) -> bool {
-        let seen = self.seen.get(&member);
+        let seen = self.first_seen.get(&member);
         seen.is_some_and(|&seen| now.saturating_duration_since(seen) >= least)
     }
 
     /// The row of this start of the daemon and its version, if it stands.
-    pub fn own(&self, vm: &VmName, me: MemberId) -> Option<(&MemberRow, u64)> {
+    pub fn own_row(&self, vm: &VmName, me: MemberId) -> Option<(&MemberRow, u64)> {
         let (row, version) = self.members.get(vm)?;
         (row.member == me).then_some((row, *version))
     }
 
     /// The row of a start of a daemon, if it stands.
-    pub fn row(&self, member: MemberId) -> Option<&MemberRow> {
+    pub fn member_row(&self, member: MemberId) -> Option<&MemberRow> {
         let mut rows = self.members.values().map(|(row, _)| row);
         rows.find(|row| row.member == member)
     }
 
     /// Whether the member stands and takes claims.
-    pub fn takes_claims(&self, row: &MemberRow) -> bool {
+    pub fn accepts_claims(&self, row: &MemberRow) -> bool {
         !row.leaving && !self.leaving.contains(&row.member)
     }
 
@@ -115,7 +115,7 @@
                 caller_addr: row.caller_addr,
                 peer_addr: row.peer_addr,
                 ops_addr: row.ops_addr,
-                leaving: !self.takes_claims(row),
+                leaving: !self.accepts_claims(row),
             };
             (row.member, member)
         });
--- a/crates/member/src/wake.rs
+++ b/crates/member/src/suspension.rs
@@ -10,9 +10,9 @@
 //! # Decision
 //!
 //! The daemon looks at its clocks some times a second. If they show a gap, all news is
-//! old for [`SETTLE`], and the claims are read again before the next order. Where
+//! old for [`SETTLING_TIME`], and the claims are read again before the next order. Where
 //! runners do not check fences, an order is given only if the claims were confirmed
-//! within [`SURE`]: whoever took the runner over waits for longer than that.
+//! within [`MAX_CONFIRMATION_AGE`]: whoever took the runner over waits for longer than that.
 
 use std::time::{Duration, Instant};
 
@@ -30,32 +30,32 @@
 /// How long after a gap other daemons' news may be from before it.
 ///
 /// What waited in the socket is read within some milliseconds; a busy VM takes longer.
-pub const SETTLE: Duration = Duration::from_millis(500);
+pub const SETTLING_TIME: Duration = Duration::from_millis(500);
 
 /// How old the store's word on the claims may be for an order that no fence stops.
 ///
 /// A claim is taken over 1.5 s after the last beat at the earliest, and its new holder
 /// waits for a turn of some seconds then.
-pub const SURE: Duration = Duration::from_millis(2000);
+pub const MAX_CONFIRMATION_AGE: Duration = Duration::from_millis(2000);
 
 /// Whether the daemon has stood still lately.
 #[derive(Debug, Default)]
-pub struct Wake {
+pub struct SuspensionDetector {
     /// The last look: when it was, and how long the VM had stood still since its start.
     seen: Option<(Instant, Duration)>,
     /// Until when news may be from before the last gap.
     until: Option<Instant>,
 }
 
-impl Wake {
+impl SuspensionDetector {
     /// Looks at the clocks; returns the gap if the daemon has stood still since last time.
-    pub fn look(&mut self, still: Duration, now: Instant) -> Option<Duration> {
+    pub fn check(&mut self, still: Duration, now: Instant) -> Option<Duration> {
         let (then, before) = self.seen.replace((now, still))?;
         let suspended = still.checked_sub(before).filter(|gap| *gap >= LEAST);
         let stalled =
             Some(now.saturating_duration_since(then)).filter(|gap| *gap > STALL);
         let gap = suspended.max(stalled)?;
-        self.until = Some(now + SETTLE);
+        self.until = Some(now + SETTLING_TIME);
         Some(gap)
     }
 
@@ -69,9 +69,9 @@
 ///
 /// `age` is the age of the store's word on the claims, nothing if there is none since
 /// the VM stood still.
-pub fn may_order(fenced: bool, age: Option<Duration>) -> bool {
+pub fn may_send_order(fenced: bool, age: Option<Duration>) -> bool {
     match age {
         None => false,
-        Some(age) => fenced || age < SURE,
+        Some(age) => fenced || age < MAX_CONFIRMATION_AGE,
     }
 }
--- a/crates/member/tests/claims.rs
+++ b/crates/member/tests/claims.rs
@@ -8,8 +8,8 @@
 
 use chestnut_base::{DomainName, Fence, MemberId, ServerName, SlotId, VmName};
 use chestnut_member::{
-    ClaimKey, ClaimRow, Known, Lease, LeaseRow, MemberRow, WHOLE_CORE, lapsed, plan,
-    watched,
+    ClaimKey, ClaimRow, Lease, LeaseRow, MemberRow, MembershipRows, ONE_CORE_WEIGHT,
+    expired, plan_claims, watched_vms,
 };
 use indexmap::IndexMap;
 use proptest::prelude::*;
@@ -35,7 +35,7 @@
     lease: Lease,
     leaving: bool,
     alive: bool,
-    known: Known,
+    known: MembershipRows,
 }
 
 #[derive(Debug, Clone)]
@@ -99,7 +99,7 @@
             lease: Lease::new(TERM),
             leaving: false,
             alive: true,
-            known: Known::default(),
+            known: MembershipRows::default(),
         }
     }
 
@@ -138,9 +138,10 @@
             peer_addr: addr,
             ops_addr: addr,
             leaving: daemon.leaving,
-            weight: WHOLE_CORE,
+            weight: ONE_CORE_WEIGHT,
         };
-        let known = daemon.known.own(&daemon.vm, daemon.me).map(|(_, version)| version);
+        let known =
+            daemon.known.own_row(&daemon.vm, daemon.me).map(|(_, version)| version);
         let current =
             self.table.members.get(&daemon.vm).map(|(row, version)| (row, *version));
         let fits = match (known, current) {
@@ -149,7 +150,7 @@
             }
             (Some(_), None) => {
                 daemon.known.members.swap_remove(&daemon.vm);
-                daemon.lease.lost();
+                daemon.lease.revoke();
                 return;
             }
             (None, _) => false,
@@ -161,7 +162,7 @@
         let revision = Default::default();
         let lease = LeaseRow { member: daemon.me, revision, modified: millis };
         self.table.leases.insert(daemon.vm.clone(), lease);
-        daemon.lease.renewed(now);
+        daemon.lease.record_renewal(now);
     }
 
     fn read(&mut self, n: usize) {
@@ -170,7 +171,7 @@
         if daemon.alive {
             daemon.known.members = self.table.members.clone();
             daemon.known.claims = self.table.claims.clone();
-            daemon.known.note_seen(now);
+            daemon.known.record_first_seen(now);
         }
     }
 
@@ -183,16 +184,17 @@
         let known = self.daemons[n].known.clone();
         let vm = self.daemons[n].vm.clone();
         let others = known.members.keys().filter(|name| **name != vm).count();
-        assert_eq!(watched(&known, &vm).len(), others, "all of so few are watched");
-        for gone in lapsed(&known, &self.table.leases.clone(), millis, TERM) {
+        assert_eq!(watched_vms(&known, &vm).len(), others, "all of so few are watched");
+        for gone in expired(&known, &self.table.leases.clone(), millis, TERM) {
             self.remove(&gone, known.members[&gone].1, now);
         }
-        if !self.daemons[n].lease.holds(now) {
+        if !self.daemons[n].lease.is_valid(now) {
             return;
         }
-        for step in plan(&known, &vm, self.daemons[n].me, &self.keys, now).steps {
+        for step in plan_claims(&known, &vm, self.daemons[n].me, &self.keys, now).changes
+        {
             let current = self.table.claims.get(&step.key);
-            if current.map_or(0, |(_, version)| *version) != step.version {
+            if current.map_or(0, |(_, version)| *version) != step.expected_version {
                 continue;
             }
             let last = current.map_or(Fence(0), |(row, _)| row.fence);
@@ -205,7 +207,7 @@
     fn remove(&mut self, vm: &VmName, version: u64, now: Instant) {
         let idle = self.table.leases.get(vm).is_none_or(|lease| {
             let age = self.table.now.as_millis() as u64 - lease.modified;
-            age >= (TERM + chestnut_member::lease::MARGIN).as_millis() as u64
+            age >= (TERM + chestnut_member::lease::EXPIRY_MARGIN).as_millis() as u64
         });
         let same = self.table.members.get(vm).is_some_and(|(_, v)| *v == version);
         if !idle || !same {
@@ -213,7 +215,10 @@
         }
         let removed = self.table.members[vm].0.member;
         for daemon in self.daemons.iter().filter(|daemon| daemon.me == removed) {
-            assert!(!daemon.lease.holds(now), "a daemon was removed whose lease holds");
+            assert!(
+                !daemon.lease.is_valid(now),
+                "a daemon was removed whose lease holds"
+            );
         }
         self.table.members.swap_remove(vm);
         self.table.leases.swap_remove(vm);
@@ -281,14 +286,14 @@
 fn a_lease_counts_from_before_its_renewal_was_sent() {
     let sent = Instant::now();
     let mut lease = Lease::new(TERM);
-    assert!(!lease.holds(sent));
-    lease.renewed(sent);
-    assert!(lease.holds(sent + TERM - Duration::from_millis(1)));
-    assert!(!lease.holds(sent + TERM));
+    assert!(!lease.is_valid(sent));
+    lease.record_renewal(sent);
+    assert!(lease.is_valid(sent + TERM - Duration::from_millis(1)));
+    assert!(!lease.is_valid(sent + TERM));
     // An answer that arrives late must not prolong a newer renewal's lease.
-    lease.renewed(sent + RENEWAL);
-    lease.renewed(sent);
-    assert!(lease.holds(sent + TERM));
-    lease.lost();
-    assert!(!lease.holds(sent));
+    lease.record_renewal(sent + RENEWAL);
+    lease.record_renewal(sent);
+    assert!(lease.is_valid(sent + TERM));
+    lease.revoke();
+    assert!(!lease.is_valid(sent));
 }
--- a/crates/member/tests/wake.rs
+++ b/crates/member/tests/wake.rs
@@ -3,7 +3,9 @@
 use std::time::{Duration, Instant};
 
 use chestnut_base::{Clock, ManualClock};
-use chestnut_member::wake::{SETTLE, SURE, Wake, may_order};
+use chestnut_member::suspension::{
+    MAX_CONFIRMATION_AGE, SETTLING_TIME, SuspensionDetector, may_send_order,
+};
 
 const SECOND: Duration = Duration::from_secs(1);
 
@@ -12,17 +14,17 @@
 /// of clocks it takes its claims for confirmed and gives an order beside the new holder.
 #[test]
 fn news_is_old_after_a_gap() {
-    let (clock, mut wake) = (ManualClock::new(), Wake::default());
-    assert_eq!(wake.look(clock.suspended(), clock.now()), None);
+    let (clock, mut wake) = (ManualClock::new(), SuspensionDetector::default());
+    assert_eq!(wake.check(clock.suspended(), clock.now()), None);
     clock.advance(SECOND / 4);
-    assert_eq!(wake.look(clock.suspended(), clock.now()), None);
+    assert_eq!(wake.check(clock.suspended(), clock.now()), None);
     assert!(!wake.is_settling(clock.now()));
     clock.suspend(5 * SECOND);
-    assert_eq!(wake.look(clock.suspended(), clock.now()), Some(5 * SECOND));
+    assert_eq!(wake.check(clock.suspended(), clock.now()), Some(5 * SECOND));
     assert!(wake.is_settling(clock.now()));
-    assert_eq!(wake.look(clock.suspended(), clock.now()), None);
+    assert_eq!(wake.check(clock.suspended(), clock.now()), None);
     assert!(wake.is_settling(clock.now()), "a second look ends nothing");
-    clock.advance(SETTLE);
+    clock.advance(SETTLING_TIME);
     assert!(!wake.is_settling(clock.now()));
 }
 
@@ -30,20 +32,20 @@
 /// it read of the claims is old by that clock, but beats from before make it look new.
 #[test]
 fn a_stopped_process_has_a_gap() {
-    let (clock, mut wake) = (ManualClock::new(), Wake::default());
-    wake.look(clock.suspended(), clock.now());
+    let (clock, mut wake) = (ManualClock::new(), SuspensionDetector::default());
+    wake.check(clock.suspended(), clock.now());
     clock.advance(5 * SECOND);
-    assert_eq!(wake.look(clock.suspended(), clock.now()), Some(5 * SECOND));
+    assert_eq!(wake.check(clock.suspended(), clock.now()), Some(5 * SECOND));
     assert!(wake.is_settling(clock.now()));
 }
 
 /// The clocks are read one after the other, some milliseconds apart.
 #[test]
 fn small_differences_are_no_gap() {
-    let (mut wake, now) = (Wake::default(), Instant::now());
-    wake.look(SECOND, now);
-    assert_eq!(wake.look(SECOND + Duration::from_millis(30), now), None);
-    assert_eq!(wake.look(SECOND, now), None, "nor is going back");
+    let (mut wake, now) = (SuspensionDetector::default(), Instant::now());
+    wake.check(SECOND, now);
+    assert_eq!(wake.check(SECOND + Duration::from_millis(30), now), None);
+    assert_eq!(wake.check(SECOND, now), None, "nor is going back");
     assert!(!wake.is_settling(now));
 }
 
@@ -52,9 +54,9 @@
 /// it stops before another one can have waited for its turn.
 #[test]
 fn an_order_that_no_fence_stops_needs_the_stores_word() {
-    assert!(may_order(true, Some(60 * SECOND)));
-    assert!(may_order(false, Some(SECOND)));
-    assert!(!may_order(false, Some(SURE)));
-    assert!(!may_order(true, None));
-    assert!(!may_order(false, None));
+    assert!(may_send_order(true, Some(60 * SECOND)));
+    assert!(may_send_order(false, Some(SECOND)));
+    assert!(!may_send_order(false, Some(MAX_CONFIRMATION_AGE)));
+    assert!(!may_send_order(true, None));
+    assert!(!may_send_order(false, None));
 }
--- a/crates/member/tests/weights.rs
+++ b/crates/member/tests/weights.rs
@@ -3,15 +3,15 @@
 use std::time::Instant;
 
 use chestnut_base::{DomainName, MemberId, PoolName, ServerName, VmName};
-use chestnut_member::{ClaimKey, Known, MemberRow, plan};
+use chestnut_member::{ClaimKey, MemberRow, MembershipRows, plan_claims};
 use indexmap::IndexMap;
 
 const SMALL: u32 = 12;
 const LARGE: u32 = 48;
 
 /// Ten small VMs and two large ones.
-fn known() -> Known {
-    let mut known = Known::default();
+fn known() -> MembershipRows {
+    let mut known = MembershipRows::default();
     for number in 0..12u64 {
         let addr = "127.0.0.1:1".parse().expect("an address");
         let row = MemberRow {
@@ -25,7 +25,7 @@
         };
         known.members.insert(vm(number), (row, 1));
     }
-    known.note_seen(Instant::now());
+    known.record_first_seen(Instant::now());
     known
 }
 
@@ -37,8 +37,9 @@
 fn shares(keys: &[ClaimKey]) -> IndexMap<u64, usize> {
     let known = known();
     let now = Instant::now();
-    let taken =
-        |number: u64| plan(&known, &vm(number), MemberId(number), keys, now).steps.len();
+    let taken = |number: u64| {
+        plan_claims(&known, &vm(number), MemberId(number), keys, now).changes.len()
+    };
     (0..12).map(|number| (number, taken(number))).collect()
 }
 
--- a/crates/node/src/members.rs
+++ b/crates/node/src/members.rs
@@ -16,7 +16,7 @@
 use std::time::Duration;
 
 use chestnut_base::{MemberId, VmName};
-use chestnut_member::{Known, LeaseRow, MemberRow, WHOLE_CORE, lapsed};
+use chestnut_member::{LeaseRow, MemberRow, MembershipRows, ONE_CORE_WEIGHT, expired};
 use chestnut_plat::{PlatError, Row, Txn, TxnAnswer};
 use chestnut_wire::Ask;
 use indexmap::IndexMap;
@@ -91,7 +91,7 @@
 struct Members {
     shared: Arc<Shared>,
     addresses: Addresses,
-    known: Known,
+    known: MembershipRows,
     leases: IndexMap<VmName, LeaseRow>,
     /// The versions up to which each table was read.
     read: IndexMap<&'static str, u64>,
@@ -124,7 +124,7 @@
         Self {
             shared,
             addresses,
-            known: Known::default(),
+            known: MembershipRows::default(),
             leases: IndexMap::new(),
             read: IndexMap::new(),
             now: 0,
@@ -207,7 +207,7 @@
     async fn renew(&mut self) -> Result<(), PlatError> {
         let now = self.shared.clock.now();
         let leaving = self.shared.is_leaving() || !self.admitted;
-        let own = self.known.own(&self.shared.settings.vm, self.shared.me);
+        let own = self.known.own_row(&self.shared.settings.vm, self.shared.me);
         let written = own.filter(|(row, _)| row.leaving == leaving);
         if self.joined && written.is_some() && now < self.renew_at {
             return Ok(());
@@ -224,7 +224,7 @@
         let answer = self.shared.table.commit(&txn).await?;
         let mut own_lease = self.shared.lease.lock().expect("no holder panics");
         if let TxnAnswer::Committed { .. } = answer {
-            own_lease.renewed(now);
+            own_lease.record_renewal(now);
             if !leaving {
                 self.shared.listed.store(true, Ordering::Release);
             }
@@ -232,7 +232,7 @@
             self.joined = true;
             self.renew_at = now + self.shared.settings.times.renewal;
         } else {
-            own_lease.lost();
+            own_lease.revoke();
             self.joined = false;
             warn!(self.shared.log, "the lease lapsed and others removed this daemon");
         }
@@ -247,21 +247,21 @@
             peer_addr: self.addresses.peer,
             ops_addr: self.addresses.ops,
             leaving,
-            weight: WHOLE_CORE,
+            weight: ONE_CORE_WEIGHT,
         }
     }
 
     /// Removes the rows of watched daemons whose lease lapsed.
     async fn remove_lapsed(&mut self) -> Result<(), PlatError> {
         let term = self.shared.settings.times.lease;
-        for vm in lapsed(&self.known, &self.leases, self.now, term) {
+        for vm in expired(&self.known, &self.leases, self.now, term) {
             let Some((_, version)) = self.known.members.get(&vm) else {
                 continue;
             };
             let key = vm.as_str();
             let txn = Txn::new()
                 .version(MEMBERS, key, *version)
-                .idle(LEASES, key, term + chestnut_member::lease::MARGIN)
+                .idle(LEASES, key, term + chestnut_member::lease::EXPIRY_MARGIN)
                 .delete(MEMBERS, key)
                 .delete(LEASES, key);
             if let TxnAnswer::Committed { .. } = self.shared.table.commit(&txn).await? {
--- a/crates/node/src/members/claims.rs
+++ b/crates/node/src/members/claims.rs
@@ -1,7 +1,7 @@
 //! Takes claims, and hands them over.
 
 use chestnut_base::SlotId;
-use chestnut_member::{ClaimKey, Step, plan};
+use chestnut_member::{ClaimChange, ClaimKey, plan_claims};
 use chestnut_plat::{PlatError, Txn, TxnAnswer};
 use serde_json::json;
 
@@ -20,8 +20,14 @@
         }
         self.idle_polls = 0;
         let keys = self.keys();
-        let steps =
-            plan(&self.known, &self.shared.settings.vm, self.shared.me, &keys, now).steps;
+        let steps = plan_claims(
+            &self.known,
+            &self.shared.settings.vm,
+            self.shared.me,
+            &keys,
+            now,
+        )
+        .changes;
         self.unplanned = !steps.is_empty();
         if steps.is_empty() {
             return Ok(());
@@ -35,11 +41,11 @@
         Ok(())
     }
 
-    async fn commit_claims(&mut self, steps: &[Step]) -> Result<bool, PlatError> {
+    async fn commit_claims(&mut self, steps: &[ClaimChange]) -> Result<bool, PlatError> {
         let mut txn = Txn::new();
         for step in steps {
             let key = step.key.to_string();
-            txn = match step.version {
+            txn = match step.expected_version {
                 0 => txn.absent(CLAIMS, key.clone()),
                 version => txn.version(CLAIMS, key.clone(), version),
             };
--- a/crates/node/src/members/tables.rs
+++ b/crates/node/src/members/tables.rs
@@ -1,7 +1,7 @@
 //! Reads what changed in the tables of members, claims, servers and drains.
 
 use chestnut_base::{ServerName, VmName};
-use chestnut_member::{ClaimKey, ClaimRow, LeaseRow, MemberRow, Server, watched};
+use chestnut_member::{ClaimKey, ClaimRow, LeaseRow, MemberRow, Server, watched_vms};
 use chestnut_plat::table::Lookup;
 use chestnut_plat::{Delta, PlatError, Row};
 use serde::de::DeserializeOwned;
@@ -11,7 +11,7 @@
 
 impl Members {
     pub(super) async fn read_all(&mut self) -> Result<(), PlatError> {
-        let watched = watched(&self.known, &self.shared.settings.vm);
+        let watched = watched_vms(&self.known, &self.shared.settings.vm);
         let wanted = watched
             .into_iter()
             .map(|vm| Lookup { table: LEASES.into(), key: vm.into() })
@@ -45,7 +45,7 @@
         {
             self.known.members.insert(vm, (member, row.version));
         }
-        self.known.note_seen(self.shared.clock.now());
+        self.known.record_first_seen(self.shared.clock.now());
         Ok(delta.more)
     }
 
--- a/crates/node/src/ops.rs
+++ b/crates/node/src/ops.rs
@@ -125,13 +125,13 @@
         .iter()
         .map(|(name, (ledger, _))| {
             let items: serde_json::Map<String, Value> = ledger
-                .items
+                .reservations
                 .iter()
                 .map(|item| (item.asset.to_string(), json!(item.state)))
                 .collect();
             let row = json!({
                 "capacity": ledger.capacity,
-                "reserved": ledger.reserved(),
+                "reserved": ledger.reserved_bytes(),
                 "down": ledger.down,
                 "items": items,
             });
--- a/crates/node/src/orders/command.rs
+++ b/crates/node/src/orders/command.rs
@@ -72,7 +72,7 @@
             (Some(adapter), OrderKind::Load) => post("load_lora_adapter").json(&json!({
                 "lora_name": adapter,
                 "lora_path": adapter,
-                "base_model_name": asset.engine_model(),
+                "base_model_name": asset.engine_model_name(),
                 "bytes": order.bytes,
             })),
             (Some(adapter), OrderKind::Unload) => {
--- a/crates/node/src/orders/rows.rs
+++ b/crates/node/src/orders/rows.rs
@@ -5,7 +5,7 @@
 
 use chestnut_base::{PoolName, ServerName};
 use chestnut_member::View;
-use chestnut_place::{Ledger, Residence, Resident, Want};
+use chestnut_place::{DesiredAsset, Ledger, Residency, ResidentAssets};
 use indexmap::IndexMap;
 use serde::{Deserialize, Serialize};
 
@@ -50,7 +50,7 @@
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct PlanRow {
     /// Models before the adapters on top of them.
-    pub wanted: Vec<Want>,
+    pub wanted: Vec<DesiredAsset>,
 }
 
 /// What a planner could not place, in the row `pool/NAME` of the plans' table.
@@ -139,12 +139,12 @@
     let runners =
         rows.ledgers.iter().filter(|(name, _)| view.servers.contains_key(*name)).map(
             |(name, (ledger, _))| {
-                let held = Resident::of(ledger);
+                let held = ResidentAssets::from_ledger(ledger);
                 let same = old.runners().get(name).filter(|old| ***old == held);
                 (name.clone(), same.cloned().unwrap_or_else(|| Arc::new(held)))
             },
         );
-    let residence = Residence::new(runners.collect());
+    let residence = Residency::new(runners.collect());
     shared.residence.send_if_modified(|old| {
         let changed = **old != residence;
         if changed {
--- a/crates/node/src/orders/runner.rs
+++ b/crates/node/src/orders/runner.rs
@@ -7,7 +7,8 @@
 use chestnut_base::{OrderId, PoolName, ServerName};
 use chestnut_member::{Claim, ClaimKey, Server, ServerRole};
 use chestnut_place::{
-    Asset, Ledger, Order, OrderKind, Report, Situation, Span, Want, follow, witnesses,
+    Asset, DesiredAsset, DropChecks, Ledger, Order, OrderKind, Report, TimeRange,
+    reconcile, witnesses,
 };
 use chestnut_plat::{PlatError, Txn, TxnAnswer};
 
@@ -179,7 +180,7 @@
             },
         };
         if self.copies.is_empty() {
-            self.earlier = ledger.last;
+            self.earlier = ledger.last_order;
         }
         self.row = Some((ledger, version));
         Ok(())
@@ -199,9 +200,9 @@
         let catalog = self.shared.catalog();
         let rows = self.shared.rows.borrow().clone();
         let to = rows.time_to(self.shared.clock.now());
-        ledger.observe(report, Span { from, to });
+        ledger.apply_report(report, TimeRange { earliest: from, latest: to });
         for order in self.cleared(ledger) {
-            ledger.clear(order);
+            ledger.mark_answered(order);
         }
         let Some(declared) = catalog.pools.get(pool) else { return Vec::new() };
         ledger.capacity = declared.memory.min(report.capacity);
@@ -217,7 +218,8 @@
             witnesses(&catalog, others.clone(), ledger, asset)
         };
         let idle = |asset: &Asset| self.is_idle(asset, report);
-        let found = follow(ledger, &wanted, &Situation { spare: &spare, idle: &idle });
+        let found =
+            reconcile(ledger, &wanted, &DropChecks { witnesses: &spare, is_idle: &idle });
         let version = |name: &ServerName| rows.ledgers.get(name).map(|(_, v)| *v);
         found
             .witnesses
@@ -227,7 +229,7 @@
     }
 
     /// What the runner is to hold; nothing is changed until a planner has said it.
-    fn wanted(&self) -> Option<Vec<Want>> {
+    fn wanted(&self) -> Option<Vec<DesiredAsset>> {
         let rows = self.shared.rows.borrow();
         rows.plans.get(&self.name).map(|plan| plan.wanted.clone())
     }
@@ -241,9 +243,9 @@
 
     /// Load orders of which every copy that any lead sent was answered.
     fn cleared(&self, ledger: &Ledger) -> Vec<OrderId> {
-        let loads = ledger.items.iter().flat_map(|item| &item.loads);
+        let loads = ledger.reservations.iter().flat_map(|item| &item.loads);
         loads
-            .filter(|load| load.seen && !load.clear && load.order.0 > self.earlier)
+            .filter(|load| load.listed && !load.answered && load.order.0 > self.earlier)
             .filter(|load| {
                 let count = self.copies.get(&load.order).copied().unwrap_or_default();
                 count.sent == count.answered
@@ -289,10 +291,11 @@
     }
 
     fn count_new(&self, held: &Ledger, next: &Ledger) {
-        for item in &next.items {
-            let fresh = item.loads.iter().filter(|load| load.order.0 > held.last).count();
+        for item in &next.reservations {
+            let fresh =
+                item.loads.iter().filter(|load| load.order.0 > held.last_order).count();
             self.counters.loads.inc_by(fresh as u64);
-            if item.unload.is_some_and(|order| order.0 > held.last) {
+            if item.unload.is_some_and(|order| order.0 > held.last_order) {
                 self.counters.unloads.inc();
             }
         }
@@ -302,15 +305,16 @@
     ///
     /// Returns whether orders are outstanding.
     async fn send_orders(&mut self, server: &Server, next: &Ledger) -> bool {
-        let orders = next.orders();
+        let orders = next.pending_orders();
         self.waits.retain(|asset, _| orders.iter().any(|order| order.asset == *asset));
         for order in &orders {
-            let known = self.row.as_ref().is_some_and(|(row, _)| row.knows(order));
+            let known =
+                self.row.as_ref().is_some_and(|(row, _)| row.contains_order(order));
             if known && self.may_send(order) && self.is_due(order) {
                 self.send(server, order).await;
             }
         }
-        next.is_moving()
+        next.is_changing()
     }
 
     /// Whether an order may be sent under the claim as it is.
--- a/crates/node/src/orders/usage.rs
+++ b/crates/node/src/orders/usage.rs
@@ -51,9 +51,9 @@
     /// Whether no request uses the asset or an adapter on top of it.
     pub fn is_idle(&self, server: &ServerName, asset: &Asset) -> bool {
         let counts = self.lock();
-        !counts
-            .keys()
-            .any(|(name, used)| name == server && (used == asset || used.is_on(asset)))
+        !counts.keys().any(|(name, used)| {
+            name == server && (used == asset || used.is_adapter_on(asset))
+        })
     }
 
     fn lock(&self) -> std::sync::MutexGuard<'_, Counts> {
--- a/crates/node/src/planner.rs
+++ b/crates/node/src/planner.rs
@@ -12,7 +12,7 @@
 
 use chestnut_base::{ModelName, PoolName, ServerName};
 use chestnut_member::{Claim, ClaimKey};
-use chestnut_place::{Demand, plan};
+use chestnut_place::{DemandEstimate, plan_placement};
 use chestnut_plat::{PlatError, Txn, TxnAnswer};
 use indexmap::{IndexMap, IndexSet};
 use prometheus_client::metrics::counter::Counter;
@@ -120,7 +120,7 @@
 /// The planner of one pool.
 struct Planner {
     claim: Claim,
-    averages: IndexMap<ModelName, Demand>,
+    averages: IndexMap<ModelName, DemandEstimate>,
     averaged: Instant,
     /// The digests of entries by their row's key, and the version they were read to.
     digests: IndexMap<String, Digest>,
@@ -161,7 +161,7 @@
         let view = shared.view();
         let Some(scene) = Scene::new(&catalog, &view, &rows, pool) else { return Ok(()) };
         let state = scene.state(&self.averages, &mut self.awaited, now);
-        let placement = plan(&state);
+        let placement = plan_placement(&state);
         counters.rounds.inc();
         counters.replicas.inc_by(placement.added.len() as u64);
         let (plans, unplaced) = scene.rows(&state, &placement);
@@ -226,7 +226,7 @@
         }
         for (model, average) in &mut self.averages {
             let rate = rates.get(model).copied().unwrap_or(0.0);
-            average.add(rate * time.as_secs_f64(), time);
+            average.record(rate * time.as_secs_f64(), time);
         }
         Ok(stale.into_keys().collect())
     }
--- a/crates/node/src/planner/scene.rs
+++ b/crates/node/src/planner/scene.rs
@@ -7,8 +7,8 @@
 use chestnut_config::{Catalog, Model, Pool};
 use chestnut_member::{Server, ServerRole, View};
 use chestnut_place::{
-    Asset, Demand, Item, ItemState, Ledger, ModelState, Placement, PoolState,
-    RunnerState, Want,
+    Asset, DemandEstimate, DesiredAsset, Ledger, ModelState, Placement, PoolState,
+    Reservation, ReservationState, RunnerState,
 };
 use indexmap::IndexMap;
 
@@ -65,7 +65,7 @@
     /// takes far too long does not count as placed.
     pub fn state(
         &self,
-        averages: &IndexMap<ModelName, Demand>,
+        averages: &IndexMap<ModelName, DemandEstimate>,
         awaited: &mut IndexMap<(ServerName, ModelName), Instant>,
         now: Instant,
     ) -> PoolState {
@@ -76,11 +76,11 @@
             let mut state = ModelState {
                 bytes: self.footprint(name, model),
                 replicas: model.replicas.max(1) as usize,
-                cold: model.cold,
-                demand: averages.get(*name).map_or(0.0, Demand::estimate),
+                load_time: model.cold,
+                demand: averages.get(*name).map_or(0.0, DemandEstimate::estimate),
                 placed: Vec::new(),
                 loading: 0,
-                copies: Vec::new(),
+                cached_on: Vec::new(),
             };
             for runner in self.placed(name, model, &usable) {
                 let server = self.runners[runner].0;
@@ -107,12 +107,12 @@
         PoolState {
             runners,
             models,
-            throughput: f64::from(self.declared.streams.max(1)) / step,
-            parallel: self.declared.parallel_loads.max(1) as usize,
+            runner_throughput: f64::from(self.declared.streams.max(1)) / step,
+            parallel_loads: self.declared.parallel_loads.max(1) as usize,
             frozen: false,
             attainment_weight: self.declared.attainment_weight,
             move_weight: self.declared.move_weight,
-            horizon: chestnut_place::planner::HORIZON,
+            demand_horizon: chestnut_place::planner::DEMAND_HORIZON,
         }
     }
 
@@ -121,17 +121,17 @@
         &self,
         state: &PoolState,
         placement: &Placement,
-    ) -> (Vec<(ServerName, Vec<Want>)>, Vec<Unplaced>) {
+    ) -> (Vec<(ServerName, Vec<DesiredAsset>)>, Vec<Unplaced>) {
         let mut room: Vec<u64> = state
             .runners
             .iter()
-            .map(|runner| runner.capacity.saturating_sub(runner.other))
+            .map(|runner| runner.capacity.saturating_sub(runner.other_bytes))
             .collect();
-        let mut wanted: Vec<Vec<Want>> = vec![Vec::new(); self.runners.len()];
+        let mut wanted: Vec<Vec<DesiredAsset>> = vec![Vec::new(); self.runners.len()];
         for (index, (name, model)) in self.models.iter().enumerate() {
             for runner in &placement.placed[index] {
                 let asset = Asset::model((*name).clone(), model.version.clone());
-                wanted[*runner].push(Want { asset, bytes: model.bytes });
+                wanted[*runner].push(DesiredAsset { asset, bytes: model.bytes });
                 room[*runner] = room[*runner].saturating_sub(model.bytes);
             }
         }
@@ -169,7 +169,7 @@
         index: usize,
         at: &[usize],
         room: &mut [u64],
-        wanted: &mut [Vec<Want>],
+        wanted: &mut [Vec<DesiredAsset>],
         unplaced: &mut Vec<Unplaced>,
     ) {
         let (name, model) = self.models[index];
@@ -182,7 +182,7 @@
                 }
                 let version = model.version.clone();
                 let asset = Asset::adapter(name.clone(), version, adapter.clone());
-                wanted[*runner].push(Want { asset, bytes: declared.bytes });
+                wanted[*runner].push(DesiredAsset { asset, bytes: declared.bytes });
                 room[*runner] -= declared.bytes;
                 count += 1;
             }
@@ -237,7 +237,7 @@
             let (server, _) = self.runners[*runner];
             let ledger = self.ledger(*runner);
             let Some(plan) = self.rows.plans.get(server) else {
-                let items = ledger.iter().flat_map(|ledger| &ledger.items);
+                let items = ledger.iter().flat_map(|ledger| &ledger.reservations);
                 return items
                     .into_iter()
                     .any(|item| is_held(item) && item.asset.model == *name);
@@ -254,7 +254,9 @@
             };
             let held = ledger.is_some_and(|ledger| ledger.is_usable(&want.asset));
             let last = want.asset.version != model.version && held && count <= 1;
-            !last || (!adapted && ledger.is_some_and(|held| held.free() >= model.bytes))
+            !last
+                || (!adapted
+                    && ledger.is_some_and(|held| held.free_bytes() >= model.bytes))
         };
         (0..self.runners.len()).filter(is_placed).collect()
     }
@@ -273,18 +275,18 @@
         let (_, server) = self.runners[runner];
         let ledger = self.ledger(runner);
         let capacity = self.declared.memory;
-        let pinned = |item: &&Item| self.is_pinned(item, runner, models, usable);
+        let pinned = |item: &&Reservation| self.is_pinned(item, runner, models, usable);
         let other = ledger.map_or(0, |ledger| {
-            ledger.items.iter().filter(pinned).map(|item| item.bytes).sum()
+            ledger.reservations.iter().filter(pinned).map(|item| item.bytes).sum()
         });
         let domain = self.domains.binary_search(&&server.domain).unwrap_or(0);
         let down = ledger.is_some_and(|ledger| ledger.down);
         RunnerState {
             domain,
             capacity,
-            other,
-            stays: !server.leaving && !down,
-            fixed: false,
+            other_bytes: other,
+            accepts_models: !server.leaving && !down,
+            locked: false,
         }
     }
 
@@ -292,35 +294,37 @@
     /// can't be freed now.
     fn is_pinned(
         &self,
-        item: &Item,
+        item: &Reservation,
         runner: usize,
         models: &[ModelState],
         usable: &HashMap<&ModelName, usize>,
     ) -> bool {
         let index = self.models.iter().position(|(name, _)| **name == item.asset.model);
-        let Some(index) = index else { return item.state == ItemState::Spent };
+        let Some(index) = index else { return item.state == ReservationState::Expiring };
         let current = self.models[index].1.version == item.asset.version;
         if current && models[index].placed.contains(&runner) {
             return false;
         }
         match item.state {
-            ItemState::Spent => true,
-            ItemState::Draining | ItemState::Unloading => false,
+            ReservationState::Expiring => true,
+            ReservationState::Draining | ReservationState::Unloading => false,
             // Loads can't be stopped and last replicas can't be dropped.
-            ItemState::Loading => true,
-            ItemState::Ready => usable.get(&item.asset.model).copied().unwrap_or(0) <= 1,
+            ReservationState::Loading => true,
+            ReservationState::Ready => {
+                usable.get(&item.asset.model).copied().unwrap_or(0) <= 1
+            }
         }
     }
 }
 
-fn is_held(item: &Item) -> bool {
+fn is_held(item: &Reservation) -> bool {
     item.asset.adapter.is_none()
-        && matches!(item.state, ItemState::Loading | ItemState::Ready)
+        && matches!(item.state, ReservationState::Loading | ReservationState::Ready)
 }
 
-fn usable_models(ledger: &Ledger) -> impl Iterator<Item = &Item> {
+fn usable_models(ledger: &Ledger) -> impl Iterator<Item = &Reservation> {
     ledger
-        .items
+        .reservations
         .iter()
         .filter(|item| item.asset.adapter.is_none() && ledger.is_usable(&item.asset))
 }
--- a/crates/node/src/relay.rs
+++ b/crates/node/src/relay.rs
@@ -208,7 +208,8 @@
         let Some(declared) = catalog.models.get(model) else { return };
         if self.have.tokens == 0 {
             let residence = self.node.shared.residence();
-            *version = residence.version(model, &declared.version, adapter.as_ref());
+            *version =
+                residence.servable_version(model, &declared.version, adapter.as_ref());
         }
     }
 
--- a/crates/node/src/shared.rs
+++ b/crates/node/src/shared.rs
@@ -8,7 +8,7 @@
 use chestnut_base::{AttemptId, Clock, Code, MemberId, Refusal};
 use chestnut_config::{Catalog, Settings};
 use chestnut_member::{Lease, View};
-use chestnut_place::Residence;
+use chestnut_place::Residency;
 use chestnut_plat::{Delta, Objects, PlatError, Table, VmList};
 use indexmap::IndexSet;
 use slog::Logger;
@@ -65,7 +65,7 @@
     /// Members, servers and claims, written by [`crate::members`].
     pub view: watch::Sender<Arc<View>>,
     /// What is resident where, written by [`crate::orders`].
-    pub residence: watch::Sender<Arc<Residence>>,
+    pub residence: watch::Sender<Arc<Residency>>,
     /// The ledger's and the plan's rows, written by [`crate::orders`].
     pub rows: watch::Sender<Arc<Rows>>,
     /// What callers ask of each model, read by [`crate::demand`].
@@ -151,7 +151,7 @@
     }
 
     /// What is known to be resident.
-    pub fn residence(&self) -> Arc<Residence> {
+    pub fn residence(&self) -> Arc<Residency> {
         self.residence.borrow().clone()
     }
 
@@ -162,7 +162,7 @@
 
     /// Whether the own lease holds, so that orders may rest on the own claims.
     pub fn lease_holds(&self, now: Instant) -> bool {
-        self.lease.lock().expect("no holder of the lease panics").holds(now)
+        self.lease.lock().expect("no holder of the lease panics").is_valid(now)
     }
 
     /// Refuses requests while this daemon must not take any.
--- a/crates/node/src/slots/keeper.rs
+++ b/crates/node/src/slots/keeper.rs
@@ -112,7 +112,7 @@
     fn note_lease(&mut self) {
         let shared = &self.node.shared;
         let lease = *shared.lease.lock().expect("no holder of the lease panics");
-        let until = lease.until().unwrap_or_else(|| shared.clock.now());
+        let until = lease.expires_at().unwrap_or_else(|| shared.clock.now());
         self.tell(Event::Lease(until));
     }
 
--- a/crates/place/src/asset.rs
+++ b/crates/place/src/asset.rs
@@ -29,12 +29,12 @@
     }
 
     /// The version of a model that has to be loaded first; itself for a model.
-    pub fn base(&self) -> Self {
+    pub fn base_model(&self) -> Self {
         Self::model(self.model.clone(), self.version.clone())
     }
 
     /// Whether this is an adapter on top of `base`.
-    pub fn is_on(&self, base: &Self) -> bool {
+    pub fn is_adapter_on(&self, base: &Self) -> bool {
         self.adapter.is_some()
             && self.model == base.model
             && self.version == base.version
@@ -42,7 +42,7 @@
     }
 
     /// The name by which the engine knows the model, without the adapter.
-    pub fn engine_model(&self) -> String {
+    pub fn engine_model_name(&self) -> String {
         format!("{}@{}", self.model, self.version)
     }
 }
--- a/crates/place/src/balance.rs
+++ b/crates/place/src/balance.rs
@@ -13,7 +13,7 @@
 
 /// The load of runners and the share of each replica, in tokens a second.
 #[derive(Debug, Clone, Default, PartialEq)]
-pub struct Balance {
+pub struct LoadDistribution {
     /// For each runner, the demand that is sent to it.
     pub loads: Vec<f64>,
     /// For each model, the demand that each of its replicas gets, in the order of
@@ -22,7 +22,11 @@
 }
 
 /// Spreads each model's demand over the runners that hold it.
-pub fn balance(demands: &[f64], placed: &[Vec<usize>], runners: usize) -> Balance {
+pub fn distribute_load(
+    demands: &[f64],
+    placed: &[Vec<usize>],
+    runners: usize,
+) -> LoadDistribution {
     let mut shares: Vec<Vec<f64>> = demands
         .iter()
         .zip(placed)
@@ -36,7 +40,7 @@
             }
         }
     }
-    Balance { loads, shares }
+    LoadDistribution { loads, shares }
 }
 
 /// Moves a model's demand from its fuller runners to its emptier ones.
--- a/crates/place/src/demand.rs
+++ b/crates/place/src/demand.rs
@@ -12,16 +12,16 @@
 ///
 /// Half of a cold start of about a minute: a burst that is over before a load
 /// could end has half faded when it would have helped.
-pub const FAST_HALF: Duration = Duration::from_secs(30);
+pub const FAST_HALF_LIFE: Duration = Duration::from_secs(30);
 
 /// The time in which the slow average forgets half.
 ///
 /// Callers' bursts come back within minutes; reloading costs up to a minute.
-pub const SLOW_HALF: Duration = Duration::from_secs(600);
+pub const SLOW_HALF_LIFE: Duration = Duration::from_secs(600);
 
 /// The averages of one model's demand, in tokens a second.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub struct Demand {
+pub struct DemandEstimate {
     fast: f64,
     slow: f64,
     started: bool,
@@ -29,22 +29,22 @@
     slow_half: Duration,
 }
 
-impl Default for Demand {
+impl Default for DemandEstimate {
     fn default() -> Self {
-        Self::with_halves(FAST_HALF, SLOW_HALF)
+        Self::with_half_lives(FAST_HALF_LIFE, SLOW_HALF_LIFE)
     }
 }
 
-impl Demand {
+impl DemandEstimate {
     /// Creates averages that forget half in these times.
-    pub fn with_halves(fast_half: Duration, slow_half: Duration) -> Self {
+    pub fn with_half_lives(fast_half: Duration, slow_half: Duration) -> Self {
         Self { fast: 0.0, slow: 0.0, started: false, fast_half, slow_half }
     }
 
     /// Takes in the tokens that were asked for during `time`.
     ///
     /// The first call sets both averages.
-    pub fn add(&mut self, tokens: f64, time: Duration) {
+    pub fn record(&mut self, tokens: f64, time: Duration) {
         if time.is_zero() {
             return;
         }
--- a/crates/place/src/ledger.rs
+++ b/crates/place/src/ledger.rs
@@ -7,7 +7,7 @@
 //! request on it dies.
 //!
 //! Every asset that may hold memory, now or after a late copy of an order
-//! lands, has one [`Item`], and the items' bytes together never exceed the
+//! lands, has one [`Reservation`], and the items' bytes together never exceed the
 //! capacity. An item is entered before its order is first sent, and removed
 //! only when a report shows its unload as done *and* no copy of a load order
 //! can be under way any more.
@@ -31,7 +31,7 @@
 /// The sender closes the connection when it gives up waiting, and operating
 /// systems stop resending what a peer does not acknowledge after about 924 s
 /// (Linux, `tcp_retries2` = 15). 1,000 s is above that.
-pub const COPY_LIFE: u64 = 1_000_000;
+pub const MAX_ORDER_DELAY_MS: u64 = 1_000_000;
 
 /// The table service's time while a report was read, in milliseconds.
 ///
@@ -39,11 +39,11 @@
 /// must not fall between a report and the time at which it is judged, and a
 /// time kept from before an outage must not make copies look old.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Span {
+pub struct TimeRange {
     /// At most the time at which the report was asked for.
-    pub from: u64,
+    pub earliest: u64,
     /// At least the time at which the report is judged.
-    pub to: u64,
+    pub latest: u64,
 }
 
 /// The ledger of one runner, as its row in the table holds it.
@@ -54,7 +54,8 @@
     /// The engine's incarnation at the last report.
     pub incarnation: u64,
     /// The number of the last order; grows only.
-    pub last: u64,
+    #[serde(rename = "last")]
+    pub last_order: u64,
     /// Whether the engine has not answered for some time.
     ///
     /// What it holds is still accounted for, but nobody can use it.
@@ -64,21 +65,22 @@
     ///
     /// At most one item per asset. The sum of their bytes exceeds `capacity`
     /// only if the engine reported assets that nobody ordered here.
-    pub items: Vec<Item>,
+    #[serde(rename = "items")]
+    pub reservations: Vec<Reservation>,
 }
 
 /// An asset that holds memory or may come to hold it.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Item {
+pub struct Reservation {
     /// The asset.
     pub asset: Asset,
     /// The memory that is reserved for it, in bytes.
     pub bytes: u64,
     /// How far it is.
-    pub state: ItemState,
+    pub state: ReservationState,
     /// Load orders of which copies may be under way; the last one counts.
     #[serde(default, skip_serializing_if = "Vec::is_empty")]
-    pub loads: Vec<Load>,
+    pub loads: Vec<LoadOrder>,
     /// The unload order; present exactly while the state is `Unloading`.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub unload: Option<OrderId>,
@@ -87,7 +89,7 @@
 /// How far an item is.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
-pub enum ItemState {
+pub enum ReservationState {
     /// The memory is reserved and the load order is sent until it is confirmed.
     Loading,
     /// A report has shown it as usable.
@@ -97,22 +99,25 @@
     /// The unload order is sent until it is confirmed.
     Unloading,
     /// It is not loaded, but a late copy of a load order may still land.
-    Spent,
+    #[serde(rename = "spent")]
+    Expiring,
 }
 
 /// A load order.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Load {
+pub struct LoadOrder {
     /// The order.
     pub order: OrderId,
     /// Whether the present incarnation has listed it.
-    pub seen: bool,
+    #[serde(rename = "seen")]
+    pub listed: bool,
     /// Whether the engine has answered every copy that was sent.
-    pub clear: bool,
+    #[serde(rename = "clear")]
+    pub answered: bool,
     /// When no copy can be under way any more, in the table service's time;
     /// not set while copies are sent.
-    #[serde(default, skip_serializing_if = "Option::is_none")]
-    pub until: Option<u64>,
+    #[serde(rename = "until", default, skip_serializing_if = "Option::is_none")]
+    pub expires_at: Option<u64>,
 }
 
 /// An order that is to be sent, again and again until a report confirms it.
@@ -139,7 +144,7 @@
 
 /// An asset does not fit into what is free.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Full {
+pub struct InsufficientMemory {
     /// The asset.
     pub asset: Asset,
     /// The memory that it needs, in bytes.
@@ -148,7 +153,7 @@
     pub free: u64,
 }
 
-impl Display for Full {
+impl Display for InsufficientMemory {
     fn fmt(&self, f: &mut Formatter<'_>) -> fmt::Result {
         write!(
             f,
@@ -158,78 +163,91 @@
     }
 }
 
-impl std::error::Error for Full {}
+impl std::error::Error for InsufficientMemory {}
 
 impl Ledger {
     /// The memory that is held or may come to be held, in bytes.
-    pub fn reserved(&self) -> u64 {
-        self.items.iter().map(|item| item.bytes).sum()
+    pub fn reserved_bytes(&self) -> u64 {
+        self.reservations.iter().map(|item| item.bytes).sum()
     }
 
     /// The memory that can be reserved, in bytes.
-    pub fn free(&self) -> u64 {
-        self.capacity.saturating_sub(self.reserved())
+    pub fn free_bytes(&self) -> u64 {
+        self.capacity.saturating_sub(self.reserved_bytes())
     }
 
     /// The item of an asset.
-    pub fn item(&self, asset: &Asset) -> Option<&Item> {
-        self.items.iter().find(|item| item.asset == *asset)
+    pub fn reservation(&self, asset: &Asset) -> Option<&Reservation> {
+        self.reservations.iter().find(|item| item.asset == *asset)
     }
 
     /// Whether an asset can be used.
     pub fn is_ready(&self, asset: &Asset) -> bool {
-        self.item(asset).is_some_and(|item| item.state == ItemState::Ready)
+        self.reservation(asset).is_some_and(|item| item.state == ReservationState::Ready)
     }
 
     /// Whether requests can use an asset: it, and the model below, are loaded and
     /// the engine answers.
     pub fn is_usable(&self, asset: &Asset) -> bool {
-        !self.down && self.is_ready(asset) && self.is_ready(&asset.base())
+        !self.down && self.is_ready(asset) && self.is_ready(&asset.base_model())
     }
 
     /// Reserves memory for an asset and creates its load order.
     ///
     /// An asset that is to be dropped is kept instead. One whose unload order
     /// exists is left alone until that is confirmed.
-    pub fn want(&mut self, asset: &Asset, bytes: u64) -> Result<(), Full> {
-        let free = self.free();
-        let Some(at) = self.items.iter().position(|item| item.asset == *asset) else {
+    pub fn reserve(
+        &mut self,
+        asset: &Asset,
+        bytes: u64,
+    ) -> Result<(), InsufficientMemory> {
+        let free = self.free_bytes();
+        let Some(at) = self.reservations.iter().position(|item| item.asset == *asset)
+        else {
             if bytes > free {
-                return Err(Full { asset: asset.clone(), needed: bytes, free });
+                return Err(InsufficientMemory {
+                    asset: asset.clone(),
+                    needed: bytes,
+                    free,
+                });
             }
             let load = self.load();
-            self.items.push(Item {
+            self.reservations.push(Reservation {
                 asset: asset.clone(),
                 bytes,
-                state: ItemState::Loading,
+                state: ReservationState::Loading,
                 loads: vec![load],
                 unload: None,
             });
             return Ok(());
         };
-        match self.items[at].state {
-            ItemState::Draining => self.items[at].state = ItemState::Ready,
-            ItemState::Spent => {
+        match self.reservations[at].state {
+            ReservationState::Draining => {
+                self.reservations[at].state = ReservationState::Ready
+            }
+            ReservationState::Expiring => {
                 let load = self.load();
-                let item = &mut self.items[at];
+                let item = &mut self.reservations[at];
                 item.loads.push(load);
-                item.state = ItemState::Loading;
+                item.state = ReservationState::Loading;
             }
-            ItemState::Loading | ItemState::Ready | ItemState::Unloading => {}
+            ReservationState::Loading
+            | ReservationState::Ready
+            | ReservationState::Unloading => {}
         }
         Ok(())
     }
 
     /// Whether a load or an unload is under way.
-    pub fn is_moving(&self) -> bool {
-        self.items
-            .iter()
-            .any(|item| !matches!(item.state, ItemState::Ready | ItemState::Spent))
+    pub fn is_changing(&self) -> bool {
+        self.reservations.iter().any(|item| {
+            !matches!(item.state, ReservationState::Ready | ReservationState::Expiring)
+        })
     }
 
     /// Whether an order is entered here, so that a copy of it may be sent.
-    pub fn knows(&self, order: &Order) -> bool {
-        self.item(&order.asset).is_some_and(|item| match order.kind {
+    pub fn contains_order(&self, order: &Order) -> bool {
+        self.reservation(&order.asset).is_some_and(|item| match order.kind {
             OrderKind::Load => item.loads.iter().any(|load| load.order == order.id),
             OrderKind::Unload => item.unload == Some(order.id),
         })
@@ -237,10 +255,10 @@
 
     /// Marks an asset, and adapters on top of it, as not to be used any more.
     pub fn drain(&mut self, asset: &Asset) {
-        for item in &mut self.items {
-            let part = item.asset == *asset || item.asset.is_on(asset);
-            if part && item.state == ItemState::Ready {
-                item.state = ItemState::Draining;
+        for item in &mut self.reservations {
+            let part = item.asset == *asset || item.asset.is_adapter_on(asset);
+            if part && item.state == ReservationState::Ready {
+                item.state = ReservationState::Draining;
             }
         }
     }
@@ -248,44 +266,44 @@
     /// Creates the unload order of an asset that is drained.
     ///
     /// Returns whether it did; a model waits for the adapters on top of it.
-    pub fn unload(&mut self, asset: &Asset) -> bool {
-        let covered = self
-            .items
-            .iter()
-            .any(|item| item.asset.is_on(asset) && item.state != ItemState::Spent);
-        let order = OrderId(self.last + 1);
-        let item = self.items.iter_mut().find(|item| item.asset == *asset);
-        let Some(item) = item.filter(|item| item.state == ItemState::Draining) else {
+    pub fn start_unload(&mut self, asset: &Asset) -> bool {
+        let covered = self.reservations.iter().any(|item| {
+            item.asset.is_adapter_on(asset) && item.state != ReservationState::Expiring
+        });
+        let order = OrderId(self.last_order + 1);
+        let item = self.reservations.iter_mut().find(|item| item.asset == *asset);
+        let Some(item) = item.filter(|item| item.state == ReservationState::Draining)
+        else {
             return false;
         };
         if covered {
             return false;
         }
-        item.state = ItemState::Unloading;
+        item.state = ReservationState::Unloading;
         item.unload = Some(order);
-        self.last = order.0;
+        self.last_order = order.0;
         true
     }
 
     /// Notes that the engine has answered every copy of a load order that any
     /// lead can have sent.
-    pub fn clear(&mut self, order: OrderId) {
-        for item in &mut self.items {
+    pub fn mark_answered(&mut self, order: OrderId) {
+        for item in &mut self.reservations {
             for load in item.loads.iter_mut().filter(|load| load.order == order) {
-                load.clear = true;
+                load.answered = true;
             }
         }
     }
 
     /// Takes in a report that was asked for after the ledger was read.
-    pub fn observe(&mut self, report: &Report, span: Span) {
+    pub fn apply_report(&mut self, report: &Report, span: TimeRange) {
         self.down = false;
         if self.incarnation != report.incarnation {
             self.restart(span);
             self.incarnation = report.incarnation;
         }
         self.note_seen(report, span);
-        for at in 0..self.items.len() {
+        for at in 0..self.reservations.len() {
             self.advance(at, report, span);
         }
         self.adopt(report);
@@ -293,24 +311,26 @@
     }
 
     /// The orders to be sent until a later report confirms them.
-    pub fn orders(&self) -> Vec<Order> {
-        let order = |item: &Item, id, kind| Order {
+    pub fn pending_orders(&self) -> Vec<Order> {
+        let order = |item: &Reservation, id, kind| Order {
             id,
             asset: item.asset.clone(),
             bytes: item.bytes,
             kind,
         };
-        self.items
+        self.reservations
             .iter()
             .filter_map(|item| match item.state {
-                ItemState::Loading => {
-                    let load = item.loads.last().filter(|load| !load.seen)?;
+                ReservationState::Loading => {
+                    let load = item.loads.last().filter(|load| !load.listed)?;
                     Some(order(item, load.order, OrderKind::Load))
                 }
-                ItemState::Unloading => {
+                ReservationState::Unloading => {
                     Some(order(item, item.unload?, OrderKind::Unload))
                 }
-                ItemState::Ready | ItemState::Draining | ItemState::Spent => None,
+                ReservationState::Ready
+                | ReservationState::Draining
+                | ReservationState::Expiring => None,
             })
             .filter(|order| self.is_based(order))
             .collect()
@@ -320,12 +340,17 @@
     fn is_based(&self, order: &Order) -> bool {
         order.kind == OrderKind::Unload
             || order.asset.adapter.is_none()
-            || self.is_ready(&order.asset.base())
+            || self.is_ready(&order.asset.base_model())
     }
 
-    fn load(&mut self) -> Load {
-        self.last += 1;
-        Load { order: OrderId(self.last), seen: false, clear: false, until: None }
+    fn load(&mut self) -> LoadOrder {
+        self.last_order += 1;
+        LoadOrder {
+            order: OrderId(self.last_order),
+            listed: false,
+            answered: false,
+            expires_at: None,
+        }
     }
 
     /// The engine has restarted: it holds nothing and has forgotten all orders.
@@ -334,87 +359,93 @@
     /// carry them out. What was wanted is ordered again with the same number,
     /// so that a late copy of it is a duplicate; what was to be dropped keeps
     /// its memory until no copy can land.
-    fn restart(&mut self, span: Span) {
-        for item in &mut self.items {
-            let wanted = matches!(item.state, ItemState::Loading | ItemState::Ready);
+    fn restart(&mut self, span: TimeRange) {
+        for item in &mut self.reservations {
+            let wanted =
+                matches!(item.state, ReservationState::Loading | ReservationState::Ready);
             let last = item.loads.last().map(|load| load.order);
             item.loads.retain(|load| {
                 !is_accounted(load, span) || (wanted && Some(load.order) == last)
             });
             for load in &mut item.loads {
-                load.seen = false;
+                load.listed = false;
             }
             item.unload = None;
             if wanted {
-                item.state = ItemState::Loading;
+                item.state = ReservationState::Loading;
                 if let Some(load) = item.loads.last_mut() {
-                    load.clear = false;
-                    load.until = None;
+                    load.answered = false;
+                    load.expires_at = None;
                 }
             } else {
-                item.state = ItemState::Spent;
+                item.state = ReservationState::Expiring;
                 stop_sending(item, span);
             }
         }
     }
 
-    fn note_seen(&mut self, report: &Report, span: Span) {
-        for load in self.items.iter_mut().flat_map(|item| &mut item.loads) {
-            if !load.seen && report.order(load.order).is_some() {
-                load.seen = true;
-                load.until = Some(span.to + COPY_LIFE);
+    fn note_seen(&mut self, report: &Report, span: TimeRange) {
+        for load in self.reservations.iter_mut().flat_map(|item| &mut item.loads) {
+            if !load.listed && report.order_state(load.order).is_some() {
+                load.listed = true;
+                load.expires_at = Some(span.latest + MAX_ORDER_DELAY_MS);
             }
         }
     }
 
     /// Moves one item on by what the report says of it.
-    fn advance(&mut self, at: usize, report: &Report, span: Span) {
-        let item = &self.items[at];
-        let held = report.state(&item.asset);
+    fn advance(&mut self, at: usize, report: &Report, span: TimeRange) {
+        let item = &self.reservations[at];
+        let held = report.asset_state(&item.asset);
         let ready = held == Some(AssetState::Ready);
         match item.state {
-            ItemState::Loading if ready => self.items[at].state = ItemState::Ready,
-            ItemState::Loading if held.is_none() => {
+            ReservationState::Loading if ready => {
+                self.reservations[at].state = ReservationState::Ready
+            }
+            ReservationState::Loading if held.is_none() => {
                 // The order has come to nothing: it failed, or a late unload
                 // undid it. The engine ignores its number from now on.
-                let over =
-                    item.loads.last().is_none_or(|load| match report.order(load.order) {
+                let over = item.loads.last().is_none_or(|load| {
+                    match report.order_state(load.order) {
                         Some(OrderState::Running) => false,
                         Some(OrderState::Done | OrderState::Failed) => true,
-                        None => load.seen,
-                    });
+                        None => load.listed,
+                    }
+                });
                 if over {
                     let load = self.load();
-                    self.items[at].loads.push(load);
+                    self.reservations[at].loads.push(load);
                 }
             }
-            ItemState::Ready if !ready => self.items[at].state = ItemState::Loading,
-            ItemState::Draining if held.is_none() => self.spend(at, span),
-            ItemState::Unloading => {
-                let order = item.unload.and_then(|id| report.order(id));
+            ReservationState::Ready if !ready => {
+                self.reservations[at].state = ReservationState::Loading
+            }
+            ReservationState::Draining if held.is_none() => self.spend(at, span),
+            ReservationState::Unloading => {
+                let order = item.unload.and_then(|id| report.order_state(id));
                 match (order, held) {
                     (Some(OrderState::Done), None) => self.spend(at, span),
                     // It failed, or a late copy of the load landed after it.
                     (Some(OrderState::Done | OrderState::Failed), Some(_)) if ready => {
-                        self.items[at].state = ItemState::Draining;
-                        self.items[at].unload = None;
+                        self.reservations[at].state = ReservationState::Draining;
+                        self.reservations[at].unload = None;
                     }
                     (Some(OrderState::Failed), None) => self.spend(at, span),
                     _ => {}
                 }
             }
-            ItemState::Spent => {
+            ReservationState::Expiring => {
                 if let Some(held) = held {
-                    self.items[at].state = found(held);
+                    self.reservations[at].state = found(held);
                 }
             }
             _ => {}
         }
     }
 
-    fn spend(&mut self, at: usize, span: Span) {
-        let item = &mut self.items[at];
-        item.state = ItemState::Spent;
+    fn spend(&mut self, at: usize, span: TimeRange) {
+        let item = &mut self.reservations[at];
+        item.state = ReservationState::Expiring;
         item.unload = None;
         stop_sending(item, span);
     }
@@ -422,12 +453,12 @@
     /// Enters what the engine holds though nobody ordered it here, such as a
     /// model that operators loaded by hand.
     fn adopt(&mut self, report: &Report) {
-        for (asset, bytes, state) in report.holdings() {
-            if self.item(&asset).is_some() {
+        for (asset, bytes, state) in report.assets() {
+            if self.reservation(&asset).is_some() {
                 continue;
             }
             let state = found(state);
-            self.items.push(Item {
+            self.reservations.push(Reservation {
                 asset,
                 bytes,
                 state,
@@ -438,37 +469,39 @@
     }
 
     /// Removes what can't come to hold memory any more.
-    fn forget(&mut self, span: Span) {
-        for item in &mut self.items {
+    fn forget(&mut self, span: TimeRange) {
+        for item in &mut self.reservations {
             // The last order of what is held stays known, so that it can be
             // sent again after a restart even while the table is down.
-            let held = item.state != ItemState::Spent;
+            let held = item.state != ReservationState::Expiring;
             let last = item.loads.last().map(|load| load.order);
             item.loads.retain(|load| {
                 !is_accounted(load, span) || (held && Some(load.order) == last)
             });
         }
-        self.items
-            .retain(|item| item.state != ItemState::Spent || !item.loads.is_empty());
+        self.reservations.retain(|item| {
+            item.state != ReservationState::Expiring || !item.loads.is_empty()
+        });
     }
 }
 
 /// Whether no copy of a load order can land any more as anything but a duplicate.
-fn is_accounted(load: &Load, span: Span) -> bool {
-    (load.seen && load.clear) || load.until.is_some_and(|until| until <= span.from)
+fn is_accounted(load: &LoadOrder, span: TimeRange) -> bool {
+    (load.listed && load.answered)
+        || load.expires_at.is_some_and(|until| until <= span.earliest)
 }
 
 /// The state of an asset that is found at the engine without being expected.
-fn found(state: AssetState) -> ItemState {
+fn found(state: AssetState) -> ReservationState {
     match state {
-        AssetState::Loading => ItemState::Loading,
-        AssetState::Ready => ItemState::Ready,
-        AssetState::Unloading => ItemState::Draining,
+        AssetState::Loading => ReservationState::Loading,
+        AssetState::Ready => ReservationState::Ready,
+        AssetState::Unloading => ReservationState::Draining,
     }
 }
 
-fn stop_sending(item: &mut Item, span: Span) {
+fn stop_sending(item: &mut Reservation, span: TimeRange) {
     for load in &mut item.loads {
-        load.until.get_or_insert(span.to + COPY_LIFE);
+        load.expires_at.get_or_insert(span.latest + MAX_ORDER_DELAY_MS);
     }
 }
--- a/crates/place/src/planner.rs
+++ b/crates/place/src/planner.rs
@@ -26,19 +26,19 @@
 use std::cmp::Reverse;
 use std::time::Duration;
 
-use crate::balance::{Balance, balance};
+use crate::balance::{LoadDistribution, distribute_load};
 use crate::pool::{ModelState, Placement, PoolState};
 
 /// The share of a runner's throughput up to which it answers in time.
 ///
 /// Above it, waits grow steeply with the load's variation.
-pub const FILL: f64 = 0.85;
+pub const MAX_UTILIZATION: f64 = 0.85;
 
 /// How long a change of demand is expected to last where loads take a minute.
 ///
 /// A load that takes this long gains nothing. Demand that moves tenfold within
 /// an hour stays on a level for some ten minutes.
-pub const HORIZON: Duration = Duration::from_secs(600);
+pub const DEMAND_HORIZON: Duration = Duration::from_secs(600);
 
 /// How many times its cost a move must be worth, for weights of 1.
 ///
@@ -52,7 +52,7 @@
 const LOOKED_AT: usize = 32;
 
 /// Plans the next steps from the present placement.
-pub fn plan(pool: &PoolState) -> Placement {
+pub fn plan_placement(pool: &PoolState) -> Placement {
     let mut planner = Planner::new(pool);
     planner.repair_first(|model| model.demand > 0.0);
     planner.improve();
@@ -78,7 +78,7 @@
     held: Vec<Vec<usize>>,
     /// For each runner, the memory that is not planned for.
     room: Vec<u64>,
-    balance: Balance,
+    balance: LoadDistribution,
     /// Loads from the weight store that may still be started.
     budget: usize,
     /// Replicas that this plan has added or evicted, by model and runner.
@@ -95,15 +95,19 @@
 
 impl<'a> Planner<'a> {
     fn new(pool: &'a PoolState) -> Self {
-        let stays = |runner: &usize| pool.runners.get(*runner).is_some_and(|r| r.stays);
+        let stays =
+            |runner: &usize| pool.runners.get(*runner).is_some_and(|r| r.accepts_models);
         let placed: Vec<Vec<usize>> = pool
             .models
             .iter()
             .map(|model| model.placed.iter().copied().filter(stays).collect())
             .collect();
         let mut held = vec![Vec::new(); pool.runners.len()];
-        let mut room: Vec<u64> =
-            pool.runners.iter().map(|r| r.capacity.saturating_sub(r.other)).collect();
+        let mut room: Vec<u64> = pool
+            .runners
+            .iter()
+            .map(|r| r.capacity.saturating_sub(r.other_bytes))
+            .collect();
         for (model, at) in placed.iter().enumerate() {
             for runner in at {
                 held[*runner].push(model);
@@ -116,8 +120,8 @@
             placed,
             held,
             room,
-            balance: Balance::default(),
-            budget: pool.parallel.max(1).saturating_sub(loading),
+            balance: LoadDistribution::default(),
+            budget: pool.parallel_loads.max(1).saturating_sub(loading),
             touched: Vec::new(),
             sparse: false,
             unplaced: Vec::new(),
@@ -184,15 +188,17 @@
             .filter(|(runner, other)| {
                 let bytes = self.pool.models[*other].bytes;
                 let state = &self.pool.runners[*runner];
-                state.stays && !state.fixed && self.room[*runner] + bytes >= needed
+                state.accepts_models
+                    && !state.locked
+                    && self.room[*runner] + bytes >= needed
             })
             .filter(|(_, other)| self.pool.models[*other].bytes < needed)
             .filter_map(|(runner, other)| {
                 let bytes = self.pool.models[other].bytes;
                 let to = (0..self.held.len()).find(|to| {
                     *to != runner
-                        && self.pool.runners[*to].stays
-                        && !self.pool.runners[*to].fixed
+                        && self.pool.runners[*to].accepts_models
+                        && !self.pool.runners[*to].locked
                         && self.room[*to] >= bytes
                         && !self.held[*to].contains(&other)
                 })?;
@@ -218,7 +224,7 @@
     }
 
     fn has_copy(&self, model: usize, runner: usize) -> bool {
-        self.pool.models[model].copies.contains(&runner)
+        self.pool.models[model].cached_on.contains(&runner)
     }
 
     fn best_move(&self) -> Option<(usize, Site)> {
@@ -245,7 +251,7 @@
 
     /// The demand that a model can take away from overloaded runners.
     fn excess(&self, model: usize) -> f64 {
-        let limit = FILL * self.pool.throughput;
+        let limit = MAX_UTILIZATION * self.pool.runner_throughput;
         let over = |runner: &usize| (self.balance.loads[*runner] - limit).max(0.0);
         let shares = self.placed[model].iter().zip(&self.balance.shares[model]);
         shares.map(|(runner, share)| over(runner).min(*share)).sum()
@@ -255,8 +261,9 @@
     fn worth(&self, model: usize, excess: f64, site: &Site) -> f64 {
         let pool = self.pool;
         let gained = excess.min(self.spare(site.runner, &site.evicted)) - site.loss;
-        let percent = 100.0 * gained / pool.throughput;
-        let cold = pool.models[model].cold.as_secs_f64() / pool.horizon.as_secs_f64();
+        let percent = 100.0 * gained / pool.runner_throughput;
+        let cold = pool.models[model].load_time.as_secs_f64()
+            / pool.demand_horizon.as_secs_f64();
         let gain = pool.attainment_weight * percent * (1.0 - cold).max(0.0);
         let loads = 1.0 + EVICTION * site.evicted.len() as f64;
         gain - pool.move_weight * loads * PAYBACK
@@ -265,7 +272,7 @@
     /// The throughput that a runner has left once `evicted` are gone.
     fn spare(&self, runner: usize, evicted: &[usize]) -> f64 {
         let freed: f64 = evicted.iter().map(|model| self.share(*model, runner)).sum();
-        let limit = FILL * self.pool.throughput;
+        let limit = MAX_UTILIZATION * self.pool.runner_throughput;
         (limit - self.balance.loads[runner] + freed).max(0.0)
     }
 
@@ -314,7 +321,8 @@
         let needed = self.pool.models[model].bytes;
         let state = &self.pool.runners[runner];
         let held = self.held[runner].contains(&model);
-        if !state.stays || state.fixed || held || self.is_touched(model, runner) {
+        if !state.accepts_models || state.locked || held || self.is_touched(model, runner)
+        {
             return None;
         }
         let mut room = self.room[runner];
@@ -390,7 +398,7 @@
 
     fn rebalance(&mut self) {
         let demands: Vec<f64> = self.pool.models.iter().map(|m| m.demand).collect();
-        self.balance = balance(&demands, &self.placed, self.pool.runners.len());
+        self.balance = distribute_load(&demands, &self.placed, self.pool.runners.len());
     }
 
     fn domains(&self) -> usize {
--- a/crates/place/src/pool.rs
+++ b/crates/place/src/pool.rs
@@ -10,9 +10,9 @@
     /// Declared models.
     pub models: Vec<ModelState>,
     /// What a runner can serve, in tokens a second.
-    pub throughput: f64,
+    pub runner_throughput: f64,
     /// Loads that may be under way at the same time.
-    pub parallel: usize,
+    pub parallel_loads: usize,
     /// Whether replicas stay where they are, so that only room that is free is used.
     pub frozen: bool,
     /// What one percent of a runner's throughput is worth.
@@ -20,7 +20,7 @@
     /// What one move costs.
     pub move_weight: f64,
     /// How long a change of demand is expected to last.
-    pub horizon: Duration,
+    pub demand_horizon: Duration,
 }
 
 /// A runner.
@@ -32,11 +32,11 @@
     pub capacity: u64,
     /// Memory that is taken by what no model in its declared version accounts
     /// for and that can't be freed now, in bytes.
-    pub other: u64,
+    pub other_bytes: u64,
     /// Whether it may be given models; not if it is leaving.
-    pub stays: bool,
+    pub accepts_models: bool,
     /// Whether nothing can be loaded or dropped there for now.
-    pub fixed: bool,
+    pub locked: bool,
 }
 
 /// A model in its declared version, with the adapters on top.
@@ -47,7 +47,7 @@
     /// The declared number of replicas, at least 1.
     pub replicas: usize,
     /// How long a load takes.
-    pub cold: Duration,
+    pub load_time: Duration,
     /// The demand to plan for, in tokens a second.
     pub demand: f64,
     /// The runners that hold it or are to hold it.
@@ -56,7 +56,7 @@
     pub loading: usize,
     /// Runners that have a copy of the weights, so that a load there does not need
     /// the weight store.
-    pub copies: Vec<usize>,
+    pub cached_on: Vec<usize>,
 }
 
 /// A plan.
@@ -72,10 +72,10 @@
 
 impl PoolState {
     /// The memory of a runner that no model takes, in bytes.
-    pub fn room(&self, runner: usize) -> u64 {
+    pub fn free_bytes(&self, runner: usize) -> u64 {
         let state = &self.runners[runner];
         let here = self.models.iter().filter(|model| model.placed.contains(&runner));
         let taken: u64 = here.map(|model| model.bytes).sum();
-        state.capacity.saturating_sub(state.other).saturating_sub(taken)
+        state.capacity.saturating_sub(state.other_bytes).saturating_sub(taken)
     }
 }
--- a/crates/place/src/follow.rs
+++ b/crates/place/src/reconcile.rs
@@ -6,7 +6,7 @@
 //!
 //! What is wanted is loaded first if it fits. Something is dropped only to make
 //! room for what does not fit, or once everything wanted is usable; and only
-//! if the caller of [`follow`] names runners that hold the same, whose ledger
+//! if the caller of [`reconcile`] names runners that hold the same, whose ledger
 //! rows the transaction then checks. One asset at a time is drained, so that
 //! two versions of a model can't each be dropped because of the other.
 
@@ -15,11 +15,11 @@
 use serde::{Deserialize, Serialize};
 
 use crate::asset::Asset;
-use crate::ledger::{Full, ItemState, Ledger};
+use crate::ledger::{InsufficientMemory, Ledger, ReservationState};
 
 /// An asset that a runner is to hold.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Want {
+pub struct DesiredAsset {
     /// The asset.
     pub asset: Asset,
     /// The memory that it needs, in bytes.
@@ -27,42 +27,46 @@
 }
 
 /// What decides whether an asset may be dropped.
-pub struct Situation<'a> {
+pub struct DropChecks<'a> {
     /// The runners whose ledgers prove that the asset is not the last of its
     /// kind; `None` if it is, an empty list if nobody needs it.
-    pub spare: &'a dyn Fn(&Ledger, &Asset) -> Option<Vec<ServerName>>,
+    pub witnesses: &'a dyn Fn(&Ledger, &Asset) -> Option<Vec<ServerName>>,
     /// Whether no request uses the asset any more.
-    pub idle: &'a dyn Fn(&Asset) -> bool,
+    pub is_idle: &'a dyn Fn(&Asset) -> bool,
 }
 
-/// What [`follow`] found.
+/// What [`reconcile`] found.
 #[derive(Debug, Default, PartialEq, Eq)]
-pub struct Follow {
+pub struct ReconcileResult {
     /// Runners whose ledger rows must not have changed when this is committed.
     pub witnesses: IndexSet<ServerName>,
     /// What is wanted and does not fit yet.
-    pub lacking: Vec<Full>,
+    pub insufficient_memory: Vec<InsufficientMemory>,
 }
 
 /// Changes the ledger by the steps that can be taken now.
 ///
 /// `wanted` lists models before the adapters on top of them, and what matters
 /// most first.
-pub fn follow(ledger: &mut Ledger, wanted: &[Want], situation: &Situation) -> Follow {
-    let mut found = Follow::default();
+pub fn reconcile(
+    ledger: &mut Ledger,
+    wanted: &[DesiredAsset],
+    situation: &DropChecks,
+) -> ReconcileResult {
+    let mut found = ReconcileResult::default();
     let mut blocking = Vec::new();
     for want in wanted {
         if let Some(other) = namesake(ledger, &want.asset) {
             blocking.push(other);
-        } else if let Err(full) = ledger.want(&want.asset, want.bytes) {
-            found.lacking.push(full);
+        } else if let Err(full) = ledger.reserve(&want.asset, want.bytes) {
+            found.insufficient_memory.push(full);
         }
     }
     let settled = wanted.iter().all(|want| ledger.is_ready(&want.asset));
     // An asset that is drained now is unloaded in a later step at the earliest:
     // nobody knows yet that it must not be used.
     unload_idle(ledger, situation);
-    if settled || !found.lacking.is_empty() {
+    if settled || !found.insufficient_memory.is_empty() {
         let extra = unwanted(ledger, wanted);
         drain_one(ledger, extra, situation, &mut found);
     } else {
@@ -75,18 +79,19 @@
 /// adapters by their name alone.
 fn namesake(ledger: &Ledger, asset: &Asset) -> Option<Asset> {
     asset.adapter.as_ref()?;
-    let other = ledger.items.iter().find(|item| {
+    let other = ledger.reservations.iter().find(|item| {
         item.asset != *asset
             && item.asset.adapter == asset.adapter
-            && item.state != ItemState::Spent
+            && item.state != ReservationState::Expiring
     });
     other.map(|item| item.asset.clone())
 }
 
 /// What is usable and not wanted.
-fn unwanted(ledger: &Ledger, wanted: &[Want]) -> Vec<Asset> {
+fn unwanted(ledger: &Ledger, wanted: &[DesiredAsset]) -> Vec<Asset> {
     let is_wanted = |asset: &Asset| wanted.iter().any(|want| want.asset == *asset);
-    let items = ledger.items.iter().filter(|item| item.state == ItemState::Ready);
+    let items =
+        ledger.reservations.iter().filter(|item| item.state == ReservationState::Ready);
     items.map(|item| item.asset.clone()).filter(|asset| !is_wanted(asset)).collect()
 }
 
@@ -94,11 +99,11 @@
 fn drain_one(
     ledger: &mut Ledger,
     candidates: Vec<Asset>,
-    situation: &Situation,
-    found: &mut Follow,
+    situation: &DropChecks,
+    found: &mut ReconcileResult,
 ) {
     for asset in candidates.into_iter().filter(|asset| ledger.is_ready(asset)) {
-        if let Some(witnesses) = (situation.spare)(ledger, &asset) {
+        if let Some(witnesses) = (situation.witnesses)(ledger, &asset) {
             ledger.drain(&asset);
             found.witnesses.extend(witnesses);
             return;
@@ -106,16 +111,16 @@
     }
 }
 
-fn unload_idle(ledger: &mut Ledger, situation: &Situation) {
+fn unload_idle(ledger: &mut Ledger, situation: &DropChecks) {
     let drained: Vec<_> = ledger
-        .items
+        .reservations
         .iter()
-        .filter(|item| item.state == ItemState::Draining)
+        .filter(|item| item.state == ReservationState::Draining)
         .map(|item| item.asset.clone())
         .collect();
     for asset in drained {
-        if (situation.idle)(&asset) {
-            ledger.unload(&asset);
+        if (situation.is_idle)(&asset) {
+            ledger.start_unload(&asset);
         }
     }
 }
--- a/crates/place/src/report.rs
+++ b/crates/place/src/report.rs
@@ -100,19 +100,19 @@
 
 impl Report {
     /// The state of an asset, if the engine holds any of it.
-    pub fn state(&self, asset: &Asset) -> Option<AssetState> {
-        self.holdings().find(|(held, ..)| held == asset).map(|(_, _, state)| state)
+    pub fn asset_state(&self, asset: &Asset) -> Option<AssetState> {
+        self.assets().find(|(held, ..)| held == asset).map(|(_, _, state)| state)
     }
 
     /// What became of an order, if this incarnation knows it.
-    pub fn order(&self, id: OrderId) -> Option<OrderState> {
+    pub fn order_state(&self, id: OrderId) -> Option<OrderState> {
         self.orders.iter().find(|entry| entry.order == id).map(|entry| entry.state)
     }
 
     /// All models and adapters with their memory and state.
     ///
     /// Adapters on a model whose name can't be read are left out.
-    pub fn holdings(&self) -> impl Iterator<Item = (Asset, u64, AssetState)> {
+    pub fn assets(&self) -> impl Iterator<Item = (Asset, u64, AssetState)> {
         let models = self.models.iter().map(|entry| {
             let asset = Asset::model(entry.model.clone(), entry.version.clone());
             (asset, entry.bytes, entry.state)
--- a/crates/place/src/residence.rs
+++ b/crates/place/src/residency.rs
@@ -12,10 +12,10 @@
 ///
 /// It lags behind the ledger, so that the runner's lead checks it again.
 #[derive(Debug, Clone, Default, PartialEq)]
-pub struct Residence {
+pub struct Residency {
     /// Runners and what they hold; shared with earlier and later states, since a
     /// move changes one of thousands.
-    runners: IndexMap<ServerName, Arc<Resident>>,
+    runners: IndexMap<ServerName, Arc<ResidentAssets>>,
     /// The positions in `runners` of those that hold each model in any version.
     ///
     /// Every request looks for the runners of its model; without this it would
@@ -25,7 +25,7 @@
 
 /// What a runner holds and may be asked for.
 #[derive(Debug, Clone, Default, PartialEq, Serialize, Deserialize)]
-pub struct Resident {
+pub struct ResidentAssets {
     /// Models with their versions, loaded and not to be dropped.
     pub models: IndexSet<(ModelName, VersionName)>,
     /// Adapters, loaded and not to be dropped.
@@ -35,11 +35,13 @@
     pub bases: IndexMap<AdapterName, (ModelName, VersionName)>,
 }
 
-impl Resident {
+impl ResidentAssets {
     /// What may be used of what a runner's ledger holds.
-    pub fn of(ledger: &Ledger) -> Self {
+    pub fn from_ledger(ledger: &Ledger) -> Self {
         let mut resident = Self::default();
-        for item in ledger.items.iter().filter(|item| ledger.is_usable(&item.asset)) {
+        for item in
+            ledger.reservations.iter().filter(|item| ledger.is_usable(&item.asset))
+        {
             let base = (item.asset.model.clone(), item.asset.version.clone());
             match &item.asset.adapter {
                 None => {
@@ -67,9 +69,9 @@
     }
 }
 
-impl Residence {
+impl Residency {
     /// Creates the state from what each runner holds.
-    pub fn new(runners: IndexMap<ServerName, Arc<Resident>>) -> Self {
+    pub fn new(runners: IndexMap<ServerName, Arc<ResidentAssets>>) -> Self {
         let mut models: IndexMap<ModelName, Vec<usize>> = IndexMap::new();
         for (at, held) in runners.values().enumerate() {
             for (model, _) in &held.models {
@@ -85,7 +87,7 @@
     }
 
     /// Runners and what they hold.
-    pub fn runners(&self) -> &IndexMap<ServerName, Arc<Resident>> {
+    pub fn runners(&self) -> &IndexMap<ServerName, Arc<ResidentAssets>> {
         &self.runners
     }
 
@@ -105,7 +107,7 @@
     fn holding(
         &self,
         model: &ModelName,
-    ) -> impl Iterator<Item = (&ServerName, &Resident)> + use<'_> {
+    ) -> impl Iterator<Item = (&ServerName, &ResidentAssets)> + use<'_> {
         let list = self.models.get(model).map_or(&[][..], Vec::as_slice);
         list.iter().filter_map(|&at| {
             let (name, held) = self.runners.get_index(at)?;
@@ -132,7 +134,7 @@
     /// can serve it, else one that can be served meanwhile.
     ///
     /// While a new version is being loaded, requests go on with the old one.
-    pub fn version(
+    pub fn servable_version(
         &self,
         model: &ModelName,
         wanted: &VersionName,
--- a/crates/place/src/spare.rs
+++ b/crates/place/src/witness.rs
@@ -25,8 +25,8 @@
     asset: &Asset,
 ) -> Option<Vec<ServerName>> {
     let mut all = Vec::new();
-    let parts = ledger.items.iter().map(|item| &item.asset);
-    for part in parts.filter(|part| *part == asset || part.is_on(asset)) {
+    let parts = ledger.reservations.iter().map(|item| &item.asset);
+    for part in parts.filter(|part| *part == asset || part.is_adapter_on(asset)) {
         let Some(kinds) = substitutes(catalog, part) else { continue };
         if kinds.iter().any(|kind| kind != part && ledger.is_usable(kind)) {
             continue;
--- a/crates/place/tests/floor.rs
+++ b/crates/place/tests/floor.rs
@@ -4,8 +4,8 @@
 use chestnut_config::{Catalog, Model};
 use chestnut_place::report::{ModelEntry, OrderEntry};
 use chestnut_place::{
-    Asset, AssetState, Ledger, OrderKind, OrderState, Report, Situation, Span, Want,
-    follow, witnesses,
+    Asset, AssetState, DesiredAsset, DropChecks, Ledger, OrderKind, OrderState, Report,
+    TimeRange, reconcile, witnesses,
 };
 use indexmap::IndexMap;
 use proptest::prelude::*;
@@ -25,7 +25,7 @@
     rows: Rows,
     seen: Vec<Rows>,
     engines: Vec<Report>,
-    wanted: Vec<Vec<Want>>,
+    wanted: Vec<Vec<DesiredAsset>>,
     changes: u64,
     /// Whether transactions check the rows of the witnesses.
     checked: bool,
@@ -43,8 +43,8 @@
     VersionName::try_from(format!("v{at}")).expect("a valid name")
 }
 
-fn want(at: usize, of: usize) -> Want {
-    Want { asset: Asset::model(model(at), version(of)), bytes: BYTES }
+fn want(at: usize, of: usize) -> DesiredAsset {
+    DesiredAsset { asset: Asset::model(model(at), version(of)), bytes: BYTES }
 }
 
 impl World {
@@ -80,18 +80,18 @@
         let name = runner(at);
         let (held, _) = self.rows[&name].clone();
         let mut next = held.clone();
-        next.observe(&self.engines[at], Span { from: 1, to: 1 });
-        let ids: Vec<_> = next.items.iter().flat_map(|item| &item.loads).collect();
-        let seen: Vec<_> = ids.iter().filter(|l| l.seen).map(|l| l.order).collect();
-        seen.into_iter().for_each(|order| next.clear(order));
+        next.apply_report(&self.engines[at], TimeRange { earliest: 1, latest: 1 });
+        let ids: Vec<_> = next.reservations.iter().flat_map(|item| &item.loads).collect();
+        let seen: Vec<_> = ids.iter().filter(|l| l.listed).map(|l| l.order).collect();
+        seen.into_iter().for_each(|order| next.mark_answered(order));
         let others = self.seen[at].iter().filter(|(other, _)| **other != name);
         let others = others.map(|(other, (ledger, _))| (other, ledger));
         let spare = |ledger: &Ledger, asset: &Asset| {
             witnesses(&self.catalog, others.clone(), ledger, asset)
         };
         let idle = |_: &Asset| true;
-        let situation = Situation { spare: &spare, idle: &idle };
-        let found = follow(&mut next, &self.wanted[at], &situation);
+        let situation = DropChecks { witnesses: &spare, is_idle: &idle };
+        let found = reconcile(&mut next, &self.wanted[at], &situation);
         let unchanged = |other: &ServerName| self.rows[other].1 == self.seen[at][other].1;
         let allowed = !self.checked || found.witnesses.iter().all(unchanged);
         if next != held && allowed {
@@ -103,7 +103,7 @@
 
     fn carry_out(&mut self, at: usize, ledger: &Ledger) {
         let engine = &mut self.engines[at];
-        for order in ledger.orders() {
+        for order in ledger.pending_orders() {
             let asset = &order.asset;
             engine
                 .models
--- a/crates/place/tests/ledger/world.rs
+++ b/crates/place/tests/ledger/world.rs
@@ -3,9 +3,10 @@
 use std::collections::BTreeMap;
 
 use chestnut_base::{Fence, ModelName, OrderId, VersionName};
-use chestnut_place::ledger::COPY_LIFE;
+use chestnut_place::ledger::MAX_ORDER_DELAY_MS;
 use chestnut_place::{
-    Asset, ItemState, Ledger, Order, Report, Situation, Span, Want, follow,
+    Asset, DesiredAsset, DropChecks, Ledger, Order, Report, ReservationState, TimeRange,
+    reconcile,
 };
 
 use crate::engine::Engine;
@@ -68,7 +69,7 @@
     claim: Fence,
     leads: Vec<Lead>,
     network: Vec<Packet>,
-    wanted: Vec<Want>,
+    wanted: Vec<DesiredAsset>,
     now: u64,
     confirmed: u64,
     crashes: u64,
@@ -120,14 +121,15 @@
             // Without a safeguard only real harm counts.
             return None;
         }
-        if ledger.reserved() > ledger.capacity {
+        if ledger.reserved_bytes() > ledger.capacity {
             return Some(format!(
                 "{} of {} reserved",
-                ledger.reserved(),
+                ledger.reserved_bytes(),
                 ledger.capacity
             ));
         }
-        let unknown = self.engine.assets().find(|asset| ledger.item(asset).is_none());
+        let unknown =
+            self.engine.assets().find(|asset| ledger.reservation(asset).is_none());
         unknown.map(|asset| format!("{asset} is held and not in the ledger"))
     }
 
@@ -147,7 +149,7 @@
 
     /// What is wanted and not there, or there and not wanted.
     pub fn missing(&self) -> Option<String> {
-        let lacks = |want: &&Want| !self.engine.is_ready(&want.asset);
+        let lacks = |want: &&DesiredAsset| !self.engine.is_ready(&want.asset);
         if let Some(want) = self.wanted.iter().find(lacks) {
             return Some(format!("{} is not resident: {:?}", want.asset, self.row.0));
         }
@@ -165,12 +167,12 @@
         assert!(self.crashes > steps / 100, "the engine crashed {} times", self.crashes);
     }
 
-    fn asset(&self, at: usize) -> Want {
+    fn asset(&self, at: usize) -> DesiredAsset {
         let model = ModelName::try_from(format!("m{at}")).expect("a valid name");
         let version = VersionName::try_from("v1").expect("a valid name");
         // Sizes of one to two units, so that different sets of assets fit.
         let bytes = UNIT + (at as u64 % 3) * (UNIT / 2);
-        Want { asset: Asset::model(model, version), bytes }
+        DesiredAsset { asset: Asset::model(model, version), bytes }
     }
 
     /// Chooses a wanted set that fits.
@@ -209,7 +211,7 @@
 
     /// Lets so much time pass that nothing old is under way any more.
     fn wait(&mut self) {
-        self.now += COPY_LIFE;
+        self.now += MAX_ORDER_DELAY_MS;
         self.network.clear();
         let last = self.leads.len() - 1;
         self.leads.drain(..last);
@@ -223,7 +225,7 @@
             Some(row) => row,
             None => {
                 if lead.copies.is_empty() {
-                    lead.earlier = self.row.0.last;
+                    lead.earlier = self.row.0.last_order;
                 }
                 self.row.clone()
             }
@@ -250,25 +252,28 @@
 
     fn decide(&self, lead: &Lead, held: &Ledger, report: &Report, from: u64) -> Ledger {
         let mut next = held.clone();
-        next.observe(report, Span { from, to: self.now });
+        next.apply_report(report, TimeRange { earliest: from, latest: self.now });
         let loads: Vec<_> =
-            next.items.iter().flat_map(|item| item.loads.clone()).collect();
+            next.reservations.iter().flat_map(|item| item.loads.clone()).collect();
         for load in loads {
             let (sent, answered) =
                 lead.copies.get(&load.order).copied().unwrap_or((0, 0));
-            if load.seen && load.order.0 > lead.earlier && sent == answered {
-                next.clear(load.order);
+            if load.listed && load.order.0 > lead.earlier && sent == answered {
+                next.mark_answered(load.order);
             }
         }
         let spare = |_: &Ledger, _: &Asset| Some(Vec::new());
         let idle = |_: &Asset| true;
-        let situation = Situation { spare: &spare, idle: &idle };
-        follow(&mut next, &self.wanted, &situation);
+        let situation = DropChecks { witnesses: &spare, is_idle: &idle };
+        reconcile(&mut next, &self.wanted, &situation);
         match self.setup.guard {
             Guard::NoConfirm => {
-                next.items.retain(|item| item.state != ItemState::Unloading);
+                next.reservations
+                    .retain(|item| item.state != ReservationState::Unloading);
+            }
+            Guard::NoLate => {
+                next.reservations.retain(|item| item.state != ReservationState::Expiring)
             }
-            Guard::NoLate => next.items.retain(|item| item.state != ItemState::Spent),
             Guard::On | Guard::NoCommit => {}
         }
         next
@@ -290,7 +295,11 @@
         let down = luck.is_multiple_of(16);
         if allowed && !down {
             let ready = |ledger: &Ledger| {
-                ledger.items.iter().filter(|item| item.state == ItemState::Ready).count()
+                ledger
+                    .reservations
+                    .iter()
+                    .filter(|item| item.state == ReservationState::Ready)
+                    .count()
             };
             self.confirmed += ready(&next).saturating_sub(ready(held)) as u64;
             self.row = (next.clone(), version + 1);
@@ -304,8 +313,8 @@
     }
 
     fn send(&mut self, lead: &mut Lead, next: &Ledger, row: Option<&Ledger>) {
-        for order in next.orders() {
-            if row.is_some_and(|row| !row.knows(&order)) {
+        for order in next.pending_orders() {
+            if row.is_some_and(|row| !row.contains_order(&order)) {
                 continue;
             }
             lead.copies.entry(order.id).or_default().0 += 1;
--- a/crates/place/tests/planner.rs
+++ b/crates/place/tests/planner.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use chestnut_place::{ModelState, Placement, PoolState, RunnerState, plan};
+use chestnut_place::{ModelState, Placement, PoolState, RunnerState, plan_placement};
 use proptest::prelude::*;
 use proptest::test_runner::Config;
 
@@ -10,25 +10,33 @@
 const ROUNDS: usize = 40;
 
 fn runner(domain: usize, capacity: u64) -> RunnerState {
-    RunnerState { domain, capacity, other: 0, stays: true, fixed: false }
+    RunnerState { domain, capacity, other_bytes: 0, accepts_models: true, locked: false }
 }
 
 fn model(bytes: u64, replicas: usize, demand: f64) -> ModelState {
     let cold = Duration::from_secs(30);
     let (placed, copies) = (Vec::new(), Vec::new());
-    ModelState { bytes, replicas, cold, demand, placed, loading: 0, copies }
+    ModelState {
+        bytes,
+        replicas,
+        load_time: cold,
+        demand,
+        placed,
+        loading: 0,
+        cached_on: copies,
+    }
 }
 
 fn pool(runners: Vec<RunnerState>, models: Vec<ModelState>) -> PoolState {
     PoolState {
         runners,
         models,
-        throughput: 1_000.0,
-        parallel: 2,
+        runner_throughput: 1_000.0,
+        parallel_loads: 2,
         frozen: false,
         attainment_weight: 1.0,
         move_weight: 1.0,
-        horizon: chestnut_place::planner::HORIZON,
+        demand_horizon: chestnut_place::planner::DEMAND_HORIZON,
     }
 }
 
@@ -37,7 +45,7 @@
     let mut moves = 0;
     let mut last = Placement::default();
     for _ in 0..ROUNDS {
-        last = plan(pool);
+        last = plan_placement(pool);
         moves += last.added.len();
         for (model, placed) in pool.models.iter_mut().zip(&last.placed) {
             model.placed.clone_from(placed);
@@ -92,7 +100,7 @@
         let models = models.iter().map(|(bytes, demand)| model(*bytes, 1, *demand));
         let mut pool = pool((0..4).map(|at| runner(at % 2, 80)).collect(), models.collect());
         settle(&mut pool);
-        let again = plan(&pool);
+        let again = plan_placement(&pool);
         prop_assert_eq!(again.added.len(), 0);
     }
 }
@@ -140,16 +148,16 @@
     ];
     let models = (0..13).map(|index| ModelState {
         placed: placed[index].to_vec(),
-        copies: copies[index].to_vec(),
-        cold: Duration::from_millis(1200),
+        cached_on: copies[index].to_vec(),
+        load_time: Duration::from_millis(1200),
         ..model(gigabytes[index], 1, demands[index])
     });
     let mut pool = pool((0..9).map(|at| runner(at % 3, 199)).collect(), models.collect());
-    pool.throughput = 16_000.0;
-    pool.parallel = 2;
+    pool.runner_throughput = 16_000.0;
+    pool.parallel_loads = 2;
     pool.move_weight = 2.0;
-    pool.horizon = Duration::from_secs(20);
-    let placement = plan(&pool);
+    pool.demand_horizon = Duration::from_secs(20);
+    let placement = plan_placement(&pool);
     assert!(placement.added.len() <= 9);
 }
 
@@ -164,8 +172,8 @@
         models[needy].demand = 9_000.0;
         models[0].placed = vec![0];
         models[1].placed = vec![1];
-        let pool = PoolState { parallel: 1, ..pool(runners, models) };
-        let placed = plan(&pool).placed;
+        let pool = PoolState { parallel_loads: 1, ..pool(runners, models) };
+        let placed = plan_placement(&pool).placed;
         assert_eq!(placed[needy], [needy, 2], "the needy one is {needy}");
     }
 }
@@ -180,9 +188,9 @@
     );
     pool.models[0].placed = vec![0];
     pool.models[1].placed = vec![1];
-    pool.runners[0].stays = false;
-    pool.parallel = 1;
-    let next = plan(&pool);
+    pool.runners[0].accepts_models = false;
+    pool.parallel_loads = 1;
+    let next = plan_placement(&pool);
     assert_eq!(next.added.len(), 1);
     assert!(next.placed[0].iter().any(|at| *at != 0));
 }
@@ -263,10 +271,10 @@
     small.placed = vec![0, 1];
     // No runner has room for another replica of the one that is overloaded.
     let mut runners: Vec<_> = (0..8).map(|_| runner(0, 60)).collect();
-    (runners[0].capacity, runners[1].other) = (80, 10);
+    (runners[0].capacity, runners[1].other_bytes) = (80, 10);
     let mut rest = model(30, 6, 0.0);
     rest.placed = (2..8).collect();
-    let pool = PoolState { parallel: 4, ..pool(runners, vec![hot, small, rest]) };
-    let added = plan(&pool).added;
+    let pool = PoolState { parallel_loads: 4, ..pool(runners, vec![hot, small, rest]) };
+    let added = plan_placement(&pool).added;
     assert!(added.is_empty(), "{added:?}");
 }
--- a/crates/pool/src/placing.rs
+++ b/crates/pool/src/placing.rs
@@ -14,7 +14,7 @@
 
 use chestnut_base::{DomainName, MemberId, ModelName, ServerName};
 use chestnut_edge::{Engine, HeldModel, ServerEntry};
-use chestnut_place::{ModelState, Placement, PoolState, RunnerState, plan};
+use chestnut_place::{ModelState, Placement, PoolState, RunnerState, plan_placement};
 use indexmap::{IndexMap, IndexSet};
 
 use crate::demand::{Asked, Demands};
@@ -178,12 +178,12 @@
     fn loads(&mut self, scene: &Scene, now: Instant) -> Vec<Move> {
         let parallel = self.pace.left(scene.bound, now) + self.count_moves(Moving::loads);
         let mut pool = self.pool_state(scene, Moving::loads);
-        (pool.parallel, pool.frozen) = (parallel, true);
+        (pool.parallel_loads, pool.frozen) = (parallel, true);
         for (state, runner) in pool.runners.iter_mut().zip(scene.runners) {
-            state.fixed |= self.moving.contains_key(&runner.name);
+            state.locked |= self.moving.contains_key(&runner.name);
         }
         let mut fresh = Vec::new();
-        for change in moves(scene, &pool, &plan(&pool)) {
+        for change in moves(scene, &pool, &plan_placement(&pool)) {
             let Some(model) = change.load.clone() else { continue };
             let mut runners = scene.runners.iter();
             let runner = runners.find(|runner| runner.name == change.server);
@@ -204,9 +204,9 @@
     fn drains(&mut self, scene: &Scene, now: Instant) -> Vec<Move> {
         let parallel = self.loads_ahead(scene, now) + self.count_moves(Moving::wants);
         let mut pool = self.pool_state(scene, Moving::wants);
-        pool.parallel = parallel;
+        pool.parallel_loads = parallel;
         let mut fresh = Vec::new();
-        for change in moves(scene, &pool, &plan(&pool)) {
+        for change in moves(scene, &pool, &plan_placement(&pool)) {
             if change.drop.is_empty() || self.moving.contains_key(&change.server) {
                 continue;
             }
@@ -301,9 +301,9 @@
         let runner_state = |runner: &ServerEntry| RunnerState {
             domain: domains.get_index_of(&runner.domain).unwrap_or_default(),
             capacity: (scene.engine.memory_mb * MB) as u64,
-            other: (scene.engine.adapter_reserve() * MB) as u64,
-            stays: true,
-            fixed: self.is_fixed(scene, runner),
+            other_bytes: (scene.engine.adapter_reserve() * MB) as u64,
+            accepts_models: true,
+            locked: self.is_fixed(scene, runner),
         };
         let names = scene.engine.models.keys();
         let models: Vec<ModelState> =
@@ -315,12 +315,12 @@
         PoolState {
             runners: runners.iter().map(runner_state).collect(),
             models,
-            throughput: THROUGHPUT.max(even),
-            parallel: 0,
+            runner_throughput: THROUGHPUT.max(even),
+            parallel_loads: 0,
             frozen: false,
             attainment_weight: 1.0,
             move_weight: MOVE_WEIGHT,
-            horizon: HORIZON,
+            demand_horizon: HORIZON,
         }
     }
 
@@ -350,11 +350,11 @@
         ModelState {
             bytes: (declared.weights_mb * MB) as u64,
             replicas: 1,
-            cold: declared.load,
+            load_time: declared.load,
             demand: self.demand(name),
             placed: indices(&there),
             loading: scene.runners.iter().filter(|runner| loads(runner)).count(),
-            copies: indices(&|runner| is_near(runner, name)),
+            cached_on: indices(&|runner| is_near(runner, name)),
         }
     }
 }
@@ -385,7 +385,7 @@
             continue;
         }
         // What goes for a second load of the plan stays for now.
-        let fits = pool.room(runner) >= pool.models[load].bytes;
+        let fits = pool.free_bytes(runner) >= pool.models[load].bytes;
         let goes = |model: &usize| before(model) && !wanted(model) && !fits;
         let drop = (0..models.len()).filter(goes);
         moves.entry(runner).or_insert_with(|| Move {
