--- a/crates/lab/src/journal/daemon.rs
+++ b/crates/lab/src/journal/daemon.rs
@@ -10,9 +10,10 @@
 };
 use chestnut_node::journal::{JOURNAL, commit, load};
 use chestnut_node::slotlog::append;
-use chestnut_once::limits::gap_of;
+use chestnut_once::limits::batch_interval;
 use chestnut_once::{
-    Answer, Effect, Event, Journal, Kept, Limits, Record, Reply, Ticket, row_key,
+    BodyLocation, Effect, Event, Journal, Limits, Record, Reply, Response, WaiterId,
+    row_key,
 };
 use chestnut_plat::{Objects, Table, Txn};
 use hdrhistogram::Histogram;
@@ -96,7 +97,7 @@
     claims: Vec<(SlotId, u64)>,
     inbox: UnboundedSender<Event>,
     events: UnboundedReceiver<Event>,
-    waiting: IndexMap<Ticket, Asked>,
+    waiting: IndexMap<WaiterId, Asked>,
     /// When each run ended.
     ends: IndexMap<RequestId, Instant>,
     /// Requests that were refused and come back, by number.
@@ -115,7 +116,8 @@
         objects: Objects,
         claims: Vec<(SlotId, u64)>,
     ) -> Self {
-        let limits = Limits { gap: gap_of(count.into()), ..Limits::default() };
+        let limits =
+            Limits { batch_interval: batch_interval(count.into()), ..Limits::default() };
         let (inbox, events) = mpsc::unbounded_channel();
         Self {
             index,
@@ -137,7 +139,7 @@
     /// Takes the slots and waits until their rows are read.
     pub async fn open(&mut self) {
         for (slot, version) in self.claims.clone() {
-            self.tell(Event::Lead { slot, version });
+            self.tell(Event::SlotClaimed { slot, version });
         }
         while self.journal.open_slots() < self.claims.len() {
             let event = self.events.recv().await.expect("the daemon holds a sender");
@@ -147,7 +149,7 @@
 
     /// The number of ids in memory.
     pub fn ids(&self) -> usize {
-        self.journal.ids()
+        self.journal.id_count()
     }
 
     /// Takes a request every `gap` for `time`, then ends what is left.
@@ -169,7 +171,7 @@
                 self.ask_new(number);
             }
             self.ask_again();
-            let wake = self.journal.wake().unwrap_or(now + gap);
+            let wake = self.journal.next_deadline().unwrap_or(now + gap);
             let wake = if open { wake.min(next) } else { wake };
             let back = self.returning.peek().map_or(wake, |Reverse((at, _))| *at);
             tokio::select! {
@@ -206,10 +208,10 @@
 
     fn ask(&mut self, asked: Asked) {
         self.tickets += 1;
-        let ticket = Ticket(self.tickets);
+        let ticket = WaiterId(self.tickets);
         let member = MemberId(self.index.into());
-        let event = Event::Ask {
-            ticket,
+        let event = Event::Submit {
+            waiter: ticket,
             slot: asked.slot,
             id: asked.id.clone(),
             digest: Digest(1),
@@ -222,15 +224,15 @@
 
     fn tell(&mut self, event: Event) {
         let now = Instant::now();
-        self.journal.handle(Event::Lease(now + Duration::from_secs(6)), now);
+        self.journal.handle(Event::LeaseExpiry(now + Duration::from_secs(6)), now);
         self.journal.handle(event, now);
         self.act();
     }
 
     fn act(&mut self) {
-        while let Some(effect) = self.journal.effect() {
+        while let Some(effect) = self.journal.next_effect() {
             match effect {
-                Effect::Load { slot, version } => {
+                Effect::LoadSlot { slot, version } => {
                     let (table, inbox) = (self.table.clone(), self.inbox.clone());
                     let objects = self.objects.clone();
                     tokio::spawn(async move {
@@ -245,41 +247,56 @@
                     let (table, inbox) = (self.table.clone(), self.inbox.clone());
                     tokio::spawn(async move {
                         let stored = commit(&table, &batch).await;
-                        inbox.send(Event::Stored { number: batch.number, stored }).ok();
+                        inbox
+                            .send(Event::CommitFinished {
+                                number: batch.number,
+                                result: stored,
+                            })
+                            .ok();
                     });
                 }
-                Effect::Append { slot, number, place, records } => {
+                Effect::AppendToLog { slot, number, position: place, records } => {
                     self.tally.appends.push(Instant::now());
                     let (objects, inbox) = (self.objects.clone(), self.inbox.clone());
                     tokio::spawn(async move {
                         let appended = append(&objects, slot, place, &records).await;
-                        inbox.send(Event::Appended { slot, number, appended }).ok();
+                        inbox
+                            .send(Event::AppendFinished {
+                                slot,
+                                number,
+                                result: appended,
+                            })
+                            .ok();
                     });
                 }
-                Effect::Run { ticket, id, attempt } => self.ran(ticket, id, attempt),
-                Effect::Reply { ticket, reply } => self.replied(ticket, reply),
+                Effect::Run { waiter: ticket, id, attempt } => {
+                    self.ran(ticket, id, attempt)
+                }
+                Effect::Reply { waiter: ticket, reply } => self.replied(ticket, reply),
                 _ => {}
             }
         }
     }
 
-    fn ran(&mut self, ticket: Ticket, id: RequestId, attempt: AttemptId) {
+    fn ran(&mut self, ticket: WaiterId, id: RequestId, attempt: AttemptId) {
         let now = Instant::now();
         if let Some(asked) = self.waiting.get(&ticket) {
             self.tally.started.saturating_record(micros(now - asked.since));
         }
         self.ends.insert(id.clone(), now);
         let answer = answer().into();
-        let kept = Kept::Inline("booked".into());
+        let kept = BodyLocation::Inline("booked".into());
         // The daemon holds the receiver.
-        self.inbox.send(Event::Ended { id, attempt, answer, kept }).ok();
+        self.inbox
+            .send(Event::RunFinished { id, attempt, response: answer, body: kept })
+            .ok();
     }
 
-    fn replied(&mut self, ticket: Ticket, reply: Reply) {
+    fn replied(&mut self, ticket: WaiterId, reply: Reply) {
         let Some(asked) = self.waiting.swap_remove(&ticket) else { return };
         let now = Instant::now();
         match reply {
-            Reply::Answer(_) => {
+            Reply::Response(_) => {
                 self.tally.answered += 1;
                 self.tally.last = Some(now);
                 if let Some(end) = self.ends.swap_remove(&asked.id) {
@@ -309,9 +326,9 @@
                 digest: Digest(*number as u128),
                 attempt: AttemptId { member: MemberId(0), number: *number as u64 },
                 target: target(),
-                stamp: 0,
+                transaction_id: 0,
                 server: None,
-                answer: Some(answer().summary(Kept::Inline("booked".into()))),
+                response: Some(answer().summary(BodyLocation::Inline("booked".into()))),
             };
             txn.put(JOURNAL, row_key(slot, &id), record.to_value())
         };
@@ -320,12 +337,12 @@
     }
 }
 
-fn answer() -> Answer {
-    Answer {
+fn answer() -> Response {
+    Response {
         status: 200,
         content_type: "application/json".into(),
         tokens: None,
-        reason: String::new(),
+        finish_reason: String::new(),
         body: Bytes::from_static(b"booked"),
     }
 }
--- a/crates/node/src/journal.rs
+++ b/crates/node/src/journal.rs
@@ -8,8 +8,8 @@
 use chestnut_base::{AttemptId, MemberId, RequestId, ServerName, SlotId, Target};
 use chestnut_member::ClaimKey;
 use chestnut_once::{
-    Answer, Batch, Change, Condition, Event, Found, Kept, Known, PAGES, Record, Stored,
-    row_key, row_prefix,
+    Batch, BodyLocation, Change, CommitResult, Condition, Event, JournalRow,
+    PAGES_PER_SLOT, Record, Recovered, Response, page_prefix, row_key,
 };
 use chestnut_plat::{Objects, PlatError, Row, Table, Txn, TxnAnswer};
 use chestnut_wire::{OnceState, Say};
@@ -68,15 +68,18 @@
     // The rows are read after the log: what is moved from there meanwhile is seen.
     let rows = rows(table, slot).await;
     match (log, rows) {
-        (Ok(log), Ok(rows)) => Event::Loaded { slot, version, rows, log },
-        _ => Event::Unloaded { slot, version },
+        (Ok(log), Ok(rows)) => Event::SlotLoaded { slot, version, rows, log },
+        _ => Event::LoadFailed { slot, version },
     }
 }
 
-async fn rows(table: &Table, slot: SlotId) -> Result<Vec<(Known, Duration)>, PlatError> {
+async fn rows(
+    table: &Table,
+    slot: SlotId,
+) -> Result<Vec<(JournalRow, Duration)>, PlatError> {
     let mut rows = Vec::new();
-    for page in 0..PAGES {
-        let delta = table.scan(JOURNAL, &row_prefix(slot, page), 0).await?;
+    for page in 0..PAGES_PER_SLOT {
+        let delta = table.scan(JOURNAL, &page_prefix(slot, page), 0).await?;
         let now = delta.now;
         rows.extend(delta.rows.into_iter().map(|row| {
             let age = Duration::from_millis(now.saturating_sub(row.modified));
@@ -87,15 +90,15 @@
 }
 
 /// Commits a batch.
-pub async fn commit(table: &Table, batch: &Batch) -> Stored {
+pub async fn commit(table: &Table, batch: &Batch) -> CommitResult {
     match table.commit(&transaction(batch)).await {
-        Ok(TxnAnswer::Committed { version, .. }) => Stored::Committed { version },
+        Ok(TxnAnswer::Committed { version, .. }) => CommitResult::Committed { version },
         Ok(TxnAnswer::Conflict { check, row }) => {
             let row = row.filter(|row| row.table == JOURNAL);
-            Stored::Conflict { condition: check, row: row.map(known).map(Box::new) }
+            CommitResult::Conflict { condition: check, row: row.map(known).map(Box::new) }
         }
-        Err(PlatError::Down(_)) => Stored::Down,
-        Err(PlatError::Unknown(_) | PlatError::Protocol(_)) => Stored::Lost,
+        Err(PlatError::Down(_)) => CommitResult::Unavailable,
+        Err(PlatError::Unknown(_) | PlatError::Protocol(_)) => CommitResult::Unknown,
     }
 }
 
@@ -124,24 +127,24 @@
     txn
 }
 
-fn known(row: Row) -> Known {
-    Known { record: Record::from_value(row.value), version: row.version }
+fn known(row: Row) -> JournalRow {
+    JournalRow { record: Record::from_value(row.value), version: row.version }
 }
 
 /// Puts an answer's body where it is kept: small ones into the row.
-pub async fn keep(node: &Node, attempt: AttemptId, answer: &Answer) -> Kept {
+pub async fn keep(node: &Node, attempt: AttemptId, answer: &Response) -> BodyLocation {
     let text = std::str::from_utf8(&answer.body).ok();
     if let Some(text) = text.filter(|text| text.len() <= INLINE) {
-        return Kept::Inline(text.to_owned());
+        return BodyLocation::Inline(text.to_owned());
     }
     let key = format!("once/body/{attempt}");
     let put = node.shared.objects.put(&key, answer.body.clone(), false).await;
     match (put, text) {
-        (Ok(_), _) => Kept::Object(key),
+        (Ok(_), _) => BodyLocation::Object(key),
         (Err(_), Some(text)) if text.len() <= INLINE_AT_NEED => {
-            Kept::Inline(text.to_owned())
+            BodyLocation::Inline(text.to_owned())
         }
-        (Err(_), _) => Kept::Nowhere,
+        (Err(_), _) => BodyLocation::NotStored,
     }
 }
 
@@ -162,15 +165,15 @@
         Ok(None) => return OnceState::Unknown,
         Err(error) => return OnceState::Unreadable(error.to_string()),
     };
-    let Some(summary) = row.record.and_then(|record| record.answer) else {
+    let Some(summary) = row.record.and_then(|record| record.response) else {
         return OnceState::InDoubt;
     };
-    let answer = match (&summary.kept, summary.inline()) {
+    let answer = match (&summary.body, summary.inline_response()) {
         (_, Some(answer)) => Some(answer),
-        (Kept::Object(key), None) => {
+        (BodyLocation::Object(key), None) => {
             fetch(node, key).await.map(|body| summary.with_body(body))
         }
-        (Kept::Inline(_) | Kept::Nowhere, None) => None,
+        (BodyLocation::Inline(_) | BodyLocation::NotStored, None) => None,
     };
     match answer {
         Some(answer) => single::state(&answer),
@@ -196,7 +199,7 @@
 ///
 /// The earlier daemon may live and store it yet, the lead of the backend server
 /// may have kept it, and an engine may still have it under the attempt's id.
-pub async fn seek(node: &Arc<Node>, sought: &Sought) -> Found {
+pub async fn seek(node: &Arc<Node>, sought: &Sought) -> Recovered {
     let start = node.shared.clock.now();
     loop {
         if let Some(found) = look(node, sought).await {
@@ -209,18 +212,18 @@
             earlier && node.shared.view().members.contains_key(&sought.attempt.member);
         let time = if lives { SEEK_LIVING } else { SEEK_TIME };
         if node.shared.clock.now() >= start + time {
-            return Found::Nothing;
+            return Recovered::Nothing;
         }
         sleep(SEEK_PAUSE.mul_f64(rand::random_range(0.75..1.25))).await;
     }
 }
 
-async fn look(node: &Arc<Node>, sought: &Sought) -> Option<Found> {
+async fn look(node: &Arc<Node>, sought: &Sought) -> Option<Recovered> {
     let key = row_key(sought.slot, &sought.id);
     if let Ok(Some(row)) = node.shared.table.get(JOURNAL, &key).await {
         let known = known(row);
-        if let Some(summary) = known.record.and_then(|record| record.answer) {
-            return Some(Found::Row { summary, version: known.version });
+        if let Some(summary) = known.record.and_then(|record| record.response) {
+            return Some(Recovered::Row { summary, version: known.version });
         }
     }
     let answer = match single::late_answer(node, sought.attempt).await {
@@ -228,11 +231,11 @@
         None => attach(node, sought).await?,
     };
     let kept = keep(node, sought.attempt, &answer).await;
-    Some(Found::Engine { answer: Arc::new(answer), kept })
+    Some(Recovered::Engine { response: Arc::new(answer), body: kept })
 }
 
 /// Asks the engines that may have run the attempt for its whole answer.
-async fn attach(node: &Arc<Node>, sought: &Sought) -> Option<Answer> {
+async fn attach(node: &Arc<Node>, sought: &Sought) -> Option<Response> {
     let Target::Model { model, version, adapter } = &sought.target else {
         return None;
     };
@@ -253,7 +256,7 @@
     node: &Arc<Node>,
     address: SocketAddr,
     attempt: AttemptId,
-) -> Option<Answer> {
+) -> Option<Response> {
     let url = format!("http://{address}/v1/requests/{attempt}");
     let call = node.http.get(url).query(&[("from", 0)]).send();
     let stream = tokio::time::timeout(ATTACH_WAIT, call).await.ok()?.ok()?;
--- a/crates/node/src/poison.rs
+++ b/crates/node/src/poison.rs
@@ -11,8 +11,10 @@
 use std::time::{Duration, Instant};
 
 use chestnut_base::{Code, Digest, Refusal, ServerName};
-use chestnut_once::suspect::{CONVICTION, SUSPICION};
-use chestnut_once::{Evidence, FlightId, Gate, Suspects, Verdict};
+use chestnut_once::suspect::{BLOCK_DURATION, SUSPECT_DURATION};
+use chestnut_once::{
+    CrashTracker, DigestStatus, DispatchDecision, DispatchId, StatusChange,
+};
 use chestnut_plat::{PlatError, Row, Txn};
 use chestnut_wire::{Ask, Blame, Run, Say};
 use indexmap::IndexMap;
@@ -61,7 +63,7 @@
 
 /// Who is suspect and who is refused, as this daemon knows it.
 pub struct Poison {
-    suspects: Mutex<Suspects>,
+    suspects: Mutex<CrashTracker>,
     /// Told when a suspect is through, so that the next may run.
     through: Notify,
     /// Held while a crash is attributed and the other daemons are told.
@@ -71,7 +73,7 @@
     /// a suspect yet, together with others, and the next crash would name nobody.
     telling: tokio::sync::Mutex<()>,
     /// What is to be written into the table.
-    unsaved: Mutex<IndexMap<Digest, Option<Evidence>>>,
+    unsaved: Mutex<IndexMap<Digest, Option<DigestStatus>>>,
     /// Told when there is something to write.
     changed: Notify,
     counters: Counters,
@@ -88,7 +90,7 @@
 pub struct Flight {
     poison: Arc<Poison>,
     server: ServerName,
-    id: FlightId,
+    id: DispatchId,
 }
 
 impl Poison {
@@ -109,7 +111,7 @@
     /// Entries ask it for idempotent requests only: of the others the journal knows
     /// better whether they ran, and [`Self::enter`] refuses those that did not.
     pub fn check(&self, digest: Digest, now: Instant) -> Result<(), Refusal> {
-        if self.lock().evidence(digest, now) != Some(Evidence::Convicted) {
+        if self.lock().status(digest, now) != Some(DigestStatus::Blocked) {
             return Ok(());
         }
         self.counters.refused.inc();
@@ -136,19 +138,21 @@
             let through = self.through.notified();
             let now = shared.clock.now();
             let mut next = end;
-            match self.lock().enter(&run.server, run.work.digest, now) {
-                Gate::Pass(id) => {
+            match self.lock().try_dispatch(&run.server, run.work.digest, now) {
+                DispatchDecision::Dispatch(id) => {
                     let server = run.server.clone();
                     return Ok(Flight { poison: self.clone(), server, id });
                 }
-                Gate::Refuse => {
+                DispatchDecision::Refuse => {
                     self.counters.refused.inc();
                     return Err(poisonous());
                 }
-                Gate::Settle(settled) if settled >= end => return Err(isolated()),
-                Gate::Wait if now >= end => return Err(isolated()),
-                Gate::Settle(settled) => next = settled,
-                Gate::Wait => {}
+                DispatchDecision::WaitUntil(settled) if settled >= end => {
+                    return Err(isolated());
+                }
+                DispatchDecision::Wait if now >= end => return Err(isolated()),
+                DispatchDecision::WaitUntil(settled) => next = settled,
+                DispatchDecision::Wait => {}
             }
             tokio::select! {
                 () = through => {}
@@ -163,11 +167,13 @@
         let mut suspects = self.lock();
         for blame in blames {
             let evidence = match blame.convicted {
-                true => Evidence::Convicted,
-                false => Evidence::Suspect,
+                true => DigestStatus::Blocked,
+                false => DigestStatus::Suspect,
             };
-            suspects
-                .learn(Verdict { digest: blame.digest, evidence: Some(evidence) }, now);
+            suspects.apply(
+                StatusChange { digest: blame.digest, status: Some(evidence) },
+                now,
+            );
         }
     }
 
@@ -176,16 +182,16 @@
         self.lock().counts()
     }
 
-    fn save(&self, verdicts: &[Verdict]) {
+    fn save(&self, verdicts: &[StatusChange]) {
         let mut unsaved = self.unsaved.lock().expect("no holder of the list panics");
         for verdict in verdicts {
-            unsaved.insert(verdict.digest, verdict.evidence);
+            unsaved.insert(verdict.digest, verdict.status);
         }
         drop(unsaved);
         self.changed.notify_one();
     }
 
-    fn lock(&self) -> std::sync::MutexGuard<'_, Suspects> {
+    fn lock(&self) -> std::sync::MutexGuard<'_, CrashTracker> {
         self.suspects.lock().expect("no holder of the suspects panics")
     }
 }
@@ -216,7 +222,7 @@
             if !suspects.is_in_flight(&self.server, self.id) {
                 return;
             }
-            suspects.crash(&self.server, now)
+            suspects.record_crash(&self.server, now)
         };
         self.poison.through.notify_waiters();
         let counters = &self.poison.counters;
@@ -225,7 +231,7 @@
         warn!(node.shared.log, "a backend server crashed"; "server" => self.server.as_str(),
             "in_flight" => verdicts.len());
         for verdict in &verdicts {
-            if verdict.evidence == Some(Evidence::Convicted) {
+            if verdict.status == Some(DigestStatus::Blocked) {
                 counters.convicted.inc();
                 let (digest, server) = (verdict.digest.to_string(), self.server.as_str());
                 warn!(node.shared.log, "a request crashed a second backend server \
@@ -236,8 +242,8 @@
         spread(node, &verdicts).await;
     }
 
-    fn leave(&self, whole: bool) -> Option<Verdict> {
-        let verdict = self.poison.lock().leave(&self.server, self.id, whole);
+    fn leave(&self, whole: bool) -> Option<StatusChange> {
+        let verdict = self.poison.lock().finish(&self.server, self.id, whole);
         self.poison.through.notify_waiters();
         verdict
     }
@@ -283,13 +289,13 @@
 }
 
 /// Tells the other daemons before the crash is reported to whoever waits.
-async fn spread(node: &Node, verdicts: &[Verdict]) {
+async fn spread(node: &Node, verdicts: &[StatusChange]) {
     let others = members::others(&node.shared);
     if others.len() > SPREAD_LIMIT {
         return;
     }
-    let blame = |verdict: &Verdict| {
-        let convicted = verdict.evidence? == Evidence::Convicted;
+    let blame = |verdict: &StatusChange| {
+        let convicted = verdict.status? == DigestStatus::Blocked;
         Some(Blame { digest: verdict.digest, convicted })
     };
     let ask = Ask::Blame(verdicts.iter().filter_map(blame).collect());
@@ -328,12 +334,14 @@
     for row in &delta.rows {
         let Some((digest, evidence)) = parse(&row.key) else { continue };
         let time = match evidence {
-            Evidence::Suspect => SUSPICION,
-            Evidence::Convicted => CONVICTION,
+            DigestStatus::Suspect => SUSPECT_DURATION,
+            DigestStatus::Blocked => BLOCK_DURATION,
         };
         let age = Duration::from_millis(delta.now.saturating_sub(row.modified));
         if age < time {
-            node.poison.lock().learn(Verdict { digest, evidence: Some(evidence) }, now);
+            node.poison
+                .lock()
+                .apply(StatusChange { digest, status: Some(evidence) }, now);
         } else {
             old = remove(old, row);
         }
@@ -341,8 +349,8 @@
     for key in &delta.gone {
         if let Some((digest, evidence)) = parse(key) {
             let mut suspects = node.poison.lock();
-            if suspects.evidence(digest, now) == Some(evidence) {
-                suspects.learn(Verdict { digest, evidence: None }, now);
+            if suspects.status(digest, now) == Some(evidence) {
+                suspects.apply(StatusChange { digest, status: None }, now);
             }
         }
     }
@@ -367,8 +375,8 @@
     for (digest, evidence) in &unsaved {
         let suspect = format!("{SUSPECT}{digest}");
         txn = match evidence {
-            Some(Evidence::Suspect) => txn.put(POISON, suspect, json!({})),
-            Some(Evidence::Convicted) => txn.put(POISON, digest.to_string(), json!({})),
+            Some(DigestStatus::Suspect) => txn.put(POISON, suspect, json!({})),
+            Some(DigestStatus::Blocked) => txn.put(POISON, digest.to_string(), json!({})),
             None => txn.delete(POISON, suspect),
         };
     }
@@ -378,10 +386,10 @@
     Ok(())
 }
 
-fn parse(key: &str) -> Option<(Digest, Evidence)> {
+fn parse(key: &str) -> Option<(Digest, DigestStatus)> {
     let (text, evidence) = match key.strip_prefix(SUSPECT) {
-        Some(text) => (text, Evidence::Suspect),
-        None => (key, Evidence::Convicted),
+        Some(text) => (text, DigestStatus::Suspect),
+        None => (key, DigestStatus::Blocked),
     };
     let digest = u128::from_str_radix(text, 16).ok()?;
     Some((Digest(digest), evidence))
--- a/crates/node/src/single.rs
+++ b/crates/node/src/single.rs
@@ -8,7 +8,7 @@
 
 use bytes::Bytes;
 use chestnut_base::{AttemptId, Code, Outcome, Refusal, RequestId};
-use chestnut_once::{Answer, Event};
+use chestnut_once::{Event, Response};
 use chestnut_wire::{Frames, Load, Once, OnceState, Run, Say, encode};
 use tokio::sync::mpsc::{self, UnboundedSender};
 
@@ -58,12 +58,12 @@
     }
 
     /// The whole answer.
-    pub fn finish(self, reason: String) -> Answer {
-        Answer {
+    pub fn finish(self, reason: String) -> Response {
+        Response {
             status: self.status,
             content_type: self.content_type,
             tokens: self.tokens,
-            reason,
+            finish_reason: reason,
             body: Bytes::from(self.body),
         }
     }
@@ -100,9 +100,11 @@
                 return ended(&node, id, attempt, gather, reason).await;
             }
             Say::Refused { refusal, .. } if refusal.outcome == Outcome::NotRun => {
-                return Event::Refused { id, attempt, refusal };
+                return Event::RunRefused { id, attempt, refusal };
+            }
+            Say::Refused { refusal, .. } => {
+                return Event::RunInterrupted { id, attempt, refusal };
             }
-            Say::Refused { refusal, .. } => return Event::Broke { id, attempt, refusal },
             say => {
                 gather.push(&say);
                 if let Some(asker) = &asker {
@@ -116,7 +118,7 @@
     let why = relay.await.err().map_or_else(String::new, |error| error.to_string());
     let text = format!("the run ended without an answer {why}; ask for its outcome");
     let refusal = Refusal::in_doubt(Code::Internal, text);
-    Event::Broke { id, attempt, refusal }
+    Event::RunInterrupted { id, attempt, refusal }
 }
 
 async fn ended(
@@ -129,14 +131,14 @@
     let over = gather.over;
     let answer = gather.finish(reason);
     let kept = match over {
-        true => chestnut_once::Kept::Nowhere,
+        true => chestnut_once::BodyLocation::NotStored,
         false => journal::keep(node, attempt, &answer).await,
     };
-    Event::Ended { id, attempt, answer: Arc::new(answer), kept }
+    Event::RunFinished { id, attempt, response: Arc::new(answer), body: kept }
 }
 
 /// The frames that give a stored answer again.
-pub fn frames(answer: &Answer) -> Vec<Say> {
+pub fn frames(answer: &Response) -> Vec<Say> {
     let mut frames = Vec::new();
     match answer.tokens {
         Some(count) => {
@@ -154,12 +156,12 @@
 }
 
 /// The end mark of an answer.
-pub fn end(answer: &Answer) -> Say {
-    Say::End { reason: answer.reason.clone(), load: Load::default() }
+pub fn end(answer: &Response) -> Say {
+    Say::End { reason: answer.finish_reason.clone(), load: Load::default() }
 }
 
 /// A stored answer as the state of its request.
-pub fn state(answer: &Answer) -> OnceState {
+pub fn state(answer: &Response) -> OnceState {
     OnceState::Done {
         status: answer.status,
         content_type: answer.content_type.clone(),
@@ -208,7 +210,7 @@
     }
 }
 
-async fn keep_late(node: &Node, attempt: AttemptId, answer: &Answer) {
+async fn keep_late(node: &Node, attempt: AttemptId, answer: &Response) {
     let mut bytes = Vec::new();
     for say in frames(answer) {
         let Ok(frame) = encode(&say) else { return };
@@ -219,7 +221,7 @@
 }
 
 /// The answer of an attempt whose asker was gone when it ended, if it was kept.
-pub async fn late_answer(node: &Node, attempt: AttemptId) -> Option<Answer> {
+pub async fn late_answer(node: &Node, attempt: AttemptId) -> Option<Response> {
     let bytes = node.shared.objects.get(&late_key(attempt)).await.ok().flatten()?;
     let mut frames = Frames::new();
     frames.push(&bytes);
--- a/crates/node/src/slotlog.rs
+++ b/crates/node/src/slotlog.rs
@@ -6,7 +6,7 @@
 
 use bytes::Bytes;
 use chestnut_base::{RequestId, SlotId};
-use chestnut_once::{Appended, Log, Record};
+use chestnut_once::{AppendResult, Record, SlotLog};
 use chestnut_plat::{Objects, PlatError};
 use serde_json::{Value, json};
 
@@ -16,11 +16,15 @@
 /// Reads the log and takes its next place for the seal.
 ///
 /// `mark` tells this lead's seal from another's.
-pub async fn seal(objects: &Objects, slot: SlotId, mark: &str) -> Result<Log, PlatError> {
+pub async fn seal(
+    objects: &Objects,
+    slot: SlotId,
+    mark: &str,
+) -> Result<SlotLog, PlatError> {
     for _ in 0..SEAL_TRIES {
         let (records, next) = read(objects, slot).await?;
         if put(objects, slot, next, body(mark, &[])).await? {
-            return Ok(Log { records, next: next + 1 });
+            return Ok(SlotLog { records, next_position: next + 1 });
         }
     }
     Err(PlatError::Unknown("other daemons write the slot's log; read it again".into()))
@@ -32,18 +36,20 @@
     slot: SlotId,
     place: u64,
     records: &[Record],
-) -> Appended {
+) -> AppendResult {
     match put(objects, slot, place, body("", records)).await {
         Ok(true) => {}
-        Ok(false) => return Appended::Taken,
-        Err(PlatError::Down(_)) => return Appended::Down,
-        Err(PlatError::Unknown(_) | PlatError::Protocol(_)) => return Appended::Lost,
+        Ok(false) => return AppendResult::Conflict,
+        Err(PlatError::Down(_)) => return AppendResult::Unavailable,
+        Err(PlatError::Unknown(_) | PlatError::Protocol(_)) => {
+            return AppendResult::Unknown;
+        }
     }
     // The place may be free because the log was trimmed beyond it since.
     match places(objects, slot).await {
-        Ok(places) if places.last() == Some(&place) => Appended::Stored,
-        Ok(_) => Appended::Taken,
-        Err(_) => Appended::Lost,
+        Ok(places) if places.last() == Some(&place) => AppendResult::Appended,
+        Ok(_) => AppendResult::Conflict,
+        Err(_) => AppendResult::Unknown,
     }
 }
 
--- a/crates/node/src/slots/keeper.rs
+++ b/crates/node/src/slots/keeper.rs
@@ -4,8 +4,8 @@
 
 use chestnut_base::{Code, MemberId, Outcome, Refusal, RequestId, SlotId, slot_of};
 use chestnut_member::ClaimKey;
-use chestnut_once::limits::gap_of;
-use chestnut_once::{Answer, Effect, Event, Journal, Limits, Reply, Ticket};
+use chestnut_once::limits::batch_interval;
+use chestnut_once::{Effect, Event, Journal, Limits, Reply, Response, WaiterId};
 use chestnut_wire::{Once, OnceState, Say};
 use indexmap::{IndexMap, IndexSet};
 use prometheus_client::metrics::counter::Counter;
@@ -41,7 +41,7 @@
 pub(super) struct Keeper {
     node: Arc<Node>,
     journal: Journal,
-    waiters: IndexMap<Ticket, Waiter>,
+    waiters: IndexMap<WaiterId, Waiter>,
     /// The slots that the view says are this daemon's, with the claims' versions.
     led: IndexMap<SlotId, u64>,
     tickets: u64,
@@ -62,7 +62,7 @@
         self.follow();
         loop {
             let now = self.node.shared.clock.now();
-            let wake = self.journal.wake().unwrap_or(now + IDLE).min(now + IDLE);
+            let wake = self.journal.next_deadline().unwrap_or(now + IDLE).min(now + IDLE);
             let event = tokio::select! {
                 event = told.recv() => event,
                 changed = view.changed() => {
@@ -97,14 +97,14 @@
                 led.insert(*slot, claim.version);
             }
         }
-        self.journal.set_gap(gap_of(holders.len()));
+        self.journal.set_batch_interval(batch_interval(holders.len()));
         let old = std::mem::replace(&mut self.led, led.clone());
         for slot in old.keys().filter(|slot| !led.contains_key(*slot)) {
-            self.tell(Event::Unlead(*slot));
+            self.tell(Event::ClaimLost(*slot));
         }
         for (slot, version) in led {
             if old.get(&slot) != Some(&version) {
-                self.tell(Event::Lead { slot, version });
+                self.tell(Event::SlotClaimed { slot, version });
             }
         }
     }
@@ -113,7 +113,7 @@
         let shared = &self.node.shared;
         let lease = *shared.lease.lock().expect("no holder of the lease panics");
         let until = lease.until().unwrap_or_else(|| shared.clock.now());
-        self.tell(Event::Lease(until));
+        self.tell(Event::LeaseExpiry(until));
     }
 
     fn tell(&mut self, event: Event) {
@@ -132,12 +132,19 @@
                 let target = once.work.target.clone();
                 let attempt = self.node.shared.attempt();
                 let ticket = self.wait(Waiter::Caller { once: Some(once), out });
-                self.tell(Event::Ask { ticket, slot, id, digest, attempt, target });
+                self.tell(Event::Submit {
+                    waiter: ticket,
+                    slot,
+                    id,
+                    digest,
+                    attempt,
+                    target,
+                });
             }
             Told::Lookup { id, reply } => {
                 let slot = self.slot(&id);
                 let ticket = self.wait(Waiter::Lookup(reply));
-                self.tell(Event::Lookup { ticket, slot, id });
+                self.tell(Event::Lookup { waiter: ticket, slot, id });
             }
             Told::Done(event) => self.tell(event),
         }
@@ -147,25 +154,29 @@
         slot_of(id, self.node.shared.settings.limits.slots)
     }
 
-    fn wait(&mut self, waiter: Waiter) -> Ticket {
+    fn wait(&mut self, waiter: Waiter) -> WaiterId {
         self.tickets += 1;
-        let ticket = Ticket(self.tickets);
+        let ticket = WaiterId(self.tickets);
         self.waiters.insert(ticket, waiter);
         ticket
     }
 
     /// Carries out what the journal wants.
     fn act(&mut self) {
-        while let Some(effect) = self.journal.effect() {
+        while let Some(effect) = self.journal.next_effect() {
             match effect {
-                Effect::Reply { ticket, reply } => self.reply(ticket, reply),
-                Effect::Run { ticket, id, attempt } => self.start(ticket, id, attempt),
-                Effect::Load { slot, version } => self.spawn(move |node| async move {
-                    let _turn = node.slots.loads.acquire().await;
-                    let shared = &node.shared;
-                    let (table, objects) = (&shared.table, &shared.objects);
-                    journal::load(table, objects, slot, version, shared.me).await
-                }),
+                Effect::Reply { waiter: ticket, reply } => self.reply(ticket, reply),
+                Effect::Run { waiter: ticket, id, attempt } => {
+                    self.start(ticket, id, attempt)
+                }
+                Effect::LoadSlot { slot, version } => {
+                    self.spawn(move |node| async move {
+                        let _turn = node.slots.loads.acquire().await;
+                        let shared = &node.shared;
+                        let (table, objects) = (&shared.table, &shared.objects);
+                        journal::load(table, objects, slot, version, shared.me).await
+                    })
+                }
                 Effect::Commit(batch) => {
                     self.counters.batches.inc();
                     self.counters.changes.inc_by(batch.changes.len() as u64);
@@ -174,42 +185,49 @@
                         let stored = journal::commit(&node.shared.table, &batch).await;
                         if matches!(
                             stored,
-                            chestnut_once::Stored::Down | chestnut_once::Stored::Lost
+                            chestnut_once::CommitResult::Unavailable
+                                | chestnut_once::CommitResult::Unknown
                         ) {
                             failures.inc();
                         }
-                        Event::Stored { number: batch.number, stored }
+                        Event::CommitFinished { number: batch.number, result: stored }
                     });
                 }
-                Effect::Seek { slot, id, attempt, target, server } => {
+                Effect::RecoverResponse { slot, id, attempt, target, server } => {
                     let sought = Sought { slot, id, attempt, target, server };
                     self.spawn(move |node| async move {
                         let found = journal::seek(&node, &sought).await;
-                        Event::Found { id: sought.id, attempt, found }
+                        Event::RecoveryFinished {
+                            id: sought.id,
+                            attempt,
+                            recovered: found,
+                        }
                     });
                 }
-                Effect::Fetch { id, key } => self.spawn(move |node| async move {
+                Effect::FetchBody { id, key } => self.spawn(move |node| async move {
                     let body = journal::fetch(&node, &key).await;
-                    Event::Fetched { id, body }
+                    Event::BodyFetched { id, body }
                 }),
-                Effect::Append { slot, number, place, records } => {
+                Effect::AppendToLog { slot, number, position: place, records } => {
                     self.counters.appends.inc();
                     self.spawn(move |node| async move {
                         let objects = &node.shared.objects;
                         let appended =
                             slotlog::append(objects, slot, place, &records).await;
-                        Event::Appended { slot, number, appended }
+                        Event::AppendFinished { slot, number, result: appended }
                     });
                 }
-                Effect::Trim { slot, place } => {
+                Effect::TrimLog { slot, position: place } => {
                     let node = self.node.clone();
                     tokio::spawn(async move {
                         // What stays is read again by the next lead, to no harm.
                         drop(slotlog::trim(&node.shared.objects, slot, place).await);
                     });
                 }
-                Effect::Confirm { ticket, slot, id } => self.confirm(ticket, slot, id),
-                Effect::Discard(key) => {
+                Effect::ReadState { waiter: ticket, slot, id } => {
+                    self.confirm(ticket, slot, id)
+                }
+                Effect::DeleteBody(key) => {
                     let node = self.node.clone();
                     tokio::spawn(async move {
                         // What stays in the store harms nothing but its size.
@@ -236,7 +254,7 @@
 
     fn start(
         &mut self,
-        ticket: Ticket,
+        ticket: WaiterId,
         id: RequestId,
         attempt: chestnut_base::AttemptId,
     ) {
@@ -250,7 +268,7 @@
         self.spawn(move |node| single::run(node, *once, attempt, Some(out)));
     }
 
-    fn confirm(&mut self, ticket: Ticket, slot: SlotId, id: RequestId) {
+    fn confirm(&mut self, ticket: WaiterId, slot: SlotId, id: RequestId) {
         let Some(Waiter::Lookup(reply)) = self.waiters.swap_remove(&ticket) else {
             return;
         };
@@ -262,7 +280,7 @@
         });
     }
 
-    fn reply(&mut self, ticket: Ticket, reply: Reply) {
+    fn reply(&mut self, ticket: WaiterId, reply: Reply) {
         match self.waiters.swap_remove(&ticket) {
             Some(Waiter::Caller { once, out }) => {
                 for say in caller_frames(once.is_none(), reply) {
@@ -277,14 +295,14 @@
     }
 
     fn publish(&mut self) {
-        self.counters.ids.set(self.journal.ids() as i64);
+        self.counters.ids.set(self.journal.id_count() as i64);
         let state = SlotsState {
             open: self.journal.open_slots(),
-            ids: self.journal.ids(),
-            answers: self.journal.answer_bytes(),
+            ids: self.journal.id_count(),
+            answers: self.journal.cached_bytes(),
             queued: self.journal.queued(),
             running: self.journal.running(),
-            up: self.journal.is_up(),
+            up: self.journal.is_table_up(),
         };
         *self.node.slots.state.lock().expect("no holder of the state panics") = state;
     }
@@ -320,17 +338,17 @@
 /// What a caller gets; one that has the parts already gets the end mark.
 fn caller_frames(streamed: bool, reply: Reply) -> Vec<Say> {
     match reply {
-        Reply::Answer(answer) if streamed => vec![single::end(&answer)],
-        Reply::Answer(answer) => single::frames(&answer),
+        Reply::Response(answer) if streamed => vec![single::end(&answer)],
+        Reply::Response(answer) => single::frames(&answer),
         Reply::Refused(refusal) => vec![refused(refusal)],
         Reply::Running => vec![refused(stopped())],
     }
 }
 
 fn lookup_state(reply: Reply) -> OnceState {
-    let done = |answer: Arc<Answer>| single::state(&answer);
+    let done = |answer: Arc<Response>| single::state(&answer);
     match reply {
-        Reply::Answer(answer) => done(answer),
+        Reply::Response(answer) => done(answer),
         Reply::Running => OnceState::Running,
         Reply::Refused(refusal) if refusal.outcome == Outcome::InDoubt => {
             OnceState::InDoubt
--- a/crates/once/src/batch.rs
+++ b/crates/once/src/batch.rs
@@ -2,7 +2,7 @@
 
 use chestnut_base::{RequestId, SlotId};
 
-use crate::record::{Known, Record};
+use crate::record::{JournalRow, Record};
 
 /// One transaction on the journal.
 #[derive(Debug, Clone, PartialEq, Eq)]
@@ -69,7 +69,7 @@
 
 /// What became of a batch.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub enum Stored {
+pub enum CommitResult {
     /// All changes took effect.
     Committed {
         /// The version of the rows that were written.
@@ -80,12 +80,12 @@
         /// The index of the first condition that failed.
         condition: usize,
         /// The row as it is, if it exists and belongs to the journal.
-        row: Option<Box<Known>>,
+        row: Option<Box<JournalRow>>,
     },
     /// Nothing was done.
-    Down,
+    Unavailable,
     /// The answer was lost; the changes may have taken effect or still may.
-    Lost,
+    Unknown,
 }
 
 /// A change that waits for the next batch.
--- a/crates/once/src/event.rs
+++ b/crates/once/src/event.rs
@@ -6,46 +6,46 @@
 use bytes::Bytes;
 use chestnut_base::{AttemptId, Digest, Refusal, RequestId, ServerName, SlotId, Target};
 
-use crate::batch::{Batch, Stored};
-use crate::index::Ticket;
-use crate::record::{Answer, Kept, Known, Record, Summary};
+use crate::batch::{Batch, CommitResult};
+use crate::index::WaiterId;
+use crate::record::{BodyLocation, JournalRow, Record, Response, ResponseSummary};
 
 /// What the journal is told.
 #[derive(Debug, Clone)]
 pub enum Event {
     /// The daemon holds the claim of a slot, at this version of the claim's row.
-    Lead {
+    SlotClaimed {
         /// The slot.
         slot: SlotId,
         /// The version of the claim's row.
         version: u64,
     },
     /// The daemon no longer holds the claim of a slot.
-    Unlead(SlotId),
+    ClaimLost(SlotId),
     /// The daemon's lease holds until then, so that nobody takes its slots over.
-    Lease(Instant),
+    LeaseExpiry(Instant),
     /// The slot's rows were read after the claim was taken, with their ages.
-    Loaded {
+    SlotLoaded {
         /// The slot.
         slot: SlotId,
         /// The version of the claim's row under which they were read.
         version: u64,
         /// The rows.
-        rows: Vec<(Known, Duration)>,
+        rows: Vec<(JournalRow, Duration)>,
         /// The slot's log, sealed against its former leads.
-        log: Log,
+        log: SlotLog,
     },
     /// The slot's rows could not be read.
-    Unloaded {
+    LoadFailed {
         /// The slot.
         slot: SlotId,
         /// The version of the claim's row under which they were to be read.
         version: u64,
     },
     /// A request came.
-    Ask {
+    Submit {
         /// Who waits for the reply.
-        ticket: Ticket,
+        waiter: WaiterId,
         /// The slot of the id.
         slot: SlotId,
         /// The caller's name for the request.
@@ -60,30 +60,30 @@
     /// Somebody wants to know what became of an id.
     Lookup {
         /// Who waits for the reply.
-        ticket: Ticket,
+        waiter: WaiterId,
         /// The slot of the id.
         slot: SlotId,
         /// The caller's name for the request.
         id: RequestId,
     },
     /// A batch was answered.
-    Stored {
+    CommitFinished {
         /// The number of the batch.
         number: u64,
         /// The answer.
-        stored: Stored,
+        result: CommitResult,
     },
     /// An append to a slot's log was answered.
-    Appended {
+    AppendFinished {
         /// The slot.
         slot: SlotId,
         /// The number of the append.
         number: u64,
         /// The answer.
-        appended: Appended,
+        result: AppendResult,
     },
     /// A run ended without being handed to a backend server's connection.
-    Refused {
+    RunRefused {
         /// The id.
         id: RequestId,
         /// The attempt.
@@ -92,7 +92,7 @@
         refusal: Refusal,
     },
     /// A run was handed over and broke off.
-    Broke {
+    RunInterrupted {
         /// The id.
         id: RequestId,
         /// The attempt.
@@ -101,27 +101,27 @@
         refusal: Refusal,
     },
     /// A run ended with a whole answer, whose body is kept at `kept`.
-    Ended {
+    RunFinished {
         /// The id.
         id: RequestId,
         /// The attempt.
         attempt: AttemptId,
         /// The answer.
-        answer: Arc<Answer>,
+        response: Arc<Response>,
         /// Where the body is kept.
-        kept: Kept,
+        body: BodyLocation,
     },
-    /// The answer to [`Effect::Seek`].
-    Found {
+    /// The answer to [`Effect::RecoverResponse`].
+    RecoveryFinished {
         /// The id.
         id: RequestId,
         /// The attempt that was looked for.
         attempt: AttemptId,
         /// What was found.
-        found: Found,
+        recovered: Recovered,
     },
-    /// The answer to [`Effect::Fetch`]: the body, if it could be read.
-    Fetched {
+    /// The answer to [`Effect::FetchBody`]: the body, if it could be read.
+    BodyFetched {
         /// The id.
         id: RequestId,
         /// The body.
@@ -136,82 +136,82 @@
 /// each written only if it does not exist. A new lead takes the next number
 /// itself, the seal, so that whoever led the slot before finds its place taken.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
-pub struct Log {
+pub struct SlotLog {
     /// What it holds, in order.
     pub records: Vec<Record>,
     /// The next place.
-    pub next: u64,
+    pub next_position: u64,
 }
 
 /// What became of an append to a slot's log.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Appended {
+pub enum AppendResult {
     /// It is in the log.
-    Stored,
+    Appended,
     /// Another daemon has the place or a later one.
-    Taken,
+    Conflict,
     /// Nothing was done.
-    Down,
+    Unavailable,
     /// The answer was lost.
-    Lost,
+    Unknown,
 }
 
 /// What is found of an id that an earlier daemon started.
 #[derive(Debug, Clone)]
-pub enum Found {
+pub enum Recovered {
     /// Nothing.
     Nothing,
     /// Its row has the answer by now.
     Row {
         /// The answer without its body.
-        summary: Summary,
+        summary: ResponseSummary,
         /// The row's version.
         version: u64,
     },
     /// The engine still has the answer.
     Engine {
         /// The answer.
-        answer: Arc<Answer>,
+        response: Arc<Response>,
         /// Where the body was put.
-        kept: Kept,
+        body: BodyLocation,
     },
 }
 
 /// What the journal wants done.
 #[derive(Debug, Clone)]
 pub enum Effect {
-    /// Read the slot's rows and answer with [`Event::Loaded`] or `Unloaded`.
-    Load {
+    /// Read the slot's rows and answer with [`Event::SlotLoaded`] or `LoadFailed`.
+    LoadSlot {
         /// The slot.
         slot: SlotId,
         /// The version of the claim's row.
         version: u64,
     },
-    /// Commit a batch and answer with [`Event::Stored`].
+    /// Commit a batch and answer with [`Event::CommitFinished`].
     Commit(Batch),
     /// Write records to a place in a slot's log, which nobody else may have, and
-    /// answer with [`Event::Appended`].
-    Append {
+    /// answer with [`Event::AppendFinished`].
+    AppendToLog {
         /// The slot.
         slot: SlotId,
         /// The number of the append.
         number: u64,
         /// The place in the log.
-        place: u64,
+        position: u64,
         /// The records.
         records: Vec<Record>,
     },
     /// Remove the places of a slot's log before `place`; the table has them.
-    Trim {
+    TrimLog {
         /// The slot.
         slot: SlotId,
         /// The first place that stays.
-        place: u64,
+        position: u64,
     },
-    /// Hand the request on, once, and answer with `Refused`, `Broke` or `Ended`.
+    /// Hand the request on, once, and answer with `RunRefused`, `RunInterrupted` or `RunFinished`.
     Run {
         /// The asker that brought the request.
-        ticket: Ticket,
+        waiter: WaiterId,
         /// The id.
         id: RequestId,
         /// The attempt.
@@ -220,12 +220,12 @@
     /// Tell an asker the end.
     Reply {
         /// The asker.
-        ticket: Ticket,
+        waiter: WaiterId,
         /// What it is told.
         reply: Reply,
     },
     /// Look for the answer of an id that an earlier daemon started.
-    Seek {
+    RecoverResponse {
         /// The slot.
         slot: SlotId,
         /// The id.
@@ -238,18 +238,18 @@
         server: Option<ServerName>,
     },
     /// Read a stored answer's body from the object store.
-    Fetch {
+    FetchBody {
         /// The id.
         id: RequestId,
         /// The object's key.
         key: String,
     },
     /// Remove the body of a forgotten answer from the object store.
-    Discard(String),
+    DeleteBody(String),
     /// Read the slot's log and then the id's row, and tell the asker what they say.
-    Confirm {
+    ReadState {
         /// The asker.
-        ticket: Ticket,
+        waiter: WaiterId,
         /// The slot.
         slot: SlotId,
         /// The id.
@@ -261,7 +261,7 @@
 #[derive(Debug, Clone)]
 pub enum Reply {
     /// The whole answer; whoever got its parts already takes it as the end mark.
-    Answer(Arc<Answer>),
+    Response(Arc<Response>),
     /// Why there is no answer.
     Refused(Refusal),
     /// The request runs; only those who look up are told so.
--- a/crates/once/src/index.rs
+++ b/crates/once/src/index.rs
@@ -7,11 +7,11 @@
 use chestnut_base::{AttemptId, Digest, RequestId, ServerName, SlotId, Target};
 use indexmap::IndexMap;
 
-use crate::record::{Answer, Record, Summary};
+use crate::record::{Record, Response, ResponseSummary};
 
 /// The daemon's number for one asker.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
-pub struct Ticket(pub u64);
+pub struct WaiterId(pub u64);
 
 /// What is known of an id.
 #[derive(Debug, Clone)]
@@ -21,9 +21,9 @@
     /// Its start is recorded and it was handed on.
     Running,
     /// It ended and its answer waits for the journal.
-    Ending(Arc<Answer>, Summary),
+    Ending(Arc<Response>, ResponseSummary),
     /// Its answer is recorded, and held in memory if there is room.
-    Done(Summary, Option<Arc<Answer>>),
+    Done(ResponseSummary, Option<Arc<Response>>),
     /// It was started and its answer is being looked for.
     Seeking,
     /// It was started and its answer was not found when last looked for.
@@ -48,21 +48,21 @@
     pub end: Option<Instant>,
     pub state: State,
     /// Who waits for the end; the first brought the request.
-    pub askers: Vec<Ticket>,
+    pub askers: Vec<WaiterId>,
 }
 
 impl Entry {
     /// The record of the id with this answer.
-    pub fn record(&self, id: &RequestId, answer: Option<Summary>) -> Record {
+    pub fn record(&self, id: &RequestId, answer: Option<ResponseSummary>) -> Record {
         Record {
             slot: self.slot,
             id: id.clone(),
             digest: self.digest,
             attempt: self.attempt,
             target: self.target.clone(),
-            stamp: 0,
+            transaction_id: 0,
             server: self.server.clone(),
-            answer,
+            response: answer,
         }
     }
 
@@ -73,7 +73,7 @@
 
     /// The entry of a record that was read.
     pub fn of(record: Record, version: Option<u64>) -> (RequestId, Self) {
-        let state = match record.answer {
+        let state = match record.response {
             Some(summary) => State::Done(summary, None),
             None => State::Doubt(None),
         };
--- a/crates/once/src/journal.rs
+++ b/crates/once/src/journal.rs
@@ -9,10 +9,10 @@
 use indexmap::IndexMap;
 
 use crate::batch::{Batch, Write};
-use crate::event::{Effect, Event, Found, Reply};
-use crate::index::{Entry, Index, State, Ticket};
+use crate::event::{Effect, Event, Recovered, Reply};
+use crate::index::{Entry, Index, State, WaiterId};
 use crate::limits::{Limits, jitter};
-use crate::record::{Answer, Kept, Record};
+use crate::record::{BodyLocation, Record, Response};
 use crate::refuse::{in_doubt, unkept};
 
 mod ask;
@@ -139,37 +139,41 @@
     }
 
     /// Sets the least time between two batches.
-    pub fn set_gap(&mut self, gap: Duration) {
-        self.limits.gap = gap;
+    pub fn set_batch_interval(&mut self, gap: Duration) {
+        self.limits.batch_interval = gap;
     }
 
     /// Takes in what happened.
     pub fn handle(&mut self, event: Event, now: Instant) {
         match event {
-            Event::Lead { slot, version } => self.lead(slot, version),
-            Event::Unlead(slot) => self.unlead(slot, now),
-            Event::Lease(until) => self.lease = until,
-            Event::Loaded { slot, version, rows, log } => {
+            Event::SlotClaimed { slot, version } => self.lead(slot, version),
+            Event::ClaimLost(slot) => self.unlead(slot, now),
+            Event::LeaseExpiry(until) => self.lease = until,
+            Event::SlotLoaded { slot, version, rows, log } => {
                 self.loaded(slot, version, rows, log, now)
             }
-            Event::Appended { slot, number, appended } => {
-                self.appended(slot, number, appended, now)
+            Event::AppendFinished { slot, number, result } => {
+                self.appended(slot, number, result, now)
             }
-            Event::Unloaded { slot, version } => self.unloaded(slot, version, now),
-            Event::Ask { .. } => self.ask(event, now),
-            Event::Lookup { ticket, slot, id } => self.lookup(ticket, slot, id, now),
-            Event::Stored { number, stored } => self.stored(number, stored, now),
-            Event::Refused { id, attempt, refusal } => {
+            Event::LoadFailed { slot, version } => self.unloaded(slot, version, now),
+            Event::Submit { .. } => self.ask(event, now),
+            Event::Lookup { waiter: ticket, slot, id } => {
+                self.lookup(ticket, slot, id, now)
+            }
+            Event::CommitFinished { number, result } => self.stored(number, result, now),
+            Event::RunRefused { id, attempt, refusal } => {
                 self.refused(&id, attempt, refusal, now)
             }
-            Event::Broke { id, attempt, refusal } => {
+            Event::RunInterrupted { id, attempt, refusal } => {
                 self.broke(&id, attempt, refusal, now)
             }
-            Event::Ended { id, attempt, answer, kept } => {
-                self.ended(&id, attempt, answer, kept)
+            Event::RunFinished { id, attempt, response, body } => {
+                self.ended(&id, attempt, response, body)
+            }
+            Event::RecoveryFinished { id, attempt, recovered } => {
+                self.found(&id, attempt, recovered, now)
             }
-            Event::Found { id, attempt, found } => self.found(&id, attempt, found, now),
-            Event::Fetched { id, body } => self.fetched(&id, body),
+            Event::BodyFetched { id, body } => self.fetched(&id, body),
         }
         self.pump(now);
     }
@@ -184,7 +188,7 @@
     }
 
     /// When [`Self::tick`] has something to do next.
-    pub fn wake(&self) -> Option<Instant> {
+    pub fn next_deadline(&self) -> Option<Instant> {
         let patience = self.pending.front().map(|(end, _)| *end);
         let batch = (!self.queue.is_empty()).then(|| match self.link {
             Link::Up if self.flight.is_some() => None,
@@ -204,17 +208,17 @@
     }
 
     /// Takes the next effect.
-    pub fn effect(&mut self) -> Option<Effect> {
+    pub fn next_effect(&mut self) -> Option<Effect> {
         self.effects.pop_front()
     }
 
     /// The number of ids in memory.
-    pub fn ids(&self) -> usize {
+    pub fn id_count(&self) -> usize {
         self.index.entries.len()
     }
 
     /// Bytes of finished answers in memory.
-    pub fn answer_bytes(&self) -> usize {
+    pub fn cached_bytes(&self) -> usize {
         self.index.bytes()
     }
 
@@ -224,7 +228,7 @@
     }
 
     /// Whether the table service answered last.
-    pub fn is_up(&self) -> bool {
+    pub fn is_table_up(&self) -> bool {
         matches!(self.link, Link::Up)
     }
 
@@ -275,8 +279,8 @@
         &mut self,
         id: &RequestId,
         attempt: AttemptId,
-        answer: Arc<Answer>,
-        kept: Kept,
+        answer: Arc<Response>,
+        kept: BodyLocation,
     ) {
         if self.own(id, attempt).is_some() {
             self.end(id, answer, kept);
@@ -284,30 +288,36 @@
     }
 
     /// Records the answer of an id and gives it out afterwards.
-    fn end(&mut self, id: &RequestId, answer: Arc<Answer>, kept: Kept) {
+    fn end(&mut self, id: &RequestId, answer: Arc<Response>, kept: BodyLocation) {
         let Some(entry) = self.index.entries.get_mut(id) else { return };
         let summary = answer.summary(kept);
         entry.state = State::Ending(answer.clone(), summary);
         let slot = entry.slot;
         self.queue.push_back(Write::Finish { slot, id: id.clone() });
-        if !self.is_up() {
+        if !self.is_table_up() {
             // The answer is whole; an outage of the journal must not keep it back.
-            self.tell(id, &Reply::Answer(answer));
+            self.tell(id, &Reply::Response(answer));
         }
     }
 
-    fn found(&mut self, id: &RequestId, attempt: AttemptId, found: Found, now: Instant) {
+    fn found(
+        &mut self,
+        id: &RequestId,
+        attempt: AttemptId,
+        found: Recovered,
+        now: Instant,
+    ) {
         let end = now + self.limits.retention;
         let Some(entry) = self.index.entries.get_mut(id) else { return };
         if entry.attempt != attempt || !matches!(entry.state, State::Seeking) {
             return;
         }
         match found {
-            Found::Nothing => {
+            Recovered::Nothing => {
                 entry.state = State::Doubt(Some(now));
                 self.tell(id, &Reply::Refused(in_doubt()));
             }
-            Found::Row { summary, version } => {
+            Recovered::Row { summary, version } => {
                 entry.version = Some(version);
                 entry.state = State::Done(summary, None);
                 self.index.finish(id, end);
@@ -315,7 +325,7 @@
                     self.wait(asker, id, now);
                 }
             }
-            Found::Engine { answer, kept } => self.end(id, answer, kept),
+            Recovered::Engine { response, body } => self.end(id, response, body),
         }
     }
 
@@ -328,8 +338,8 @@
         };
         let answer = summary.with_body(body);
         *held = Some(answer.clone());
-        self.index.cache(id, answer.body.len(), self.limits.answers);
-        self.tell(id, &Reply::Answer(answer));
+        self.index.cache(id, answer.body.len(), self.limits.max_cached_bytes);
+        self.tell(id, &Reply::Response(answer));
     }
 
     /// Refuses requests that have waited for the journal too long.
@@ -339,7 +349,7 @@
         {
             let Some((end, id)) = self.pending.pop_front() else { break };
             let limits = self.limits;
-            let due = |entry: &Entry| matches!(entry.state, State::Pending(since) if since + limits.patience <= end);
+            let due = |entry: &Entry| matches!(entry.state, State::Pending(since) if since + limits.wait_limit <= end);
             if let Some(entry) = self.index.entries.get(&id).filter(|entry| due(entry)) {
                 let refusal = self.down(entry.slot, now);
                 self.void(&id, &refusal, now);
@@ -353,7 +363,7 @@
             }
         }
         for (_, event) in late {
-            if let Event::Ask { ticket, slot, .. } = event {
+            if let Event::Submit { waiter: ticket, slot, .. } = event {
                 let refusal = self.down(slot, now);
                 self.reply(ticket, Reply::Refused(refusal));
             }
@@ -362,7 +372,7 @@
 
     /// Removes the rows of ids whose retention is over.
     fn forget(&mut self, now: Instant) {
-        while self.queue.len() < self.limits.batch {
+        while self.queue.len() < self.limits.max_batch_rows {
             let Some(id) = self.index.expired(now) else { break };
             let Some(entry) = self.index.entries.get(&id) else { continue };
             if !entry.is_settled() || !entry.askers.is_empty() {
@@ -414,7 +424,7 @@
         (running && entry.attempt == attempt).then_some(entry)
     }
 
-    fn take_askers(&mut self, id: &RequestId) -> Vec<Ticket> {
+    fn take_askers(&mut self, id: &RequestId) -> Vec<WaiterId> {
         let entry = self.index.entries.get_mut(id);
         entry.map(|entry| std::mem::take(&mut entry.askers)).unwrap_or_default()
     }
@@ -426,13 +436,13 @@
         }
     }
 
-    fn reply(&mut self, ticket: Ticket, reply: Reply) {
-        self.effects.push_back(Effect::Reply { ticket, reply });
+    fn reply(&mut self, ticket: WaiterId, reply: Reply) {
+        self.effects.push_back(Effect::Reply { waiter: ticket, reply });
     }
 
     /// Drops the oldest ids beyond the limit.
     fn trim(&mut self) {
-        for slot in self.index.trim(self.limits.ids) {
+        for slot in self.index.trim(self.limits.max_ids) {
             if let Some(slot) = self.slots.get_mut(&slot) {
                 slot.complete = false;
             }
@@ -452,7 +462,7 @@
     fn down(&mut self, slot: SlotId, now: Instant) -> Refusal {
         let rest = match self.link {
             Link::Down { until, .. } => until.saturating_duration_since(now),
-            Link::Up => self.limits.backoff,
+            Link::Up => self.limits.initial_backoff,
         };
         let wait = rest + jitter(RETURN_SPREAD, &mut self.seed);
         let outcome = match self.is_sure(slot, now) {
--- a/crates/once/src/journal/ask.rs
+++ b/crates/once/src/journal/ask.rs
@@ -7,13 +7,14 @@
 use super::{Journal, Link, Phase, SEEK_PAUSE};
 use crate::batch::Write;
 use crate::event::{Effect, Event, Reply};
-use crate::index::{Entry, State, Ticket};
-use crate::record::Kept;
+use crate::index::{Entry, State, WaiterId};
+use crate::record::BodyLocation;
 use crate::refuse::{in_doubt, moved, reused, unkept};
 
 impl Journal {
     pub(super) fn ask(&mut self, event: Event, now: Instant) {
-        let Event::Ask { ticket, slot, ref id, digest, attempt, ref target } = event
+        let Event::Submit { waiter: ticket, slot, ref id, digest, attempt, ref target } =
+            event
         else {
             return;
         };
@@ -26,8 +27,8 @@
         let limits = self.limits;
         match self.slots.get_mut(&slot).map(|slot| &mut slot.phase) {
             Some(Phase::Open) => {}
-            Some(Phase::Loading(waiting)) if waiting.len() < limits.queue => {
-                waiting.push((now + limits.patience, event));
+            Some(Phase::Loading(waiting)) if waiting.len() < limits.max_queued => {
+                waiting.push((now + limits.wait_limit, event));
                 return;
             }
             Some(Phase::Loading(_) | Phase::Failed(_)) => {
@@ -38,7 +39,7 @@
                 return self.reply(ticket, Reply::Refused(moved()));
             }
         }
-        let full = self.queue.len() >= limits.queue;
+        let full = self.queue.len() >= limits.max_queued;
         let down = matches!(self.link, Link::Down { until, .. } if now < until);
         if full || down && !self.has_log(slot, now) {
             let refusal = self.down(slot, now);
@@ -65,14 +66,14 @@
         };
         self.index.entries.insert(id.clone(), entry);
         self.trim();
-        self.pending.push_back((now + limits.patience, id.clone()));
+        self.pending.push_back((now + limits.wait_limit, id.clone()));
         // A removal that still waits would remove the row of the new start.
         self.queue.retain(|write| *write.id() != id);
         self.queue.push_back(Write::Start { slot, id, over });
     }
 
     /// Lets a request share the run or the answer of an id that is known.
-    fn join(&mut self, ticket: Ticket, id: &RequestId, digest: Digest, now: Instant) {
+    fn join(&mut self, ticket: WaiterId, id: &RequestId, digest: Digest, now: Instant) {
         let Some(entry) = self.index.entries.get(id) else { return };
         if entry.digest != digest {
             return self.reply(ticket, Reply::Refused(reused()));
@@ -82,7 +83,7 @@
 
     pub(super) fn lookup(
         &mut self,
-        ticket: Ticket,
+        ticket: WaiterId,
         slot: SlotId,
         id: RequestId,
         now: Instant,
@@ -97,28 +98,28 @@
             // Only the row itself proves that an id was not started: this daemon
             // may have been paused while another took the slot over.
             Some(State::Void) | None => {
-                self.effects.push_back(Effect::Confirm { ticket, slot, id })
+                self.effects.push_back(Effect::ReadState { waiter: ticket, slot, id })
             }
         }
     }
 
     /// Lets an asker wait for the end of a known id, and sees to it that it comes.
-    pub(super) fn wait(&mut self, asker: Ticket, id: &RequestId, now: Instant) {
+    pub(super) fn wait(&mut self, asker: WaiterId, id: &RequestId, now: Instant) {
         let Some(entry) = self.index.entries.get_mut(id) else { return };
         entry.askers.push(asker);
         match &entry.state {
             State::Done(summary, held) => {
-                let known = held.clone().or_else(|| summary.inline());
+                let known = held.clone().or_else(|| summary.inline_response());
                 if let Some(answer) = known {
-                    return self.tell(id, &Reply::Answer(answer));
+                    return self.tell(id, &Reply::Response(answer));
                 }
-                match &summary.kept {
-                    Kept::Object(key) if entry.askers.len() == 1 => {
+                match &summary.body {
+                    BodyLocation::Object(key) if entry.askers.len() == 1 => {
                         let (id, key) = (id.clone(), key.clone());
-                        self.effects.push_back(Effect::Fetch { id, key });
+                        self.effects.push_back(Effect::FetchBody { id, key });
                     }
-                    Kept::Object(_) => {}
-                    Kept::Inline(_) | Kept::Nowhere => {
+                    BodyLocation::Object(_) => {}
+                    BodyLocation::Inline(_) | BodyLocation::NotStored => {
                         self.tell(id, &Reply::Refused(unkept()))
                     }
                 }
@@ -128,7 +129,7 @@
             }
             State::Doubt(_) => {
                 entry.state = State::Seeking;
-                self.effects.push_back(Effect::Seek {
+                self.effects.push_back(Effect::RecoverResponse {
                     slot: entry.slot,
                     id: id.clone(),
                     attempt: entry.attempt,
--- a/crates/once/src/journal/commit.rs
+++ b/crates/once/src/journal/commit.rs
@@ -7,11 +7,11 @@
 use indexmap::IndexMap;
 
 use super::{Flight, Journal, Link, Phase};
-use crate::batch::{Batch, Change, Condition, Stored, Write};
+use crate::batch::{Batch, Change, CommitResult, Condition, Write};
 use crate::event::{Effect, Reply};
 use crate::index::{Entry, State};
 use crate::limits::jitter;
-use crate::record::{Kept, Known};
+use crate::record::{BodyLocation, JournalRow};
 use crate::refuse::{in_doubt, moved, reused};
 
 /// How often a batch is sent whose answers are lost.
@@ -25,7 +25,7 @@
         if now < self.next || self.queue.is_empty() || self.flight.is_some() && !down {
             return;
         }
-        self.next = now + self.limits.gap;
+        self.next = now + self.limits.batch_interval;
         let rests = matches!(self.link, Link::Down { until, .. } if now < until);
         if self.flight.is_none() && !rests {
             let writes = self.pick(now);
@@ -42,7 +42,7 @@
     fn pick(&mut self, now: Instant) -> Vec<Write> {
         let mut writes = Vec::new();
         let mut later = Vec::new();
-        while writes.len() < self.limits.batch {
+        while writes.len() < self.limits.max_batch_rows {
             let Some(write) = self.queue.pop_front() else { break };
             match self.sense(&write, now) {
                 Sense::Send => writes.push(write),
@@ -66,7 +66,7 @@
             Write::Start { slot, .. } => match (state, phase) {
                 // They are not kept waiting by a table that may not answer.
                 (Some(State::Pending(_)), Some(Phase::Open))
-                    if !self.is_up() && self.has_log(*slot, now) =>
+                    if !self.is_table_up() && self.has_log(*slot, now) =>
                 {
                     Sense::Later
                 }
@@ -135,29 +135,29 @@
             _ => None,
         };
         let mut record = entry?.record(id, answer);
-        record.stamp = stamp;
+        record.transaction_id = stamp;
         Some(Change::Put(Box::new(record)))
     }
 
-    pub(super) fn stored(&mut self, number: u64, stored: Stored, now: Instant) {
+    pub(super) fn stored(&mut self, number: u64, stored: CommitResult, now: Instant) {
         let Some(flight) = self.flight.take_if(|flight| flight.batch.number == number)
         else {
             return;
         };
         match stored {
-            Stored::Committed { version } => {
+            CommitResult::Committed { version } => {
                 self.link = Link::Up;
                 for write in flight.writes {
                     self.committed(write, version, now);
                 }
             }
-            Stored::Conflict { condition, row } => {
+            CommitResult::Conflict { condition, row } => {
                 self.link = Link::Up;
                 self.conflict(flight, condition, row.map(|row| *row), now);
             }
-            Stored::Down => self.failed(flight, now),
-            Stored::Lost if self.may_resend(&flight, now) => self.resend(flight),
-            Stored::Lost => self.failed(flight, now),
+            CommitResult::Unavailable => self.failed(flight, now),
+            CommitResult::Unknown if self.may_resend(&flight, now) => self.resend(flight),
+            CommitResult::Unknown => self.failed(flight, now),
         }
     }
 
@@ -196,7 +196,11 @@
                 entry.state = State::Running;
                 let attempt = entry.attempt;
                 let Some(&ticket) = entry.askers.first() else { return };
-                self.effects.push_back(Effect::Run { ticket, id: id.clone(), attempt });
+                self.effects.push_back(Effect::Run {
+                    waiter: ticket,
+                    id: id.clone(),
+                    attempt,
+                });
             }
             // It was refused while its start was on the way.
             State::Void => {
@@ -214,7 +218,7 @@
         entry.unsaved = false;
         entry.state = State::Done(summary, Some(answer.clone()));
         let slot = entry.slot;
-        self.tell(id, &Reply::Answer(answer.clone()));
+        self.tell(id, &Reply::Response(answer.clone()));
         if matches!(
             self.slots.get(&slot).map(|slot| &slot.phase),
             Some(Phase::Lost) | None
@@ -223,7 +227,7 @@
             return;
         }
         self.index.finish(id, now + self.limits.retention);
-        self.index.cache(id, answer.body.len(), self.limits.answers);
+        self.index.cache(id, answer.body.len(), self.limits.max_cached_bytes);
         self.trim();
     }
 
@@ -231,8 +235,8 @@
         let Some(entry) = self.index.entries.get_mut(id) else { return };
         entry.version = None;
         let key = match &entry.state {
-            State::Done(summary, _) => match &summary.kept {
-                Kept::Object(key) => Some(key.clone()),
+            State::Done(summary, _) => match &summary.body {
+                BodyLocation::Object(key) => Some(key.clone()),
                 _ => None,
             },
             _ => None,
@@ -240,14 +244,14 @@
         if entry.is_settled() && entry.askers.is_empty() {
             self.index.entries.swap_remove(id);
         }
-        self.effects.extend(key.map(Effect::Discard));
+        self.effects.extend(key.map(Effect::DeleteBody));
     }
 
     fn conflict(
         &mut self,
         flight: Flight,
         condition: usize,
-        row: Option<Known>,
+        row: Option<JournalRow>,
         now: Instant,
     ) {
         let Some(failed) = flight.batch.conditions.get(condition) else {
@@ -288,11 +292,12 @@
     /// was believed lost may have written it, and the other starts of this one
     /// would be handed on without a record. A batch that only removes rows shows it
     /// by a row that is gone.
-    fn took_effect(&self, flight: &Flight, row: Option<&Known>) -> bool {
+    fn took_effect(&self, flight: &Flight, row: Option<&JournalRow>) -> bool {
         match row {
-            Some(row) => {
-                row.record.as_ref().is_some_and(|record| record.stamp == flight.stamp)
-            }
+            Some(row) => row
+                .record
+                .as_ref()
+                .is_some_and(|record| record.transaction_id == flight.stamp),
             None => {
                 flight.writes.iter().all(|write| matches!(write, Write::Forget { .. }))
             }
@@ -300,7 +305,13 @@
     }
 
     /// The start of an id met a row, or the lack of one.
-    fn taken(&mut self, slot: SlotId, id: &RequestId, row: Option<Known>, now: Instant) {
+    fn taken(
+        &mut self,
+        slot: SlotId,
+        id: &RequestId,
+        row: Option<JournalRow>,
+        now: Instant,
+    ) {
         let Some(entry) = self.index.entries.get_mut(id) else { return };
         let Some(row) = row else {
             entry.version = None;
@@ -352,7 +363,8 @@
             Link::Up => 0,
             Link::Down { tries, .. } => (tries + 1).min(16),
         };
-        let wait = (self.limits.backoff * 2u32.pow(tries)).min(self.limits.ceiling);
+        let wait =
+            (self.limits.initial_backoff * 2u32.pow(tries)).min(self.limits.max_backoff);
         let until = now + jitter(wait, &mut self.seed);
         self.link = Link::Down { until, tries };
         self.requeue(flight.writes);
@@ -375,7 +387,7 @@
             let state = self.index.entries.get(&id).map(|entry| &entry.state);
             if let Some(State::Ending(answer, _)) = state {
                 let answer = answer.clone();
-                self.tell(&id, &Reply::Answer(answer));
+                self.tell(&id, &Reply::Response(answer));
             }
         }
     }
--- a/crates/once/src/journal/lead.rs
+++ b/crates/once/src/journal/lead.rs
@@ -6,10 +6,10 @@
 
 use super::{Journal, Phase, Slot};
 use crate::batch::Write;
-use crate::event::{Effect, Log};
+use crate::event::{Effect, SlotLog};
 use crate::index::{Entry, State};
 use crate::limits::jitter;
-use crate::record::{Known, Record};
+use crate::record::{JournalRow, Record};
 use crate::refuse::moved;
 
 impl Journal {
@@ -39,7 +39,7 @@
                 dirty: false,
             },
         );
-        self.effects.push_back(Effect::Load { slot, version });
+        self.effects.push_back(Effect::LoadSlot { slot, version });
     }
 
     pub(super) fn unlead(&mut self, slot: SlotId, now: Instant) {
@@ -63,8 +63,8 @@
         &mut self,
         slot: SlotId,
         version: u64,
-        rows: Vec<(Known, Duration)>,
-        log: Log,
+        rows: Vec<(JournalRow, Duration)>,
+        log: SlotLog,
         now: Instant,
     ) {
         let Some(known) = self.slots.get_mut(&slot) else { return };
@@ -73,7 +73,7 @@
         }
         let phase = std::mem::replace(&mut known.phase, Phase::Open);
         known.complete = rows.iter().all(|(row, _)| row.record.is_some());
-        known.log = Some(log.next);
+        known.log = Some(log.next_position);
         known.dirty = true;
         for (row, age) in rows {
             let Some(record) = row.record else { continue };
@@ -121,7 +121,7 @@
     }
 
     pub(super) fn unloaded(&mut self, slot: SlotId, version: u64, now: Instant) {
-        let wait = jitter(self.limits.backoff * 2, &mut self.seed);
+        let wait = jitter(self.limits.initial_backoff * 2, &mut self.seed);
         let Some(known) = self.slots.get_mut(&slot) else { return };
         if known.version != version {
             return;
@@ -139,7 +139,7 @@
             if matches!(known.phase, Phase::Failed(at) if at <= now) {
                 known.phase = Phase::Loading(Vec::new());
                 let version = known.version;
-                self.effects.push_back(Effect::Load { slot: *slot, version });
+                self.effects.push_back(Effect::LoadSlot { slot: *slot, version });
             }
         }
     }
--- a/crates/once/src/journal/log.rs
+++ b/crates/once/src/journal/log.rs
@@ -14,10 +14,10 @@
 use super::commit::Sense;
 use super::{Append, Journal, Phase};
 use crate::batch::Write;
-use crate::event::{Appended, Effect};
+use crate::event::{AppendResult, Effect};
 use crate::index::State;
 use crate::limits::jitter;
-use crate::record::Known;
+use crate::record::JournalRow;
 
 /// How often an append is sent whose answers are lost.
 const SEND_LIMIT: u32 = 2;
@@ -57,7 +57,7 @@
         let mut rest = std::collections::VecDeque::new();
         for write in std::mem::take(&mut self.queue) {
             let fits = write.slot() == slot
-                && records.len() < self.limits.batch
+                && records.len() < self.limits.max_batch_rows
                 && matches!(write, Write::Start { .. });
             match self.index.entries.get(write.id()) {
                 Some(entry) if fits && matches!(entry.state, State::Pending(_)) => {
@@ -81,7 +81,12 @@
     ) {
         self.numbers += 1;
         let number = self.numbers;
-        let effect = Effect::Append { slot, number, place, records: records.clone() };
+        let effect = Effect::AppendToLog {
+            slot,
+            number,
+            position: place,
+            records: records.clone(),
+        };
         self.effects.push_back(effect);
         if let Some(slot) = self.slots.get_mut(&slot) {
             slot.append = Some(Append { number, place, records, lost });
@@ -92,7 +97,7 @@
         &mut self,
         slot: SlotId,
         number: u64,
-        appended: Appended,
+        appended: AppendResult,
         now: Instant,
     ) {
         let Some(known) = self.slots.get_mut(&slot) else { return };
@@ -101,23 +106,24 @@
             return;
         };
         match appended {
-            Appended::Stored => {
+            AppendResult::Appended => {
                 known.log = Some(append.place + 1);
                 known.dirty = true;
                 for record in append.records {
                     self.logged(slot, &record.id);
                 }
             }
-            Appended::Taken => self.deposed(slot, version),
-            Appended::Lost if append.lost + 1 < SEND_LIMIT => {
+            AppendResult::Conflict => self.deposed(slot, version),
+            AppendResult::Unknown if append.lost + 1 < SEND_LIMIT => {
                 self.append(slot, append.place, append.records, append.lost + 1);
             }
-            Appended::Down | Appended::Lost => {
-                if appended == Appended::Lost {
+            AppendResult::Unavailable | AppendResult::Unknown => {
+                if appended == AppendResult::Unknown {
                     // The place may be taken by these records yet.
                     known.log = None;
                 }
-                self.log_after = now + jitter(self.limits.backoff * 2, &mut self.seed);
+                self.log_after =
+                    now + jitter(self.limits.initial_backoff * 2, &mut self.seed);
                 for record in append.records {
                     let refusal = self.down(slot, now);
                     let pending = self.index.entries.get(&record.id);
@@ -143,12 +149,16 @@
         let owner = entry.askers.first().copied();
         self.queue.push_back(Write::Copy { slot, id: id.clone(), over: None });
         if let Some(ticket) = owner {
-            self.effects.push_back(Effect::Run { ticket, id: id.clone(), attempt });
+            self.effects.push_back(Effect::Run {
+                waiter: ticket,
+                id: id.clone(),
+                attempt,
+            });
         }
     }
 
     /// The copy of an id met a row, or the lack of one.
-    pub(super) fn met(&mut self, slot: SlotId, id: &RequestId, row: Option<Known>) {
+    pub(super) fn met(&mut self, slot: SlotId, id: &RequestId, row: Option<JournalRow>) {
         let Some(entry) = self.index.entries.get(id) else { return };
         let attempt = row.as_ref().and_then(|row| row.record.as_ref()).map(|r| r.attempt);
         match row {
@@ -180,7 +190,7 @@
 
     /// Removes from the logs what the table has by now.
     pub(super) fn trim_logs(&mut self) {
-        if !self.is_up() {
+        if !self.is_table_up() {
             return;
         }
         for (slot, known) in &mut self.slots {
@@ -188,7 +198,7 @@
                 // Where its end is got lost in the outage.
                 known.phase = Phase::Loading(Vec::new());
                 let version = known.version;
-                self.effects.push_back(Effect::Load { slot: *slot, version });
+                self.effects.push_back(Effect::LoadSlot { slot: *slot, version });
             }
             let (Some(next), true) = (known.log, known.dirty) else { continue };
             let open = matches!(known.phase, Phase::Open) && known.append.is_none();
@@ -197,7 +207,8 @@
             if open && !self.index.entries.values().any(unsaved) {
                 known.dirty = false;
                 // The last place stays: a former lead finds the log grown by it.
-                let effect = Effect::Trim { slot: *slot, place: next.saturating_sub(1) };
+                let effect =
+                    Effect::TrimLog { slot: *slot, position: next.saturating_sub(1) };
                 self.effects.push_back(effect);
             }
         }
--- a/crates/once/src/lib.rs
+++ b/crates/once/src/lib.rs
@@ -4,12 +4,12 @@
 //! effects come out, and the daemon carries them out. A request passes through
 //! these stages of the [`Journal`]:
 //!
-//! 1. [`Event::Ask`]: a known id joins its run, gets its stored answer or is told
+//! 1. [`Event::Submit`]: a known id joins its run, gets its stored answer or is told
 //!    that it is in doubt; an unknown id is queued,
 //! 2. [`Effect::Commit`]: a [`batch`] of many ids is written to the table service
 //!    in one transaction that checks the claims of their slots,
 //! 3. [`Effect::Run`]: only then the request is handed on, once,
-//! 4. [`Event::Ended`]: the answer is stored, then the callers get its end mark.
+//! 4. [`Event::RunFinished`]: the answer is stored, then the callers get its end mark.
 //!
 //! Beside it stand [`record`], the form in which the journal is kept, and
 //! [`suspect`], which finds the request that crashes backend servers.
@@ -31,10 +31,15 @@
 mod refuse;
 pub mod suspect;
 
-pub use batch::{Batch, Change, Condition, Stored};
-pub use event::{Appended, Effect, Event, Found, Log, Reply};
-pub use index::Ticket;
+pub use batch::{Batch, Change, CommitResult, Condition};
+pub use event::{AppendResult, Effect, Event, Recovered, Reply, SlotLog};
+pub use index::WaiterId;
 pub use journal::Journal;
 pub use limits::Limits;
-pub use record::{Answer, Kept, Known, PAGES, Record, Summary, row_key, row_prefix};
-pub use suspect::{Evidence, FlightId, Gate, Suspects, Verdict};
+pub use record::{
+    BodyLocation, JournalRow, PAGES_PER_SLOT, Record, Response, ResponseSummary,
+    page_prefix, row_key,
+};
+pub use suspect::{
+    CrashTracker, DigestStatus, DispatchDecision, DispatchId, StatusChange,
+};
--- a/crates/once/src/limits.rs
+++ b/crates/once/src/limits.rs
@@ -9,19 +9,19 @@
     ///
     /// A row has about 300 bytes, so that a transaction stays below 40 KB and
     /// its time at the table service close to that of a single row.
-    pub batch: usize,
+    pub max_batch_rows: usize,
     /// The least time between the starts of two transactions.
     ///
     /// The daemon sets it to the number of journalling daemons divided by
-    /// [`WRITE_BUDGET`].
-    pub gap: Duration,
+    /// [`MAX_TRANSACTIONS_PER_SECOND`].
+    pub batch_interval: Duration,
     /// Requests that wait for the journal; more are refused at once.
-    pub queue: usize,
+    pub max_queued: usize,
     /// How long a request may wait for the journal before it is refused.
     ///
     /// Longer than one slow transaction, and short enough that the caller still
     /// meets its deadline elsewhere or later.
-    pub patience: Duration,
+    pub wait_limit: Duration,
     /// How long a finished id is remembered; afterwards it counts as new.
     pub retention: Duration,
     /// Ids that are held in memory; the oldest finished ones are dropped first.
@@ -29,42 +29,42 @@
     /// A dropped id is still found by the check in the table's transaction. Ten
     /// thousand were measured to take under 20 MB of a daemon's 64 MB, with what
     /// reading them takes.
-    pub ids: usize,
+    pub max_ids: usize,
     /// Bytes of finished answers that are held in memory.
-    pub answers: usize,
+    pub max_cached_bytes: usize,
     /// The first wait after the table service failed.
-    pub backoff: Duration,
+    pub initial_backoff: Duration,
     /// The longest wait after the table service failed repeatedly.
-    pub ceiling: Duration,
+    pub max_backoff: Duration,
 }
 
 /// Transactions a second that all journals together may start.
 ///
 /// A third of the several hundred writes a second that the platform gives; the
 /// rest is for leases, claims, the configuration and the ledgers.
-pub const WRITE_BUDGET: u32 = 200;
+pub const MAX_TRANSACTIONS_PER_SECOND: u32 = 200;
 
 /// The least gap, also with a single daemon: half an engine step.
-pub const LEAST_GAP: Duration = Duration::from_millis(5);
+pub const MIN_BATCH_INTERVAL: Duration = Duration::from_millis(5);
 
-/// The gap that keeps `daemons` journals within [`WRITE_BUDGET`].
-pub fn gap_of(daemons: usize) -> Duration {
-    let share = Duration::from_secs(1) * daemons as u32 / WRITE_BUDGET;
-    share.max(LEAST_GAP)
+/// The gap that keeps `daemons` journals within [`MAX_TRANSACTIONS_PER_SECOND`].
+pub fn batch_interval(daemons: usize) -> Duration {
+    let share = Duration::from_secs(1) * daemons as u32 / MAX_TRANSACTIONS_PER_SECOND;
+    share.max(MIN_BATCH_INTERVAL)
 }
 
 impl Default for Limits {
     fn default() -> Self {
         Self {
-            batch: 128,
-            gap: LEAST_GAP,
-            queue: 1024,
-            patience: Duration::from_millis(2500),
+            max_batch_rows: 128,
+            batch_interval: MIN_BATCH_INTERVAL,
+            max_queued: 1024,
+            wait_limit: Duration::from_millis(2500),
             retention: Duration::from_secs(24 * 3600),
-            ids: 10_000,
-            answers: 4 << 20,
-            backoff: Duration::from_millis(250),
-            ceiling: Duration::from_secs(5),
+            max_ids: 10_000,
+            max_cached_bytes: 4 << 20,
+            initial_backoff: Duration::from_millis(250),
+            max_backoff: Duration::from_secs(5),
         }
     }
 }
--- a/crates/once/src/record.rs
+++ b/crates/once/src/record.rs
@@ -14,10 +14,10 @@
 /// The journal keeps ids for a day, which may be ten thousands in a slot. Read at
 /// once they take some 5 KB each for a moment, as text and as parsed values; ten
 /// thousand would be most of a daemon's 64 MB.
-pub const PAGES: u8 = 16;
+pub const PAGES_PER_SLOT: u8 = 16;
 
 /// The start of the keys of a page of a slot's rows.
-pub fn row_prefix(slot: SlotId, page: u8) -> String {
+pub fn page_prefix(slot: SlotId, page: u8) -> String {
     format!("{}:{page:x}:", slot.0)
 }
 
@@ -26,8 +26,8 @@
 /// A caller's name holds no `/`, so that two ids never share a key.
 pub fn row_key(slot: SlotId, id: &RequestId) -> String {
     let hash = Digest::of([id.caller.as_str().as_bytes(), id.key.as_bytes()]);
-    let page = (hash.0 % u128::from(PAGES)) as u8;
-    format!("{}{}/{}", row_prefix(slot, page), id.caller, id.key)
+    let page = (hash.0 % u128::from(PAGES_PER_SLOT)) as u8;
+    format!("{}{}/{}", page_prefix(slot, page), id.caller, id.key)
 }
 
 /// What the journal keeps of one request.
@@ -44,16 +44,16 @@
     /// What the request is sent to.
     pub target: Target,
     /// The mark of the transaction that wrote the record.
-    pub stamp: u64,
+    pub transaction_id: u64,
     /// The backend server, if it was known when the record was written.
     pub server: Option<ServerName>,
     /// The answer; a request without one was started and may have run.
-    pub answer: Option<Summary>,
+    pub response: Option<ResponseSummary>,
 }
 
 /// What is known of a whole answer, without its body.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Summary {
+pub struct ResponseSummary {
     /// The HTTP status.
     pub status: u16,
     /// The content type of the body.
@@ -61,26 +61,29 @@
     /// The tokens of a model's answer; absent for plain services.
     pub tokens: Option<u32>,
     /// Why the model stopped.
-    pub reason: String,
+    #[serde(rename = "reason")]
+    pub finish_reason: String,
     /// Where the body is.
-    pub kept: Kept,
+    #[serde(rename = "kept")]
+    pub body: BodyLocation,
 }
 
 /// Where the body of a stored answer is.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
-pub enum Kept {
+pub enum BodyLocation {
     /// In the row.
     Inline(String),
     /// In the object store under this key.
     Object(String),
     /// Nowhere: the object store could not take it.
-    Nowhere,
+    #[serde(rename = "nowhere")]
+    NotStored,
 }
 
 /// A whole answer.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Answer {
+pub struct Response {
     /// The HTTP status.
     pub status: u16,
     /// The content type of the body.
@@ -88,48 +91,48 @@
     /// The tokens of a model's answer; absent for plain services.
     pub tokens: Option<u32>,
     /// Why the model stopped.
-    pub reason: String,
+    pub finish_reason: String,
     /// The body; a model's answer is its text.
     pub body: Bytes,
 }
 
-impl Answer {
-    /// What is kept of the answer when its body is at `kept`.
-    pub fn summary(&self, kept: Kept) -> Summary {
-        Summary {
+impl Response {
+    /// What is kept of the answer when its body is at `body`.
+    pub fn summary(&self, body: BodyLocation) -> ResponseSummary {
+        ResponseSummary {
             status: self.status,
             content_type: self.content_type.clone(),
             tokens: self.tokens,
-            reason: self.reason.clone(),
-            kept,
+            finish_reason: self.finish_reason.clone(),
+            body,
         }
     }
 }
 
-impl Summary {
+impl ResponseSummary {
     /// The answer with its body.
-    pub fn with_body(&self, body: Bytes) -> Arc<Answer> {
-        Arc::new(Answer {
+    pub fn with_body(&self, body: Bytes) -> Arc<Response> {
+        Arc::new(Response {
             status: self.status,
             content_type: self.content_type.clone(),
             tokens: self.tokens,
-            reason: self.reason.clone(),
+            finish_reason: self.finish_reason.clone(),
             body,
         })
     }
 
     /// The answer, if its body is in the row.
-    pub fn inline(&self) -> Option<Arc<Answer>> {
-        match &self.kept {
-            Kept::Inline(text) => Some(self.with_body(Bytes::from(text.clone()))),
-            Kept::Object(_) | Kept::Nowhere => None,
+    pub fn inline_response(&self) -> Option<Arc<Response>> {
+        match &self.body {
+            BodyLocation::Inline(text) => Some(self.with_body(Bytes::from(text.clone()))),
+            BodyLocation::Object(_) | BodyLocation::NotStored => None,
         }
     }
 }
 
 /// A row that was read.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Known {
+pub struct JournalRow {
     /// The record; absent if the row can't be read, which counts as started.
     pub record: Option<Record>,
     /// The row's version.
@@ -149,7 +152,7 @@
     stamp: u64,
     target: Target,
     server: Option<ServerName>,
-    answer: Option<Summary>,
+    answer: Option<ResponseSummary>,
 }
 
 impl Record {
@@ -162,10 +165,10 @@
             digest: self.digest.to_string(),
             member: self.attempt.member.to_string(),
             number: self.attempt.number,
-            stamp: self.stamp,
+            stamp: self.transaction_id,
             target: self.target.clone(),
             server: self.server.clone(),
-            answer: self.answer.clone(),
+            answer: self.response.clone(),
         };
         serde_json::to_value(content).expect("a record holds only text and small numbers")
     }
@@ -181,9 +184,9 @@
             digest: Digest(digest),
             attempt: AttemptId { member: MemberId(member), number: content.number },
             target: content.target,
-            stamp: content.stamp,
+            transaction_id: content.stamp,
             server: content.server,
-            answer: content.answer,
+            response: content.answer,
         })
     }
 }
--- a/crates/once/tests/model/mod.rs
+++ b/crates/once/tests/model/mod.rs
@@ -9,7 +9,8 @@
     ServiceName, SlotId, Target,
 };
 use chestnut_once::{
-    Answer, Batch, Effect, Event, Found, Journal, Kept, Limits, Record, Reply, Ticket,
+    Batch, BodyLocation, Effect, Event, Journal, Limits, Record, Recovered, Reply,
+    Response, WaiterId,
 };
 use indexmap::IndexMap;
 
@@ -86,12 +87,12 @@
 }
 
 /// The one right answer to a run.
-fn answer(run: &RunState) -> Answer {
-    Answer {
+fn answer(run: &RunState) -> Response {
+    Response {
         status: 200,
         content_type: "text/plain".into(),
         tokens: None,
-        reason: String::new(),
+        finish_reason: String::new(),
         body: Bytes::from(format!("{}/{}/{}", run.id.key, run.digest, run.attempt)),
     }
 }
@@ -99,7 +100,7 @@
 impl World {
     pub fn new(guard: Guard, ids: usize) -> Self {
         let now = Instant::now();
-        let limits = Limits { ids, batch: 4, ..Limits::default() };
+        let limits = Limits { max_ids: ids, max_batch_rows: 4, ..Limits::default() };
         let mut world = Self {
             guard,
             limits,
@@ -141,12 +142,12 @@
         let forever = self.guard == Guard::NoLease;
         let until = self.now + if forever { LEASE * 1_000_000 } else { LEASE };
         self.daemons[daemon].lease = self.now + LEASE;
-        self.tell(daemon, Event::Lease(until));
+        self.tell(daemon, Event::LeaseExpiry(until));
         if self.holder == Some(daemon) {
             let version = self.claim;
-            self.tell(daemon, Event::Lead { slot: SLOT, version });
+            self.tell(daemon, Event::SlotClaimed { slot: SLOT, version });
         } else {
-            self.tell(daemon, Event::Unlead(SLOT));
+            self.tell(daemon, Event::ClaimLost(SLOT));
         }
     }
 
@@ -157,15 +158,15 @@
     }
 
     fn collect(&mut self, daemon: usize) {
-        while let Some(effect) = self.daemons[daemon].journal.effect() {
+        while let Some(effect) = self.daemons[daemon].journal.next_effect() {
             match effect {
-                Effect::Reply { ticket, reply } => self.check(ticket, reply),
+                Effect::Reply { waiter: ticket, reply } => self.check(ticket, reply),
                 other => self.daemons[daemon].effects.push_back(other),
             }
         }
     }
 
-    fn check(&mut self, ticket: Ticket, reply: Reply) {
+    fn check(&mut self, ticket: WaiterId, reply: Reply) {
         let asked = &mut self.asked[ticket.0 as usize];
         assert!(!asked.answered, "two answers to one request");
         asked.answered = true;
@@ -173,7 +174,7 @@
         match reply {
             Reply::Running => {}
             Reply::Refused(refusal) => self.check_refusal(&id, digest, &refusal),
-            Reply::Answer(got) => {
+            Reply::Response(got) => {
                 let mut runs = self.runs.iter();
                 let run = runs.find(|run| run.sent && run.id == id).expect("it ran");
                 assert_eq!(*got, answer(run), "another answer than the run's");
@@ -199,7 +200,10 @@
             }
             Op::Lookup { daemon, id: number } => {
                 let ticket = self.ticket(id(number), None);
-                self.tell(daemon, Event::Lookup { ticket, slot: SLOT, id: id(number) });
+                self.tell(
+                    daemon,
+                    Event::Lookup { waiter: ticket, slot: SLOT, id: id(number) },
+                );
             }
             Op::Step { daemon, link } => self.step(daemon, link),
             Op::Arrive => {
@@ -217,17 +221,22 @@
             Op::Refuse { run } => self.with_run(run, false, |world, run| {
                 let (id, attempt) = world.close(run);
                 let refusal = Refusal::not_run(Code::Overloaded, "full");
-                let event = Event::Refused { id, attempt, refusal };
+                let event = Event::RunRefused { id, attempt, refusal };
                 world.report(run, event);
             }),
             Op::End { run, whole } => self.with_run(run, true, |world, run| {
                 let (id, attempt) = world.close(run);
                 let event = if whole {
                     let answer = answer(&world.runs[run]).into();
-                    Event::Ended { id, attempt, answer, kept: world.kept(run) }
+                    Event::RunFinished {
+                        id,
+                        attempt,
+                        response: answer,
+                        body: world.kept(run),
+                    }
                 } else {
                     let refusal = Refusal::in_doubt(Code::Broken, "broken");
-                    Event::Broke { id, attempt, refusal }
+                    Event::RunInterrupted { id, attempt, refusal }
                 };
                 world.report(run, event);
             }),
@@ -256,21 +265,22 @@
         }
     }
 
-    fn ask(&mut self, daemon: usize, number: u8, body: u8) -> Ticket {
+    fn ask(&mut self, daemon: usize, number: u8, body: u8) -> WaiterId {
         let (id, digest) = (id(number), digest(number, body));
         let ticket = self.ticket(id.clone(), Some(digest));
         self.numbers += 1;
         let member = self.daemons[daemon].member;
         let attempt = AttemptId { member, number: self.numbers };
         let target = target();
-        let ask = Event::Ask { ticket, slot: SLOT, id, digest, attempt, target };
+        let ask =
+            Event::Submit { waiter: ticket, slot: SLOT, id, digest, attempt, target };
         self.tell(daemon, ask);
         ticket
     }
 
-    fn ticket(&mut self, id: RequestId, digest: Option<Digest>) -> Ticket {
+    fn ticket(&mut self, id: RequestId, digest: Option<Digest>) -> WaiterId {
         self.asked.push(Asked { id, digest, answered: false });
-        Ticket(self.asked.len() as u64 - 1)
+        WaiterId(self.asked.len() as u64 - 1)
     }
 
     /// Does something with a run that was or was not handed over and is not over.
@@ -298,10 +308,14 @@
     }
 
     /// Some bodies are in rows, others in the object store.
-    fn kept(&self, run: usize) -> Kept {
+    fn kept(&self, run: usize) -> BodyLocation {
         let body = answer(&self.runs[run]).body;
         let text = String::from_utf8(body.to_vec()).expect("the model's bodies are text");
-        if run.is_multiple_of(2) { Kept::Inline(text) } else { Kept::Object(text) }
+        if run.is_multiple_of(2) {
+            BodyLocation::Inline(text)
+        } else {
+            BodyLocation::Object(text)
+        }
     }
 
     /// A daemon dies: those who waited there are told that nothing is known.
@@ -317,21 +331,24 @@
     fn step(&mut self, daemon: usize, link: Link) {
         let Some(effect) = self.daemons[daemon].effects.pop_front() else { return };
         match effect {
-            Effect::Load { slot, version } => {
+            Effect::LoadSlot { slot, version } => {
                 let event = match link {
                     Link::Good => {
                         let (rows, log) = (self.read(), self.seal());
-                        Event::Loaded { slot, version, rows, log }
+                        Event::SlotLoaded { slot, version, rows, log }
                     }
-                    _ => Event::Unloaded { slot, version },
+                    _ => Event::LoadFailed { slot, version },
                 };
                 self.tell(daemon, event);
             }
             Effect::Commit(batch) => {
                 let stored = self.send(&batch, link);
-                self.tell(daemon, Event::Stored { number: batch.number, stored });
+                self.tell(
+                    daemon,
+                    Event::CommitFinished { number: batch.number, result: stored },
+                );
             }
-            Effect::Run { ticket, id, attempt } => {
+            Effect::Run { waiter: ticket, id, attempt } => {
                 let digest = self.asked[ticket.0 as usize].digest;
                 let state = RunState {
                     daemon: self.daemons[daemon].member,
@@ -343,15 +360,18 @@
                 };
                 self.runs.push(state);
             }
-            Effect::Seek { id, attempt, .. } => {
+            Effect::RecoverResponse { id, attempt, .. } => {
                 let found = self.seek(&id, attempt, link);
-                self.tell(daemon, Event::Found { id, attempt, found });
+                self.tell(
+                    daemon,
+                    Event::RecoveryFinished { id, attempt, recovered: found },
+                );
             }
-            Effect::Fetch { id, key } => {
+            Effect::FetchBody { id, key } => {
                 let body = (link == Link::Good).then(|| Bytes::from(key));
-                self.tell(daemon, Event::Fetched { id, body });
+                self.tell(daemon, Event::BodyFetched { id, body });
             }
-            Effect::Confirm { ticket, id, .. } => {
+            Effect::ReadState { waiter: ticket, id, .. } => {
                 self.asked[ticket.0 as usize].answered = true;
                 let logged = self.log.values().flatten().any(|record| record.id == id);
                 if !self.rows.contains_key(&id) && !logged && link == Link::Good {
@@ -359,28 +379,33 @@
                     assert!(!ran, "told unknown, but it ran");
                 }
             }
-            Effect::Append { slot, number, place, records } => {
+            Effect::AppendToLog { slot, number, position: place, records } => {
                 let appended = self.append(place, records, link);
-                self.tell(daemon, Event::Appended { slot, number, appended });
+                self.tell(
+                    daemon,
+                    Event::AppendFinished { slot, number, result: appended },
+                );
+            }
+            Effect::TrimLog { position: place, .. } => {
+                self.log.retain(|known, _| *known >= place)
             }
-            Effect::Trim { place, .. } => self.log.retain(|known, _| *known >= place),
-            Effect::Discard(_) | Effect::Reply { .. } => {}
+            Effect::DeleteBody(_) | Effect::Reply { .. } => {}
         }
     }
 
-    fn seek(&self, id: &RequestId, attempt: AttemptId, link: Link) -> Found {
+    fn seek(&self, id: &RequestId, attempt: AttemptId, link: Link) -> Recovered {
         let row = self.rows.get(id).and_then(|(record, version)| {
-            let summary = record.answer.clone()?;
-            Some(Found::Row { summary, version: *version })
+            let summary = record.response.clone()?;
+            Some(Recovered::Row { summary, version: *version })
         });
         let place = self.runs.iter().position(|run| run.attempt == attempt && run.sent);
         match (row, place, link) {
             (Some(row), _, Link::Good) => row,
-            (None, Some(run), Link::Good) if self.runs[run].over => Found::Engine {
-                answer: answer(&self.runs[run]).into(),
-                kept: self.kept(run),
+            (None, Some(run), Link::Good) if self.runs[run].over => Recovered::Engine {
+                response: answer(&self.runs[run]).into(),
+                body: self.kept(run),
             },
-            _ => Found::Nothing,
+            _ => Recovered::Nothing,
         }
     }
 
--- a/crates/once/tests/model/platform.rs
+++ b/crates/once/tests/model/platform.rs
@@ -3,7 +3,9 @@
 use std::time::Duration;
 
 use chestnut_base::RequestId;
-use chestnut_once::{Appended, Batch, Change, Condition, Known, Log, Record, Stored};
+use chestnut_once::{
+    AppendResult, Batch, Change, CommitResult, Condition, JournalRow, Record, SlotLog,
+};
 
 use super::{Guard, Late, Link, World};
 
@@ -18,7 +20,7 @@
     }
 
     /// Reads the log and takes its next place.
-    pub(super) fn seal(&mut self) -> Log {
+    pub(super) fn seal(&mut self) -> SlotLog {
         let records = match self.guard {
             Guard::NoLog => Vec::new(),
             _ => {
@@ -29,10 +31,10 @@
         };
         let next = self.log.keys().max().map_or(0, |place| place + 1);
         if self.guard == Guard::NoSeal {
-            return Log { records, next };
+            return SlotLog { records, next_position: next };
         }
         self.log.insert(next, Vec::new());
-        Log { records, next: next + 1 }
+        SlotLog { records, next_position: next + 1 }
     }
 
     pub(super) fn append(
@@ -40,43 +42,43 @@
         place: u64,
         records: Vec<Record>,
         link: Link,
-    ) -> Appended {
+    ) -> AppendResult {
         match link {
             Link::Good => self.put(place, records),
             Link::Lost => {
                 self.put(place, records);
-                Appended::Lost
+                AppendResult::Unknown
             }
             Link::Late => {
                 self.late.push_back(Late::Append(place, records));
-                Appended::Lost
+                AppendResult::Unknown
             }
-            Link::Down => Appended::Down,
+            Link::Down => AppendResult::Unavailable,
         }
     }
 
-    fn put(&mut self, place: u64, records: Vec<Record>) -> Appended {
+    fn put(&mut self, place: u64, records: Vec<Record>) -> AppendResult {
         let held = self.log.entry(place).or_insert_with(|| records.clone());
         let own = *held == records;
         let last = self.log.keys().max() == Some(&place);
-        if own && last { Appended::Stored } else { Appended::Taken }
+        if own && last { AppendResult::Appended } else { AppendResult::Conflict }
     }
 
-    pub(super) fn read(&self) -> Vec<(Known, Duration)> {
+    pub(super) fn read(&self) -> Vec<(JournalRow, Duration)> {
         if self.guard == Guard::NoRecovery {
             return Vec::new();
         }
         let known = |(record, version): &(Record, u64)| {
-            let known = Known { record: Some(record.clone()), version: *version };
+            let known = JournalRow { record: Some(record.clone()), version: *version };
             (known, Duration::ZERO)
         };
         self.rows.values().map(known).collect()
     }
 
-    pub(super) fn send(&mut self, batch: &Batch, link: Link) -> Stored {
+    pub(super) fn send(&mut self, batch: &Batch, link: Link) -> CommitResult {
         let lost = match self.guard {
-            Guard::NoReadBack => Stored::Committed { version: self.version },
-            _ => Stored::Lost,
+            Guard::NoReadBack => CommitResult::Committed { version: self.version },
+            _ => CommitResult::Unknown,
         };
         match link {
             Link::Good => self.commit(batch),
@@ -88,16 +90,16 @@
                 self.late.push_back(Late::Batch(batch.clone()));
                 lost
             }
-            Link::Down => Stored::Down,
+            Link::Down => CommitResult::Unavailable,
         }
     }
 
-    pub(super) fn commit(&mut self, batch: &Batch) -> Stored {
+    pub(super) fn commit(&mut self, batch: &Batch) -> CommitResult {
         for (condition, check) in batch.conditions.iter().enumerate() {
             let (holds, row) = self.holds(check);
             if !holds {
                 let row = row.map(|row| Box::new(self.stamped(row, batch)));
-                return Stored::Conflict { condition, row };
+                return CommitResult::Conflict { condition, row };
             }
         }
         self.version += 1;
@@ -112,26 +114,26 @@
                 }
             }
         }
-        Stored::Committed { version: self.version }
+        CommitResult::Committed { version: self.version }
     }
 
     /// Without the stamps, a row looks like the one that the batch writes.
-    fn stamped(&self, mut row: Known, batch: &Batch) -> Known {
+    fn stamped(&self, mut row: JournalRow, batch: &Batch) -> JournalRow {
         let Some(held) = row.record.as_mut() else { return row };
         for change in &batch.changes {
             if let (Change::Put(record), Guard::NoStamp) = (change, self.guard)
                 && record.attempt == held.attempt
             {
-                held.stamp = record.stamp;
+                held.transaction_id = record.transaction_id;
             }
         }
         row
     }
 
-    fn holds(&self, check: &Condition) -> (bool, Option<Known>) {
+    fn holds(&self, check: &Condition) -> (bool, Option<JournalRow>) {
         let known = |id: &RequestId| {
             let row = self.rows.get(id);
-            row.map(|(record, version)| Known {
+            row.map(|(record, version)| JournalRow {
                 record: Some(record.clone()),
                 version: *version,
             })
--- a/crates/once/tests/poison.rs
+++ b/crates/once/tests/poison.rs
@@ -8,8 +8,10 @@
 use std::time::Instant;
 
 use chestnut_base::{Digest, ServerName};
-use chestnut_once::suspect::AFTERSHOCK;
-use chestnut_once::{Evidence, FlightId, Gate, Suspects, Verdict};
+use chestnut_once::suspect::CRASH_WINDOW;
+use chestnut_once::{
+    CrashTracker, DigestStatus, DispatchDecision, DispatchId, StatusChange,
+};
 use proptest::prelude::*;
 use proptest::test_runner::{Config, RngAlgorithm, TestRng, TestRunner};
 
@@ -19,7 +21,7 @@
 #[derive(Debug, Clone)]
 struct Request {
     digest: u8,
-    flight: Option<(usize, FlightId)>,
+    flight: Option<(usize, DispatchId)>,
     over: bool,
 }
 
@@ -38,7 +40,7 @@
 struct Pool {
     isolate: bool,
     harmful: u8,
-    suspects: Suspects,
+    suspects: CrashTracker,
     now: Instant,
     requests: Vec<Request>,
     /// Servers lost per harmful digest.
@@ -55,13 +57,13 @@
 
 impl Pool {
     fn new(isolate: bool, harmful: u8) -> Self {
-        let (suspects, now) = (Suspects::new(), Instant::now());
+        let (suspects, now) = (CrashTracker::new(), Instant::now());
         let lost = vec![0; usize::from(harmful)];
         Self { isolate, harmful, suspects, now, requests: Vec::new(), lost }
     }
 
     fn apply(&mut self, op: &Op) {
-        self.now += AFTERSHOCK;
+        self.now += CRASH_WINDOW;
         match *op {
             Op::Send(digest) => {
                 // Copies of a harmful request come one after the other.
@@ -90,17 +92,19 @@
 
     fn offer(&mut self, at: usize, number: usize) {
         let digest = digest(self.requests[at].digest);
-        match self.suspects.enter(&server(number), digest, self.now) {
-            Gate::Pass(id) => self.requests[at].flight = Some((number, id)),
-            Gate::Refuse => self.requests[at].over = true,
-            Gate::Settle(_) => {}
-            Gate::Wait if self.isolate => {}
-            Gate::Wait => {
+        match self.suspects.try_dispatch(&server(number), digest, self.now) {
+            DispatchDecision::Dispatch(id) => {
+                self.requests[at].flight = Some((number, id))
+            }
+            DispatchDecision::Refuse => self.requests[at].over = true,
+            DispatchDecision::WaitUntil(_) => {}
+            DispatchDecision::Wait if self.isolate => {}
+            DispatchDecision::Wait => {
                 // Without isolation it runs beside the other suspect: it is let in
                 // as an unknown digest and the crash is still its own.
                 let unknown = Digest(u128::MAX - at as u128);
-                if let Gate::Pass(id) =
-                    self.suspects.enter(&server(number), unknown, self.now)
+                if let DispatchDecision::Dispatch(id) =
+                    self.suspects.try_dispatch(&server(number), unknown, self.now)
                 {
                     self.requests[at].flight = Some((number, id));
                 }
@@ -116,13 +120,13 @@
             self.requests[at].over = true;
             self.crash(number);
         } else {
-            self.suspects.leave(&server(number), id, true);
+            self.suspects.finish(&server(number), id, true);
             self.requests[at].over = true;
         }
     }
 
     fn crash(&mut self, number: usize) {
-        self.suspects.crash(&server(number), self.now);
+        self.suspects.record_crash(&server(number), self.now);
         for request in &mut self.requests {
             if request.flight.is_some_and(|(at, _)| at == number) {
                 // Harmless requests run again; a crashing one's caller sends anew.
@@ -152,7 +156,7 @@
     ]
 }
 
-/// Suspects run beside each other: a crash names nobody, and servers go on dying.
+/// CrashTracker run beside each other: a crash names nobody, and servers go on dying.
 #[test]
 fn more_servers_are_lost_without_isolation() {
     let config = Config { cases: 400, failure_persistence: None, ..Config::default() };
@@ -174,14 +178,14 @@
 /// one crash, and it is not convicted.
 #[test]
 fn a_dying_server_convicts_nobody_twice() {
-    let (mut suspects, now) = (Suspects::new(), Instant::now());
+    let (mut suspects, now) = (CrashTracker::new(), Instant::now());
     let innocent = digest(1);
-    suspects.enter(&server(0), innocent, now);
-    suspects.enter(&server(0), digest(0), now);
-    suspects.crash(&server(0), now);
-    suspects.enter(&server(0), innocent, now);
-    suspects.crash(&server(0), now + AFTERSHOCK / 50);
-    assert_eq!(suspects.evidence(innocent, now), Some(Evidence::Suspect));
+    suspects.try_dispatch(&server(0), innocent, now);
+    suspects.try_dispatch(&server(0), digest(0), now);
+    suspects.record_crash(&server(0), now);
+    suspects.try_dispatch(&server(0), innocent, now);
+    suspects.record_crash(&server(0), now + CRASH_WINDOW / 50);
+    assert_eq!(suspects.status(innocent, now), Some(DigestStatus::Suspect));
 }
 
 /// A letter is refused for a day though nothing is wrong with it: two servers die with
@@ -189,63 +193,68 @@
 /// in flight at the second.
 #[test]
 fn servers_that_die_together_convict_nobody() {
-    let (mut suspects, now) = (Suspects::new(), Instant::now());
+    let (mut suspects, now) = (CrashTracker::new(), Instant::now());
     let innocent = digest(1);
-    suspects.enter(&server(0), innocent, now);
-    suspects.enter(&server(0), digest(2), now);
-    suspects.crash(&server(0), now);
-    suspects.enter(&server(1), innocent, now);
-    suspects.crash(&server(1), now + AFTERSHOCK / 20);
-    assert_eq!(suspects.evidence(innocent, now), Some(Evidence::Suspect));
+    suspects.try_dispatch(&server(0), innocent, now);
+    suspects.try_dispatch(&server(0), digest(2), now);
+    suspects.record_crash(&server(0), now);
+    suspects.try_dispatch(&server(1), innocent, now);
+    suspects.record_crash(&server(1), now + CRASH_WINDOW / 20);
+    assert_eq!(suspects.status(innocent, now), Some(DigestStatus::Suspect));
 }
 
 /// The same where another daemon saw the first crash and told of it.
 #[test]
 fn a_suspicion_just_heard_of_convicts_nobody() {
-    let (mut suspects, now) = (Suspects::new(), Instant::now());
+    let (mut suspects, now) = (CrashTracker::new(), Instant::now());
     let innocent = digest(1);
-    let heard = Verdict { digest: innocent, evidence: Some(Evidence::Suspect) };
-    suspects.learn(heard, now);
-    suspects.enter(&server(1), innocent, now);
-    suspects.crash(&server(1), now + AFTERSHOCK / 200);
-    assert_eq!(suspects.evidence(innocent, now), Some(Evidence::Suspect));
+    let heard = StatusChange { digest: innocent, status: Some(DigestStatus::Suspect) };
+    suspects.apply(heard, now);
+    suspects.try_dispatch(&server(1), innocent, now);
+    suspects.record_crash(&server(1), now + CRASH_WINDOW / 200);
+    assert_eq!(suspects.status(innocent, now), Some(DigestStatus::Suspect));
 }
 
 /// The same with a third server, at which the letter was not: something else kills
 /// servers, whichever crash is noticed first.
 #[test]
 fn a_wider_failure_convicts_nobody() {
-    let later = AFTERSHOCK / 20;
+    let later = CRASH_WINDOW / 20;
     for bystander_first in [true, false] {
-        let (mut suspects, now) = (Suspects::new(), Instant::now());
+        let (mut suspects, now) = (CrashTracker::new(), Instant::now());
         let innocent = digest(1);
         for number in 0..3 {
             if number == 2 && bystander_first {
-                suspects.crash(&server(3), now + later * 2);
+                suspects.record_crash(&server(3), now + later * 2);
             }
-            suspects.enter(&server(number), innocent, now);
-            suspects.crash(&server(number), now + later * number as u32);
+            suspects.try_dispatch(&server(number), innocent, now);
+            suspects.record_crash(&server(number), now + later * number as u32);
         }
         if !bystander_first {
-            suspects.crash(&server(3), now + later * 3);
+            suspects.record_crash(&server(3), now + later * 3);
         }
-        assert_ne!(suspects.evidence(innocent, now), Some(Evidence::Convicted));
+        assert_ne!(suspects.status(innocent, now), Some(DigestStatus::Blocked));
     }
 }
 
 /// A request that kills each server within milliseconds, sent again at once, costs two.
 #[test]
 fn a_fast_killer_costs_two_servers() {
-    let (mut suspects, mut now) = (Suspects::new(), Instant::now());
-    suspects.enter(&server(0), digest(0), now);
-    suspects.crash(&server(0), now);
-    let Gate::Settle(settled) = suspects.enter(&server(1), digest(0), now) else {
+    let (mut suspects, mut now) = (CrashTracker::new(), Instant::now());
+    suspects.try_dispatch(&server(0), digest(0), now);
+    suspects.record_crash(&server(0), now);
+    let DispatchDecision::WaitUntil(settled) =
+        suspects.try_dispatch(&server(1), digest(0), now)
+    else {
         panic!("sent to a second server while the first dies");
     };
     now = settled;
-    assert!(matches!(suspects.enter(&server(1), digest(0), now), Gate::Pass(_)));
-    suspects.crash(&server(1), now + AFTERSHOCK / 20);
-    assert_eq!(suspects.evidence(digest(0), now), Some(Evidence::Convicted));
+    assert!(matches!(
+        suspects.try_dispatch(&server(1), digest(0), now),
+        DispatchDecision::Dispatch(_)
+    ));
+    suspects.record_crash(&server(1), now + CRASH_WINDOW / 20);
+    assert_eq!(suspects.status(digest(0), now), Some(DigestStatus::Blocked));
 }
 
 proptest! {
@@ -267,8 +276,8 @@
         let harmless = |one: &&Request| one.digest >= 1;
         prop_assert!(pool.requests.iter().filter(harmless).all(|one| one.over));
         for number in 1..8 {
-            let evidence = pool.suspects.evidence(digest(number), pool.now);
-            prop_assert_ne!(evidence, Some(Evidence::Convicted));
+            let evidence = pool.suspects.status(digest(number), pool.now);
+            prop_assert_ne!(evidence, Some(DigestStatus::Blocked));
         }
     }
 
@@ -279,11 +288,11 @@
     ) {
         let mut pool = Pool::new(true, 0);
         ops.iter().for_each(|op| pool.apply(op));
-        let convicted = pool.suspects.evidence(digest(number), pool.now);
-        if convicted != Some(Evidence::Convicted) {
+        let convicted = pool.suspects.status(digest(number), pool.now);
+        if convicted != Some(DigestStatus::Blocked) {
             pool.apply(&Op::Send(number));
             pool.drain();
-            prop_assert_eq!(pool.suspects.evidence(digest(number), pool.now), None);
+            prop_assert_eq!(pool.suspects.status(digest(number), pool.now), None);
         }
     }
 }
