--- a/crates/admit/src/job.rs
+++ b/crates/admit/src/job.rs
@@ -2,7 +2,7 @@
 
 use std::time::{Duration, Instant};
 
-use chestnut_base::{CallerName, Code, TeamName, Urgency};
+use chestnut_base::{CallerName, RefusalCode, TeamName, Urgency};
 use slotmap::new_key_type;
 
 new_key_type! {
@@ -86,12 +86,12 @@
 
 impl Reason {
     /// The code that the caller is told.
-    pub fn code(self) -> Code {
+    pub fn code(self) -> RefusalCode {
         match self {
-            Self::Short | Self::Late => Code::Deadline,
-            Self::Full | Self::Displaced => Code::Overloaded,
-            Self::Share => Code::CallerLimit,
-            Self::Closed => Code::Unavailable,
+            Self::Short | Self::Late => RefusalCode::Deadline,
+            Self::Full | Self::Displaced => RefusalCode::Overloaded,
+            Self::Share => RefusalCode::CallerLimit,
+            Self::Closed => RefusalCode::Unavailable,
         }
     }
 
--- a/crates/base/src/clock.rs
+++ b/crates/base/src/clock.rs
@@ -14,11 +14,11 @@
     fn now(&self) -> Instant;
 
     /// The wall-clock time, for logs and for what people read.
-    fn wall(&self) -> SystemTime;
+    fn wall_time(&self) -> SystemTime;
 
     /// The time that the VM has stood still since it was started, which the monotonic
     /// time does not count.
-    fn suspended(&self) -> Duration;
+    fn suspended_time(&self) -> Duration;
 }
 
 /// The clock of the operating system.
@@ -30,11 +30,11 @@
         Instant::now()
     }
 
-    fn wall(&self) -> SystemTime {
+    fn wall_time(&self) -> SystemTime {
         SystemTime::now()
     }
 
-    fn suspended(&self) -> Duration {
+    fn suspended_time(&self) -> Duration {
         let monotonic = clock_gettime(ClockId::Monotonic);
         let boot = clock_gettime(ClockId::Boottime);
         let nanos = |time: Timespec| {
@@ -90,11 +90,11 @@
         self.start + self.elapsed()
     }
 
-    fn wall(&self) -> SystemTime {
+    fn wall_time(&self) -> SystemTime {
         SystemTime::UNIX_EPOCH + self.elapsed()
     }
 
-    fn suspended(&self) -> Duration {
+    fn suspended_time(&self) -> Duration {
         *self.suspended.lock().expect("no holder of the clock panics")
     }
 }
--- a/crates/base/src/id.rs
+++ b/crates/base/src/id.rs
@@ -5,7 +5,7 @@
 use serde::{Deserialize, Serialize};
 use xxhash_rust::xxh3::{Xxh3, xxh3_64};
 
-use crate::work::RequestId;
+use crate::request::RequestId;
 
 /// One start of a daemon; a restarted daemon gets a new one.
 #[derive(
@@ -98,7 +98,7 @@
 }
 
 /// The rank of `member` for `thing` in rendezvous hashing; the greatest wins.
-pub fn rendezvous(thing: &str, member: &str) -> u64 {
+pub fn rendezvous_rank(thing: &str, member: &str) -> u64 {
     let mut hash = Xxh3::new();
     hash.update(thing.as_bytes());
     hash.update(&[0]);
@@ -108,10 +108,10 @@
 
 /// The rank of a member that is to win in proportion to its weight; the greatest wins.
 ///
-/// Among members of one weight it is the order of [`rendezvous`].
-pub fn weighted_rendezvous(thing: &str, member: &str, weight: u32) -> f64 {
+/// Among members of one weight it is the order of [`rendezvous_rank`].
+pub fn weighted_rendezvous_rank(thing: &str, member: &str, weight: u32) -> f64 {
     // Between 0 and 1, and neither of them.
-    let share = (rendezvous(thing, member) as f64 + 1.0) / (u64::MAX as f64 + 2.0);
+    let share = (rendezvous_rank(thing, member) as f64 + 1.0) / (u64::MAX as f64 + 2.0);
     f64::from(weight.max(1)) / -share.ln()
 }
 
--- a/crates/base/src/lib.rs
+++ b/crates/base/src/lib.rs
@@ -6,14 +6,14 @@
 //! - [`name`]: checked names of things that operators declare,
 //! - [`id`]: small `Copy` numbers that the system hands out itself,
 //! - [`clock`]: the time source that is passed in everywhere,
-//! - [`work`]: one caller's request in the form in which it is queued and routed,
+//! - [`request`]: one caller's request in the form in which it is queued and routed,
 //! - [`outcome`]: what a caller is told when it does not get its answer.
 
 pub mod clock;
 pub mod id;
 pub mod name;
 pub mod outcome;
-pub mod work;
+pub mod request;
 
 pub use clock::{Clock, ManualClock, SystemClock};
 pub use id::{AttemptId, Digest, Fence, MemberId, OrderId, Revision, SlotId, slot_of};
@@ -21,5 +21,5 @@
     AdapterName, CallerName, DomainName, KindName, ModelName, NameError, PoolName,
     ServerName, ServiceName, TeamName, VersionName, VmName,
 };
-pub use outcome::{Code, Outcome, Refusal};
-pub use work::{RequestId, Target, Urgency, Work, prefix_hashes};
+pub use outcome::{Outcome, Refusal, RefusalCode};
+pub use request::{RequestId, RequestSpec, Target, Urgency, prefix_hashes};
--- a/crates/base/src/name.rs
+++ b/crates/base/src/name.rs
@@ -5,27 +5,30 @@
 use serde::{Deserialize, Serialize};
 
 /// The longest name that is accepted, in bytes.
-pub const NAME_LIMIT: usize = 96;
+pub const MAX_NAME_BYTES: usize = 96;
 
 /// A text that is not a valid name.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum NameError {
     /// The text is empty.
     Empty,
-    /// The text is longer than [`NAME_LIMIT`].
-    Long(usize),
+    /// The text is longer than [`MAX_NAME_BYTES`].
+    TooLong(usize),
     /// The text holds a character that names may not hold.
-    Char(char),
+    InvalidChar(char),
 }
 
 impl Display for NameError {
     fn fmt(&self, f: &mut Formatter<'_>) -> fmt::Result {
         match self {
             Self::Empty => write!(f, "a name is empty; write at least one character"),
-            Self::Long(len) => {
-                write!(f, "a name has {len} bytes; shorten it to {NAME_LIMIT} or fewer")
+            Self::TooLong(len) => {
+                write!(
+                    f,
+                    "a name has {len} bytes; shorten it to {MAX_NAME_BYTES} or fewer"
+                )
             }
-            Self::Char(c) => write!(
+            Self::InvalidChar(c) => write!(
                 f,
                 "a name holds {c:?}; use letters, digits and the signs `-`, `_`, `.`, `:`, `@`"
             ),
@@ -39,12 +42,12 @@
     if text.is_empty() {
         return Err(NameError::Empty);
     }
-    if text.len() > NAME_LIMIT {
-        return Err(NameError::Long(text.len()));
+    if text.len() > MAX_NAME_BYTES {
+        return Err(NameError::TooLong(text.len()));
     }
     let valid = |c: char| c.is_ascii_alphanumeric() || "-_.:@".contains(c);
     match text.chars().find(|&c| !valid(c)) {
-        Some(c) => Err(NameError::Char(c)),
+        Some(c) => Err(NameError::InvalidChar(c)),
         None => Ok(()),
     }
 }
@@ -53,7 +56,7 @@
     ($($(#[$doc:meta])* $name:ident)*) => {$(
         $(#[$doc])*
         ///
-        /// Holds 1 to [`NAME_LIMIT`] letters, digits and the signs `-_.:@`.
+        /// Holds 1 to [`MAX_NAME_BYTES`] letters, digits and the signs `-_.:@`.
         #[derive(
             Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
         )]
--- a/crates/base/src/outcome.rs
+++ b/crates/base/src/outcome.rs
@@ -21,7 +21,7 @@
 /// Why a request was refused or failed.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
-pub enum Code {
+pub enum RefusalCode {
     /// No model, adapter or version of that name is declared.
     UnknownModel,
     /// No plain service of that name is declared.
@@ -68,7 +68,7 @@
     Internal,
 }
 
-impl Code {
+impl RefusalCode {
     /// The HTTP status that carries the code.
     pub fn status(self) -> u16 {
         match self {
@@ -116,7 +116,7 @@
     /// What became of the request.
     pub outcome: Outcome,
     /// Why.
-    pub code: Code,
+    pub code: RefusalCode,
     /// A sentence for people that names the remedy.
     pub message: String,
     /// How long to wait before sending again; absent if that is of no use.
@@ -127,22 +127,22 @@
 
 impl Refusal {
     /// Creates a refusal of a request that was not run.
-    pub fn not_run(code: Code, message: impl Into<String>) -> Self {
+    pub fn not_run(code: RefusalCode, message: impl Into<String>) -> Self {
         Self::new(Outcome::NotRun, code, message)
     }
 
     /// Creates a refusal of a request whose end is not known.
-    pub fn in_doubt(code: Code, message: impl Into<String>) -> Self {
+    pub fn in_doubt(code: RefusalCode, message: impl Into<String>) -> Self {
         Self::new(Outcome::InDoubt, code, message)
     }
 
     /// Creates a refusal.
-    pub fn new(outcome: Outcome, code: Code, message: impl Into<String>) -> Self {
+    pub fn new(outcome: Outcome, code: RefusalCode, message: impl Into<String>) -> Self {
         Self { outcome, code, message: message.into(), retry_after: None }
     }
 
     /// Says when to come back.
-    pub fn after(mut self, wait: Duration) -> Self {
+    pub fn with_retry_after(mut self, wait: Duration) -> Self {
         self.retry_after = Some(wait);
         self
     }
--- a/crates/base/src/work.rs
+++ b/crates/base/src/request.rs
@@ -58,7 +58,7 @@
 /// The body travels beside it.
 #[serde_as]
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Work {
+pub struct RequestSpec {
     /// The caller's name for the request, if it gave one.
     pub id: Option<RequestId>,
     /// Who sent the request.
@@ -81,34 +81,37 @@
     /// Whether the caller wants the answer as a stream of events.
     pub stream: bool,
     /// The estimated length of the prompt, in tokens.
-    pub prompt: u32,
+    #[serde(rename = "prompt")]
+    pub prompt_tokens: u32,
     /// The greatest length of the answer, in tokens.
-    pub output: u32,
+    #[serde(rename = "output")]
+    pub max_output_tokens: u32,
     /// Chained hashes of the prompt's blocks, for prefix affinity.
-    pub prefix: Vec<u64>,
+    #[serde(rename = "prefix")]
+    pub prefix_hashes: Vec<u64>,
     /// A hash of the target and the body.
     pub digest: Digest,
 }
 
-impl Work {
+impl RequestSpec {
     /// The tokens that the request may occupy on a runner.
     pub fn tokens(&self) -> u64 {
-        u64::from(self.prompt) + u64::from(self.output)
+        u64::from(self.prompt_tokens) + u64::from(self.max_output_tokens)
     }
 }
 
 /// The length of a block of prompt text that engines cache as one, in bytes.
-pub const PREFIX_BLOCK: usize = 64;
+pub const PREFIX_BLOCK_BYTES: usize = 64;
 
 /// The greatest number of blocks of a prompt that are hashed.
-pub const PREFIX_LIMIT: usize = 32;
+pub const MAX_PREFIX_BLOCKS: usize = 32;
 
 /// Chained hashes of a prompt's whole blocks: equal at `i` if all text up to it is.
 pub fn prefix_hashes(text: &str) -> Vec<u64> {
     let mut last = 0;
     text.as_bytes()
-        .chunks_exact(PREFIX_BLOCK)
-        .take(PREFIX_LIMIT)
+        .chunks_exact(PREFIX_BLOCK_BYTES)
+        .take(MAX_PREFIX_BLOCKS)
         .map(|block| {
             last = xxh3_64_with_seed(block, last);
             last
--- a/crates/edge/src/call.rs
+++ b/crates/edge/src/call.rs
@@ -28,14 +28,14 @@
 
 /// How large a generation is, in tokens.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Size {
+pub struct GenerationSize {
     /// Tokens of the prompt.
     pub prompt: u32,
     /// The greatest number of tokens of the answer.
     pub output: u32,
 }
 
-impl Size {
+impl GenerationSize {
     /// The tokens that the generation takes in the KV cache.
     pub fn tokens(self) -> u64 {
         u64::from(self.prompt) + u64::from(self.output)
@@ -65,9 +65,9 @@
     /// The model that is to answer.
     pub target: Option<TargetModel>,
     /// The size of the generation.
-    pub size: Size,
+    pub size: GenerationSize,
     /// The caller's guess at the number of output tokens; often far off.
-    pub guess: Option<u32>,
+    pub estimated_output: Option<u32>,
     /// The prompt's parts, in order; the last belongs to the caller's session.
     pub parts: Vec<PromptPart>,
     /// The last event that the caller has, if it resumes a stream.
@@ -76,14 +76,14 @@
 
 /// Why a caller's request can't be read.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub enum CallFault {
+pub enum CallError {
     /// A header that must be there is missing.
     Missing(&'static str),
     /// A header's value is malformed.
     Malformed(&'static str),
 }
 
-impl Display for CallFault {
+impl Display for CallError {
     fn fmt(&self, f: &mut Formatter<'_>) -> fmt::Result {
         match self {
             Self::Missing(name) => write!(f, "the header {name} is missing; send it"),
@@ -94,7 +94,7 @@
     }
 }
 
-impl std::error::Error for CallFault {}
+impl std::error::Error for CallError {}
 
 /// What the system adds to a request when it sends it to a backend server.
 #[derive(Debug, Clone, PartialEq)]
@@ -106,14 +106,14 @@
     /// The time that is left for the whole answer.
     pub budget: Duration,
     /// How urgent the request is at the engine; 0 goes first.
-    pub urgency: u8,
+    pub priority: u8,
     /// The last event that was passed on, if a broken stream goes on here.
     pub resume_after: Option<u64>,
 }
 
 /// What the head of a backend server's answer says.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
-pub struct Reply {
+pub struct ResponseHead {
     /// The attempt that is answered, as the server echoes it.
     pub id: Option<String>,
     /// Whether the server says that it did not run the request and never will.
--- a/crates/edge/src/declared.rs
+++ b/crates/edge/src/declared.rs
@@ -8,7 +8,7 @@
 
 /// Everything that is declared, as of one revision.
 #[derive(Debug, Clone, Default, PartialEq)]
-pub struct Declared {
+pub struct Declarations {
     /// Grows with each change, in uneven steps.
     pub revision: Revision,
     /// Which requests go where.
@@ -16,7 +16,7 @@
     /// What requests can be sent to.
     pub services: IndexMap<ServiceName, Service>,
     /// What callers are held to.
-    pub limits: CallLimits,
+    pub limits: RequestLimits,
 }
 
 /// What may be repeated of the requests on a route.
@@ -31,7 +31,7 @@
         /// Whether a broken stream may go on at another server.
         resumable: bool,
         /// The longest pause between events for which an answer is on time.
-        pause: Option<Duration>,
+        event_gap: Option<Duration>,
     },
 }
 
@@ -48,7 +48,7 @@
 
 /// A part of a route's requests that goes to one service.
 #[derive(Debug, Clone, PartialEq)]
-pub struct Share {
+pub struct TrafficShare {
     /// The service.
     pub service: ServiceName,
     /// The part, relative to the other shares of the route.
@@ -71,20 +71,20 @@
     /// The time to the answer, or to a stream's first event, that counts as on time.
     pub objective: Duration,
     /// How long callers wait for a stream's first or next event before they leave.
-    pub patience: Duration,
+    pub wait_limit: Duration,
     /// How urgent requests are; 0 goes first.
-    pub urgency: u8,
+    pub priority: u8,
     /// The greatest number of backend servers that may run one attempt.
-    pub attempts: u32,
+    pub max_attempts: u32,
     /// Where requests go; never empty.
-    pub shares: Vec<Share>,
+    pub shares: Vec<TrafficShare>,
 }
 
 /// A group of backend servers that answer the same requests.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Service {
     /// Connections that one backend server accepts, from all daemons together.
-    pub connections: u32,
+    pub max_connections: u32,
     /// How the servers run models, if they do.
     pub engine: Option<Arc<Engine>>,
 }
@@ -112,12 +112,12 @@
 ///
 /// Answers may grow longer than their callers guess; an engine that runs out of
 /// memory reads whole prompts again.
-const KV_SHARE: f64 = 0.92;
+const USABLE_KV_FRACTION: f64 = 0.92;
 
 impl Engine {
     /// The tokens of the KV cache that are planned with.
-    pub fn usable_tokens(&self) -> u64 {
-        (self.kv_tokens as f64 * KV_SHARE) as u64
+    pub fn usable_kv_tokens(&self) -> u64 {
+        (self.kv_tokens as f64 * USABLE_KV_FRACTION) as u64
     }
 }
 
@@ -127,62 +127,62 @@
     /// The size of the weights, in megabytes.
     pub weights_mb: f64,
     /// The number of adapters.
-    pub adapters: u32,
+    pub adapter_count: u32,
     /// The size of one adapter, in megabytes.
     pub adapter_mb: f64,
     /// How long a load from the weight store takes while few are on the way.
-    pub load: Duration,
+    pub store_load_time: Duration,
     /// How long a load from the server's own memory takes.
-    pub warm_load: Duration,
+    pub memory_load_time: Duration,
     /// How long a load from the server's own disk takes.
-    pub disk_load: Duration,
+    pub disk_load_time: Duration,
 }
 
 /// What callers are held to.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct CallLimits {
+pub struct RequestLimits {
     /// The largest head of a request, in bytes.
-    pub head: usize,
+    pub head_bytes: usize,
     /// The largest body of a request, in bytes.
-    pub body: usize,
+    pub body_bytes: usize,
     /// How long a caller may take to send a head.
-    pub head_time: Duration,
+    pub head_timeout: Duration,
     /// How long a connection may be idle.
-    pub idle_time: Duration,
+    pub idle_timeout: Duration,
 }
 
-impl Default for CallLimits {
+impl Default for RequestLimits {
     /// Limits for the time before the first declarations are known.
     fn default() -> Self {
         Self {
-            head: 16 * 1024,
-            body: 4 * 1024 * 1024,
-            head_time: Duration::from_secs(3),
-            idle_time: Duration::from_secs(15),
+            head_bytes: 16 * 1024,
+            body_bytes: 4 * 1024 * 1024,
+            head_timeout: Duration::from_secs(3),
+            idle_timeout: Duration::from_secs(15),
         }
     }
 }
 
 impl Engine {
     /// Memory that is kept free for a server's adapters, in megabytes.
-    pub fn adapter_reserve(&self) -> f64 {
+    pub fn adapter_reserve_mb(&self) -> f64 {
         let largest = self.models.values().map(|model| model.adapter_mb);
         largest.fold(0.0, f64::max) * self.adapter_slots as f64
     }
 }
 
-impl Declared {
+impl Declarations {
     /// The longest pause between events for which streams of every route are on time.
-    pub fn least_pause(&self) -> Option<Duration> {
+    pub fn min_event_gap(&self) -> Option<Duration> {
         let pauses = self.routes.iter().filter_map(|route| match route.kind {
-            RouteKind::Stream { pause, .. } => pause,
+            RouteKind::Stream { event_gap, .. } => event_gap,
             RouteKind::Idempotent | RouteKind::NonIdempotent => None,
         });
         pauses.min()
     }
 
     /// The route of a request: the longest prefix among those of the host.
-    pub fn route(&self, host: &str, path: &str) -> Option<&Route> {
+    pub fn match_route(&self, host: &str, path: &str) -> Option<&Route> {
         self.routes
             .iter()
             .filter(|route| route.host == host && path.starts_with(&route.prefix))
--- a/crates/edge/src/dialect.rs
+++ b/crates/edge/src/dialect.rs
@@ -9,25 +9,25 @@
 use chestnut_base::Refusal;
 use http::{HeaderMap, Request, Response, StatusCode, request, response};
 
-use crate::call::{Attempt, Call, CallFault, Reply};
-use crate::declared::Declared;
-use crate::order::{EngineReport, Order, OrderAnswer};
+use crate::call::{Attempt, Call, CallError, ResponseHead};
+use crate::declared::Declarations;
+use crate::order::{EngineReport, Order, OrderResponse};
 use crate::server::ServerEntry;
-use crate::store::{Commit, CommitAnswer, Delta, Page};
+use crate::store::{Delta, Page, Transaction, TransactionOutcome};
 
 /// A message from outside that can't be read.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct DecodeError {
     /// What was read.
-    pub what: &'static str,
+    pub subject: &'static str,
     /// What is wrong with it.
-    pub why: String,
+    pub reason: String,
 }
 
 impl DecodeError {
     /// Creates an error about a kind of message.
-    pub fn new(what: &'static str, why: impl Display) -> Self {
-        Self { what, why: why.to_string() }
+    pub fn new(subject: &'static str, reason: impl Display) -> Self {
+        Self { subject, reason: reason.to_string() }
     }
 }
 
@@ -36,7 +36,7 @@
         write!(
             f,
             "{} can't be read ({}); check that its writer follows the documented form",
-            self.what, self.why
+            self.subject, self.reason
         )
     }
 }
@@ -44,9 +44,9 @@
 impl std::error::Error for DecodeError {}
 
 /// The callers' protocol.
-pub trait Callers: Send + Sync {
+pub trait CallerProtocol: Send + Sync {
     /// Reads the head of a caller's request.
-    fn read_call(&self, head: &request::Parts) -> Result<Call, CallFault>;
+    fn read_call(&self, head: &request::Parts) -> Result<Call, CallError>;
 
     /// Writes the answer to a request that was refused or failed.
     ///
@@ -60,7 +60,7 @@
     fn write_directory(
         &self,
         addresses: &[std::net::SocketAddr],
-        hold: std::time::Duration,
+        ttl: std::time::Duration,
     ) -> Response<Bytes>;
 
     /// The path at which callers ask where to connect.
@@ -71,52 +71,52 @@
 }
 
 /// The backend servers' protocol.
-pub trait Backends: Send + Sync {
+pub trait BackendProtocol: Send + Sync {
     /// Writes the head of the request that is sent for an attempt.
     ///
     /// Headers of the caller that are the system's to set are dropped.
     fn write_attempt(&self, call: &request::Parts, attempt: &Attempt) -> request::Parts;
 
     /// Reads the head of an answer.
-    fn read_reply(&self, head: &response::Parts) -> Reply;
+    fn read_response_head(&self, head: &response::Parts) -> ResponseHead;
 
     /// Writes the headers of the answer to the caller.
-    fn write_reply(&self, head: &response::Parts) -> HeaderMap;
+    fn write_response_headers(&self, head: &response::Parts) -> HeaderMap;
 
     /// Writes an order to an engine.
     fn write_order(&self, order: &Order) -> Request<Bytes>;
 
     /// Reads the answer to an order.
-    fn read_order_answer(&self, status: StatusCode, head: &HeaderMap) -> OrderAnswer;
+    fn read_order_response(&self, status: StatusCode, head: &HeaderMap) -> OrderResponse;
 
     /// Writes the question for an engine's report.
-    fn ask_report(&self) -> Request<Bytes>;
+    fn write_report_request(&self) -> Request<Bytes>;
 
     /// Reads an engine's report.
     fn read_report(&self, body: &Bytes) -> Result<EngineReport, DecodeError>;
 }
 
 /// The protocol of the platform's store.
-pub trait StoreCalls: Send + Sync {
+pub trait StoreProtocol: Send + Sync {
     /// Writes a transaction.
-    fn write_commit(&self, commit: &Commit) -> Request<Bytes>;
+    fn write_commit(&self, commit: &Transaction) -> Request<Bytes>;
 
     /// Reads the answer to a transaction; an error leaves open whether it acted.
     fn read_commit(
         &self,
         status: StatusCode,
         body: &Bytes,
-    ) -> Result<CommitAnswer, DecodeError>;
+    ) -> Result<TransactionOutcome, DecodeError>;
 
     /// Asks for the rows of a table from a key on.
-    fn ask_rows(&self, table: &str, after: Option<&str>) -> Request<Bytes>;
+    fn write_scan(&self, table: &str, after: Option<&str>) -> Request<Bytes>;
 
     /// Reads rows of a table.
-    fn read_rows(&self, body: &Bytes) -> Result<Page, DecodeError>;
+    fn read_page(&self, body: &Bytes) -> Result<Page, DecodeError>;
 
     /// Asks for changes of a table after a version; the store answers once there
     /// is one, or after `wait`.
-    fn ask_changes(
+    fn write_changes_request(
         &self,
         table: &str,
         after: u64,
@@ -132,24 +132,30 @@
 }
 
 /// Where declarations and the registry of backend servers come from.
-pub trait Source: Send + Sync {
+pub trait DeclarationSource: Send + Sync {
     /// The table of the store that holds the declarations.
-    fn declared_table(&self) -> &'static str;
+    fn declarations_table(&self) -> &'static str;
 
     /// The key under which they lie.
-    fn declared_key(&self) -> &'static str;
+    fn declarations_key(&self) -> &'static str;
 
     /// The table of the store that is the registry of backend servers.
     fn servers_table(&self) -> &'static str;
 
     /// Reads declarations.
-    fn read_declared(&self, value: &Bytes) -> Result<Declared, DecodeError>;
+    fn read_declarations(&self, value: &Bytes) -> Result<Declarations, DecodeError>;
 
     /// Reads an entry of the registry.
     fn read_server(&self, key: &str, value: &Bytes) -> Result<ServerEntry, DecodeError>;
 }
 
 /// A deployment's adapter.
-pub trait Dialect: Callers + Backends + StoreCalls + Source {}
+pub trait Dialect:
+    CallerProtocol + BackendProtocol + StoreProtocol + DeclarationSource
+{
+}
 
-impl<T: Callers + Backends + StoreCalls + Source> Dialect for T {}
+impl<T: CallerProtocol + BackendProtocol + StoreProtocol + DeclarationSource> Dialect
+    for T
+{
+}
--- a/crates/edge/src/lib.rs
+++ b/crates/edge/src/lib.rs
@@ -17,11 +17,18 @@
 pub mod server;
 pub mod store;
 
-pub use call::{Attempt, Call, CallFault, PromptPart, Reply, Size, TargetModel};
+pub use call::{
+    Attempt, Call, CallError, GenerationSize, PromptPart, ResponseHead, TargetModel,
+};
 pub use declared::{
-    CallLimits, Declared, Engine, Model, Route, RouteKind, Service, Share,
+    Declarations, Engine, Model, RequestLimits, Route, RouteKind, Service, TrafficShare,
+};
+pub use dialect::{
+    BackendProtocol, CallerProtocol, DeclarationSource, DecodeError, Dialect,
+    StoreProtocol,
+};
+pub use order::{EngineReport, Order, OrderAction, OrderResponse};
+pub use server::{LoadedModel, Phase, ServerEntry};
+pub use store::{
+    Change, Delta, Page, Precondition, Transaction, TransactionOutcome, Write,
 };
-pub use dialect::{Backends, Callers, DecodeError, Dialect, Source, StoreCalls};
-pub use order::{EngineReport, Order, OrderAnswer, OrderStep};
-pub use server::{HeldModel, Phase, ServerEntry};
-pub use store::{Change, Check, Commit, CommitAnswer, Delta, Page, Write};
--- a/crates/edge/src/order.rs
+++ b/crates/edge/src/order.rs
@@ -3,11 +3,11 @@
 use chestnut_base::{AdapterName, Fence, ModelName, ServerName, VmName};
 use serde::{Deserialize, Serialize};
 
-use crate::server::HeldModel;
+use crate::server::LoadedModel;
 
 /// What an engine is to do.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, Serialize, Deserialize)]
-pub enum OrderStep {
+pub enum OrderAction {
     /// Load a model's newest weights.
     Load(ModelName),
     /// Drop a model, its adapters and what is cached of its prompts.
@@ -24,12 +24,12 @@
     /// The only server that may carry it out.
     pub server: ServerName,
     /// What it is to do.
-    pub step: OrderStep,
+    pub action: OrderAction,
     /// The number of orders that the engine must have accepted before.
     ///
     /// An order whose answer was lost may act seconds later; once another order was
     /// accepted its number no longer fits and it is dropped.
-    pub after: u64,
+    pub expected_orders: u64,
     /// Who gives the order.
     pub holder: VmName,
     /// The fence of the holder's claim on the engine.
@@ -38,7 +38,7 @@
 
 /// An engine's answer to an order.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum OrderAnswer {
+pub enum OrderResponse {
     /// It is being carried out.
     Accepted,
     /// What was ordered holds already.
@@ -57,7 +57,7 @@
     Unknown,
 }
 
-impl OrderAnswer {
+impl OrderResponse {
     /// Its name in metrics.
     pub fn name(self) -> &'static str {
         match self {
@@ -77,19 +77,19 @@
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct EngineReport {
     /// The models that it holds.
-    pub models: Vec<HeldModel>,
+    pub models: Vec<LoadedModel>,
     /// Whether an order is in progress.
     pub busy: bool,
     /// The number of orders that it has accepted since its start.
-    pub orders: u64,
+    pub accepted_orders: u64,
     /// Requests that wait.
     pub queued: u32,
     /// Requests that run.
     pub active: u32,
     /// Tokens in the KV cache that can't be evicted.
-    pub kv_used: u64,
+    pub kv_tokens_used: u64,
     /// Adapters on their way.
-    pub coming: Vec<(ModelName, AdapterName)>,
+    pub loading_adapters: Vec<(ModelName, AdapterName)>,
     /// When this run of the server began, in Unix milliseconds.
-    pub born: Option<u64>,
+    pub started_at_ms: Option<u64>,
 }
--- a/crates/edge/src/server.rs
+++ b/crates/edge/src/server.rs
@@ -20,7 +20,7 @@
 
 /// A model that a runner holds.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct HeldModel {
+pub struct LoadedModel {
     /// The model.
     pub model: ModelName,
     /// The version of its weights.
@@ -37,7 +37,8 @@
     /// The start of this run of the server, in Unix milliseconds.
     ///
     /// A server that starts again under its name holds and knows nothing of before.
-    pub born: Option<u64>,
+    #[serde(rename = "born")]
+    pub started_at_ms: Option<u64>,
     /// What it serves.
     pub service: ServiceName,
     /// Where it listens.
@@ -49,31 +50,34 @@
     /// Whether it takes new requests.
     pub phase: Phase,
     /// How much longer it is slow after its start.
-    pub cold: Duration,
+    #[serde(rename = "cold")]
+    pub warmup_remaining: Duration,
     /// The number of orders that it has accepted since its start.
-    pub orders: u64,
+    #[serde(rename = "orders")]
+    pub accepted_orders: u64,
     /// The models that it holds.
-    pub models: Vec<HeldModel>,
+    pub models: Vec<LoadedModel>,
     /// Models whose weights lie in its own memory, ready to be loaded fast.
-    pub warm: Vec<ModelName>,
+    #[serde(rename = "warm")]
+    pub in_memory: Vec<ModelName>,
     /// Models whose weights lie on its own disk.
     pub on_disk: Vec<ModelName>,
 }
 
 impl ServerEntry {
     /// Whether the registry lists a model at the server.
-    pub fn holds(&self, model: &ModelName) -> bool {
+    pub fn has_model(&self, model: &ModelName) -> bool {
         self.models.iter().any(|held| held.model == *model)
     }
 
     /// How long a load of a model takes here, by the copies that the server keeps.
     pub fn load_time(&self, name: &ModelName, model: &Model) -> Duration {
-        if self.warm.contains(name) {
-            model.warm_load
+        if self.in_memory.contains(name) {
+            model.memory_load_time
         } else if self.on_disk.contains(name) {
-            model.disk_load
+            model.disk_load_time
         } else {
-            model.load
+            model.store_load_time
         }
     }
 }
--- a/crates/edge/src/store.rs
+++ b/crates/edge/src/store.rs
@@ -9,7 +9,7 @@
 
 /// A condition of a transaction: the row still has this version.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Check {
+pub struct Precondition {
     /// The table's name.
     pub table: String,
     /// The row's key.
@@ -31,17 +31,17 @@
 
 /// A transaction: all of it takes effect or nothing.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
-pub struct Commit {
+pub struct Transaction {
     /// What must hold.
-    pub checks: Vec<Check>,
+    pub checks: Vec<Precondition>,
     /// What changes.
     pub writes: Vec<Write>,
 }
 
-impl Commit {
+impl Transaction {
     /// Requires that a row has a version; 0 requires that it does not exist.
-    pub fn check(mut self, table: &str, key: &str, version: u64) -> Self {
-        self.checks.push(Check { table: table.into(), key: key.into(), version });
+    pub fn require_version(mut self, table: &str, key: &str, version: u64) -> Self {
+        self.checks.push(Precondition { table: table.into(), key: key.into(), version });
         self
     }
 
@@ -61,7 +61,7 @@
 
 /// What became of a transaction.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub enum CommitAnswer {
+pub enum TransactionOutcome {
     /// It took effect; its rows have this version.
     Done {
         /// The version of the rows that were written.
@@ -103,5 +103,5 @@
     /// The newest version of the store at this moment.
     pub version: u64,
     /// The store's steady clock.
-    pub now: Duration,
+    pub store_time: Duration,
 }
--- a/crates/fake/src/engine/core.rs
+++ b/crates/fake/src/engine/core.rs
@@ -10,7 +10,7 @@
 use super::memory::Memory;
 
 /// The tokens of a cached block; a token is four bytes of text.
-const BLOCK_TOKENS: u32 = (chestnut_base::work::PREFIX_BLOCK / 4) as u32;
+const BLOCK_TOKENS: u32 = (chestnut_base::request::PREFIX_BLOCK_BYTES / 4) as u32;
 
 /// What one life of an engine holds and runs.
 #[derive(Debug)]
--- a/crates/fake/src/platform.rs
+++ b/crates/fake/src/platform.rs
@@ -12,8 +12,8 @@
 use axum::{Json, Router};
 use bytes::Bytes;
 use chestnut_base::{Clock, SystemClock};
-use chestnut_plat::table::{Changes, Lookup, Scan};
-use chestnut_plat::{Txn, TxnAnswer, VmRow};
+use chestnut_plat::table::{ChangesQuery, RowKey, ScanQuery};
+use chestnut_plat::{Txn, TxnResponse, VmRow};
 use serde::{Deserialize, Serialize};
 use serde_json::json;
 
@@ -96,7 +96,7 @@
 
 impl Platform {
     fn millis(&self) -> u64 {
-        let since = self.clock.wall().duration_since(std::time::UNIX_EPOCH);
+        let since = self.clock.wall_time().duration_since(std::time::UNIX_EPOCH);
         since.unwrap_or_default().as_millis() as u64
     }
 
@@ -122,11 +122,11 @@
     let now = platform.millis();
     let answer = platform.tables.lock().expect("no commit panics").commit(txn, now);
     match answer {
-        TxnAnswer::Committed { .. } => platform.count(|c| {
+        TxnResponse::Committed { .. } => platform.count(|c| {
             c.commits += 1;
             c.writes += writes;
         }),
-        TxnAnswer::Conflict { .. } => platform.count(|c| c.conflicts += 1),
+        TxnResponse::Conflict { .. } => platform.count(|c| c.conflicts += 1),
     }
     if loses_ack(&platform.faults, |f| &mut f.table) {
         return peer.hang_up().await;
@@ -134,7 +134,7 @@
     Json(answer).into_response()
 }
 
-async fn scan(State(platform): Shared, Json(scan): Json<Scan>) -> Response {
+async fn scan(State(platform): Shared, Json(scan): Json<ScanQuery>) -> Response {
     if !admit(&platform.faults, |f| &mut f.table).await {
         return platform.refuse();
     }
@@ -144,7 +144,7 @@
     Json(delta).into_response()
 }
 
-async fn changes(State(platform): Shared, Json(ask): Json<Changes>) -> Response {
+async fn changes(State(platform): Shared, Json(ask): Json<ChangesQuery>) -> Response {
     if !admit(&platform.faults, |f| &mut f.table).await {
         return platform.refuse();
     }
@@ -154,7 +154,7 @@
     Json(changed).into_response()
 }
 
-async fn lookup(State(platform): Shared, Json(lookup): Json<Lookup>) -> Response {
+async fn lookup(State(platform): Shared, Json(lookup): Json<RowKey>) -> Response {
     if !admit(&platform.faults, |f| &mut f.table).await {
         return platform.refuse();
     }
--- a/crates/fake/src/table.rs
+++ b/crates/fake/src/table.rs
@@ -2,8 +2,8 @@
 
 use std::collections::{BTreeMap, BTreeSet};
 
-use chestnut_plat::table::{Changed, Changes, Scan};
-use chestnut_plat::{Check, Delta, Row, Txn, TxnAnswer, Write};
+use chestnut_plat::table::{ChangesQuery, ChangesResponse, ScanQuery};
+use chestnut_plat::{Delta, Precondition, Row, Txn, TxnResponse, Write};
 use serde_json::Value;
 
 /// All tables.
@@ -26,12 +26,12 @@
 
 impl Tables {
     /// Commits a transaction at the time `now`, in milliseconds.
-    pub fn commit(&mut self, txn: Txn, now: u64) -> TxnAnswer {
+    pub fn commit(&mut self, txn: Txn, now: u64) -> TxnResponse {
         for (index, check) in txn.checks.iter().enumerate() {
             let (table, key) = target(check);
             let row = self.get(table, key);
             if !holds(check, row, now) {
-                return TxnAnswer::Conflict { check: index, row: row.cloned() };
+                return TxnResponse::Conflict { check: index, row: row.cloned() };
             }
         }
         if !txn.writes.is_empty() {
@@ -40,14 +40,14 @@
         for write in txn.writes {
             self.apply(write, now);
         }
-        TxnAnswer::Committed { version: self.version, now }
+        TxnResponse::Committed { version: self.version, now }
     }
 
     /// Reads the changes of a table.
-    pub fn scan(&self, scan: &Scan, now: u64) -> Delta {
+    pub fn scan(&self, scan: &ScanQuery, now: u64) -> Delta {
         let mut delta = Delta {
             rows: Vec::new(),
-            gone: Vec::new(),
+            deleted: Vec::new(),
             version: self.version,
             more: false,
             now,
@@ -59,7 +59,7 @@
             if !key.starts_with(&scan.prefix) {
                 continue;
             }
-            if delta.rows.len() + delta.gone.len() >= limit && *version > last {
+            if delta.rows.len() + delta.deleted.len() >= limit && *version > last {
                 delta.version = last;
                 delta.more = true;
                 break;
@@ -69,31 +69,33 @@
                 Some(row) => delta.rows.push(row.clone()),
                 // Whoever reads all rows never knew of those that are gone.
                 None if scan.since == 0 => {}
-                None => delta.gone.push(key.clone()),
+                None => delta.deleted.push(key.clone()),
             }
         }
         delta
     }
 
     /// Reads the changes of several tables.
-    pub fn changes(&self, ask: &Changes, now: u64) -> Changed {
-        let mut changed = Changed {
+    pub fn changes(&self, ask: &ChangesQuery, now: u64) -> ChangesResponse {
+        let mut changed = ChangesResponse {
             rows: Vec::new(),
-            gone: Vec::new(),
-            wanted: Vec::new(),
+            deleted: Vec::new(),
+            requested: Vec::new(),
             version: self.version,
             now,
         };
         for table in &ask.tables {
             let (table, since) = (table.clone(), ask.since);
             let prefix = String::new();
-            let scan = Scan { table: table.clone(), prefix, since, limit: None };
+            let scan = ScanQuery { table: table.clone(), prefix, since, limit: None };
             let delta = self.scan(&scan, now);
             changed.rows.extend(delta.rows);
-            changed.gone.extend(delta.gone.into_iter().map(|key| (table.clone(), key)));
+            changed
+                .deleted
+                .extend(delta.deleted.into_iter().map(|key| (table.clone(), key)));
         }
-        let wanted = ask.rows.iter().filter_map(|row| self.get(&row.table, &row.key));
-        changed.wanted.extend(wanted.cloned());
+        let wanted = ask.row_keys.iter().filter_map(|row| self.get(&row.table, &row.key));
+        changed.requested.extend(wanted.cloned());
         changed
     }
 
@@ -140,21 +142,21 @@
     }
 }
 
-fn target(check: &Check) -> (&str, &str) {
+fn target(check: &Precondition) -> (&str, &str) {
     match check {
-        Check::Absent { table, key }
-        | Check::Version { table, key, .. }
-        | Check::Idle { table, key, .. } => (table, key),
+        Precondition::Absent { table, key }
+        | Precondition::Version { table, key, .. }
+        | Precondition::Idle { table, key, .. } => (table, key),
     }
 }
 
-fn holds(check: &Check, row: Option<&Row>, now: u64) -> bool {
+fn holds(check: &Precondition, row: Option<&Row>, now: u64) -> bool {
     match (check, row) {
-        (Check::Absent { .. }, row) => row.is_none(),
-        (Check::Version { version, .. }, Some(row)) => row.version == *version,
-        (Check::Version { .. }, None) => false,
-        (Check::Idle { .. }, None) => true,
-        (Check::Idle { millis, .. }, Some(row)) => {
+        (Precondition::Absent { .. }, row) => row.is_none(),
+        (Precondition::Version { version, .. }, Some(row)) => row.version == *version,
+        (Precondition::Version { .. }, None) => false,
+        (Precondition::Idle { .. }, None) => true,
+        (Precondition::Idle { millis, .. }, Some(row)) => {
             now.saturating_sub(row.modified) >= *millis
         }
     }
--- a/crates/fake/tests/parts.rs
+++ b/crates/fake/tests/parts.rs
@@ -87,10 +87,10 @@
     let second = Duration::from_secs(1);
     let mut vms = VmHistory::default();
     vms.put(start, row(VmState::Live));
-    vms.put(start + 10 * second, row(VmState::Leaving));
+    vms.put(start + 10 * second, row(VmState::Draining));
     let state = |at, lag| vms.read(start + at, lag)[0].state;
     assert_eq!(state(11 * second, 2 * second), VmState::Live);
-    assert_eq!(state(12 * second, 2 * second), VmState::Leaving);
+    assert_eq!(state(12 * second, 2 * second), VmState::Draining);
 }
 
 /// The caller sees a broken connection, and the run is counted all the same.
--- a/crates/gate/src/answer.rs
+++ b/crates/gate/src/answer.rs
@@ -6,7 +6,7 @@
 use std::time::Instant;
 
 use bytes::{Bytes, BytesMut};
-use chestnut_base::{Code, Refusal, ServerName};
+use chestnut_base::{Refusal, RefusalCode, ServerName};
 use chestnut_pool::{Ended, Follow};
 use futures::stream::unfold;
 use http::header::CONTENT_TYPE;
@@ -52,7 +52,7 @@
     if is_event_stream(&answered.head) {
         let head = answered.head.clone();
         let relay = Relay::new(job, answered);
-        let headers = relay.job.shared.dialect.write_reply(&head);
+        let headers = relay.job.shared.dialect.write_response_headers(&head);
         let body = StreamBody::new(unfold(relay, Relay::step));
         return Ok(respond(&head, headers, BodyExt::boxed_unsync(body)));
     }
@@ -70,7 +70,7 @@
             let server = answered.place.name.to_string();
             let why = answered.head.status.as_str();
             job.ended(End { how: "answered", server: &server, why, pace: None });
-            let headers = job.shared.dialect.write_reply(&answered.head);
+            let headers = job.shared.dialect.write_response_headers(&answered.head);
             let (addr, hold) = (answered.place.addr, answered.reply.keep_alive);
             job.shared.client.keep(addr, answered.connection, hold);
             return Ok(respond(&answered.head, headers, whole(bytes)));
@@ -82,11 +82,11 @@
                 server.health.failed(now);
             }
             let message = format!("the server's answer broke off ({why})");
-            Refusal::in_doubt(Code::Broken, message)
+            Refusal::in_doubt(RefusalCode::Broken, message)
         }
         Err(_) => {
             let message = "the time ran out before the answer was whole; allow more time";
-            Refusal::in_doubt(Code::Late, message)
+            Refusal::in_doubt(RefusalCode::Late, message)
         }
     };
     Err((fault, job))
--- a/crates/gate/src/ask.rs
+++ b/crates/gate/src/ask.rs
@@ -5,7 +5,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use chestnut_base::id::rendezvous;
+use chestnut_base::id::rendezvous_rank;
 use chestnut_base::{MemberId, ServerName};
 use chestnut_edge::Engine;
 use chestnut_member::ClaimKey;
@@ -108,7 +108,7 @@
     });
     let holding = fleet
         .open(&job.service, now)
-        .filter(|(_, server)| server.entry.holds(&target.model))
+        .filter(|(_, server)| server.entry.has_model(&target.model))
         .filter(|(_, server)| !avoid.contains(&server.entry.name))
         .filter(|(_, server)| {
             only.is_none_or(|runs| runs.iter().any(|run| is_run(server, run)))
@@ -125,7 +125,7 @@
 
 /// Whether a server is in that run still.
 fn is_run(server: &Server, run: &Run) -> bool {
-    server.entry.name == run.server && server.entry.born == run.born
+    server.entry.name == run.server && server.entry.started_at_ms == run.born
 }
 
 /// Leaves a few of many runners: some that suit the request's adapter and prompt, and
@@ -139,7 +139,8 @@
         return runners;
     }
     let affinity = job.affinity();
-    runners.sort_by_key(|runner| Reverse(rendezvous(&affinity, runner.name.as_str())));
+    runners
+        .sort_by_key(|runner| Reverse(rendezvous_rank(&affinity, runner.name.as_str())));
     let mut rest = runners.split_off(SUITED);
     for _ in SUITED..SHORTLIST {
         let index = rand::random_range(0..rest.len());
--- a/crates/gate/src/attempt.rs
+++ b/crates/gate/src/attempt.rs
@@ -6,7 +6,7 @@
 
 use bytes::Bytes;
 use chestnut_base::{ModelName, ServerName, ServiceName};
-use chestnut_edge::{Attempt, Reply};
+use chestnut_edge::{Attempt, ResponseHead};
 use chestnut_pool::{Asked, Ended, Flight, Outcome, Run, ServerKey};
 use http::{Request, response};
 use hyper::body::Incoming;
@@ -126,7 +126,7 @@
     /// The head.
     pub head: response::Parts,
     /// What it says.
-    pub reply: Reply,
+    pub reply: ResponseHead,
     /// The rest.
     pub body: Incoming,
     /// The connection that it comes on.
@@ -206,7 +206,7 @@
     Ok(Answered { head, reply, body, connection, place: place.clone(), flight })
 }
 
-type Exchanged = (response::Parts, Reply, Incoming, Connection);
+type Exchanged = (response::Parts, ResponseHead, Incoming, Connection);
 
 async fn exchange(
     job: &Job,
@@ -238,7 +238,7 @@
         Err(SendFault::Lost(why)) => return Err(Missed::Lost(why)),
     };
     let (head, body) = response.into_parts();
-    let reply = shared.dialect.read_reply(&head);
+    let reply = shared.dialect.read_response_head(&head);
     if reply.id.is_some() && reply.id != job.call.id {
         // An answer to an earlier request on this connection; what became of this
         // one is not known.
@@ -268,7 +268,7 @@
     let attempt = Attempt {
         server: place.name.clone(),
         budget: job.deadline.saturating_duration_since(job.shared.now()),
-        urgency: job.route().urgency.min(9),
+        priority: job.route().priority.min(9),
         resume_after,
     };
     let head = job.shared.dialect.write_attempt(&job.head, &attempt);
--- a/crates/gate/src/claims.rs
+++ b/crates/gate/src/claims.rs
@@ -8,7 +8,7 @@
 use std::time::{Duration, Instant};
 
 use chestnut_base::{Fence, PoolName, ServerName, ServiceName};
-use chestnut_edge::{Change, Commit, CommitAnswer};
+use chestnut_edge::{Change, Transaction, TransactionOutcome};
 use chestnut_member::{ClaimKey, ClaimRow, Step, plan};
 use slog::{info, warn};
 
@@ -106,9 +106,9 @@
         return;
     }
     let fresh: Vec<bool> = steps.iter().map(|step| is_fresh(shared, step)).collect();
-    let commit = steps.iter().fold(Commit::default(), add);
+    let commit = steps.iter().fold(Transaction::default(), add);
     match store::commit(shared, &commit).await {
-        Ok(CommitAnswer::Done { version }) => {
+        Ok(TransactionOutcome::Done { version }) => {
             follow::note_own(shared, &commit, version);
             for (step, fresh) in steps.into_iter().zip(fresh) {
                 took(shared, step, version, fresh);
@@ -116,19 +116,19 @@
             holder::follow_claims(shared);
             queue::follow_claims(shared);
         }
-        Ok(CommitAnswer::Conflict) => {
+        Ok(TransactionOutcome::Conflict) => {
             info!(shared.log, "claims changed meanwhile"; "steps" => steps.len());
         }
-        Ok(CommitAnswer::Refused) => {}
+        Ok(TransactionOutcome::Refused) => {}
         Err(fault) => warn!(shared.log, "claims not taken"; "error" => fault.to_string()),
     }
 }
 
-fn add(commit: Commit, step: &Step) -> Commit {
+fn add(commit: Transaction, step: &Step) -> Transaction {
     let key = format!("{PREFIX}{}", step.key);
     // Claims are plain structs, which always serialize.
     let value = serde_json::to_vec(&step.row).unwrap_or_default();
-    commit.check(OWN, &key, step.version).put(OWN, &key, value)
+    commit.require_version(OWN, &key, step.version).put(OWN, &key, value)
 }
 
 /// Whether no other VM can have given orders under the claim lately.
--- a/crates/gate/src/driver.rs
+++ b/crates/gate/src/driver.rs
@@ -9,7 +9,9 @@
 use std::time::Duration;
 
 use chestnut_base::ModelName;
-use chestnut_edge::{Engine, Order, OrderAnswer, OrderStep, ServerEntry, TargetModel};
+use chestnut_edge::{
+    Engine, Order, OrderAction, OrderResponse, ServerEntry, TargetModel,
+};
 use chestnut_member::wake;
 use chestnut_pool::AdapterNeed;
 use chestnut_pool::moving::Move;
@@ -122,16 +124,16 @@
             return false;
         }
         let time = self.load_time(model);
-        let answer = self.order(OrderStep::Load(model.clone()), time).await;
-        matches!(answer, Some(OrderAnswer::Accepted | OrderAnswer::Holds))
+        let answer = self.order(OrderAction::Load(model.clone()), time).await;
+        matches!(answer, Some(OrderResponse::Accepted | OrderResponse::Holds))
     }
 
     /// Has a model unloaded and waits until its runs have ended.
     async fn unload(&self, model: &ModelName) -> bool {
-        let answer = self.order(OrderStep::Unload(model.clone()), UNLOAD_POLL).await;
+        let answer = self.order(OrderAction::Unload(model.clone()), UNLOAD_POLL).await;
         match answer {
-            Some(OrderAnswer::Holds) => return true,
-            Some(OrderAnswer::Accepted) => {}
+            Some(OrderResponse::Holds) => return true,
+            Some(OrderResponse::Accepted) => {}
             _ => return false,
         }
         // Its runs end first; nothing else may be ordered until then.
@@ -186,7 +188,7 @@
             return None;
         }
         let addr = self.addr()?;
-        let request = self.shared.dialect.ask_report();
+        let request = self.shared.dialect.write_report_request();
         let client = &self.shared.client;
         let answer = client.call(addr, request, REPORT_LIMIT, ANSWER_TIME).await;
         let report = match answer {
@@ -199,11 +201,12 @@
         };
         match report {
             Ok(report) => {
-                let current = report.born == self.entry().and_then(|entry| entry.born);
+                let current = report.started_at_ms
+                    == self.entry().and_then(|entry| entry.started_at_ms);
                 let now = self.shared.now();
                 let taken = current && self.holder.state().learn(&report, now);
                 info!(self.shared.log, "report"; "server" => self.holder.server.to_string(),
-                    "orders" => report.orders, "busy" => report.busy, "taken" => taken,
+                    "orders" => report.accepted_orders, "busy" => report.busy, "taken" => taken,
                     "models" => report.models.len());
                 taken.then_some(())
             }
@@ -227,7 +230,7 @@
     }
 
     /// Gives an order; returns the answer if the order could be given.
-    async fn order(&self, step: OrderStep, time: Duration) -> Option<OrderAnswer> {
+    async fn order(&self, step: OrderAction, time: Duration) -> Option<OrderResponse> {
         let server = &self.holder.server;
         let fence = claims::fence(self.shared, server)?;
         if !self.is_sure() {
@@ -237,44 +240,57 @@
         let addr = self.addr()?;
         let after = self.holder.state().orders()?;
         let holder = self.shared.settings.vm.clone();
-        let order = Order { server: server.clone(), step, after, holder, fence };
+        let order = Order {
+            server: server.clone(),
+            action: step,
+            expected_orders: after,
+            holder,
+            fence,
+        };
         let request = self.shared.dialect.write_order(&order);
         let client = &self.shared.client;
         let answer = client.call(addr, request, REPORT_LIMIT, ANSWER_TIME).await;
         let answer = match answer {
             Ok(answer) => {
-                self.shared.dialect.read_order_answer(answer.status(), answer.headers())
+                self.shared.dialect.read_order_response(answer.status(), answer.headers())
             }
             Err(fault) => {
                 info!(self.shared.log, "order not answered"; "server" => server.to_string(),
                     "error" => fault.to_string());
-                OrderAnswer::Unknown
+                OrderResponse::Unknown
             }
         };
         self.shared.metrics.count(Step::Order, answer.name());
         info!(self.shared.log, "order"; "server" => server.to_string(),
-            "step" => format!("{:?}", order.step), "after" => after,
+            "step" => format!("{:?}", order.action), "after" => after,
             "fence" => fence.0, "answer" => format!("{answer:?}"));
-        self.take_answer(&order.step, answer, time).await;
+        self.take_answer(&order.action, answer, time).await;
         Some(answer)
     }
 
-    async fn take_answer(&self, step: &OrderStep, answer: OrderAnswer, time: Duration) {
+    async fn take_answer(
+        &self,
+        step: &OrderAction,
+        answer: OrderResponse,
+        time: Duration,
+    ) {
         let now = self.shared.now();
         match answer {
-            OrderAnswer::Accepted => {
+            OrderResponse::Accepted => {
                 self.holder.state().accepted(step, time, now);
-                if matches!(step, OrderStep::UnloadAdapter(..)) {
+                if matches!(step, OrderAction::UnloadAdapter(..)) {
                     // Requests use it still; its place is free once a report says so.
                     self.holder.state().doubt();
                 }
             }
-            OrderAnswer::Holds => self.holder.state().holds(step, now),
-            OrderAnswer::Conflict | OrderAnswer::Unknown | OrderAnswer::Busy => {
+            OrderResponse::Holds => self.holder.state().holds(step, now),
+            OrderResponse::Conflict | OrderResponse::Unknown | OrderResponse::Busy => {
                 self.holder.state().doubt();
                 sleep(REPORT_AGE).await;
             }
-            OrderAnswer::Fenced | OrderAnswer::Misdirected | OrderAnswer::Invalid => {
+            OrderResponse::Fenced
+            | OrderResponse::Misdirected
+            | OrderResponse::Invalid => {
                 self.holder.state().doubt();
             }
         }
--- a/crates/gate/src/enqueue.rs
+++ b/crates/gate/src/enqueue.rs
@@ -148,7 +148,7 @@
     let shut = shut.map(|(_, server)| server.entry.name.clone());
     let on_time = job.arrived + job.route().objective;
     PlainWant {
-        urgency: job.route().urgency,
+        urgency: job.route().priority,
         target_time: on_time.saturating_duration_since(now),
         patience: job.deadline.saturating_duration_since(now),
         domain: job.shared.settings.domain.clone(),
--- a/crates/gate/src/follow.rs
+++ b/crates/gate/src/follow.rs
@@ -11,9 +11,9 @@
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
-use chestnut_base::id::weighted_rendezvous;
+use chestnut_base::id::weighted_rendezvous_rank;
 use chestnut_base::{MemberId, VmName};
-use chestnut_edge::{Change, Commit};
+use chestnut_edge::{Change, Transaction};
 use slog::{info, warn};
 use tokio::sync::watch;
 use tokio::time::{sleep, timeout};
@@ -289,7 +289,8 @@
     async fn ask_store(&mut self, hold: Duration) -> Result<(), StoreFault> {
         let version = self.table.mirror().version();
         let Some(after) = version else { return self.read_whole().await };
-        let request = self.shared.dialect.ask_changes(self.table.name, after, hold);
+        let request =
+            self.shared.dialect.write_changes_request(self.table.name, after, hold);
         let answer = store::call(&self.shared, request, hold + HOLD_SLACK).await;
         self.turned_away = answer.is_err();
         let answer = answer?;
@@ -372,11 +373,11 @@
     let me = &shared.settings.vm;
     let known = shared.known();
     let now = shared.now();
-    let own = weighted_rendezvous(table, me.as_str(), shared.settings.weight());
+    let own = weighted_rendezvous_rank(table, me.as_str(), shared.settings.weight());
     let others = known.members.iter().filter(|(vm, (row, _))| {
         *vm != me && known.takes_claims(row) && shared.is_alive(row.member, now)
     });
-    let rank = |vm: &VmName, weight| weighted_rendezvous(table, vm.as_str(), weight);
+    let rank = |vm: &VmName, weight| weighted_rendezvous_rank(table, vm.as_str(), weight);
     others.filter(|(vm, (row, _))| rank(vm, row.weight) > own).count()
 }
 
@@ -409,7 +410,7 @@
 pub const OWN: &str = "chestnut";
 
 /// Takes note of the rows of the system's own table that this daemon has written.
-pub fn note_own(shared: &Shared, commit: &Commit, version: u64) {
+pub fn note_own(shared: &Shared, commit: &Transaction, version: u64) {
     let mut mirror = shared.tables.own.mirror();
     for write in commit.writes.iter().filter(|write| write.table == OWN) {
         let (key, value) = (write.key.clone(), write.value.clone());
--- a/crates/gate/src/grant.rs
+++ b/crates/gate/src/grant.rs
@@ -305,8 +305,8 @@
     let total = holder.state().total(now);
     Some(Room {
         requests: engine.slots.saturating_sub(total.requests),
-        tokens: engine.usable_tokens().saturating_sub(total.tokens),
-        pause: shared.declared().and_then(|declared| declared.least_pause()),
+        tokens: engine.usable_kv_tokens().saturating_sub(total.tokens),
+        pause: shared.declared().and_then(|declared| declared.min_event_gap()),
         step: shared.speeds().step(),
         event_steps: engine.event_tokens,
     })
--- a/crates/gate/src/job.rs
+++ b/crates/gate/src/job.rs
@@ -6,7 +6,7 @@
 
 use bytes::Bytes;
 use chestnut_base::{Refusal, ServiceName};
-use chestnut_edge::{Call, Declared, Engine, Route, RouteKind, Size};
+use chestnut_edge::{Call, Declarations, Engine, GenerationSize, Route, RouteKind};
 use chestnut_pool::{Asked, Attempts, Want};
 use http::request;
 use slog::info;
@@ -54,7 +54,7 @@
     /// The request as far as the system reads it.
     pub call: Call,
     /// The declarations that it is served by.
-    pub declared: Arc<Declared>,
+    pub declared: Arc<Declarations>,
     /// The index of its route in `declared`.
     pub route: usize,
     /// The service that it goes to.
@@ -99,7 +99,7 @@
             target: self.call.target.clone()?,
             size: self.size(),
             parts: self.call.parts.clone(),
-            urgency: self.route().urgency,
+            urgency: self.route().priority,
             target_time: on_time.saturating_duration_since(now),
             patience: self.patience().saturating_duration_since(now),
         })
@@ -109,24 +109,27 @@
     pub fn patience(&self) -> Instant {
         match self.begun {
             true => self.deadline,
-            false => self.deadline.min(self.arrived + self.route().patience),
+            false => self.deadline.min(self.arrived + self.route().wait_limit),
         }
     }
 
     /// What the request asks of its model's runners.
     pub fn asked(&self) -> Asked {
         let size = self.call.size;
-        let guess = self.call.guess.map_or(f64::from(size.output), f64::from);
+        let guess = self.call.estimated_output.map_or(f64::from(size.output), f64::from);
         let output = (guess * GUESS_MEAN).min(size.output.into());
         let prompt = f64::from(size.prompt);
         Asked { requests: 1.0, prompt, tokens: prompt + output, ..Asked::default() }
     }
 
     /// The size to plan with: callers' guesses are right at the median.
-    pub fn size(&self) -> Size {
+    pub fn size(&self) -> GenerationSize {
         let size = self.call.size;
-        let guess = self.call.guess.map_or(size.output, |guess| guess.saturating_mul(2));
-        Size { output: size.output.min(guess), ..size }
+        let guess = self
+            .call
+            .estimated_output
+            .map_or(size.output, |guess| guess.saturating_mul(2));
+        GenerationSize { output: size.output.min(guess), ..size }
     }
 
     /// What requests have in common that are better served by the same runner: the
@@ -170,7 +173,7 @@
     /// The longest pause between events for which the answer is on time.
     fn gap(&self) -> Option<Duration> {
         match self.route().kind {
-            RouteKind::Stream { pause, .. } => pause,
+            RouteKind::Stream { event_gap: pause, .. } => pause,
             RouteKind::Idempotent | RouteKind::NonIdempotent => None,
         }
     }
--- a/crates/gate/src/learnt.rs
+++ b/crates/gate/src/learnt.rs
@@ -11,7 +11,7 @@
 use std::time::{Duration, Instant};
 
 use chestnut_base::ServiceName;
-use chestnut_edge::{Change, Commit, CommitAnswer};
+use chestnut_edge::{Change, Transaction, TransactionOutcome};
 use chestnut_pool::speed::Learnt;
 use slog::{info, warn};
 
@@ -89,13 +89,13 @@
     }
     // Numbers and names always serialize.
     let value = serde_json::to_vec(&learnt).unwrap_or_default();
-    let commit = Commit::default().put(OWN, &format!("{PREFIX}{service}"), value);
+    let commit = Transaction::default().put(OWN, &format!("{PREFIX}{service}"), value);
     tokio::spawn(write(shared.clone(), commit));
 }
 
-async fn write(shared: Arc<Shared>, commit: Commit) {
+async fn write(shared: Arc<Shared>, commit: Transaction) {
     match store::commit(&shared, &commit).await {
-        Ok(CommitAnswer::Done { .. }) => {}
+        Ok(TransactionOutcome::Done { .. }) => {}
         Ok(answer) => warn!(shared.log, "what was learnt is not kept";
             "answer" => format!("{answer:?}")),
         Err(fault) => warn!(shared.log, "what was learnt is not kept";
--- a/crates/gate/src/members.rs
+++ b/crates/gate/src/members.rs
@@ -10,7 +10,7 @@
 use std::time::Duration;
 
 use chestnut_base::{MemberId, VmName};
-use chestnut_edge::{Change, Commit, CommitAnswer};
+use chestnut_edge::{Change, Transaction, TransactionOutcome};
 use chestnut_member::{Known, MemberRow, watched, watchers};
 use indexmap::IndexMap;
 use rand::seq::IteratorRandom;
@@ -146,9 +146,9 @@
 
 async fn put_row(shared: &Shared, vm: &str, row: &MemberRow) -> Result<(), String> {
     let value = serde_json::to_vec(row).map_err(|error| error.to_string())?;
-    let commit = Commit::default().put(OWN, &key(vm), value);
+    let commit = Transaction::default().put(OWN, &key(vm), value);
     match store::commit(shared, &commit).await {
-        Ok(CommitAnswer::Done { version }) => {
+        Ok(TransactionOutcome::Done { version }) => {
             follow::note_own(shared, &commit, version);
             let vm = shared.settings.vm.clone();
             shared.known().members.insert(vm, (row.clone(), version));
@@ -295,7 +295,7 @@
         // Who is no member itself is not sent beats, and hears nobody.
         let Some(commit) = check_own(shared, commit) else { return };
         match store::commit(shared, &commit).await {
-            Ok(CommitAnswer::Done { .. }) => {}
+            Ok(TransactionOutcome::Done { .. }) => {}
             Ok(answer) => {
                 info!(shared.log, "row not removed"; "why" => format!("{answer:?}"))
             }
@@ -307,11 +307,11 @@
 }
 
 /// Has a transaction act only while the own row stands; nothing if it does not.
-fn check_own(shared: &Shared, commit: Commit) -> Option<Commit> {
+fn check_own(shared: &Shared, commit: Transaction) -> Option<Transaction> {
     let vm = &shared.settings.vm;
     let known = shared.known();
     let (_, version) = known.own(vm, shared.peers.me)?;
-    Some(commit.check(OWN, &key(vm.as_str()), version))
+    Some(commit.require_version(OWN, &key(vm.as_str()), version))
 }
 
 /// Watched daemons that neither this one nor others hear.
@@ -350,7 +350,7 @@
 }
 
 /// The removal of a daemon's row, if it stands as it was when that was decided.
-fn removal(vm: &VmName, version: u64) -> Commit {
+fn removal(vm: &VmName, version: u64) -> Transaction {
     let key = key(vm.as_str());
-    Commit::default().check(OWN, &key, version).remove(OWN, &key)
+    Transaction::default().require_version(OWN, &key, version).remove(OWN, &key)
 }
--- a/crates/gate/src/pick.rs
+++ b/crates/gate/src/pick.rs
@@ -167,7 +167,7 @@
 fn place(job: &Job, chosen: Candidate) -> Option<Place> {
     let fleet = job.shared.fleet();
     let server = fleet.get(chosen.key)?;
-    let (name, born) = (server.entry.name.clone(), server.entry.born);
+    let (name, born) = (server.entry.name.clone(), server.entry.started_at_ms);
     let addr = server.entry.address;
     let registry = job.shared.tables.servers.news(job.shared.now());
     info!(job.shared.log, "server picked"; "id" => job.id(), "server" => name.to_string(),
--- a/crates/gate/src/read.rs
+++ b/crates/gate/src/read.rs
@@ -5,8 +5,8 @@
 use std::time::Duration;
 
 use bytes::Bytes;
-use chestnut_base::{Code, Refusal, ServiceName};
-use chestnut_edge::{Call, Declared, Route};
+use chestnut_base::{Refusal, RefusalCode, ServiceName};
+use chestnut_edge::{Call, Declarations, Route};
 use chestnut_pool::Attempts;
 use chestnut_pool::fleet::RETURN_TIME;
 use http::{Response, request};
@@ -59,7 +59,7 @@
     let call = match shared.dialect.read_call(&head) {
         Ok(call) => call,
         Err(fault) => {
-            let refusal = Refusal::not_run(Code::BadRequest, fault.to_string());
+            let refusal = Refusal::not_run(RefusalCode::BadRequest, fault.to_string());
             return Err(Unread { refusal, id: None });
         }
     };
@@ -70,12 +70,12 @@
     let declared =
         declared(&shared).await.ok_or_else(|| refused(unknown_yet(&shared)))?;
     let route = find_route(&declared, &call).ok_or_else(|| refused(no_route(&call)))?;
-    let body = read_body(body, declared.limits.body).await.map_err(&refused)?;
+    let body = read_body(body, declared.limits.body_bytes).await.map_err(&refused)?;
     let budget = call.budget.unwrap_or(Duration::MAX).min(declared.routes[route].timeout);
     let service = draw_service(&declared.routes[route], &mut rand::rng());
     let deadline = arrived + budget;
     let chosen = &declared.routes[route];
-    let attempts = Attempts::new(chosen.kind, chosen.attempts);
+    let attempts = Attempts::new(chosen.kind, chosen.max_attempts);
     Ok(Job {
         shared,
         head,
@@ -95,7 +95,7 @@
 }
 
 /// The declarations in force; a daemon that has just started waits for them.
-async fn declared(shared: &Shared) -> Option<Arc<Declared>> {
+async fn declared(shared: &Shared) -> Option<Arc<Declarations>> {
     if !shared.is_known() {
         let mut declared = shared.declared.subscribe();
         let mut listed = shared.listed.subscribe();
@@ -111,11 +111,11 @@
 
 fn closing() -> Refusal {
     let message = "the daemon is about to end; use another address";
-    Refusal::not_run(Code::Leaving, message).after(Duration::ZERO)
+    Refusal::not_run(RefusalCode::Leaving, message).with_retry_after(Duration::ZERO)
 }
 
-fn find_route(declared: &Declared, call: &Call) -> Option<usize> {
-    let route = declared.route(&call.host, &call.path)?;
+fn find_route(declared: &Declarations, call: &Call) -> Option<usize> {
+    let route = declared.match_route(&call.host, &call.path)?;
     declared.routes.iter().position(|one| std::ptr::eq(one, route))
 }
 
@@ -124,12 +124,12 @@
     // The store does not answer; entries of servers come back after it has.
     let away = shared.age() > STORE_TIME;
     let after = if away { RETURN_TIME } else { START_TIME };
-    Refusal::not_run(Code::Leaving, message).after(after)
+    Refusal::not_run(RefusalCode::Leaving, message).with_retry_after(after)
 }
 
 fn no_route(call: &Call) -> Refusal {
     let message = format!("no route for {}{}; check host and path", call.host, call.path);
-    Refusal::not_run(Code::UnknownRoute, message)
+    Refusal::not_run(RefusalCode::UnknownRoute, message)
 }
 
 async fn read_body(body: Incoming, limit: usize) -> Result<Bytes, Refusal> {
@@ -137,11 +137,11 @@
         Ok(body) => Ok(body.to_bytes()),
         Err(error) if error.is::<LengthLimitError>() => {
             let message = format!("the body is over {limit} bytes; send less");
-            Err(Refusal::not_run(Code::TooLarge, message))
+            Err(Refusal::not_run(RefusalCode::TooLarge, message))
         }
         Err(error) => {
             let message = format!("the body broke off ({error}); send it whole");
-            Err(Refusal::not_run(Code::BadRequest, message))
+            Err(Refusal::not_run(RefusalCode::BadRequest, message))
         }
     }
 }
--- a/crates/gate/src/registry.rs
+++ b/crates/gate/src/registry.rs
@@ -19,7 +19,7 @@
 impl Follower for Declarations {
     fn changed(&mut self, change: Change) {
         let Self(shared) = self;
-        if change.key != shared.dialect.declared_key() {
+        if change.key != shared.dialect.declarations_key() {
             return;
         }
         match change.value {
@@ -32,7 +32,7 @@
 
 /// Brings declarations into force unless later ones are.
 pub fn adopt(shared: &Shared, value: &Bytes) {
-    let declared = match shared.dialect.read_declared(value) {
+    let declared = match shared.dialect.read_declarations(value) {
         Ok(declared) => declared,
         Err(error) => {
             warn!(shared.log, "declarations refused"; "error" => error.to_string());
--- a/crates/gate/src/serve.rs
+++ b/crates/gate/src/serve.rs
@@ -9,7 +9,7 @@
 use std::time::Duration;
 
 use bytes::Bytes;
-use chestnut_base::{Code, Refusal, ServerName};
+use chestnut_base::{Refusal, RefusalCode, ServerName};
 use chestnut_pool::{Ended, Follow};
 use http::{Request, Response};
 use http_body_util::{BodyExt, Full};
@@ -136,7 +136,8 @@
     }
     let message = "all servers that could serve it are full for longer than its caller \
         waits; come back when told";
-    Refusal::not_run(Code::Overloaded, message).after(wait.clamp(AWAY, LONGEST_AWAY))
+    Refusal::not_run(RefusalCode::Overloaded, message)
+        .with_retry_after(wait.clamp(AWAY, LONGEST_AWAY))
 }
 
 /// Whether a server's own failure is worth another try elsewhere.
@@ -177,11 +178,11 @@
     match missed {
         Missed::Late => {
             let message = "the time ran out before the answer began; allow more time";
-            Refusal::in_doubt(Code::Late, message)
+            Refusal::in_doubt(RefusalCode::Late, message)
         }
         Missed::Lost(_) => {
             let message = "the server broke off and may have run the request";
-            Refusal::in_doubt(Code::Broken, message)
+            Refusal::in_doubt(RefusalCode::Broken, message)
         }
         Missed::Unreachable(_) | Missed::Rejected(_) | Missed::Silent => no_server(job),
     }
@@ -191,17 +192,19 @@
     if job.shared.now() >= job.deadline {
         let message = "the time ran out before a server could take the request";
         return match job.attempts.may_have_run() {
-            true => Refusal::in_doubt(Code::Late, message),
-            false => Refusal::not_run(Code::Deadline, message).after(Duration::ZERO),
+            true => Refusal::in_doubt(RefusalCode::Late, message),
+            false => Refusal::not_run(RefusalCode::Deadline, message)
+                .with_retry_after(Duration::ZERO),
         };
     }
     let message = "no server can take the request now; come back when told";
     match job.attempts.may_have_run() {
-        true => Refusal::in_doubt(Code::Broken, message),
+        true => Refusal::in_doubt(RefusalCode::Broken, message),
         false => {
             let returns = job.shared.fleet().returns_in(job.shared.now());
             let away = if is_resident(job) { AWAY } else { NOT_RESIDENT };
-            Refusal::not_run(Code::Unavailable, message).after(returns.max(away))
+            Refusal::not_run(RefusalCode::Unavailable, message)
+                .with_retry_after(returns.max(away))
         }
     }
 }
@@ -211,7 +214,7 @@
     let Some(target) = &job.call.target else { return true };
     let fleet = job.shared.fleet();
     let mut open = fleet.open(&job.service, job.shared.now());
-    open.any(|(_, server)| server.entry.holds(&target.model))
+    open.any(|(_, server)| server.entry.has_model(&target.model))
 }
 
 /// A body of bytes that are all there.
--- a/crates/gate/src/shared.rs
+++ b/crates/gate/src/shared.rs
@@ -4,7 +4,7 @@
 use std::time::{Duration, Instant};
 
 use chestnut_base::{Clock, MemberId, ServerName, ServiceName};
-use chestnut_edge::{Declared, Dialect, Engine};
+use chestnut_edge::{Declarations, Dialect, Engine};
 use chestnut_member::{ClaimKey, Known, Wake};
 use chestnut_pool::budget::RetryBound;
 use chestnut_pool::placing::Placing;
@@ -73,7 +73,7 @@
     /// When the daemon started.
     pub started: Instant,
     /// The declarations in force; nothing until they are first known.
-    pub declared: watch::Sender<Option<Arc<Declared>>>,
+    pub declared: watch::Sender<Option<Arc<Declarations>>>,
     /// Grows with each change of what backend servers say of themselves.
     pub listed: watch::Sender<u64>,
     /// Whether the daemon was told to stop.
@@ -117,7 +117,7 @@
     ) -> Self {
         let table = |name| Arc::new(Table::new(name));
         let tables = Tables {
-            declared: table(dialect.declared_table()),
+            declared: table(dialect.declarations_table()),
             servers: table(dialect.servers_table()),
             own: table(OWN),
         };
@@ -239,7 +239,7 @@
     pub fn is_waking(&self) -> bool {
         let now = self.now();
         let mut wake = self.wake.lock().expect("no holder of the lock panics");
-        if let Some(gap) = wake.look(self.clock.suspended(), now) {
+        if let Some(gap) = wake.look(self.clock.suspended_time(), now) {
             warn!(self.log, "stood still"; "ms" => gap.as_millis() as u64);
             for table in follow::tables(self) {
                 table.mirror().doubt();
@@ -274,7 +274,7 @@
     }
 
     /// The declarations in force.
-    pub fn declared(&self) -> Option<Arc<Declared>> {
+    pub fn declared(&self) -> Option<Arc<Declarations>> {
         self.declared.borrow().clone()
     }
 
--- a/crates/gate/src/store.rs
+++ b/crates/gate/src/store.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 
 use bytes::Bytes;
-use chestnut_edge::{Change, Commit, CommitAnswer, Page};
+use chestnut_edge::{Change, Page, Transaction, TransactionOutcome};
 use http::{Request, Response, StatusCode};
 
 use crate::metrics::{Span, Step};
@@ -34,8 +34,8 @@
 /// Commits a transaction.
 pub async fn commit(
     shared: &Shared,
-    commit: &Commit,
-) -> Result<CommitAnswer, StoreFault> {
+    commit: &Transaction,
+) -> Result<TransactionOutcome, StoreFault> {
     let answer = call(shared, shared.dialect.write_commit(commit), CALL_TIME).await?;
     let (status, body) = (answer.status(), answer.into_body());
     let read = shared.dialect.read_commit(status, &body);
@@ -67,11 +67,11 @@
     table: &str,
     after: Option<&str>,
 ) -> Result<Page, StoreFault> {
-    let answer = call(shared, shared.dialect.ask_rows(table, after), CALL_TIME).await?;
+    let answer = call(shared, shared.dialect.write_scan(table, after), CALL_TIME).await?;
     if answer.status() != StatusCode::OK {
         return Err(StoreFault(format!("status {}", answer.status())));
     }
-    let page = shared.dialect.read_rows(answer.body());
+    let page = shared.dialect.read_page(answer.body());
     page.map_err(|error| StoreFault(error.to_string()))
 }
 
--- a/crates/gate/tests/attempts.rs
+++ b/crates/gate/tests/attempts.rs
@@ -251,7 +251,7 @@
 fn kind() -> impl Strategy<Value = RouteKind> {
     let stream = |resumable| RouteKind::Stream {
         resumable,
-        pause: Some(Duration::from_millis(200)),
+        event_gap: Some(Duration::from_millis(200)),
     };
     prop_oneof![
         Just(RouteKind::Idempotent),
--- a/crates/lab/src/decisions.rs
+++ b/crates/lab/src/decisions.rs
@@ -9,7 +9,7 @@
     CallerName, DomainName, MemberId, ModelName, ServerName, ServiceName, TeamName,
     Urgency,
 };
-use chestnut_edge::{Engine, HeldModel, Model, Phase, ServerEntry};
+use chestnut_edge::{Engine, LoadedModel, Model, Phase, ServerEntry};
 use chestnut_pool::placing::{Placing, Scene};
 use chestnut_pool::{
     Asked, Asker, Listed, LoadBound, Outcome, PlainWant, Queue, QueueStep, Speeds,
@@ -189,11 +189,11 @@
         let name = ModelName::try_from(format!("model-{at}")).expect("well formed");
         let model = Model {
             weights_mb: if at.is_multiple_of(2) { 34_300.0 } else { 16_100.0 },
-            adapters: 4,
+            adapter_count: 4,
             adapter_mb: 40.0,
-            load: Duration::from_secs(2),
-            warm_load: Duration::from_millis(390),
-            disk_load: Duration::from_millis(510),
+            store_load_time: Duration::from_secs(2),
+            memory_load_time: Duration::from_millis(390),
+            disk_load_time: Duration::from_millis(510),
         };
         (name, model)
     };
@@ -209,23 +209,23 @@
 }
 
 fn runner(at: usize, models: [&ModelName; 2]) -> ServerEntry {
-    let held = |model: &ModelName| HeldModel {
+    let held = |model: &ModelName| LoadedModel {
         model: model.clone(),
         version: 1,
         adapters: Vec::new(),
     };
     ServerEntry {
         name: ServerName::try_from(format!("runner-{at}")).expect("well formed"),
-        born: Some(1),
+        started_at_ms: Some(1),
         service: ServiceName::try_from("pool").expect("well formed"),
         address: ([10, 0, 0, 1], 80).into(),
         domain: domain(at as u64),
         slots: 48,
         phase: Phase::Ready,
-        cold: Duration::ZERO,
-        orders: 0,
+        warmup_remaining: Duration::ZERO,
+        accepted_orders: 0,
         models: models.into_iter().map(held).collect(),
-        warm: Vec::new(),
+        in_memory: Vec::new(),
         on_disk: Vec::new(),
     }
 }
--- a/crates/lab/src/journal.rs
+++ b/crates/lab/src/journal.rs
@@ -14,7 +14,7 @@
 use chestnut_fake::platform;
 use chestnut_fake::weights::WeightSpeed;
 use chestnut_node::members::CLAIMS;
-use chestnut_plat::{Objects, Table, Txn, TxnAnswer};
+use chestnut_plat::{ObjectStore, TableClient, Txn, TxnResponse};
 use hdrhistogram::Histogram;
 use reqwest::Client;
 use serde_json::json;
@@ -63,8 +63,8 @@
     let speed = WeightSpeed { rate: 1.0, parallel: 1, bytes: 1e9 };
     let platform = platform::start(listen, speed).await.expect("a free port");
     let url = platform.url();
-    let table = Table::new(&url, TIMEOUT).expect("a client");
-    let objects = Objects::new(&url, TIMEOUT).expect("a client");
+    let table = TableClient::new(&url, TIMEOUT).expect("a client");
+    let objects = ObjectStore::new(&url, TIMEOUT).expect("a client");
     if options.recover > 0 {
         return recover(&table, objects, &url, options).await;
     }
@@ -100,7 +100,12 @@
 }
 
 /// Times how long a slot with many ids takes to be taken over.
-async fn recover(table: &Table, objects: Objects, url: &str, options: &Options) {
+async fn recover(
+    table: &TableClient,
+    objects: ObjectStore,
+    url: &str,
+    options: &Options,
+) {
     let claims = claim(table, [SlotId(0)].into_iter()).await;
     daemon::fill(table, SlotId(0), options.recover).await;
     fault(url, json!({ "delay_ms": options.delay })).await;
@@ -118,14 +123,17 @@
 }
 
 /// Writes the claims of slots and returns their rows' version.
-async fn claim(table: &Table, slots: impl Iterator<Item = SlotId>) -> Vec<(SlotId, u64)> {
+async fn claim(
+    table: &TableClient,
+    slots: impl Iterator<Item = SlotId>,
+) -> Vec<(SlotId, u64)> {
     let slots: Vec<SlotId> = slots.collect();
     let put = |txn: Txn, slot: &SlotId| {
         txn.put(CLAIMS, format!("slot:{}", slot.0), json!({ "holder": "lab" }))
     };
     let txn = slots.iter().fold(Txn::new(), put);
     match table.commit(&txn).await {
-        Ok(TxnAnswer::Committed { version, .. }) => {
+        Ok(TxnResponse::Committed { version, .. }) => {
             slots.into_iter().map(|slot| (slot, version)).collect()
         }
         other => panic!("the claims can't be written: {other:?}"),
--- a/crates/lab/src/journal/daemon.rs
+++ b/crates/lab/src/journal/daemon.rs
@@ -14,7 +14,7 @@
 use chestnut_once::{
     Answer, Effect, Event, Journal, Kept, Limits, Record, Reply, Ticket, row_key,
 };
-use chestnut_plat::{Objects, Table, Txn};
+use chestnut_plat::{ObjectStore, TableClient, Txn};
 use hdrhistogram::Histogram;
 use indexmap::IndexMap;
 use tokio::sync::mpsc::{self, UnboundedReceiver, UnboundedSender};
@@ -90,8 +90,8 @@
 /// A daemon of the experiment.
 pub struct Daemon {
     index: u16,
-    table: Table,
-    objects: Objects,
+    table: TableClient,
+    objects: ObjectStore,
     journal: Journal,
     claims: Vec<(SlotId, u64)>,
     inbox: UnboundedSender<Event>,
@@ -111,8 +111,8 @@
     pub fn new(
         index: u16,
         count: u16,
-        table: Table,
-        objects: Objects,
+        table: TableClient,
+        objects: ObjectStore,
         claims: Vec<(SlotId, u64)>,
     ) -> Self {
         let limits = Limits { gap: gap_of(count.into()), ..Limits::default() };
@@ -298,7 +298,7 @@
 }
 
 /// Writes `count` finished ids into a slot.
-pub async fn fill(table: &Table, slot: SlotId, count: usize) {
+pub async fn fill(table: &TableClient, slot: SlotId, count: usize) {
     let ids: Vec<usize> = (0..count).collect();
     for part in ids.chunks(500) {
         let put = |txn: Txn, number: &usize| {
--- a/crates/lab/src/slopes/rows.rs
+++ b/crates/lab/src/slopes/rows.rs
@@ -11,7 +11,7 @@
 use chestnut_node::members::{CLAIMS, LEASES, MEMBERS, SERVERS};
 use chestnut_node::orders::rows::LEDGER;
 use chestnut_place::{Asset, Item, ItemState, Ledger};
-use chestnut_plat::{PlatError, Table, Txn};
+use chestnut_plat::{PlatformError, TableClient, Txn};
 use serde_json::json;
 
 /// Rows in one transaction.
@@ -52,7 +52,7 @@
 }
 
 /// Writes all rows of a system.
-pub async fn fill(table: &Table, size: Size) -> Result<(), PlatError> {
+pub async fn fill(table: &TableClient, size: Size) -> Result<(), PlatformError> {
     let mut rows = Rows { table, txn: Txn::new() };
     for n in 0..size.members {
         let vm = format!("entry-{n}");
@@ -75,7 +75,7 @@
 }
 
 /// Renews the leases of all members.
-pub async fn renew(table: &Table, size: Size) -> Result<(), PlatError> {
+pub async fn renew(table: &TableClient, size: Size) -> Result<(), PlatformError> {
     let mut rows = Rows { table, txn: Txn::new() };
     for n in 0..size.members {
         let lease = LeaseRow { member: id(n), revision: Default::default(), modified: 0 };
@@ -86,11 +86,11 @@
 
 /// Rewrites `count` ledgers, from the one numbered `from` on.
 pub async fn change(
-    table: &Table,
+    table: &TableClient,
     size: Size,
     from: usize,
     count: usize,
-) -> Result<(), PlatError> {
+) -> Result<(), PlatformError> {
     let mut rows = Rows { table, txn: Txn::new() };
     for n in from..from + count {
         let (n, turn) = (n % size.runners, n / size.runners);
@@ -101,7 +101,7 @@
 }
 
 struct Rows<'a> {
-    table: &'a Table,
+    table: &'a TableClient,
     txn: Txn,
 }
 
@@ -111,13 +111,13 @@
         table: &str,
         key: String,
         value: serde_json::Value,
-    ) -> Result<(), PlatError> {
+    ) -> Result<(), PlatformError> {
         let txn = std::mem::take(&mut self.txn);
         self.txn = txn.put(table, key, value);
         if self.txn.writes.len() >= BATCH { self.commit().await } else { Ok(()) }
     }
 
-    async fn commit(&mut self) -> Result<(), PlatError> {
+    async fn commit(&mut self) -> Result<(), PlatformError> {
         let txn = std::mem::take(&mut self.txn);
         if txn.writes.is_empty() {
             return Ok(());
--- a/crates/lab/src/slopes/state.rs
+++ b/crates/lab/src/slopes/state.rs
@@ -5,7 +5,7 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-use chestnut_plat::table::Traffic;
+use chestnut_plat::table::TrafficCounters;
 use serde_json::{Value, json};
 
 use super::Point;
@@ -177,7 +177,7 @@
 fn sums(world: &World) -> [u64; 4] {
     let mut sums = [0; 4];
     for daemon in &world.daemons {
-        let traffic: &Traffic = daemon.node().shared.table.traffic();
+        let traffic: &TrafficCounters = daemon.node().shared.table.traffic();
         let parts = [&traffic.reads, &traffic.commits, &traffic.received, &traffic.sent];
         for (sum, part) in sums.iter_mut().zip(parts) {
             *sum += part.load(Ordering::Relaxed);
--- a/crates/lab/src/slopes/world.rs
+++ b/crates/lab/src/slopes/world.rs
@@ -11,7 +11,7 @@
 use chestnut_fake::{EngineConfig, Handle, WeightSpeed, certs, engine, platform};
 use chestnut_node::logs;
 use chestnut_node::run::{self, Daemon};
-use chestnut_plat::{PlatError, Table};
+use chestnut_plat::{PlatformError, TableClient};
 use reqwest::Client;
 use serde_json::{Value, json};
 use sha2::{Digest, Sha256};
@@ -42,8 +42,8 @@
     }
 }
 
-impl From<PlatError> for WorldError {
-    fn from(error: PlatError) -> Self {
+impl From<PlatformError> for WorldError {
+    fn from(error: PlatformError) -> Self {
         Self(error.to_string())
     }
 }
@@ -61,7 +61,7 @@
     /// The threads of everything else.
     pub outside: Runtime,
     /// The table, as the experiment itself uses it.
-    pub table: Table,
+    pub table: TableClient,
     /// The daemons.
     pub daemons: Vec<Daemon>,
     /// The client of the experiment.
@@ -87,7 +87,7 @@
         let outside = runtime(OUTSIDE_THREADS)?;
         let speed = WeightSpeed { rate: 100.0, parallel: 8, bytes: 400e9 };
         let platform = outside.block_on(platform::start(any(), speed))?;
-        let table = Table::new(platform.url(), WAIT)?;
+        let table = TableClient::new(platform.url(), WAIT)?;
         let folder = std::env::temp_dir().join(format!(
             "chestnutlane-lab-{}-{}",
             std::process::id(),
--- a/crates/member/src/assign.rs
+++ b/crates/member/src/assign.rs
@@ -16,7 +16,7 @@
 
 use std::time::{Duration, Instant};
 
-use chestnut_base::id::{rendezvous, weighted_rendezvous};
+use chestnut_base::id::{rendezvous_rank, weighted_rendezvous_rank};
 use chestnut_base::{Fence, MemberId, VmName};
 use indexmap::IndexMap;
 
@@ -116,9 +116,9 @@
 fn winner(key: &ClaimKey, able: &[(&VmName, &MemberRow)]) -> Option<MemberId> {
     let name = key.to_string();
     let rank = |vm: &VmName, row: &MemberRow| match key {
-        ClaimKey::Pool(_) => (row.weight, rendezvous(&name, vm.as_str()) as f64),
+        ClaimKey::Pool(_) => (row.weight, rendezvous_rank(&name, vm.as_str()) as f64),
         ClaimKey::Server(_) | ClaimKey::Slot(_) | ClaimKey::Vms => {
-            (0, weighted_rendezvous(&name, vm.as_str(), row.weight))
+            (0, weighted_rendezvous_rank(&name, vm.as_str(), row.weight))
         }
     };
     let ranked = able.iter().map(|(vm, row)| (rank(vm, row), *vm, row.member));
--- a/crates/member/src/lease.rs
+++ b/crates/member/src/lease.rs
@@ -10,7 +10,7 @@
 use std::time::{Duration, Instant};
 
 use chestnut_base::VmName;
-use chestnut_base::id::rendezvous;
+use chestnut_base::id::rendezvous_rank;
 use indexmap::IndexMap;
 
 use crate::known::{Known, LeaseRow};
@@ -74,7 +74,7 @@
 /// The VMs whose leases this daemon watches.
 pub fn watched(known: &Known, me: &VmName) -> Vec<VmName> {
     let others = known.members.keys().filter(|vm| *vm != me);
-    first(others, |vm| rendezvous(vm.as_str(), me.as_str()))
+    first(others, |vm| rendezvous_rank(vm.as_str(), me.as_str()))
 }
 
 /// The VMs whose daemons watch this one's lease.
--- a/crates/member/tests/wake.rs
+++ b/crates/member/tests/wake.rs
@@ -13,14 +13,14 @@
 #[test]
 fn news_is_old_after_a_gap() {
     let (clock, mut wake) = (ManualClock::new(), Wake::default());
-    assert_eq!(wake.look(clock.suspended(), clock.now()), None);
+    assert_eq!(wake.look(clock.suspended_time(), clock.now()), None);
     clock.advance(SECOND / 4);
-    assert_eq!(wake.look(clock.suspended(), clock.now()), None);
+    assert_eq!(wake.look(clock.suspended_time(), clock.now()), None);
     assert!(!wake.is_settling(clock.now()));
     clock.suspend(5 * SECOND);
-    assert_eq!(wake.look(clock.suspended(), clock.now()), Some(5 * SECOND));
+    assert_eq!(wake.look(clock.suspended_time(), clock.now()), Some(5 * SECOND));
     assert!(wake.is_settling(clock.now()));
-    assert_eq!(wake.look(clock.suspended(), clock.now()), None);
+    assert_eq!(wake.look(clock.suspended_time(), clock.now()), None);
     assert!(wake.is_settling(clock.now()), "a second look ends nothing");
     clock.advance(SETTLE);
     assert!(!wake.is_settling(clock.now()));
@@ -31,9 +31,9 @@
 #[test]
 fn a_stopped_process_has_a_gap() {
     let (clock, mut wake) = (ManualClock::new(), Wake::default());
-    wake.look(clock.suspended(), clock.now());
+    wake.look(clock.suspended_time(), clock.now());
     clock.advance(5 * SECOND);
-    assert_eq!(wake.look(clock.suspended(), clock.now()), Some(5 * SECOND));
+    assert_eq!(wake.look(clock.suspended_time(), clock.now()), Some(5 * SECOND));
     assert!(wake.is_settling(clock.now()));
 }
 
--- a/crates/node/src/answer.rs
+++ b/crates/node/src/answer.rs
@@ -9,8 +9,8 @@
 use axum::http::{HeaderValue, StatusCode};
 use axum::response::Response;
 use bytes::Bytes;
-use chestnut_base::{Code, Refusal, Work};
-use chestnut_wire::{OnceState, Say};
+use chestnut_base::{Refusal, RefusalCode, RequestSpec};
+use chestnut_wire::{OnceState, PeerResponse};
 use futures::stream;
 use serde::Serialize;
 use serde_json::{Value, json};
@@ -56,8 +56,8 @@
         }
         OnceState::Unreadable(why) => {
             let text = format!("the journal can't be read ({why}); ask again");
-            let unreadable = Refusal::in_doubt(Code::JournalDown, text);
-            refusal(&unreadable.after(Duration::from_secs(1)))
+            let unreadable = Refusal::in_doubt(RefusalCode::JournalDown, text);
+            refusal(&unreadable.with_retry_after(Duration::from_secs(1)))
         }
     }
 }
@@ -65,19 +65,21 @@
 /// Turns the frames of an answer into the caller's response.
 pub async fn respond(
     node: Arc<Node>,
-    work: Work,
+    work: RequestSpec,
     form: Form,
-    mut frames: mpsc::Receiver<Say>,
+    mut frames: mpsc::Receiver<PeerResponse>,
     place: Place,
 ) -> Response {
     let first = loop {
         match frames.recv().await {
-            Some(Say::Alive | Say::Queued | Say::Dispatched) => {}
+            Some(
+                PeerResponse::Heartbeat | PeerResponse::Queued | PeerResponse::Dispatched,
+            ) => {}
             Some(say) => break say,
             None => break cut_off(),
         }
     };
-    if let Say::Refused { refusal: why, .. } = &first {
+    if let PeerResponse::Refused { refusal: why, .. } = &first {
         node.shared.metrics.refused(why);
         return refusal(why);
     }
@@ -91,21 +93,25 @@
 
 /// The frames of an answer, with the place that the request takes.
 struct Frames {
-    first: Option<Say>,
-    rest: mpsc::Receiver<Say>,
+    first: Option<PeerResponse>,
+    rest: mpsc::Receiver<PeerResponse>,
     node: Arc<Node>,
     _place: Place,
 }
 
 impl Frames {
     /// The next frame that matters to the caller; the last one is final.
-    async fn next(&mut self) -> Say {
+    async fn next(&mut self) -> PeerResponse {
         if let Some(say) = self.first.take() {
             return say;
         }
         loop {
             match self.rest.recv().await {
-                Some(Say::Alive | Say::Queued | Say::Dispatched) => {}
+                Some(
+                    PeerResponse::Heartbeat
+                    | PeerResponse::Queued
+                    | PeerResponse::Dispatched,
+                ) => {}
                 Some(say) => return say,
                 None => return cut_off(),
             }
@@ -114,28 +120,28 @@
 }
 
 /// Collects a whole completion, so that the caller never gets half an answer.
-async fn whole(mut frames: Frames, form: Form, work: &Work) -> Response {
+async fn whole(mut frames: Frames, form: Form, work: &RequestSpec) -> Response {
     let mut text = String::new();
     let mut tokens = 0;
     loop {
         match frames.next().await {
-            Say::Tokens { count, text: more, .. } => {
+            PeerResponse::Tokens { count, text: more, .. } => {
                 text.push_str(&more);
                 tokens += count;
             }
-            Say::End { reason, .. } => {
+            PeerResponse::End { reason, .. } => {
                 frames.node.shared.metrics.served();
                 let mut body = head(&form, false);
                 body["choices"] =
                     json!([choice(&form, false, Some(&text), Some(&reason))]);
                 body["usage"] = json!({
-                    "prompt_tokens": work.prompt,
+                    "prompt_tokens": work.prompt_tokens,
                     "completion_tokens": tokens,
-                    "total_tokens": work.prompt + tokens,
+                    "total_tokens": work.prompt_tokens + tokens,
                 });
                 return json(200, &body);
             }
-            Say::Refused { refusal: why, .. } => {
+            PeerResponse::Refused { refusal: why, .. } => {
                 frames.node.shared.metrics.refused(&why);
                 return refusal(&why);
             }
@@ -151,19 +157,19 @@
         let (mut frames, form) = state?;
         let say = frames.next().await;
         let (text, more) = match say {
-            Say::Tokens { first, count, text } => {
+            PeerResponse::Tokens { first, count, text } => {
                 let mut body = head(&form, true);
                 body["choices"] = json!([choice(&form, true, Some(&text), None)]);
                 body["tokens"] = (first + count).into();
                 (format!("data: {body}\n\n"), true)
             }
-            Say::End { reason, .. } => {
+            PeerResponse::End { reason, .. } => {
                 frames.node.shared.metrics.served();
                 let mut body = head(&form, true);
                 body["choices"] = json!([choice(&form, true, None, Some(&reason))]);
                 (format!("data: {body}\n\ndata: [DONE]\n\n"), false)
             }
-            Say::Refused { refusal, .. } => {
+            PeerResponse::Refused { refusal, .. } => {
                 frames.node.shared.metrics.refused(&refusal);
                 (format!("data: {}\n\n", json!({ "error": refusal })), false)
             }
@@ -176,7 +182,7 @@
 
 /// Passes a plain service's answer on; a broken one is cut, never completed.
 async fn plain(mut frames: Frames) -> Response {
-    let Say::Head { status, content_type } = frames.next().await else {
+    let PeerResponse::Head { status, content_type } = frames.next().await else {
         return refusal(&internal());
     };
     let kind = HeaderValue::from_str(&content_type)
@@ -184,12 +190,12 @@
     let body = Body::from_stream(stream::unfold(Some(frames), |state| async move {
         let mut frames = state?;
         match frames.next().await {
-            Say::Chunk(bytes) => Some((Ok(bytes), Some(frames))),
-            Say::End { .. } => {
+            PeerResponse::Chunk(bytes) => Some((Ok(bytes), Some(frames))),
+            PeerResponse::End { .. } => {
                 frames.node.shared.metrics.served();
                 None
             }
-            Say::Refused { refusal, .. } => {
+            PeerResponse::Refused { refusal, .. } => {
                 frames.node.shared.metrics.refused(&refusal);
                 Some((Err(refusal), None))
             }
@@ -230,11 +236,11 @@
     answer
 }
 
-fn cut_off() -> Say {
-    Say::Refused { refusal: internal(), hint: Default::default() }
+fn cut_off() -> PeerResponse {
+    PeerResponse::Refused { refusal: internal(), hint: Default::default() }
 }
 
 fn internal() -> Refusal {
     let text = "the request was lost inside the system; ask for its outcome by its id";
-    Refusal::in_doubt(Code::Internal, text)
+    Refusal::in_doubt(RefusalCode::Internal, text)
 }
--- a/crates/node/src/confsync.rs
+++ b/crates/node/src/confsync.rs
@@ -14,8 +14,8 @@
 use chestnut_config::rows::{self, Entry, FileRow, Files, Head, Ruling};
 use chestnut_config::{Answer, Applier, Catalog, Change, Handover, Replica};
 use chestnut_member::view::ServerRole;
-use chestnut_plat::{Delta, PlatError, Row, Txn, TxnAnswer, VmRole};
-use chestnut_wire::{Ask, Say};
+use chestnut_plat::{Delta, PlatformError, Row, Txn, TxnResponse, VmRole};
+use chestnut_wire::{PeerRequest, PeerResponse};
 use indexmap::IndexMap;
 use prometheus_client::metrics::counter::Counter;
 use prometheus_client::metrics::gauge::Gauge;
@@ -130,14 +130,14 @@
 async fn ask_peers(node: &Arc<Node>) {
     let shared = &node.shared;
     let asked = shared.clock.now();
-    let ask = Ask::Config(files(shared).revision());
+    let ask = PeerRequest::Config(files(shared).revision());
     let mut calls = JoinSet::new();
     for addr in peers(node).await {
         let (node, ask) = (node.clone(), ask.clone());
         calls.spawn(async move { node.peers.ask_once(addr, &ask).await });
     }
     while let Some(answer) = calls.join_next().await {
-        if let Ok(Ok(Say::Config(Some(handover)))) = answer {
+        if let Ok(Ok(PeerResponse::Config(Some(handover)))) = answer {
             hear(shared, &handover, asked);
         }
     }
@@ -165,14 +165,14 @@
 
 /// Takes in what changed, as the feed has it, and publishes the newest
 /// declarations.
-async fn follow(shared: &Shared) -> Result<(), PlatError> {
+async fn follow(shared: &Shared) -> Result<(), PlatformError> {
     let since = shared.conf.store().replica.version();
     let (delta, asked) = shared.changes(rows::TABLE, rows::FILES, since).await?;
     take(shared, delta, asked).map(drop)
 }
 
 /// Reads what changed from the table itself and publishes the newest declarations.
-pub async fn refresh(shared: &Shared) -> Result<Files, PlatError> {
+pub async fn refresh(shared: &Shared) -> Result<Files, PlatformError> {
     let asked = shared.clock.now();
     let since = shared.conf.store().replica.version();
     shared.conf.reads.inc();
@@ -180,7 +180,7 @@
     take(shared, delta, asked)
 }
 
-fn take(shared: &Shared, delta: Delta, asked: Instant) -> Result<Files, PlatError> {
+fn take(shared: &Shared, delta: Delta, asked: Instant) -> Result<Files, PlatformError> {
     let found: Result<Vec<FileRow>, _> = delta.rows.into_iter().map(read).collect();
     let mut store = shared.conf.store();
     store.replica.read(found?, delta.version, asked);
@@ -217,7 +217,7 @@
 
 /// Takes a change to its answer.
 pub async fn commit(shared: &Shared, change: Change) -> Answer {
-    let wall = shared.clock.wall().duration_since(UNIX_EPOCH);
+    let wall = shared.clock.wall_time().duration_since(UNIX_EPOCH);
     let mut applier = Applier::new(change.clone(), wall.map_or(0, |at| at.as_secs()));
     let mut step = applier.start();
     loop {
@@ -233,7 +233,7 @@
     }
 }
 
-async fn snapshot(shared: &Shared, change: &Change) -> Result<Snapshot, PlatError> {
+async fn snapshot(shared: &Shared, change: &Change) -> Result<Snapshot, PlatformError> {
     let head = shared.table.get(rows::TABLE, rows::HEAD).await?;
     let head = match head {
         Some(row) => {
@@ -265,10 +265,12 @@
         txn = txn.delete(rows::table_of(&key), key);
     }
     match shared.table.commit(&txn).await {
-        Ok(TxnAnswer::Committed { .. }) => Event::Committed,
-        Ok(TxnAnswer::Conflict { .. }) => Event::Conflict,
-        Err(PlatError::Down(why)) => Event::Down(why),
-        Err(PlatError::Unknown(_) | PlatError::Protocol(_)) => Event::Unknown,
+        Ok(TxnResponse::Committed { .. }) => Event::Committed,
+        Ok(TxnResponse::Conflict { .. }) => Event::Conflict,
+        Err(PlatformError::Unavailable(why)) => Event::Down(why),
+        Err(PlatformError::OutcomeUnknown(_) | PlatformError::Protocol(_)) => {
+            Event::Unknown
+        }
     }
 }
 
@@ -277,12 +279,15 @@
     shared: &Shared,
     team: &TeamName,
     id: &str,
-) -> Result<Option<Ruling>, PlatError> {
+) -> Result<Option<Ruling>, PlatformError> {
     get(shared, &rows::change_key(team, id)).await
 }
 
 /// The entries of the block of the history that holds a revision, newest first.
-pub async fn block(shared: &Shared, revision: Revision) -> Result<Vec<Entry>, PlatError> {
+pub async fn block(
+    shared: &Shared,
+    revision: Revision,
+) -> Result<Vec<Entry>, PlatformError> {
     let prefix = rows::block_prefix(revision);
     let delta = shared.table.scan(rows::LOG, &prefix, 0).await?;
     let entries: Result<Vec<Entry>, _> = delta.rows.into_iter().map(read).collect();
@@ -330,11 +335,11 @@
 async fn get<T: DeserializeOwned>(
     shared: &Shared,
     key: &str,
-) -> Result<Option<T>, PlatError> {
+) -> Result<Option<T>, PlatformError> {
     shared.table.get(rows::table_of(key), key).await?.map(read).transpose()
 }
 
-fn read<T: DeserializeOwned>(row: Row) -> Result<T, PlatError> {
+fn read<T: DeserializeOwned>(row: Row) -> Result<T, PlatformError> {
     serde_json::from_value(row.value)
-        .map_err(|error| PlatError::Protocol(format!("row {}: {error}", row.key)))
+        .map_err(|error| PlatformError::Protocol(format!("row {}: {error}", row.key)))
 }
--- a/crates/node/src/demand.rs
+++ b/crates/node/src/demand.rs
@@ -8,10 +8,10 @@
 use std::sync::{Arc, Mutex};
 use std::time::Duration;
 
-use chestnut_base::id::rendezvous;
-use chestnut_base::{MemberId, ModelName, PoolName, Target, Work};
+use chestnut_base::id::rendezvous_rank;
+use chestnut_base::{MemberId, ModelName, PoolName, RequestSpec, Target};
 use chestnut_member::View;
-use chestnut_plat::{PlatError, Txn};
+use chestnut_plat::{PlatformError, Txn};
 use indexmap::{IndexMap, IndexSet};
 use serde::{Deserialize, Serialize};
 
@@ -42,10 +42,11 @@
 
 impl Asked {
     /// Counts a request that arrived at this entry.
-    pub fn note(&self, work: &Work) {
+    pub fn note(&self, work: &RequestSpec) {
         if let Target::Model { model, .. } = &work.target {
             let mut tokens = self.tokens.lock().expect("no holder of the counts panics");
-            *tokens.entry(model.clone()).or_default() += u64::from(work.output);
+            *tokens.entry(model.clone()).or_default() +=
+                u64::from(work.max_output_tokens);
         }
     }
 
@@ -83,7 +84,7 @@
     shared: &Shared,
     time: Duration,
     written: &mut IndexSet<PoolName>,
-) -> Result<(), PlatError> {
+) -> Result<(), PlatformError> {
     let catalog = shared.catalog();
     let view = shared.view();
     let mut digests: IndexMap<PoolName, Digest> = IndexMap::new();
@@ -101,7 +102,7 @@
         match digests.get(pool).filter(|_| reports(&view, pool, shared.me)) {
             Some(digest) => {
                 let value = serde_json::to_value(digest);
-                let value = value.map_err(|e| PlatError::Protocol(e.to_string()))?;
+                let value = value.map_err(|e| PlatformError::Protocol(e.to_string()))?;
                 txn = txn.put(DEMAND, key, value);
                 now_written.insert(pool.clone());
             }
@@ -126,8 +127,9 @@
     if view.members.len() <= REPORTERS {
         return true;
     }
-    let rank =
-        |member: &MemberId| (rendezvous(pool.as_str(), &member.to_string()), *member);
+    let rank = |member: &MemberId| {
+        (rendezvous_rank(pool.as_str(), &member.to_string()), *member)
+    };
     let own = rank(&member);
     view.members.keys().filter(|other| rank(other) > own).count() < REPORTERS
 }
--- a/crates/node/src/engine.rs
+++ b/crates/node/src/engine.rs
@@ -8,8 +8,8 @@
 use std::time::Duration;
 
 use bytes::Bytes;
-use chestnut_base::{Target, Urgency, Work};
-use chestnut_wire::{Resume, Run, Say};
+use chestnut_base::{RequestSpec, Target, Urgency};
+use chestnut_wire::{AttemptRequest, PeerResponse, ResumePoint};
 use eventsource_stream::Eventsource;
 use futures::{Stream, StreamExt, pin_mut};
 use reqwest::{Client, Method, Response, StatusCode};
@@ -65,22 +65,22 @@
 
 /// Calls a backend server and sends the frames of its answer.
 ///
-/// [`Say::Dispatched`] is sent just before the request may reach the server.
+/// [`PeerResponse::Dispatched`] is sent just before the request may reach the server.
 pub async fn call(
     http: &Client,
     address: SocketAddr,
-    run: &Run,
-    out: &mpsc::Sender<Say>,
+    run: &AttemptRequest,
+    out: &mpsc::Sender<PeerResponse>,
     seen: impl FnMut(u32),
 ) -> CallEnd {
-    match &run.work.target {
+    match &run.request.target {
         Target::Model { .. } => call_model(http, address, run, out, seen).await,
         Target::Service { .. } => call_service(http, address, run, out).await,
     }
 }
 
 /// Asks an engine to stop a request whose answer nobody waits for.
-pub async fn cancel(http: &Client, address: SocketAddr, run: &Run) {
+pub async fn cancel(http: &Client, address: SocketAddr, run: &AttemptRequest) {
     let url = format!("http://{address}/v1/requests/{}", run.attempt);
     // An engine that can't be told stops by itself when it finds the stream closed.
     drop(http.delete(url).timeout(CONNECT).send().await);
@@ -89,18 +89,18 @@
 async fn call_model(
     http: &Client,
     address: SocketAddr,
-    run: &Run,
-    out: &mpsc::Sender<Say>,
+    run: &AttemptRequest,
+    out: &mpsc::Sender<PeerResponse>,
     seen: impl FnMut(u32),
 ) -> CallEnd {
-    let body = match engine_body(&run.work, &run.call.body, run.resume.as_ref()) {
+    let body = match engine_body(&run.request, &run.call.body, run.resume.as_ref()) {
         Ok(body) => body,
         Err(why) => return CallEnd::Refused(why),
     };
     let send = http
         .post(format!("http://{address}{}", run.call.path))
         .header("x-request-id", run.attempt.to_string())
-        .header("x-priority", priority(run.work.urgency))
+        .header("x-priority", priority(run.request.urgency))
         .json(&body)
         .send();
     let pulse = Pulse { http, address };
@@ -118,8 +118,8 @@
 async fn call_service(
     http: &Client,
     address: SocketAddr,
-    run: &Run,
-    out: &mpsc::Sender<Say>,
+    run: &AttemptRequest,
+    out: &mpsc::Sender<PeerResponse>,
 ) -> CallEnd {
     let Ok(method) = Method::from_bytes(run.call.method.as_bytes()) else {
         return CallEnd::Refused(format!("{} is no method", run.call.method));
@@ -127,12 +127,12 @@
     let mut call = http
         .request(method, format!("http://{address}{}", run.call.path))
         .header("x-request-id", run.attempt.to_string())
-        .header("x-caller", run.work.caller.as_str())
+        .header("x-caller", run.request.caller.as_str())
         .body(run.call.body.clone());
     if !run.call.content_type.is_empty() {
         call = call.header("content-type", &run.call.content_type);
     }
-    if let Some(id) = &run.work.id {
+    if let Some(id) = &run.request.id {
         call = call.header("idempotency-key", &id.key);
     }
     match dispatch(call.send(), out, None).await {
@@ -144,10 +144,10 @@
 /// Sends a request, announcing first that it may reach the backend server.
 async fn dispatch(
     send: impl Future<Output = reqwest::Result<Response>>,
-    out: &mpsc::Sender<Say>,
+    out: &mpsc::Sender<PeerResponse>,
     pulse: Option<&Pulse<'_>>,
 ) -> Result<Response, CallEnd> {
-    if out.send(Say::Dispatched).await.is_err() {
+    if out.send(PeerResponse::Dispatched).await.is_err() {
         return Err(CallEnd::Abandoned);
     }
     let answer = tokio::select! {
@@ -213,14 +213,14 @@
     }
 }
 
-async fn copy_answer(answer: Response, out: &mpsc::Sender<Say>) -> CallEnd {
+async fn copy_answer(answer: Response, out: &mpsc::Sender<PeerResponse>) -> CallEnd {
     let content_type = answer
         .headers()
         .get("content-type")
         .and_then(|value| value.to_str().ok())
         .unwrap_or("application/octet-stream")
         .to_owned();
-    let head = Say::Head { status: answer.status().as_u16(), content_type };
+    let head = PeerResponse::Head { status: answer.status().as_u16(), content_type };
     if out.send(head).await.is_err() {
         return CallEnd::Abandoned;
     }
@@ -238,7 +238,7 @@
                 return CallEnd::Broken { why: error.to_string(), cut: true };
             }
         };
-        if out.send(Say::Chunk(bytes)).await.is_err() {
+        if out.send(PeerResponse::Chunk(bytes)).await.is_err() {
             return CallEnd::Abandoned;
         }
     }
@@ -275,7 +275,7 @@
 pub async fn read_tokens(
     body: impl Stream<Item = reqwest::Result<Bytes>>,
     from: u32,
-    out: &mpsc::Sender<Say>,
+    out: &mpsc::Sender<PeerResponse>,
     pulse: &Pulse<'_>,
     mut seen: impl FnMut(u32),
 ) -> CallEnd {
@@ -321,7 +321,8 @@
                 return CallEnd::Broken { why, cut: false };
             };
             seen(count);
-            if out.send(Say::Tokens { first: next, count, text }).await.is_err() {
+            if out.send(PeerResponse::Tokens { first: next, count, text }).await.is_err()
+            {
                 return CallEnd::Abandoned;
             }
             next += count;
@@ -331,16 +332,16 @@
 
 /// The caller's body with what the engine needs to know besides.
 fn engine_body(
-    work: &Work,
+    work: &RequestSpec,
     body: &Bytes,
-    resume: Option<&Resume>,
+    resume: Option<&ResumePoint>,
 ) -> Result<Value, String> {
     let mut value: Value =
         serde_json::from_slice(body).map_err(|error| error.to_string())?;
     let fields = value.as_object_mut().ok_or("the body is no JSON object")?;
     fields.insert("model".into(), engine_model(&work.target).into());
     fields.insert("stream".into(), true.into());
-    fields.insert("max_tokens".into(), work.output.into());
+    fields.insert("max_tokens".into(), work.max_output_tokens.into());
     if let Some(resume) = resume {
         fields.insert("resume_from".into(), resume.tokens.into());
         fields.insert("resume_text".into(), resume.text.clone().into());
--- a/crates/node/src/entry.rs
+++ b/crates/node/src/entry.rs
@@ -11,9 +11,11 @@
 use axum::http::HeaderMap;
 use axum::response::Response;
 use axum::routing::{any, get, post};
-use chestnut_base::{CallerName, Code, MemberId, Refusal, RequestId, Work, slot_of};
+use chestnut_base::{
+    CallerName, MemberId, Refusal, RefusalCode, RequestId, RequestSpec, slot_of,
+};
 use chestnut_member::ClaimKey;
-use chestnut_wire::{Ask, Call, Once, OnceState, Say};
+use chestnut_wire::{HttpCall, OnceRequest, OnceState, PeerRequest, PeerResponse};
 use serde_json::{Value, json};
 use tokio::sync::mpsc;
 
@@ -130,7 +132,7 @@
 async fn unknown(request: Request) -> Response {
     let text =
         format!("there is nothing at {}; see the API's page", request.uri().path());
-    answer::refusal(&Refusal::not_run(Code::UnknownService, text))
+    answer::refusal(&Refusal::not_run(RefusalCode::UnknownService, text))
 }
 
 /// Answers what became of an earlier non-idempotent request.
@@ -151,7 +153,7 @@
 async fn handle(
     node: Arc<Node>,
     request: Request,
-    parse: fn(&Node, CallerName, &Call, &HeaderMap) -> Result<Parsed, Refusal>,
+    parse: fn(&Node, CallerName, &HttpCall, &HeaderMap) -> Result<Parsed, Refusal>,
 ) -> Response {
     match accept(&node, request, parse).await {
         Ok((parsed, call, place)) => start(node, parsed, call, place).await,
@@ -165,8 +167,8 @@
 async fn accept(
     node: &Arc<Node>,
     request: Request,
-    parse: fn(&Node, CallerName, &Call, &HeaderMap) -> Result<Parsed, Refusal>,
-) -> Result<(Parsed, Call, Place), Refusal> {
+    parse: fn(&Node, CallerName, &HttpCall, &HeaderMap) -> Result<Parsed, Refusal>,
+) -> Result<(Parsed, HttpCall, Place), Refusal> {
     let shared = &node.shared;
     shared.check_open()?;
     let (parts, body) = request.into_parts();
@@ -175,7 +177,7 @@
     let size = parse::body_size(&parts.headers, limit)?;
     let place = node.intake.take(size).ok_or_else(entry_full)?;
     let body = to_bytes(body, size).await.map_err(|_| parse::too_large(limit))?;
-    let call = Call {
+    let call = HttpCall {
         method: parts.method.to_string(),
         path: parts
             .uri
@@ -192,9 +194,14 @@
     Ok((parsed, call, place))
 }
 
-async fn start(node: Arc<Node>, parsed: Parsed, call: Call, place: Place) -> Response {
+async fn start(
+    node: Arc<Node>,
+    parsed: Parsed,
+    call: HttpCall,
+    place: Place,
+) -> Response {
     let Parsed { work, call_path, form } = parsed;
-    let call = Call { path: call_path, ..call };
+    let call = HttpCall { path: call_path, ..call };
     let (out, frames) = mpsc::channel(FRAMES_AHEAD);
     let job = node.clone();
     let shown = work.clone();
@@ -209,16 +216,21 @@
 }
 
 /// Hands a non-idempotent request to the lead of its slot.
-async fn run_once(node: &Arc<Node>, work: Work, call: Call, out: mpsc::Sender<Say>) {
+async fn run_once(
+    node: &Arc<Node>,
+    work: RequestSpec,
+    call: HttpCall,
+    out: mpsc::Sender<PeerResponse>,
+) {
     let Some(id) = work.id.clone() else {
         let text = "a non-idempotent request needs an `Idempotency-Key` header";
-        let refusal = Refusal::not_run(Code::BadRequest, text);
+        let refusal = Refusal::not_run(RefusalCode::BadRequest, text);
         return refuse(&out, refusal).await;
     };
     let key = ClaimKey::Slot(slot_of(&id, node.shared.settings.limits.slots));
     let now = node.shared.clock.now();
     let (end, settled) = (now + work.budget, now + SETTLE.min(work.budget));
-    let once = Once { work, call };
+    let once = OnceRequest { request: work, call };
     let served = async {
         while let Some(refusal) = hand_over(node, &key, once.clone(), &out).await {
             if node.shared.clock.now() >= settled {
@@ -243,8 +255,8 @@
 async fn hand_over(
     node: &Arc<Node>,
     key: &ClaimKey,
-    once: Once,
-    out: &mpsc::Sender<Say>,
+    once: OnceRequest,
+    out: &mpsc::Sender<PeerResponse>,
 ) -> Option<Refusal> {
     let view = node.shared.view();
     let Some((claim, member)) = view.holder(key) else {
@@ -259,8 +271,8 @@
             say = frames.recv() => say?,
             () = out.closed() => return None,
         };
-        if let Say::Refused { refusal, .. } = &say
-            && refusal.code == Code::Unavailable
+        if let PeerResponse::Refused { refusal, .. } = &say
+            && refusal.code == RefusalCode::Unavailable
         {
             return Some(refusal.clone());
         }
@@ -275,13 +287,13 @@
     node: &Arc<Node>,
     holder: MemberId,
     addr: SocketAddr,
-    once: Once,
-    out: &mpsc::Sender<Say>,
+    once: OnceRequest,
+    out: &mpsc::Sender<PeerResponse>,
 ) {
     if holder == node.shared.me {
         return Slots::run(node, once, out.clone()).await;
     }
-    match node.peers.ask(addr, &Ask::Once(once)).await {
+    match node.peers.ask(addr, &PeerRequest::Once(once)).await {
         Ok(mut answer) => loop {
             let say = tokio::select! {
                 say = answer.next() => say,
@@ -312,24 +324,24 @@
     if claim.holder == node.shared.me {
         return Slots::lookup(node, &id).await;
     }
-    match node.peers.ask_once(member.peer_addr, &Ask::Lookup(id)).await {
-        Ok(Say::Once(state)) => state,
+    match node.peers.ask_once(member.peer_addr, &PeerRequest::Lookup(id)).await {
+        Ok(PeerResponse::Once(state)) => state,
         Ok(_) => OnceState::Unreadable("the journal's lead gave no state".into()),
         Err(error) => OnceState::Unreadable(error.to_string()),
     }
 }
 
-fn lost(error: &PeerError) -> Say {
+fn lost(error: &PeerError) -> PeerResponse {
     let text = format!("{error}; ask for the outcome under /v1/requests/KEY");
-    let refusal = Refusal::in_doubt(Code::Started, text);
-    Say::Refused { refusal, hint: Default::default() }
+    let refusal = Refusal::in_doubt(RefusalCode::Started, text);
+    PeerResponse::Refused { refusal, hint: Default::default() }
 }
 
-fn overdue() -> Say {
+fn overdue() -> PeerResponse {
     let text = "no answer came by the deadline; ask for the outcome under \
         /v1/requests/KEY";
-    let refusal = Refusal::in_doubt(Code::Deadline, text);
-    Say::Refused { refusal, hint: Default::default() }
+    let refusal = Refusal::in_doubt(RefusalCode::Deadline, text);
+    PeerResponse::Refused { refusal, hint: Default::default() }
 }
 
 /// The refusal of a request whose slot has no lead that can be asked.
@@ -339,15 +351,17 @@
     let text = format!(
         "the journal of the request's key {why}; send it again with the same key"
     );
-    Refusal::in_doubt(Code::Unavailable, text).after(Duration::from_secs(1))
+    Refusal::in_doubt(RefusalCode::Unavailable, text)
+        .with_retry_after(Duration::from_secs(1))
 }
 
 fn entry_full() -> Refusal {
     let text = "this entry holds as many requests as it may; use another address";
-    Refusal::not_run(Code::EntryFull, text).after(Duration::from_millis(500))
+    Refusal::not_run(RefusalCode::EntryFull, text)
+        .with_retry_after(Duration::from_millis(500))
 }
 
-async fn refuse(out: &mpsc::Sender<Say>, refusal: Refusal) {
+async fn refuse(out: &mpsc::Sender<PeerResponse>, refusal: Refusal) {
     // The caller may be gone; then nobody needs the answer.
-    drop(out.send(Say::Refused { refusal, hint: Default::default() }).await);
+    drop(out.send(PeerResponse::Refused { refusal, hint: Default::default() }).await);
 }
--- a/crates/node/src/explain.rs
+++ b/crates/node/src/explain.rs
@@ -7,7 +7,7 @@
 use chestnut_base::{ModelName, ServerName, VersionName};
 use chestnut_config::Route;
 use chestnut_member::{ClaimKey, Server, ServerRole, View};
-use chestnut_wire::Load;
+use chestnut_wire::ServerLoad;
 use indexmap::IndexMap;
 use serde::Deserialize;
 use serde_json::{Value, json};
@@ -84,7 +84,7 @@
         let Ok(Some((led, leads))) = answer else { continue };
         for name in led {
             let load = leads.get(&name).cloned();
-            found.insert(name, load.unwrap_or_else(|| json!(Load::default())));
+            found.insert(name, load.unwrap_or_else(|| json!(ServerLoad::default())));
         }
     }
     found
--- a/crates/node/src/feed.rs
+++ b/crates/node/src/feed.rs
@@ -11,8 +11,10 @@
 use std::time::{Duration, Instant};
 
 use chestnut_base::Clock;
-use chestnut_plat::table::Lookup;
-use chestnut_plat::{Changed, Changes, Delta, PlatError, Row, Table};
+use chestnut_plat::table::RowKey;
+use chestnut_plat::{
+    ChangesQuery, ChangesResponse, Delta, PlatformError, Row, TableClient,
+};
 
 /// Table reads a second that the polls of all daemons may cost altogether.
 ///
@@ -48,7 +50,7 @@
     /// When the last read that succeeded was sent.
     asked: Option<Instant>,
     /// Why the last read failed, if it did.
-    failure: Option<PlatError>,
+    failure: Option<PlatformError>,
 }
 
 /// A row that was written or removed.
@@ -83,15 +85,15 @@
     /// Reads what changed, and the rows that are wanted besides.
     pub async fn refresh(
         &self,
-        table: &Table,
+        table: &TableClient,
         clock: &dyn Clock,
-        wanted: Vec<Lookup>,
-    ) -> Result<Vec<Row>, PlatError> {
+        wanted: Vec<RowKey>,
+    ) -> Result<Vec<Row>, PlatformError> {
         let since = self.lock().version;
         // The first read only finds out where to begin: each part reads its own
         // table whole then.
         let tables = if since.is_some() { self.tables.clone() } else { Vec::new() };
-        let ask = Changes { tables, since: since.unwrap_or(0), rows: wanted };
+        let ask = ChangesQuery { tables, since: since.unwrap_or(0), row_keys: wanted };
         let asked = clock.now();
         match table.changes(&ask).await {
             Ok(changed) => Ok(self.lock().take(changed, asked)),
@@ -103,7 +105,7 @@
     }
 
     /// Takes note that the table can't be used.
-    pub fn note_failure(&self, error: &PlatError) {
+    pub fn note_failure(&self, error: &PlatformError) {
         self.lock().failure = Some(error.clone());
     }
 
@@ -112,19 +114,19 @@
     /// Fails while the last read failed, as the table itself would.
     pub async fn scan(
         &self,
-        table: &Table,
+        table: &TableClient,
         clock: &dyn Clock,
         name: &str,
         prefix: &str,
         since: u64,
-    ) -> Result<(Delta, Instant), PlatError> {
+    ) -> Result<(Delta, Instant), PlatformError> {
         debug_assert!(self.tables.iter().any(|table| table == name));
         if let Some(found) = self.lock().find(name, prefix, since)? {
             return Ok(found);
         }
         let asked = clock.now();
         let delta = match prefix {
-            "" => table.scan_part(name, since, PART).await?,
+            "" => table.scan_page(name, since, PART).await?,
             prefix => table.scan(name, prefix, since).await?,
         };
         Ok((delta, asked))
@@ -136,7 +138,7 @@
 }
 
 impl State {
-    fn take(&mut self, changed: Changed, asked: Instant) -> Vec<Row> {
+    fn take(&mut self, changed: ChangesResponse, asked: Instant) -> Vec<Row> {
         let version = changed.version;
         if self.version.is_none() {
             self.base = version;
@@ -145,7 +147,7 @@
             let (table, key) = (row.table.clone(), row.key.clone());
             self.log.push_back(Change { version, table, key, row: Some(row) });
         }
-        for (table, key) in changed.gone {
+        for (table, key) in changed.deleted {
             self.log.push_back(Change { version, table, key, row: None });
         }
         while self.log.len() > KEPT
@@ -157,7 +159,7 @@
         self.now = changed.now;
         self.asked = Some(asked);
         self.failure = None;
-        changed.wanted
+        changed.requested
     }
 
     /// The changes, or nothing if the log does not reach back so far.
@@ -166,7 +168,7 @@
         table: &str,
         prefix: &str,
         since: u64,
-    ) -> Result<Option<(Delta, Instant)>, PlatError> {
+    ) -> Result<Option<(Delta, Instant)>, PlatformError> {
         if let Some(error) = &self.failure {
             return Err(error.clone());
         }
@@ -179,7 +181,7 @@
         }
         let mut delta = Delta {
             rows: Vec::new(),
-            gone: Vec::new(),
+            deleted: Vec::new(),
             version,
             more: false,
             now: self.now,
@@ -188,13 +190,13 @@
         let newer = self.log.iter().rev().take_while(|change| change.version > since);
         for change in newer {
             let known = delta.rows.iter().any(|row| row.key == change.key)
-                || delta.gone.contains(&change.key);
+                || delta.deleted.contains(&change.key);
             if change.table != table || !change.key.starts_with(prefix) || known {
                 continue;
             }
             match &change.row {
                 Some(row) => delta.rows.push(row.clone()),
-                None => delta.gone.push(change.key.clone()),
+                None => delta.deleted.push(change.key.clone()),
             }
         }
         delta.rows.reverse();
--- a/crates/node/src/journal.rs
+++ b/crates/node/src/journal.rs
@@ -11,8 +11,8 @@
     Answer, Batch, Change, Condition, Event, Found, Kept, Known, PAGES, Record, Stored,
     row_key, row_prefix,
 };
-use chestnut_plat::{Objects, PlatError, Row, Table, Txn, TxnAnswer};
-use chestnut_wire::{OnceState, Say};
+use chestnut_plat::{ObjectStore, PlatformError, Row, TableClient, Txn, TxnResponse};
+use chestnut_wire::{OnceState, PeerResponse};
 use tokio::sync::mpsc;
 use tokio::time::sleep;
 
@@ -57,8 +57,8 @@
 
 /// Seals a slot's log and reads the slot's rows with their ages.
 pub async fn load(
-    table: &Table,
-    objects: &Objects,
+    table: &TableClient,
+    objects: &ObjectStore,
     slot: SlotId,
     version: u64,
     me: MemberId,
@@ -73,7 +73,10 @@
     }
 }
 
-async fn rows(table: &Table, slot: SlotId) -> Result<Vec<(Known, Duration)>, PlatError> {
+async fn rows(
+    table: &TableClient,
+    slot: SlotId,
+) -> Result<Vec<(Known, Duration)>, PlatformError> {
     let mut rows = Vec::new();
     for page in 0..PAGES {
         let delta = table.scan(JOURNAL, &row_prefix(slot, page), 0).await?;
@@ -87,15 +90,17 @@
 }
 
 /// Commits a batch.
-pub async fn commit(table: &Table, batch: &Batch) -> Stored {
+pub async fn commit(table: &TableClient, batch: &Batch) -> Stored {
     match table.commit(&transaction(batch)).await {
-        Ok(TxnAnswer::Committed { version, .. }) => Stored::Committed { version },
-        Ok(TxnAnswer::Conflict { check, row }) => {
+        Ok(TxnResponse::Committed { version, .. }) => Stored::Committed { version },
+        Ok(TxnResponse::Conflict { check, row }) => {
             let row = row.filter(|row| row.table == JOURNAL);
             Stored::Conflict { condition: check, row: row.map(known).map(Box::new) }
         }
-        Err(PlatError::Down(_)) => Stored::Down,
-        Err(PlatError::Unknown(_) | PlatError::Protocol(_)) => Stored::Lost,
+        Err(PlatformError::Unavailable(_)) => Stored::Down,
+        Err(PlatformError::OutcomeUnknown(_) | PlatformError::Protocol(_)) => {
+            Stored::Lost
+        }
     }
 }
 
@@ -268,7 +273,7 @@
     });
     let mut gather = Gather::new();
     while let Some(say) = frames.recv().await {
-        if let Say::Tokens { .. } = say {
+        if let PeerResponse::Tokens { .. } = say {
             gather.push(&say);
         }
     }
--- a/crates/node/src/lead.rs
+++ b/crates/node/src/lead.rs
@@ -12,10 +12,10 @@
 use std::time::{Duration, Instant};
 
 use chestnut_admit::{How as End, Job, Limits, Rejection};
-use chestnut_base::{Code, Refusal, ServerName, Target};
+use chestnut_base::{Refusal, RefusalCode, ServerName, Target};
 use chestnut_config::Catalog;
 use chestnut_member::{ClaimKey, ServerRole};
-use chestnut_wire::{Hint, Load, Run, Say};
+use chestnut_wire::{AttemptRequest, PeerResponse, RetryHint, ServerLoad};
 use indexmap::IndexMap;
 use kameo::actor::{ActorRef, Spawn};
 use kameo::mailbox;
@@ -123,31 +123,46 @@
     }
 
     /// The load of each backend server that is led.
-    pub fn loads(&self) -> IndexMap<ServerName, Load> {
+    pub fn loads(&self) -> IndexMap<ServerName, ServerLoad> {
         self.loads.lock().expect("no holder of the loads panics").clone()
     }
 
     /// Offers an attempt; returns when it may be dispatched or is refused.
-    pub async fn offer(&self, run: &Run) -> Result<Grant, (Refusal, Hint)> {
+    pub async fn offer(
+        &self,
+        run: &AttemptRequest,
+    ) -> Result<Grant, (Refusal, RetryHint)> {
         let view = self.shared.view();
         let led = view
             .holder(&ClaimKey::Server(run.server.clone()))
             .is_some_and(|(claim, _)| claim.holder == self.shared.me);
         let info = view.servers.get(&run.server).filter(|_| led);
         let Some(info) = info.filter(|info| !info.leaving) else {
-            return Err(passing(Code::Unavailable, "this daemon does not lead it"));
+            return Err(passing(
+                RefusalCode::Unavailable,
+                "this daemon does not lead it",
+            ));
         };
         // Before the check, so that the model is not unloaded in between.
-        let used = self.shared.usage.hold_target(&run.server, &run.work.target);
+        let used = self.shared.usage.hold_target(&run.server, &run.request.target);
         if !self.holds(run) {
-            return Err(passing(Code::NotResident, "the model is not resident there"));
+            return Err(passing(
+                RefusalCode::NotResident,
+                "the model is not resident there",
+            ));
         }
         let catalog = self.shared.catalog();
         let Some(limits) = limits(&catalog, &info.role) else {
-            return Err(passing(Code::Unavailable, "what it serves is not declared"));
+            return Err(passing(
+                RefusalCode::Unavailable,
+                "what it serves is not declared",
+            ));
         };
         let Some(_body) = Body::take(&self.bodies, run.call.body.len()) else {
-            return Err(passing(Code::EntryFull, "too many bodies wait at its lead"));
+            return Err(passing(
+                RefusalCode::EntryFull,
+                "too many bodies wait at its lead",
+            ));
         };
         let (hold, decision) = self.send(run, job(&catalog, run, self.now()), limits);
         match decision.await {
@@ -160,14 +175,14 @@
                 told: Mutex::new(Told { count: 0, first: true, at: self.now() }),
             }),
             Ok(Decision::Refuse(rejection)) => Err(self.refusal(&run.server, rejection)),
-            Err(_) => Err(passing(Code::Internal, "its lead has stopped")),
+            Err(_) => Err(passing(RefusalCode::Internal, "its lead has stopped")),
         }
     }
 
     /// Sends an offer to the actor.
     fn send(
         &self,
-        run: &Run,
+        run: &AttemptRequest,
         job: Job,
         limits: Limits,
     ) -> (Hold, oneshot::Receiver<Decision>) {
@@ -177,7 +192,7 @@
             table: self.table.clone(),
             server: run.server.clone(),
             number,
-            call: matches!(run.work.target, Target::Service { .. }),
+            call: matches!(run.request.target, Target::Service { .. }),
             how: End::Cancelled,
         };
         let (reply, decision) = oneshot::channel();
@@ -187,17 +202,20 @@
         (hold, decision)
     }
 
-    fn refusal(&self, server: &ServerName, rejection: Rejection) -> (Refusal, Hint) {
+    fn refusal(&self, server: &ServerName, rejection: Rejection) -> (Refusal, RetryHint) {
         let Rejection { reason, retry } = rejection;
         let mut refusal = Refusal::not_run(reason.code(), reason.message());
         refusal.retry_after = retry;
         let elsewhere = reason.elsewhere();
-        (refusal, Hint { elsewhere, load: load(&self.loads, server) })
+        (
+            refusal,
+            RetryHint { try_other_server: elsewhere, load: load(&self.loads, server) },
+        )
     }
 
-    fn holds(&self, run: &Run) -> bool {
+    fn holds(&self, run: &AttemptRequest) -> bool {
         let residence = self.shared.residence();
-        match &run.work.target {
+        match &run.request.target {
             Target::Model { model, version, adapter } => {
                 residence.serves(&run.server, model, version, adapter.as_ref())
             }
@@ -246,14 +264,14 @@
     }
 
     /// Ends the attempt and tells the load that remains.
-    pub fn finish(mut self, how: How) -> Load {
+    pub fn finish(mut self, how: How) -> ServerLoad {
         self.hold.how = match how {
             How::Whole => End::Done,
             How::Refused | How::Broken => End::Broken,
             How::Abandoned => End::Cancelled,
         };
         let load = load(&self.loads, &self.hold.server).unwrap_or_default();
-        Load { running: load.running.saturating_sub(1), ..load }
+        ServerLoad { running: load.running.saturating_sub(1), ..load }
     }
 }
 
@@ -320,12 +338,12 @@
 }
 
 /// What the lead needs to know of a request.
-fn job(catalog: &Catalog, run: &Run, now: Instant) -> Job {
-    let work = &run.work;
+fn job(catalog: &Catalog, run: &AttemptRequest, now: Instant) -> Job {
+    let work = &run.request;
     let have = run.resume.as_ref().map_or(0, |resume| resume.tokens);
     let caller = catalog.callers.get(&work.caller);
     let (prompt, output) = match &work.target {
-        Target::Model { .. } => (work.prompt, work.output),
+        Target::Model { .. } => (work.prompt_tokens, work.max_output_tokens),
         // A call of a plain service counts as one token, so that its time is
         // measured like a first token's.
         Target::Service { .. } => (0, 1),
@@ -343,25 +361,29 @@
     }
 }
 
-fn load(loads: &Loads, server: &ServerName) -> Option<Load> {
+fn load(loads: &Loads, server: &ServerName) -> Option<ServerLoad> {
     loads.lock().expect("no holder of the loads panics").get(server).copied()
 }
 
-fn passing(code: Code, text: &str) -> (Refusal, Hint) {
+fn passing(code: RefusalCode, text: &str) -> (Refusal, RetryHint) {
     let text = format!("{text}; send the request again after the time given");
-    let refusal = Refusal::not_run(code, text).after(COME_BACK);
-    (refusal, Hint { elsewhere: true, load: None })
+    let refusal = Refusal::not_run(code, text).with_retry_after(COME_BACK);
+    (refusal, RetryHint { try_other_server: true, load: None })
 }
 
 /// Carries out one attempt at a backend server that this daemon leads.
-pub async fn serve(node: &Arc<Node>, run: Run, out: mpsc::Sender<Say>) {
+pub async fn serve(
+    node: &Arc<Node>,
+    run: AttemptRequest,
+    out: mpsc::Sender<PeerResponse>,
+) {
     let out = single::outlive(node, &run, out);
-    if out.send(Say::Queued).await.is_err() {
+    if out.send(PeerResponse::Queued).await.is_err() {
         return;
     }
     // Before the check that the model is resident, so that it is not unloaded
     // between the check and the end of the stream.
-    let _hold = node.shared.usage.hold_target(&run.server, &run.work.target);
+    let _hold = node.shared.usage.hold_target(&run.server, &run.request.target);
     let offered = tokio::select! {
         offered = node.leads.offer(&run) => offered,
         () = out.closed() => return,
@@ -370,7 +392,7 @@
         Ok(grant) => grant,
         Err((refusal, hint)) => {
             // The daemon that asked may be gone; then nobody needs the answer.
-            drop(out.send(Say::Refused { refusal, hint }).await);
+            drop(out.send(PeerResponse::Refused { refusal, hint }).await);
             return;
         }
     };
@@ -378,7 +400,10 @@
     let flight = match node.poison.enter(&node.shared, &run, &out).await {
         Ok(flight) => flight,
         Err(refusal) => {
-            drop(out.send(Say::Refused { refusal, hint: Hint::default() }).await);
+            drop(
+                out.send(PeerResponse::Refused { refusal, hint: RetryHint::default() })
+                    .await,
+            );
             return;
         }
     };
@@ -391,22 +416,24 @@
             engine::cancel(&node.http, address, &run).await;
             flight.end(node, address, &CallEnd::Abandoned).await;
             let load = grant.finish(How::Abandoned);
-            drop(out.send(Say::Preempted { load }).await);
+            drop(out.send(PeerResponse::Preempted { load }).await);
             return;
         }
     };
     let crashed = flight.end(node, address, &end).await;
     let last = match end {
-        CallEnd::Whole(reason) => Say::End { reason, load: grant.finish(How::Whole) },
+        CallEnd::Whole(reason) => {
+            PeerResponse::End { reason, load: grant.finish(How::Whole) }
+        }
         CallEnd::NotSent(why) => {
-            refused(Code::Unavailable, why, grant.finish(How::Refused))
+            refused(RefusalCode::Unavailable, why, grant.finish(How::Refused))
         }
         CallEnd::Refused(why) => {
-            refused(Code::Overloaded, why, grant.finish(How::Refused))
+            refused(RefusalCode::Overloaded, why, grant.finish(How::Refused))
         }
         CallEnd::Broken { why, .. } => {
             grant.finish(How::Broken);
-            Say::Broken { message: why, crashed }
+            PeerResponse::Broken { message: why, crashed }
         }
         CallEnd::Abandoned => {
             engine::cancel(&node.http, address, &run).await;
@@ -417,8 +444,11 @@
     drop(out.send(last).await);
 }
 
-fn refused(code: Code, why: String, load: Load) -> Say {
+fn refused(code: RefusalCode, why: String, load: ServerLoad) -> PeerResponse {
     let text = format!("the backend server did not take the request ({why}); wait");
-    let refusal = Refusal::not_run(code, text).after(COME_BACK);
-    Say::Refused { refusal, hint: Hint { elsewhere: true, load: Some(load) } }
+    let refusal = Refusal::not_run(code, text).with_retry_after(COME_BACK);
+    PeerResponse::Refused {
+        refusal,
+        hint: RetryHint { try_other_server: true, load: Some(load) },
+    }
 }
--- a/crates/node/src/lead/table.rs
+++ b/crates/node/src/lead/table.rs
@@ -6,7 +6,7 @@
 use chestnut_admit::{Effect, How, Job, Lead, Limits, Rejection, Rule, Ticket};
 use chestnut_base::ServerName;
 use chestnut_member::ClaimKey;
-use chestnut_wire::Load;
+use chestnut_wire::ServerLoad;
 use indexmap::IndexMap;
 use kameo::Actor;
 use kameo::message::{Context, Message};
@@ -16,7 +16,7 @@
 use crate::shared::Shared;
 
 /// The load of each led backend server, as of its last change.
-pub type Loads = Arc<Mutex<IndexMap<ServerName, Load>>>;
+pub type Loads = Arc<Mutex<IndexMap<ServerName, ServerLoad>>>;
 
 /// What happens to a request at its lead.
 pub enum Event {
@@ -194,7 +194,7 @@
         });
     }
 
-    fn publish(&self, change: impl FnOnce(&mut IndexMap<ServerName, Load>)) {
+    fn publish(&self, change: impl FnOnce(&mut IndexMap<ServerName, ServerLoad>)) {
         change(&mut self.loads.lock().expect("no holder of the loads panics"));
     }
 }
@@ -230,9 +230,9 @@
     }
 }
 
-fn load(lead: &Lead, now: Instant) -> Load {
+fn load(lead: &Lead, now: Instant) -> ServerLoad {
     let snapshot = lead.snapshot(now);
-    Load {
+    ServerLoad {
         running: snapshot.running,
         queued: snapshot.queued,
         tokens: snapshot.tokens,
--- a/crates/node/src/members.rs
+++ b/crates/node/src/members.rs
@@ -17,8 +17,8 @@
 
 use chestnut_base::{MemberId, VmName};
 use chestnut_member::{Known, LeaseRow, MemberRow, WHOLE_CORE, lapsed};
-use chestnut_plat::{PlatError, Row, Txn, TxnAnswer};
-use chestnut_wire::Ask;
+use chestnut_plat::{PlatformError, Row, Txn, TxnResponse};
+use chestnut_wire::PeerRequest;
 use indexmap::IndexMap;
 use rand::seq::SliceRandom;
 use serde::{Deserialize, Serialize};
@@ -162,8 +162,9 @@
         }
         others.shuffle(&mut rand::rng());
         others.truncate(GREETED);
-        let calls =
-            others.iter().map(|(_, addr)| node.peers.ask_once(*addr, &Ask::Status));
+        let calls = others
+            .iter()
+            .map(|(_, addr)| node.peers.ask_once(*addr, &PeerRequest::Status));
         let answers = futures::future::join_all(calls).await;
         let trusted = answers.iter().any(Result::is_ok);
         if !trusted && !self.refused {
@@ -192,7 +193,7 @@
         self.reachable = reachable;
     }
 
-    async fn step(&mut self) -> Result<(), PlatError> {
+    async fn step(&mut self) -> Result<(), PlatformError> {
         self.renew().await?;
         self.read_all().await?;
         self.publish();
@@ -204,7 +205,7 @@
     }
 
     /// Joins if this daemon has no row, else renews the lease when it is due.
-    async fn renew(&mut self) -> Result<(), PlatError> {
+    async fn renew(&mut self) -> Result<(), PlatformError> {
         let now = self.shared.clock.now();
         let leaving = self.shared.is_leaving() || !self.admitted;
         let own = self.known.own(&self.shared.settings.vm, self.shared.me);
@@ -223,7 +224,7 @@
         }
         let answer = self.shared.table.commit(&txn).await?;
         let mut own_lease = self.shared.lease.lock().expect("no holder panics");
-        if let TxnAnswer::Committed { .. } = answer {
+        if let TxnResponse::Committed { .. } = answer {
             own_lease.renewed(now);
             if !leaving {
                 self.shared.listed.store(true, Ordering::Release);
@@ -252,7 +253,7 @@
     }
 
     /// Removes the rows of watched daemons whose lease lapsed.
-    async fn remove_lapsed(&mut self) -> Result<(), PlatError> {
+    async fn remove_lapsed(&mut self) -> Result<(), PlatformError> {
         let term = self.shared.settings.times.lease;
         for vm in lapsed(&self.known, &self.leases, self.now, term) {
             let Some((_, version)) = self.known.members.get(&vm) else {
@@ -264,7 +265,7 @@
                 .idle(LEASES, key, term + chestnut_member::lease::MARGIN)
                 .delete(MEMBERS, key)
                 .delete(LEASES, key);
-            if let TxnAnswer::Committed { .. } = self.shared.table.commit(&txn).await? {
+            if let TxnResponse::Committed { .. } = self.shared.table.commit(&txn).await? {
                 self.counters.removals.inc();
                 info!(self.shared.log, "a daemon's lease lapsed"; "vm" => key);
                 self.changed = true;
@@ -292,7 +293,7 @@
 }
 
 /// Removes the rows of this start of the daemon, if they still stand.
-pub async fn resign(shared: &Shared) -> Result<(), PlatError> {
+pub async fn resign(shared: &Shared) -> Result<(), PlatformError> {
     let vm = shared.settings.vm.as_str();
     let row = shared.table.get(MEMBERS, vm).await?;
     let own = |row: &Row| {
--- a/crates/node/src/members/claims.rs
+++ b/crates/node/src/members/claims.rs
@@ -2,13 +2,13 @@
 
 use chestnut_base::SlotId;
 use chestnut_member::{ClaimKey, Step, plan};
-use chestnut_plat::{PlatError, Txn, TxnAnswer};
+use chestnut_plat::{PlatformError, Txn, TxnResponse};
 use serde_json::json;
 
 use super::{CLAIMS, IDLE_POLLS, Members};
 
 impl Members {
-    pub(super) async fn take_claims(&mut self) -> Result<(), PlatError> {
+    pub(super) async fn take_claims(&mut self) -> Result<(), PlatformError> {
         let now = self.shared.clock.now();
         if !self.shared.lease_holds(now) {
             return Ok(());
@@ -35,7 +35,7 @@
         Ok(())
     }
 
-    async fn commit_claims(&mut self, steps: &[Step]) -> Result<bool, PlatError> {
+    async fn commit_claims(&mut self, steps: &[Step]) -> Result<bool, PlatformError> {
         let mut txn = Txn::new();
         for step in steps {
             let key = step.key.to_string();
@@ -45,7 +45,8 @@
             };
             txn = txn.put(CLAIMS, key, json!(step.row));
         }
-        let TxnAnswer::Committed { version, .. } = self.shared.table.commit(&txn).await?
+        let TxnResponse::Committed { version, .. } =
+            self.shared.table.commit(&txn).await?
         else {
             return Ok(false);
         };
--- a/crates/node/src/members/list.rs
+++ b/crates/node/src/members/list.rs
@@ -16,7 +16,7 @@
     let server = Server {
         address: row.address,
         domain: row.domain.clone(),
-        leaving: row.state == VmState::Leaving,
+        leaving: row.state == VmState::Draining,
         role,
     };
     Some((name, server))
@@ -26,7 +26,7 @@
 pub fn leaving_entries(list: &[VmRow]) -> impl Iterator<Item = VmName> + '_ {
     let mut seen = IndexSet::new();
     list.iter()
-        .filter(|row| row.role == VmRole::Entry && row.state == VmState::Leaving)
+        .filter(|row| row.role == VmRole::Entry && row.state == VmState::Draining)
         .filter(move |row| seen.insert(row.vm.clone()))
         .map(|row| row.vm.clone())
 }
--- a/crates/node/src/members/tables.rs
+++ b/crates/node/src/members/tables.rs
@@ -2,19 +2,19 @@
 
 use chestnut_base::{ServerName, VmName};
 use chestnut_member::{ClaimKey, ClaimRow, LeaseRow, MemberRow, Server, watched};
-use chestnut_plat::table::Lookup;
-use chestnut_plat::{Delta, PlatError, Row};
+use chestnut_plat::table::RowKey;
+use chestnut_plat::{Delta, PlatformError, Row};
 use serde::de::DeserializeOwned;
 use slog::warn;
 
 use super::{CLAIMS, DRAINS, DrainRow, LEASES, MEMBERS, Members, SERVERS};
 
 impl Members {
-    pub(super) async fn read_all(&mut self) -> Result<(), PlatError> {
+    pub(super) async fn read_all(&mut self) -> Result<(), PlatformError> {
         let watched = watched(&self.known, &self.shared.settings.vm);
         let wanted = watched
             .into_iter()
-            .map(|vm| Lookup { table: LEASES.into(), key: vm.into() })
+            .map(|vm| RowKey { table: LEASES.into(), key: vm.into() })
             .collect();
         let shared = self.shared.clone();
         let leases = shared.feed.refresh(&shared.table, &*shared.clock, wanted).await?;
@@ -34,9 +34,10 @@
         }
     }
 
-    async fn read_members(&mut self) -> Result<bool, PlatError> {
+    async fn read_members(&mut self) -> Result<bool, PlatformError> {
         let delta = self.changes(MEMBERS).await?;
-        for vm in delta.gone.iter().filter_map(|key| VmName::try_from(key.as_str()).ok())
+        for vm in
+            delta.deleted.iter().filter_map(|key| VmName::try_from(key.as_str()).ok())
         {
             self.known.members.swap_remove(&vm);
             self.leases.swap_remove(&vm);
@@ -49,9 +50,9 @@
         Ok(delta.more)
     }
 
-    async fn read_claims(&mut self) -> Result<bool, PlatError> {
+    async fn read_claims(&mut self) -> Result<bool, PlatformError> {
         let delta = self.changes(CLAIMS).await?;
-        for key in delta.gone.iter().filter_map(|key| key.parse::<ClaimKey>().ok()) {
+        for key in delta.deleted.iter().filter_map(|key| key.parse::<ClaimKey>().ok()) {
             self.known.claims.swap_remove(&key);
         }
         let key = |text: &str| text.parse::<ClaimKey>().ok();
@@ -61,9 +62,9 @@
         Ok(delta.more)
     }
 
-    async fn read_servers(&mut self) -> Result<bool, PlatError> {
+    async fn read_servers(&mut self) -> Result<bool, PlatformError> {
         let delta = self.changes(SERVERS).await?;
-        let gone = delta.gone.iter();
+        let gone = delta.deleted.iter();
         for name in gone.filter_map(|key| ServerName::try_from(key.as_str()).ok()) {
             self.known.servers.swap_remove(&name);
         }
@@ -75,7 +76,7 @@
     }
 
     /// Follows an operator's order that this VM be drained.
-    async fn read_drains(&mut self) -> Result<(), PlatError> {
+    async fn read_drains(&mut self) -> Result<(), PlatformError> {
         let rows = self.changes(DRAINS).await?.rows;
         let vm = self.shared.settings.vm.as_str();
         // The row names the start of the daemon that is meant, so that the one
@@ -90,7 +91,7 @@
         Ok(())
     }
 
-    async fn changes(&mut self, table: &'static str) -> Result<Delta, PlatError> {
+    async fn changes(&mut self, table: &'static str) -> Result<Delta, PlatformError> {
         let since = self.read.get(table).copied().unwrap_or(0);
         let (delta, _) = self.shared.changes(table, "", since).await?;
         self.read.insert(table, delta.version);
--- a/crates/node/src/members/vms.rs
+++ b/crates/node/src/members/vms.rs
@@ -2,7 +2,7 @@
 
 use chestnut_base::ServerName;
 use chestnut_member::{ClaimKey, Server};
-use chestnut_plat::{PlatError, Txn, TxnAnswer, VmRow};
+use chestnut_plat::{PlatformError, Txn, TxnResponse, VmRow};
 use indexmap::IndexMap;
 use serde_json::json;
 
@@ -14,7 +14,7 @@
     ///
     /// Only the holder of the claim reads the whole list, the others read what
     /// changed; at full size the list has some 14,000 entries.
-    pub(super) async fn list_vms(&mut self) -> Result<(), PlatError> {
+    pub(super) async fn list_vms(&mut self) -> Result<(), PlatformError> {
         let Some((claim, version)) = self.known.claims.get(&ClaimKey::Vms).copied()
         else {
             return Ok(());
@@ -48,7 +48,7 @@
         if txn.writes.is_empty() {
             return Ok(());
         }
-        if let TxnAnswer::Committed { .. } = self.shared.table.commit(&txn).await? {
+        if let TxnResponse::Committed { .. } = self.shared.table.commit(&txn).await? {
             self.known.servers = servers;
             self.changed = true;
         }
--- a/crates/node/src/node.rs
+++ b/crates/node/src/node.rs
@@ -3,7 +3,7 @@
 use std::sync::Arc;
 use std::sync::atomic::{AtomicUsize, Ordering};
 
-use chestnut_wire::{Ask, Say, Status};
+use chestnut_wire::{DaemonStatus, PeerRequest, PeerResponse};
 use reqwest::Client;
 use tokio::sync::mpsc;
 
@@ -39,21 +39,25 @@
 }
 
 impl Serve for Node {
-    async fn serve(self: Arc<Self>, ask: Ask, out: mpsc::Sender<Say>) {
+    async fn serve(self: Arc<Self>, ask: PeerRequest, out: mpsc::Sender<PeerResponse>) {
         let _busy = Busy::new(&self.serving);
         let say = match ask {
-            Ask::Run(run) => return lead::serve(&self, run, out).await,
-            Ask::Once(once) => return Slots::run(&self, once, out).await,
-            Ask::Lookup(id) => Say::Once(Slots::lookup(&self, &id).await),
-            Ask::Config(have) => Say::Config(Some(confsync::tell(&self.shared, have))),
-            Ask::Status => Say::Status(self.status()),
-            Ask::Blame(blames) => {
+            PeerRequest::Run(run) => return lead::serve(&self, run, out).await,
+            PeerRequest::Once(once) => return Slots::run(&self, once, out).await,
+            PeerRequest::Lookup(id) => {
+                PeerResponse::Once(Slots::lookup(&self, &id).await)
+            }
+            PeerRequest::Config(have) => {
+                PeerResponse::Config(Some(confsync::tell(&self.shared, have)))
+            }
+            PeerRequest::Status => PeerResponse::Status(self.status()),
+            PeerRequest::ReportSuspects(blames) => {
                 self.poison.learn(&blames, self.shared.clock.now());
-                Say::Noted
+                PeerResponse::Acknowledged
             }
-            Ask::Leaving(member) => {
+            PeerRequest::ShuttingDown(member) => {
                 self.shared.note_leaving(member);
-                Say::Noted
+                PeerResponse::Acknowledged
             }
         };
         // The daemon that asked may be gone; then nobody needs the answer.
@@ -91,12 +95,12 @@
     }
 
     /// How this daemon is.
-    pub fn status(&self) -> Status {
-        Status {
+    pub fn status(&self) -> DaemonStatus {
+        DaemonStatus {
             vm: self.shared.settings.vm.clone(),
             member: self.shared.me,
             revision: self.shared.catalog().revision,
-            leaving: self.shared.is_leaving(),
+            shutting_down: self.shared.is_leaving(),
             requests: self.intake.held() as u32,
         }
     }
--- a/crates/node/src/ops.rs
+++ b/crates/node/src/ops.rs
@@ -65,7 +65,7 @@
 /// The load of each backend server that this daemon leads.
 fn leads(node: &Node) -> Value {
     let loads = node.leads.loads();
-    let row = |load: chestnut_wire::Load| {
+    let row = |load: chestnut_wire::ServerLoad| {
         json!({
             "running": load.running,
             "queued": load.queued,
--- a/crates/node/src/opsconf.rs
+++ b/crates/node/src/opsconf.rs
@@ -29,7 +29,7 @@
 use chestnut_config::rows::{BLOCK, Entry};
 use chestnut_config::{Answer, Change, Plan, Reason, Verdict, keys};
 use chestnut_member::View;
-use chestnut_plat::{PlatError, Txn};
+use chestnut_plat::{PlatformError, Txn};
 use serde::Deserialize;
 use serde_json::json;
 
@@ -195,7 +195,7 @@
     shared: &Shared,
     newest: Revision,
     count: usize,
-) -> Result<Vec<Entry>, PlatError> {
+) -> Result<Vec<Entry>, PlatformError> {
     let mut found: Vec<Entry> = Vec::new();
     let mut block = Some(newest.0 / BLOCK);
     while let Some(number) = block
@@ -367,8 +367,8 @@
     }
 }
 
-impl From<PlatError> for Fault {
-    fn from(error: PlatError) -> Self {
+impl From<PlatformError> for Fault {
+    fn from(error: PlatformError) -> Self {
         let text = format!("the table can't be read now ({error}); try again later");
         Self::new(StatusCode::SERVICE_UNAVAILABLE, text)
     }
--- a/crates/node/src/opsrows.rs
+++ b/crates/node/src/opsrows.rs
@@ -5,7 +5,7 @@
 use chestnut_base::{MemberId, Revision};
 use chestnut_config::rows::Entry;
 use chestnut_member::{ClaimKey, LeaseRow, ServerRole, View};
-use chestnut_wire::{Ask, Say};
+use chestnut_wire::{PeerRequest, PeerResponse};
 use indexmap::IndexMap;
 use serde::Serialize;
 use serde_json::{Map, Value, json};
@@ -110,10 +110,10 @@
     let mut calls = JoinSet::new();
     for (_, addr) in others {
         let node = node.clone();
-        calls.spawn(async move { node.peers.ask_once(addr, &Ask::Status).await });
+        calls.spawn(async move { node.peers.ask_once(addr, &PeerRequest::Status).await });
     }
     while let Some(answer) = calls.join_next().await {
-        if let Ok(Ok(Say::Status(status))) = answer {
+        if let Ok(Ok(PeerResponse::Status(status))) = answer {
             found.insert(status.member, status.revision);
         }
     }
--- a/crates/node/src/orders/rows.rs
+++ b/crates/node/src/orders/rows.rs
@@ -155,7 +155,7 @@
 }
 
 fn take_ledgers(shared: &Shared, rows: &mut Rows, delta: chestnut_plat::Delta) {
-    for key in delta.gone {
+    for key in delta.deleted {
         if let Ok(name) = ServerName::try_from(key) {
             rows.ledgers.shift_remove(&name);
         }
@@ -176,7 +176,7 @@
 }
 
 fn take_plans(shared: &Shared, rows: &mut Rows, delta: chestnut_plat::Delta) {
-    for key in delta.gone {
+    for key in delta.deleted {
         if let Ok(name) = ServerName::try_from(key) {
             rows.plans.shift_remove(&name);
         }
--- a/crates/node/src/orders/runner.rs
+++ b/crates/node/src/orders/runner.rs
@@ -9,7 +9,7 @@
 use chestnut_place::{
     Asset, Ledger, Order, OrderKind, Report, Situation, Span, Want, follow, witnesses,
 };
-use chestnut_plat::{PlatError, Txn, TxnAnswer};
+use chestnut_plat::{PlatformError, Txn, TxnResponse};
 
 use crate::members::CLAIMS;
 use crate::orders::command::{Engines, Sent};
@@ -160,7 +160,7 @@
     }
 
     /// Reads the runner's row, so that all orders of earlier leads are known.
-    async fn read_row(&mut self) -> Result<(), PlatError> {
+    async fn read_row(&mut self) -> Result<(), PlatformError> {
         let row = self.shared.table.get(LEDGER, self.name.as_str()).await?;
         let (ledger, version) = match row {
             None => {
@@ -174,7 +174,7 @@
                         self.shared.log, "a ledger row can't be read; no orders are sent";
                         "runner" => %self.name, "error" => %error
                     );
-                    return Err(PlatError::Protocol(error.to_string()));
+                    return Err(PlatformError::Protocol(error.to_string()));
                 }
             },
         };
@@ -273,18 +273,20 @@
         }
         let txn = txn.put(LEDGER, key, value);
         match self.shared.table.commit(&txn).await {
-            Ok(TxnAnswer::Committed { version, .. }) => {
+            Ok(TxnResponse::Committed { version, .. }) => {
                 self.count_new(held, next);
                 self.row = Some((next.clone(), version));
                 rows::note(&self.shared, &self.name, next, version);
             }
-            Ok(TxnAnswer::Conflict { .. }) => {
+            Ok(TxnResponse::Conflict { .. }) => {
                 self.counters.conflicts.inc();
                 self.row = None;
             }
             // Nothing was written, so that the row is as it was read.
-            Err(PlatError::Down(_)) => {}
-            Err(PlatError::Unknown(_) | PlatError::Protocol(_)) => self.row = None,
+            Err(PlatformError::Unavailable(_)) => {}
+            Err(PlatformError::OutcomeUnknown(_) | PlatformError::Protocol(_)) => {
+                self.row = None
+            }
         }
     }
 
--- a/crates/node/src/parse.rs
+++ b/crates/node/src/parse.rs
@@ -4,11 +4,11 @@
 
 use axum::http::HeaderMap;
 use chestnut_base::{
-    CallerName, Code, Digest, KindName, Refusal, RequestId, ServiceName, Target,
-    TeamName, Urgency, Work, prefix_hashes,
+    CallerName, Digest, KindName, Refusal, RefusalCode, RequestId, RequestSpec,
+    ServiceName, Target, TeamName, Urgency, prefix_hashes,
 };
 use chestnut_config::{Catalog, Kind};
-use chestnut_wire::Call;
+use chestnut_wire::HttpCall;
 use serde::Deserialize;
 use sha2::{Digest as _, Sha256};
 
@@ -35,7 +35,7 @@
 /// A call that was understood.
 pub struct Parsed {
     /// The work.
-    pub work: Work,
+    pub work: RequestSpec,
     /// The path at the backend server.
     pub call_path: String,
     /// The form in which the answer is given.
@@ -75,7 +75,7 @@
 /// Finds the caller by the key that it sent.
 pub fn caller(catalog: &Catalog, headers: &HeaderMap) -> Result<CallerName, Refusal> {
     let key = text(headers, "authorization").strip_prefix("Bearer ").unwrap_or("");
-    let unauthorised = |why| Refusal::not_run(Code::Unauthorised, why);
+    let unauthorised = |why| Refusal::not_run(RefusalCode::Unauthorised, why);
     if key.is_empty() {
         return Err(unauthorised(
             "send `Authorization: Bearer KEY` with the caller's key",
@@ -92,7 +92,7 @@
 pub fn completion(
     node: &Node,
     caller: CallerName,
-    call: &Call,
+    call: &HttpCall,
     headers: &HeaderMap,
 ) -> Result<Parsed, Refusal> {
     let catalog = node.shared.catalog();
@@ -108,10 +108,10 @@
             "no route {:?} is declared; GET /v1/models lists the names",
             body.model
         );
-        Refusal::not_run(Code::UnknownModel, text)
+        Refusal::not_run(RefusalCode::UnknownModel, text)
     })?;
     let model = catalog.models.get(&route.model).ok_or_else(|| {
-        Refusal::not_run(Code::UnknownModel, "the route's model is gone")
+        Refusal::not_run(RefusalCode::UnknownModel, "the route's model is gone")
     })?;
     let target = Target::Model {
         model: route.model.clone(),
@@ -126,7 +126,7 @@
     let digest = digest(&target, call);
     let name = body.model.clone();
     let form = if chat { Form::Chat(name) } else { Form::Completion(name) };
-    let work = Work {
+    let work = RequestSpec {
         id: request_id(&caller, headers)?,
         caller,
         team: terms.team,
@@ -136,9 +136,9 @@
         budget: terms.deadline,
         idempotent: terms.idempotent,
         stream: body.stream,
-        prompt: (prompt.len() / BYTES_PER_TOKEN + 1) as u32,
-        output,
-        prefix: prefix_hashes(&prompt),
+        prompt_tokens: (prompt.len() / BYTES_PER_TOKEN + 1) as u32,
+        max_output_tokens: output,
+        prefix_hashes: prefix_hashes(&prompt),
         digest,
     };
     let call_path = call.path.clone();
@@ -149,7 +149,7 @@
 pub fn service(
     node: &Node,
     caller: CallerName,
-    call: &Call,
+    call: &HttpCall,
     headers: &HeaderMap,
 ) -> Result<Parsed, Refusal> {
     let catalog = node.shared.catalog();
@@ -157,14 +157,14 @@
     let (name, path) = rest.split_once('/').unwrap_or((rest, ""));
     let unknown = || {
         let text = format!("no plain service {name:?} is declared; check the path");
-        Refusal::not_run(Code::UnknownService, text)
+        Refusal::not_run(RefusalCode::UnknownService, text)
     };
     let name = ServiceName::try_from(name).map_err(|_| unknown())?;
     let service = catalog.services.get(&name).ok_or_else(unknown)?;
     let safe = matches!(call.method.as_str(), "GET" | "HEAD" | "OPTIONS" | "TRACE");
     let terms = terms(&catalog, headers, service.kind.as_ref(), &service.team, safe)?;
     let target = Target::Service { name };
-    let work = Work {
+    let work = RequestSpec {
         id: request_id(&caller, headers)?,
         caller,
         team: terms.team,
@@ -173,9 +173,9 @@
         budget: terms.deadline,
         idempotent: safe || terms.idempotent,
         stream: true,
-        prompt: 1,
-        output: 1,
-        prefix: Vec::new(),
+        prompt_tokens: 1,
+        max_output_tokens: 1,
+        prefix_hashes: Vec::new(),
         digest: digest(&target, call),
         target,
     };
@@ -195,7 +195,7 @@
 /// The refusal of a body over the limit.
 pub fn too_large(limit: usize) -> Refusal {
     let text = format!("the body is larger than {limit} bytes; send a smaller one");
-    Refusal::not_run(Code::TooLarge, text)
+    Refusal::not_run(RefusalCode::TooLarge, text)
 }
 
 /// A header as text; empty if it is absent or no text.
@@ -270,7 +270,7 @@
     };
     let kind = catalog.kinds.get(&name).ok_or_else(|| {
         let text = format!("no kind {name} is declared; check the `x-kind` header");
-        Refusal::not_run(Code::UnknownKind, text)
+        Refusal::not_run(RefusalCode::UnknownKind, text)
     })?;
     Ok((name, Some(kind)))
 }
@@ -305,7 +305,7 @@
     prompt.ok_or_else(|| bad(format!("`{field}` is missing or empty")))
 }
 
-fn digest(target: &Target, call: &Call) -> Digest {
+fn digest(target: &Target, call: &HttpCall) -> Digest {
     let target = format!("{target:?}");
     Digest::of([
         target.as_bytes(),
@@ -316,7 +316,7 @@
 }
 
 fn bad(text: String) -> Refusal {
-    Refusal::not_run(Code::BadRequest, text)
+    Refusal::not_run(RefusalCode::BadRequest, text)
 }
 
 fn hex(bytes: &[u8]) -> String {
--- a/crates/node/src/peer.rs
+++ b/crates/node/src/peer.rs
@@ -1,7 +1,7 @@
 //! Connections between daemons.
 //!
 //! Every question has a stream of its own on a shared connection. The daemon
-//! that is asked sends [`Say::Alive`] while it has nothing else to say, so that
+//! that is asked sends [`PeerResponse::Heartbeat`] while it has nothing else to say, so that
 //! a daemon that was killed, frozen or cut off shows within [`SILENCE`] to
 //! whoever waits for it; without it a caller would wait for its whole deadline.
 //! Connections that carry no question send nothing.
@@ -11,7 +11,7 @@
 use std::sync::{Arc, Mutex};
 use std::time::Duration;
 
-use chestnut_wire::{Ask, FrameError, Frames, Say, encode};
+use chestnut_wire::{FrameDecoder, FrameError, PeerRequest, PeerResponse, encode};
 use error_stack::{Report, ResultExt};
 use indexmap::IndexMap;
 use quinn::{Connection, Endpoint, RecvStream, SendStream, VarInt};
@@ -104,7 +104,11 @@
     }
 
     /// Asks another daemon; the answer is read frame by frame.
-    pub async fn ask(&self, addr: SocketAddr, ask: &Ask) -> Result<Answer, PeerError> {
+    pub async fn ask(
+        &self,
+        addr: SocketAddr,
+        ask: &PeerRequest,
+    ) -> Result<Answer, PeerError> {
         let bytes = encode(ask).map_err(|error| PeerError::NotSent(error.to_string()))?;
         let conn = self.connect(addr).await?;
         let opened = timeout(CONNECT, conn.open_bi()).await;
@@ -124,11 +128,15 @@
         };
         send.write_all(&bytes).await.map_err(|error| lost(error.to_string()))?;
         send.finish().map_err(|error| lost(error.to_string()))?;
-        Ok(Answer { recv, frames: Frames::new() })
+        Ok(Answer { recv, frames: FrameDecoder::new() })
     }
 
     /// Asks a question that is answered by one frame.
-    pub async fn ask_once(&self, addr: SocketAddr, ask: &Ask) -> Result<Say, PeerError> {
+    pub async fn ask_once(
+        &self,
+        addr: SocketAddr,
+        ask: &PeerRequest,
+    ) -> Result<PeerResponse, PeerError> {
         let mut answer = self.ask(addr, ask).await?;
         loop {
             let say = match answer.next().await {
@@ -190,12 +198,12 @@
 /// Dropping it tells the other daemon that nobody waits any more.
 pub struct Answer {
     recv: RecvStream,
-    frames: Frames,
+    frames: FrameDecoder,
 }
 
 impl Answer {
     /// The next frame; an error if the daemon is silent for too long.
-    pub async fn next(&mut self) -> Result<Say, PeerError> {
+    pub async fn next(&mut self) -> Result<PeerResponse, PeerError> {
         loop {
             if let Some(say) = self.frames.decode().map_err(malformed)? {
                 return Ok(say);
@@ -223,8 +231,8 @@
     /// Carries out one question and sends the frames of the answer.
     fn serve(
         self: Arc<Self>,
-        ask: Ask,
-        out: mpsc::Sender<Say>,
+        ask: PeerRequest,
+        out: mpsc::Sender<PeerResponse>,
     ) -> impl Future<Output = ()> + Send;
 }
 
@@ -264,8 +272,8 @@
     }
 }
 
-async fn read_ask(recv: &mut RecvStream) -> Option<Ask> {
-    let mut frames = Frames::new();
+async fn read_ask(recv: &mut RecvStream) -> Option<PeerRequest> {
+    let mut frames = FrameDecoder::new();
     loop {
         if let Some(ask) = frames.decode().ok()? {
             return Some(ask);
@@ -278,11 +286,11 @@
 /// Writes frames until the last one; nothing if the asking daemon went away.
 async fn write_answer(
     send: &mut SendStream,
-    mut frames: mpsc::Receiver<Say>,
+    mut frames: mpsc::Receiver<PeerResponse>,
 ) -> Option<()> {
     loop {
         let say = tokio::select! {
-            say = timeout(ALIVE, frames.recv()) => say.unwrap_or(Some(Say::Alive))?,
+            say = timeout(ALIVE, frames.recv()) => say.unwrap_or(Some(PeerResponse::Heartbeat))?,
             _ = send.stopped() => return None,
         };
         let last = say.is_final();
--- a/crates/node/src/pick.rs
+++ b/crates/node/src/pick.rs
@@ -10,11 +10,13 @@
 use std::sync::{Arc, Mutex, MutexGuard};
 use std::time::{Duration, Instant};
 
-use chestnut_base::{Clock, Code, Fence, MemberId, Refusal, ServerName, Target, Work};
+use chestnut_base::{
+    Clock, Fence, MemberId, Refusal, RefusalCode, RequestSpec, ServerName, Target,
+};
 use chestnut_config::Catalog;
 use chestnut_member::{ClaimKey, Server, ServerRole, View};
 use chestnut_route::{Ask, Budget, Candidate, Policy, Report, Router, ServerKey};
-use chestnut_wire::Load;
+use chestnut_wire::ServerLoad;
 use indexmap::IndexMap;
 use xxhash_rust::xxh3::xxh3_64;
 
@@ -55,7 +57,7 @@
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub enum Note {
     /// The lead told the load.
-    Load(Load),
+    Load(ServerLoad),
     /// Tokens arrived.
     Tokens(u32),
     /// The lead refused.
@@ -119,7 +121,7 @@
     pub fn pick(
         &self,
         shared: &Shared,
-        work: &Work,
+        work: &RequestSpec,
         tried: &[ServerName],
     ) -> Result<Choice, Refusal> {
         let view = shared.view();
@@ -133,7 +135,7 @@
             options.iter().map(|option| state.candidate(option)).collect();
         let prefix = prefix(work);
         let (prompt, output) = match work.target {
-            Target::Model { .. } => (work.prompt, work.output),
+            Target::Model { .. } => (work.prompt_tokens, work.max_output_tokens),
             Target::Service { .. } => (0, 1),
         };
         let ask = Ask { prompt, output, prefix: &prefix };
@@ -231,7 +233,7 @@
 }
 
 /// The backend servers that can serve the work and whose lead is known.
-fn options(shared: &Shared, view: &View, work: &Work) -> Vec<Prospect> {
+fn options(shared: &Shared, view: &View, work: &RequestSpec) -> Vec<Prospect> {
     let catalog = shared.catalog();
     let option = |server: &ServerName| {
         let info = view.servers.get(server).filter(|info| !info.leaving)?;
@@ -277,12 +279,12 @@
 }
 
 /// The prompt's blocks, which engines cache for each model and adapter apart.
-fn prefix(work: &Work) -> Vec<u64> {
+fn prefix(work: &RequestSpec) -> Vec<u64> {
     let seed = xxh3_64(engine_model(&work.target).as_bytes());
-    work.prefix.iter().map(|block| block ^ seed).collect()
+    work.prefix_hashes.iter().map(|block| block ^ seed).collect()
 }
 
-fn report(load: Load) -> Report {
+fn report(load: ServerLoad) -> Report {
     Report {
         running: load.running,
         queued: load.queued,
@@ -291,11 +293,11 @@
     }
 }
 
-fn nowhere(work: &Work) -> Refusal {
+fn nowhere(work: &RequestSpec) -> Refusal {
     let (code, what) = match &work.target {
-        Target::Model { model, .. } => (Code::NotResident, model.to_string()),
-        Target::Service { name } => (Code::Unavailable, name.to_string()),
+        Target::Model { model, .. } => (RefusalCode::NotResident, model.to_string()),
+        Target::Service { name } => (RefusalCode::Unavailable, name.to_string()),
     };
     let text = format!("no backend server serves {what} now; wait and send again");
-    Refusal::not_run(code, text).after(Duration::from_secs(2))
+    Refusal::not_run(code, text).with_retry_after(Duration::from_secs(2))
 }
--- a/crates/node/src/planner.rs
+++ b/crates/node/src/planner.rs
@@ -13,7 +13,7 @@
 use chestnut_base::{ModelName, PoolName, ServerName};
 use chestnut_member::{Claim, ClaimKey};
 use chestnut_place::{Demand, plan};
-use chestnut_plat::{PlatError, Txn, TxnAnswer};
+use chestnut_plat::{PlatformError, Txn, TxnResponse};
 use indexmap::{IndexMap, IndexSet};
 use prometheus_client::metrics::counter::Counter;
 use prometheus_client::metrics::gauge::Gauge;
@@ -149,7 +149,7 @@
         shared: &Shared,
         pool: &PoolName,
         counters: &Counters,
-    ) -> Result<(), PlatError> {
+    ) -> Result<(), PlatformError> {
         let rows = shared.rows.borrow().clone();
         // Without the ledgers everything would look unplaced.
         if rows.now.is_none() {
@@ -194,11 +194,11 @@
         &mut self,
         shared: &Shared,
         pool: &PoolName,
-    ) -> Result<Vec<String>, PlatError> {
+    ) -> Result<Vec<String>, PlatformError> {
         let prefix = format!("{pool}/");
         let delta = shared.table.scan(DEMAND, &prefix, self.digest_version).await?;
         self.digest_version = delta.version;
-        for key in delta.gone {
+        for key in delta.deleted {
             self.digests.swap_remove(&key);
         }
         for row in delta.rows {
@@ -249,12 +249,12 @@
         shared: &Shared,
         pool: &PoolName,
         txns: Vec<Txn>,
-    ) -> Result<(), PlatError> {
+    ) -> Result<(), PlatformError> {
         for part in txns.chunks(ROWS) {
             let claim = ClaimKey::Pool(pool.clone()).to_string();
             let mut txn = Txn::new().version(CLAIMS, claim, self.claim.version);
             txn.writes = part.iter().flat_map(|txn| txn.writes.clone()).collect();
-            if let TxnAnswer::Conflict { .. } = shared.table.commit(&txn).await? {
+            if let TxnResponse::Conflict { .. } = shared.table.commit(&txn).await? {
                 // Another daemon plans for the pool now.
                 return Ok(());
             }
--- a/crates/node/src/poison.rs
+++ b/crates/node/src/poison.rs
@@ -10,11 +10,11 @@
 use std::sync::{Arc, Mutex};
 use std::time::{Duration, Instant};
 
-use chestnut_base::{Code, Digest, Refusal, ServerName};
+use chestnut_base::{Digest, Refusal, RefusalCode, ServerName};
 use chestnut_once::suspect::{CONVICTION, SUSPICION};
 use chestnut_once::{Evidence, FlightId, Gate, Suspects, Verdict};
-use chestnut_plat::{PlatError, Row, Txn};
-use chestnut_wire::{Ask, Blame, Run, Say};
+use chestnut_plat::{PlatformError, Row, Txn};
+use chestnut_wire::{AttemptRequest, CrashSuspect, PeerRequest, PeerResponse};
 use indexmap::IndexMap;
 use prometheus_client::metrics::counter::Counter;
 use serde_json::json;
@@ -123,20 +123,20 @@
     pub async fn enter(
         self: &Arc<Self>,
         shared: &Shared,
-        run: &Run,
-        out: &mpsc::Sender<Say>,
+        run: &AttemptRequest,
+        out: &mpsc::Sender<PeerResponse>,
     ) -> Result<Flight, Refusal> {
-        let end = shared.clock.now() + run.work.budget;
+        let end = shared.clock.now() + run.request.budget;
         if run.suspect {
             // The news of the crash may not have come here yet.
-            let blame = Blame { digest: run.work.digest, convicted: false };
+            let blame = CrashSuspect { digest: run.request.digest, confirmed: false };
             self.learn(&[blame], shared.clock.now());
         }
         loop {
             let through = self.through.notified();
             let now = shared.clock.now();
             let mut next = end;
-            match self.lock().enter(&run.server, run.work.digest, now) {
+            match self.lock().enter(&run.server, run.request.digest, now) {
                 Gate::Pass(id) => {
                     let server = run.server.clone();
                     return Ok(Flight { poison: self.clone(), server, id });
@@ -159,10 +159,10 @@
     }
 
     /// Takes in what another daemon found out.
-    pub fn learn(&self, blames: &[Blame], now: Instant) {
+    pub fn learn(&self, blames: &[CrashSuspect], now: Instant) {
         let mut suspects = self.lock();
         for blame in blames {
-            let evidence = match blame.convicted {
+            let evidence = match blame.confirmed {
                 true => Evidence::Convicted,
                 false => Evidence::Suspect,
             };
@@ -290,9 +290,9 @@
     }
     let blame = |verdict: &Verdict| {
         let convicted = verdict.evidence? == Evidence::Convicted;
-        Some(Blame { digest: verdict.digest, convicted })
+        Some(CrashSuspect { digest: verdict.digest, confirmed: convicted })
     };
-    let ask = Ask::Blame(verdicts.iter().filter_map(blame).collect());
+    let ask = PeerRequest::ReportSuspects(verdicts.iter().filter_map(blame).collect());
     let calls = others.iter().map(|(_, addr)| node.peers.ask_once(*addr, &ask));
     // One that is not reached in time learns it from the table.
     drop(timeout(SPREAD, futures::future::join_all(calls)).await);
@@ -319,7 +319,7 @@
     pace.mul_f64(rand::random_range(0.75..1.25))
 }
 
-async fn exchange(node: &Node, since: u64) -> Result<u64, PlatError> {
+async fn exchange(node: &Node, since: u64) -> Result<u64, PlatformError> {
     let shared = &node.shared;
     write(node).await?;
     let (delta, _) = shared.changes(POISON, "", since).await?;
@@ -338,7 +338,7 @@
             old = remove(old, row);
         }
     }
-    for key in &delta.gone {
+    for key in &delta.deleted {
         if let Some((digest, evidence)) = parse(key) {
             let mut suspects = node.poison.lock();
             if suspects.evidence(digest, now) == Some(evidence) {
@@ -357,7 +357,7 @@
     txn.version(POISON, &row.key, row.version).delete(POISON, &row.key)
 }
 
-async fn write(node: &Node) -> Result<(), PlatError> {
+async fn write(node: &Node) -> Result<(), PlatformError> {
     let list = || node.poison.unsaved.lock().expect("no holder of the list panics");
     let unsaved = list().clone();
     if unsaved.is_empty() {
@@ -390,11 +390,12 @@
 fn poisonous() -> Refusal {
     let text = "the request crashed two backend servers and is not run any more; \
                 change it, or ask the operators to look into it";
-    Refusal::not_run(Code::Poison, text)
+    Refusal::not_run(RefusalCode::Poison, text)
 }
 
 fn isolated() -> Refusal {
     let text = "the request was in flight at a crash and must run apart from others; \
                 send it again";
-    Refusal::not_run(Code::Overloaded, text).after(Duration::from_secs(1))
+    Refusal::not_run(RefusalCode::Overloaded, text)
+        .with_retry_after(Duration::from_secs(1))
 }
--- a/crates/node/src/relay.rs
+++ b/crates/node/src/relay.rs
@@ -7,9 +7,13 @@
 
 use std::time::{Duration, Instant};
 
-use chestnut_base::{AttemptId, Code, Outcome, Refusal, ServerName, Target, Work};
+use chestnut_base::{
+    AttemptId, Outcome, Refusal, RefusalCode, RequestSpec, ServerName, Target,
+};
 use chestnut_route::retry::TRIES;
-use chestnut_wire::{Ask, Call, Hint, Resume, Run, Say};
+use chestnut_wire::{
+    AttemptRequest, HttpCall, PeerRequest, PeerResponse, ResumePoint, RetryHint,
+};
 use std::sync::Arc;
 use tokio::sync::mpsc;
 
@@ -56,13 +60,13 @@
 }
 
 /// Drives a request and sends the frames of its answer, ending with
-/// [`Say::End`] or [`Say::Refused`].
+/// [`PeerResponse::End`] or [`PeerResponse::Refused`].
 pub async fn run(
     node: &Arc<Node>,
-    work: Work,
-    call: Call,
+    work: RequestSpec,
+    call: HttpCall,
     mode: Mode,
-    out: mpsc::Sender<Say>,
+    out: mpsc::Sender<PeerResponse>,
 ) {
     let end = node.shared.clock.now() + work.budget;
     let relay = Relay {
@@ -75,7 +79,7 @@
         tried: Vec::new(),
         sent: false,
         begun: false,
-        have: Resume { tokens: 0, text: String::new() },
+        have: ResumePoint { tokens: 0, text: String::new() },
         suspect: false,
     };
     relay.drive().await;
@@ -84,10 +88,10 @@
 /// The state of one request between its attempts.
 struct Relay<'a> {
     node: &'a Arc<Node>,
-    work: Work,
-    call: Call,
+    work: RequestSpec,
+    call: HttpCall,
     mode: Mode,
-    out: mpsc::Sender<Say>,
+    out: mpsc::Sender<PeerResponse>,
     /// When the answer must be whole.
     end: Instant,
     /// Backend servers that refused or failed.
@@ -100,7 +104,7 @@
     /// Whether the caller has bytes that can't be taken back or resumed.
     begun: bool,
     /// The tokens that the caller has.
-    have: Resume,
+    have: ResumePoint,
     /// Whether a backend server crashed under an attempt.
     suspect: bool,
 }
@@ -225,11 +229,11 @@
         let mut work = self.work.clone();
         work.budget = self.end.saturating_duration_since(now);
         let resume = (self.have.tokens > 0).then(|| self.have.clone());
-        let run = Run {
+        let run = AttemptRequest {
             attempt: self.number(),
             server: choice.server.clone(),
             fence: choice.fence,
-            work,
+            request: work,
             call: self.call.clone(),
             resume,
             suspect: self.suspect,
@@ -253,14 +257,18 @@
     }
 
     /// Hands the attempt to the lead, which may be this daemon itself.
-    async fn open(&self, choice: &Choice, run: Run) -> Result<Frames, PeerError> {
+    async fn open(
+        &self,
+        choice: &Choice,
+        run: AttemptRequest,
+    ) -> Result<Frames, PeerError> {
         if choice.member == self.node.shared.me {
             let (out, frames) = mpsc::channel(FRAMES_AHEAD);
             let node = self.node.clone();
             tokio::spawn(async move { lead::serve(&node, run, out).await });
             return Ok(Frames::Own(frames));
         }
-        let answer = self.node.peers.ask(choice.addr, &Ask::Run(run)).await?;
+        let answer = self.node.peers.ask(choice.addr, &PeerRequest::Run(run)).await?;
         Ok(Frames::Peer(answer))
     }
 
@@ -277,9 +285,9 @@
                 Err(why) => return self.lost(choice, why),
             };
             match say {
-                Say::Alive | Say::Queued => {}
-                Say::Dispatched => self.sent = true,
-                Say::Tokens { first, count, text } => {
+                PeerResponse::Heartbeat | PeerResponse::Queued => {}
+                PeerResponse::Dispatched => self.sent = true,
+                PeerResponse::Tokens { first, count, text } => {
                     if first != self.have.tokens {
                         let why = format!("token {first} after {}", self.have.tokens);
                         return Next::Broken(why);
@@ -287,37 +295,44 @@
                     self.have.tokens += count;
                     self.have.text.push_str(&text);
                     self.node.picker.note(&choice.server, Note::Tokens(count));
-                    if self.send(Say::Tokens { first, count, text }).await.is_none() {
+                    if self
+                        .send(PeerResponse::Tokens { first, count, text })
+                        .await
+                        .is_none()
+                    {
                         return Next::Done;
                     }
                 }
-                Say::Head { .. } | Say::Chunk(_) => {
+                PeerResponse::Head { .. } | PeerResponse::Chunk(_) => {
                     self.begun = true;
                     if self.send(say).await.is_none() {
                         return Next::Done;
                     }
                 }
-                Say::End { load, .. } => {
+                PeerResponse::End { load, .. } => {
                     self.node.picker.note(&choice.server, Note::Load(load));
                     self.send(say).await;
                     return Next::Done;
                 }
-                Say::Refused { refusal, hint } => {
+                PeerResponse::Refused { refusal, hint } => {
                     if refusal.outcome == Outcome::NotRun {
                         self.sent = before;
                     }
                     return self.refused(choice, refusal, hint).await;
                 }
-                Say::Preempted { load } => {
+                PeerResponse::Preempted { load } => {
                     self.node.picker.note(&choice.server, Note::Load(load));
                     return Next::Preempted;
                 }
-                Say::Broken { message, crashed } => {
+                PeerResponse::Broken { message, crashed } => {
                     self.suspect |= crashed;
                     self.node.picker.note(&choice.server, Note::Broken { crashed });
                     return Next::Broken(message);
                 }
-                Say::Once(_) | Say::Config(_) | Say::Status(_) | Say::Noted => {
+                PeerResponse::Once(_)
+                | PeerResponse::Config(_)
+                | PeerResponse::Status(_)
+                | PeerResponse::Acknowledged => {
                     return Next::Broken("an answer to another question".into());
                 }
             }
@@ -338,17 +353,23 @@
 
     async fn give_up(&mut self) -> Next {
         let text = "no answer came by the deadline; allow more time";
-        let refusal = Refusal::not_run(Code::Deadline, text).after(LATE_RETURN);
+        let refusal =
+            Refusal::not_run(RefusalCode::Deadline, text).with_retry_after(LATE_RETURN);
         self.refuse(refusal).await;
         Next::Done
     }
 
-    async fn refused(&mut self, choice: &Choice, refusal: Refusal, hint: Hint) -> Next {
+    async fn refused(
+        &mut self,
+        choice: &Choice,
+        refusal: Refusal,
+        hint: RetryHint,
+    ) -> Next {
         self.node.picker.note(&choice.server, Note::Refused);
         if let Some(load) = hint.load {
             self.node.picker.note(&choice.server, Note::Load(load));
         }
-        if hint.elsewhere {
+        if hint.try_other_server {
             return Next::Elsewhere(refusal);
         }
         self.refuse(refusal).await;
@@ -368,10 +389,10 @@
         if self.sent && refusal.outcome == Outcome::NotRun {
             refusal.outcome = Outcome::InDoubt;
         }
-        self.send(Say::Refused { refusal, hint: Hint::default() }).await;
+        self.send(PeerResponse::Refused { refusal, hint: RetryHint::default() }).await;
     }
 
-    async fn send(&self, say: Say) -> Option<()> {
+    async fn send(&self, say: PeerResponse) -> Option<()> {
         self.out.send(say).await.ok()
     }
 }
@@ -379,13 +400,13 @@
 /// The frames of one attempt.
 enum Frames {
     /// From a backend server that this daemon leads.
-    Own(mpsc::Receiver<Say>),
+    Own(mpsc::Receiver<PeerResponse>),
     /// From another daemon.
     Peer(Answer),
 }
 
 impl Frames {
-    async fn next(&mut self) -> Result<Say, String> {
+    async fn next(&mut self) -> Result<PeerResponse, String> {
         match self {
             Self::Own(frames) => {
                 frames.recv().await.ok_or_else(|| "the lead stopped".to_owned())
@@ -396,21 +417,25 @@
 }
 
 /// Whether a lead refused for want of room in time.
-fn is_full(code: Code) -> bool {
-    matches!(code, Code::Deadline | Code::Overloaded | Code::CallerLimit)
+fn is_full(code: RefusalCode) -> bool {
+    matches!(
+        code,
+        RefusalCode::Deadline | RefusalCode::Overloaded | RefusalCode::CallerLimit
+    )
 }
 
 /// Whether the cause of a refusal may be gone in a moment.
-fn is_passing(code: Code) -> bool {
-    matches!(code, Code::Unavailable | Code::NotResident)
+fn is_passing(code: RefusalCode) -> bool {
+    matches!(code, RefusalCode::Unavailable | RefusalCode::NotResident)
 }
 
 fn broke_off(why: &str) -> Refusal {
     let text = format!("the backend server broke off ({why}); send the request again");
-    Refusal::in_doubt(Code::Broken, text).after(Duration::from_secs(1))
+    Refusal::in_doubt(RefusalCode::Broken, text).with_retry_after(Duration::from_secs(1))
 }
 
 fn unreachable(why: &str) -> Refusal {
     let text = format!("no daemon that leads a backend server answers ({why}); wait");
-    Refusal::not_run(Code::Unavailable, text).after(Duration::from_secs(1))
+    Refusal::not_run(RefusalCode::Unavailable, text)
+        .with_retry_after(Duration::from_secs(1))
 }
--- a/crates/node/src/run.rs
+++ b/crates/node/src/run.rs
@@ -8,8 +8,8 @@
 use axum::Router;
 use chestnut_base::{Clock, MemberId};
 use chestnut_config::Settings;
-use chestnut_plat::{Objects, Table, VmList};
-use chestnut_wire::Ask;
+use chestnut_plat::{ObjectStore, TableClient, VmList};
+use chestnut_wire::PeerRequest;
 use error_stack::{Report, ResultExt};
 use slog::{Logger, info, warn};
 use tokio::net::TcpListener;
@@ -140,7 +140,7 @@
 
     /// Tells the other daemons, so that they take over before the next poll.
     async fn tell_others(&self) {
-        let ask = Ask::Leaving(self.node.shared.me);
+        let ask = PeerRequest::ShuttingDown(self.node.shared.me);
         let mut calls = JoinSet::new();
         for (_, addr) in members::others(&self.node.shared) {
             let node = self.node.clone();
@@ -169,9 +169,9 @@
 ) -> Result<Node, Report<StartError>> {
     let wait = settings.times.platform;
     let client = StartError::Client;
-    let table = Table::new(&settings.table_url, wait).change_context(client)?;
-    let objects =
-        Objects::new(&settings.object_url, wait).change_context(StartError::Client)?;
+    let table = TableClient::new(&settings.table_url, wait).change_context(client)?;
+    let objects = ObjectStore::new(&settings.object_url, wait)
+        .change_context(StartError::Client)?;
     let vms = VmList::new(&settings.vms_url, wait).change_context(StartError::Client)?;
     let http = engine::client().change_context(StartError::Client)?;
     let me = MemberId(rand::random());
--- a/crates/node/src/shared.rs
+++ b/crates/node/src/shared.rs
@@ -5,11 +5,11 @@
 use std::sync::{Arc, Mutex};
 use std::time::{Duration, Instant};
 
-use chestnut_base::{AttemptId, Clock, Code, MemberId, Refusal};
+use chestnut_base::{AttemptId, Clock, MemberId, Refusal, RefusalCode};
 use chestnut_config::{Catalog, Settings};
 use chestnut_member::{Lease, View};
 use chestnut_place::Residence;
-use chestnut_plat::{Delta, Objects, PlatError, Table, VmList};
+use chestnut_plat::{Delta, ObjectStore, PlatformError, TableClient, VmList};
 use indexmap::IndexSet;
 use slog::Logger;
 use tokio::sync::{Notify, watch};
@@ -50,12 +50,12 @@
     /// The counters.
     pub metrics: Metrics,
     /// The table service.
-    pub table: Table,
+    pub table: TableClient,
     /// The changes of the tables that every daemon follows, read by
     /// [`crate::members`].
     pub feed: Feed,
     /// The object store.
-    pub objects: Objects,
+    pub objects: ObjectStore,
     /// The platform's list of VMs.
     pub vms: VmList,
     /// The declarations in force, written by [`crate::confsync`].
@@ -96,8 +96,8 @@
         clock: Arc<dyn Clock>,
         me: MemberId,
         log: Logger,
-        table: Table,
-        objects: Objects,
+        table: TableClient,
+        objects: ObjectStore,
         vms: VmList,
     ) -> Self {
         let term = settings.times.lease;
@@ -136,7 +136,7 @@
         table: &str,
         prefix: &str,
         since: u64,
-    ) -> Result<(Delta, Instant), PlatError> {
+    ) -> Result<(Delta, Instant), PlatformError> {
         self.feed.scan(&self.table, &*self.clock, table, prefix, since).await
     }
 
@@ -174,28 +174,27 @@
                 [] => format!("{text}; use another address"),
                 _ => format!("{text}; use one of: {}", list.join(", ")),
             };
-            Refusal::not_run(Code::Leaving, text).after(Duration::ZERO)
+            Refusal::not_run(RefusalCode::Leaving, text).with_retry_after(Duration::ZERO)
         };
         if *self.closed.borrow() {
             return Err(others("this daemon is leaving"));
         }
         if !self.is_fresh() {
             return Err(others("this daemon can't confirm its configuration")
-                .after(Duration::from_secs(1)));
+                .with_retry_after(Duration::from_secs(1)));
         }
         // Operators wait for the daemons whose rows say that they take work. One that
         // served before would be left out: its callers could meet the old declarations
         // after an operator read that the new ones are in force everywhere.
         if !self.listed.load(Ordering::Acquire) {
-            return Err(
-                others("this daemon is joining").after(self.settings.times.renewal)
-            );
+            return Err(others("this daemon is joining")
+                .with_retry_after(self.settings.times.renewal));
         }
         // Otherwise a daemon that joined just before an outage of the table would
         // refuse every model as not resident for as long as the outage lasts.
         if !self.knows_residence() {
             return Err(others("this daemon does not know yet what is resident where")
-                .after(Duration::from_secs(1)));
+                .with_retry_after(Duration::from_secs(1)));
         }
         Ok(())
     }
--- a/crates/node/src/single.rs
+++ b/crates/node/src/single.rs
@@ -7,9 +7,12 @@
 use std::sync::Arc;
 
 use bytes::Bytes;
-use chestnut_base::{AttemptId, Code, Outcome, Refusal, RequestId};
+use chestnut_base::{AttemptId, Outcome, Refusal, RefusalCode, RequestId};
 use chestnut_once::{Answer, Event};
-use chestnut_wire::{Frames, Load, Once, OnceState, Run, Say, encode};
+use chestnut_wire::{
+    AttemptRequest, FrameDecoder, OnceRequest, OnceState, PeerResponse, ServerLoad,
+    encode,
+};
 use tokio::sync::mpsc::{self, UnboundedSender};
 
 use crate::journal;
@@ -42,17 +45,17 @@
     }
 
     /// Adds a frame.
-    pub fn push(&mut self, say: &Say) {
+    pub fn push(&mut self, say: &PeerResponse) {
         match say {
-            Say::Head { status, content_type } => {
+            PeerResponse::Head { status, content_type } => {
                 self.status = *status;
                 self.content_type.clone_from(content_type);
             }
-            Say::Tokens { count, text, .. } => {
+            PeerResponse::Tokens { count, text, .. } => {
                 self.tokens = Some(self.tokens.unwrap_or(0) + count);
                 self.add(text.as_bytes());
             }
-            Say::Chunk(bytes) => self.add(bytes),
+            PeerResponse::Chunk(bytes) => self.add(bytes),
             _ => {}
         }
     }
@@ -83,26 +86,30 @@
 /// The end mark is not streamed: it follows when the answer is recorded.
 pub async fn run(
     node: Arc<Node>,
-    once: Once,
+    once: OnceRequest,
     attempt: AttemptId,
-    asker: Option<UnboundedSender<Say>>,
+    asker: Option<UnboundedSender<PeerResponse>>,
 ) -> Event {
-    let id = once.work.id.clone().expect("the journal runs only requests with an id");
+    let id = once.request.id.clone().expect("the journal runs only requests with an id");
     let (out, mut frames) = mpsc::channel(FRAMES_AHEAD);
     let job = node.clone();
     let relay = tokio::spawn(async move {
-        relay::run(&job, once.work, once.call, Mode::Single(attempt), out).await;
+        relay::run(&job, once.request, once.call, Mode::Single(attempt), out).await;
     });
     let mut gather = Gather::new();
     while let Some(say) = frames.recv().await {
         match say {
-            Say::End { reason, .. } => {
+            PeerResponse::End { reason, .. } => {
                 return ended(&node, id, attempt, gather, reason).await;
             }
-            Say::Refused { refusal, .. } if refusal.outcome == Outcome::NotRun => {
+            PeerResponse::Refused { refusal, .. }
+                if refusal.outcome == Outcome::NotRun =>
+            {
                 return Event::Refused { id, attempt, refusal };
             }
-            Say::Refused { refusal, .. } => return Event::Broke { id, attempt, refusal },
+            PeerResponse::Refused { refusal, .. } => {
+                return Event::Broke { id, attempt, refusal };
+            }
             say => {
                 gather.push(&say);
                 if let Some(asker) = &asker {
@@ -115,7 +122,7 @@
     // Without a last frame nobody knows whether the request was handed over.
     let why = relay.await.err().map_or_else(String::new, |error| error.to_string());
     let text = format!("the run ended without an answer {why}; ask for its outcome");
-    let refusal = Refusal::in_doubt(Code::Internal, text);
+    let refusal = Refusal::in_doubt(RefusalCode::Internal, text);
     Event::Broke { id, attempt, refusal }
 }
 
@@ -136,17 +143,17 @@
 }
 
 /// The frames that give a stored answer again.
-pub fn frames(answer: &Answer) -> Vec<Say> {
+pub fn frames(answer: &Answer) -> Vec<PeerResponse> {
     let mut frames = Vec::new();
     match answer.tokens {
         Some(count) => {
             let text = String::from_utf8_lossy(&answer.body).into_owned();
-            frames.push(Say::Tokens { first: 0, count, text });
+            frames.push(PeerResponse::Tokens { first: 0, count, text });
         }
         None => {
             let content_type = answer.content_type.clone();
-            frames.push(Say::Head { status: answer.status, content_type });
-            frames.push(Say::Chunk(answer.body.clone()));
+            frames.push(PeerResponse::Head { status: answer.status, content_type });
+            frames.push(PeerResponse::Chunk(answer.body.clone()));
         }
     }
     frames.push(end(answer));
@@ -154,8 +161,8 @@
 }
 
 /// The end mark of an answer.
-pub fn end(answer: &Answer) -> Say {
-    Say::End { reason: answer.reason.clone(), load: Load::default() }
+pub fn end(answer: &Answer) -> PeerResponse {
+    PeerResponse::End { reason: answer.reason.clone(), load: ServerLoad::default() }
 }
 
 /// A stored answer as the state of its request.
@@ -172,8 +179,12 @@
 /// The lead of the server learns that the lead of the slot died by its frames
 /// going nowhere. If it broke the call off then, a booking could be made and its
 /// answer lost. So it reads on and keeps the whole answer under the attempt.
-pub fn outlive(node: &Arc<Node>, run: &Run, out: mpsc::Sender<Say>) -> mpsc::Sender<Say> {
-    if run.work.idempotent {
+pub fn outlive(
+    node: &Arc<Node>,
+    run: &AttemptRequest,
+    out: mpsc::Sender<PeerResponse>,
+) -> mpsc::Sender<PeerResponse> {
+    if run.request.idempotent {
         return out;
     }
     let (inner, frames) = mpsc::channel(FRAMES_AHEAD);
@@ -184,17 +195,17 @@
 async fn forward(
     node: Arc<Node>,
     attempt: AttemptId,
-    mut frames: mpsc::Receiver<Say>,
-    out: mpsc::Sender<Say>,
+    mut frames: mpsc::Receiver<PeerResponse>,
+    out: mpsc::Sender<PeerResponse>,
 ) {
     let _busy = node.busy();
     let mut gather = Gather::new();
     let mut sent = false;
     while let Some(say) = frames.recv().await {
         gather.push(&say);
-        sent |= say == Say::Dispatched;
+        sent |= say == PeerResponse::Dispatched;
         let end = match &say {
-            Say::End { reason, .. } => Some(reason.clone()),
+            PeerResponse::End { reason, .. } => Some(reason.clone()),
             _ => None,
         };
         let gone = out.send(say).await.is_err();
@@ -221,11 +232,11 @@
 /// The answer of an attempt whose asker was gone when it ended, if it was kept.
 pub async fn late_answer(node: &Node, attempt: AttemptId) -> Option<Answer> {
     let bytes = node.shared.objects.get(&late_key(attempt)).await.ok().flatten()?;
-    let mut frames = Frames::new();
+    let mut frames = FrameDecoder::new();
     frames.push(&bytes);
     let mut gather = Gather::new();
-    while let Some(say) = frames.decode::<Say>().ok().flatten() {
-        if let Say::End { reason, .. } = say {
+    while let Some(say) = frames.decode::<PeerResponse>().ok().flatten() {
+        if let PeerResponse::End { reason, .. } = say {
             return Some(gather.finish(reason));
         }
         gather.push(&say);
