--- a/crates/node/src/slotlog.rs
+++ b/crates/node/src/slotlog.rs
@@ -7,7 +7,7 @@
 use bytes::Bytes;
 use chestnut_base::{RequestId, SlotId};
 use chestnut_once::{Appended, Log, Record};
-use chestnut_plat::{Objects, PlatError};
+use chestnut_plat::{ObjectStore, PlatformError};
 use serde_json::{Value, json};
 
 /// How often the seal is tried when other leads write at the same time.
@@ -16,19 +16,25 @@
 /// Reads the log and takes its next place for the seal.
 ///
 /// `mark` tells this lead's seal from another's.
-pub async fn seal(objects: &Objects, slot: SlotId, mark: &str) -> Result<Log, PlatError> {
+pub async fn seal(
+    objects: &ObjectStore,
+    slot: SlotId,
+    mark: &str,
+) -> Result<Log, PlatformError> {
     for _ in 0..SEAL_TRIES {
         let (records, next) = read(objects, slot).await?;
         if put(objects, slot, next, body(mark, &[])).await? {
             return Ok(Log { records, next: next + 1 });
         }
     }
-    Err(PlatError::Unknown("other daemons write the slot's log; read it again".into()))
+    Err(PlatformError::OutcomeUnknown(
+        "other daemons write the slot's log; read it again".into(),
+    ))
 }
 
 /// Writes records to a place that nobody else has.
 pub async fn append(
-    objects: &Objects,
+    objects: &ObjectStore,
     slot: SlotId,
     place: u64,
     records: &[Record],
@@ -36,8 +42,10 @@
     match put(objects, slot, place, body("", records)).await {
         Ok(true) => {}
         Ok(false) => return Appended::Taken,
-        Err(PlatError::Down(_)) => return Appended::Down,
-        Err(PlatError::Unknown(_) | PlatError::Protocol(_)) => return Appended::Lost,
+        Err(PlatformError::Unavailable(_)) => return Appended::Down,
+        Err(PlatformError::OutcomeUnknown(_) | PlatformError::Protocol(_)) => {
+            return Appended::Lost;
+        }
     }
     // The place may be free because the log was trimmed beyond it since.
     match places(objects, slot).await {
@@ -48,7 +56,11 @@
 }
 
 /// Removes the places before `place`.
-pub async fn trim(objects: &Objects, slot: SlotId, place: u64) -> Result<(), PlatError> {
+pub async fn trim(
+    objects: &ObjectStore,
+    slot: SlotId,
+    place: u64,
+) -> Result<(), PlatformError> {
     for old in places(objects, slot).await? {
         if old < place {
             objects.delete(&key(slot, old)).await?;
@@ -59,15 +71,18 @@
 
 /// Whether the log holds a record of the id.
 pub async fn holds(
-    objects: &Objects,
+    objects: &ObjectStore,
     slot: SlotId,
     id: &RequestId,
-) -> Result<bool, PlatError> {
+) -> Result<bool, PlatformError> {
     let (records, _) = read(objects, slot).await?;
     Ok(records.iter().any(|record| record.id == *id))
 }
 
-async fn read(objects: &Objects, slot: SlotId) -> Result<(Vec<Record>, u64), PlatError> {
+async fn read(
+    objects: &ObjectStore,
+    slot: SlotId,
+) -> Result<(Vec<Record>, u64), PlatformError> {
     let places = places(objects, slot).await?;
     let mut records = Vec::new();
     for place in &places {
@@ -81,11 +96,11 @@
 
 /// Puts an object that does not exist, or finds that it was put by this very call.
 async fn put(
-    objects: &Objects,
+    objects: &ObjectStore,
     slot: SlotId,
     place: u64,
     body: Bytes,
-) -> Result<bool, PlatError> {
+) -> Result<bool, PlatformError> {
     let key = key(slot, place);
     if objects.put(&key, body.clone(), true).await? {
         return Ok(true);
@@ -93,7 +108,7 @@
     Ok(objects.get(&key).await?.is_some_and(|held| held == body))
 }
 
-async fn places(objects: &Objects, slot: SlotId) -> Result<Vec<u64>, PlatError> {
+async fn places(objects: &ObjectStore, slot: SlotId) -> Result<Vec<u64>, PlatformError> {
     let prefix = prefix(slot);
     let keys = objects.list(&prefix).await?;
     let mut places: Vec<u64> =
@@ -108,8 +123,8 @@
 }
 
 /// Reads a place; one that can't be read may hold starts, so that it is an error.
-fn parse(bytes: &[u8]) -> Result<Vec<Record>, PlatError> {
-    let bad = || PlatError::Protocol("a slot's log is malformed".into());
+fn parse(bytes: &[u8]) -> Result<Vec<Record>, PlatformError> {
+    let bad = || PlatformError::Protocol("a slot's log is malformed".into());
     let value: Value = serde_json::from_slice(bytes).map_err(|_| bad())?;
     let records = value["records"].as_array().ok_or_else(bad)?;
     records.iter().map(|one| Record::from_value(one.clone()).ok_or_else(bad)).collect()
--- a/crates/node/src/slots.rs
+++ b/crates/node/src/slots.rs
@@ -10,9 +10,9 @@
 use std::sync::{Arc, Mutex};
 use std::time::Duration;
 
-use chestnut_base::{Code, Refusal, RequestId};
+use chestnut_base::{Refusal, RefusalCode, RequestId};
 use chestnut_once::Event;
-use chestnut_wire::{Once, OnceState, Say};
+use chestnut_wire::{OnceRequest, OnceState, PeerResponse};
 use serde::Serialize;
 use tokio::sync::mpsc::{self, UnboundedReceiver, UnboundedSender};
 use tokio::sync::{Semaphore, oneshot};
@@ -64,7 +64,7 @@
 /// What the owner of the journal is told.
 enum Told {
     /// A request came.
-    Run { once: Box<Once>, out: UnboundedSender<Say> },
+    Run { once: Box<OnceRequest>, out: UnboundedSender<PeerResponse> },
     /// Somebody wants to know what became of an id.
     Lookup { id: RequestId, reply: oneshot::Sender<OnceState> },
     /// Something that was to be done is done.
@@ -86,7 +86,11 @@
 
     /// Runs a non-idempotent request at most once, and sends the frames of its
     /// one answer.
-    pub async fn run(node: &Arc<Node>, once: Once, out: mpsc::Sender<Say>) {
+    pub async fn run(
+        node: &Arc<Node>,
+        once: OnceRequest,
+        out: mpsc::Sender<PeerResponse>,
+    ) {
         let Some(_bodies) = node.slots.take_bodies(once.call.body.len()) else {
             return drop(out.send(refused(full())).await);
         };
@@ -160,17 +164,17 @@
     }
 }
 
-fn refused(refusal: Refusal) -> Say {
-    Say::Refused { refusal, hint: Default::default() }
+fn refused(refusal: Refusal) -> PeerResponse {
+    PeerResponse::Refused { refusal, hint: Default::default() }
 }
 
 fn full() -> Refusal {
     let text = "the journal holds as many bodies as it may; send it again with the \
                 same key";
-    Refusal::in_doubt(Code::EntryFull, text).after(IDLE)
+    Refusal::in_doubt(RefusalCode::EntryFull, text).with_retry_after(IDLE)
 }
 
 fn stopped() -> Refusal {
     let text = "the journal's daemon stops; send the request again with the same key";
-    Refusal::in_doubt(Code::Unavailable, text).after(IDLE)
+    Refusal::in_doubt(RefusalCode::Unavailable, text).with_retry_after(IDLE)
 }
--- a/crates/node/src/slots/keeper.rs
+++ b/crates/node/src/slots/keeper.rs
@@ -2,11 +2,13 @@
 
 use std::sync::Arc;
 
-use chestnut_base::{Code, MemberId, Outcome, Refusal, RequestId, SlotId, slot_of};
+use chestnut_base::{
+    MemberId, Outcome, Refusal, RefusalCode, RequestId, SlotId, slot_of,
+};
 use chestnut_member::ClaimKey;
 use chestnut_once::limits::gap_of;
 use chestnut_once::{Answer, Effect, Event, Journal, Limits, Reply, Ticket};
-use chestnut_wire::{Once, OnceState, Say};
+use chestnut_wire::{OnceRequest, OnceState, PeerResponse};
 use indexmap::{IndexMap, IndexSet};
 use prometheus_client::metrics::counter::Counter;
 use prometheus_client::metrics::gauge::Gauge;
@@ -22,7 +24,7 @@
 /// Who waits for the journal.
 enum Waiter {
     /// A caller's request; its parts are needed until it runs.
-    Caller { once: Option<Box<Once>>, out: UnboundedSender<Say> },
+    Caller { once: Option<Box<OnceRequest>>, out: UnboundedSender<PeerResponse> },
     /// Somebody who wants to know what became of an id.
     Lookup(oneshot::Sender<OnceState>),
 }
@@ -123,13 +125,14 @@
     fn take(&mut self, told: Told) {
         match told {
             Told::Run { once, out } => {
-                let Some(id) = once.work.id.clone() else {
-                    let refusal = Refusal::not_run(Code::BadRequest, "an id is missing");
+                let Some(id) = once.request.id.clone() else {
+                    let refusal =
+                        Refusal::not_run(RefusalCode::BadRequest, "an id is missing");
                     return drop(out.send(refused(refusal)));
                 };
                 let slot = self.slot(&id);
-                let digest = once.work.digest;
-                let target = once.work.target.clone();
+                let digest = once.request.digest;
+                let target = once.request.target.clone();
                 let attempt = self.node.shared.attempt();
                 let ticket = self.wait(Waiter::Caller { once: Some(once), out });
                 self.tell(Event::Ask { ticket, slot, id, digest, attempt, target });
@@ -245,7 +248,7 @@
             return;
         };
         let Some(once) = once.take() else { return };
-        debug_assert_eq!(once.work.id.as_ref(), Some(&id));
+        debug_assert_eq!(once.request.id.as_ref(), Some(&id));
         let out = out.clone();
         self.spawn(move |node| single::run(node, *once, attempt, Some(out)));
     }
@@ -318,7 +321,7 @@
 }
 
 /// What a caller gets; one that has the parts already gets the end mark.
-fn caller_frames(streamed: bool, reply: Reply) -> Vec<Say> {
+fn caller_frames(streamed: bool, reply: Reply) -> Vec<PeerResponse> {
     match reply {
         Reply::Answer(answer) if streamed => vec![single::end(&answer)],
         Reply::Answer(answer) => single::frames(&answer),
--- a/crates/node/tests/feed.rs
+++ b/crates/node/tests/feed.rs
@@ -6,7 +6,7 @@
 use chestnut_base::SystemClock;
 use chestnut_fake::{platform, weights::WeightSpeed};
 use chestnut_node::feed::Feed;
-use chestnut_plat::{PlatError, Table, Txn};
+use chestnut_plat::{PlatformError, TableClient, Txn};
 use indexmap::IndexMap;
 use proptest::prelude::*;
 use serde_json::{Value, json};
@@ -38,11 +38,11 @@
 }
 
 impl Part {
-    async fn look(&mut self, feed: &Feed, table: &Table, name: &str) {
+    async fn look(&mut self, feed: &Feed, table: &TableClient, name: &str) {
         let found = feed.scan(table, &SystemClock, name, "", self.version).await;
         let (delta, _) = found.expect("the platform is up");
         self.version = delta.version;
-        for key in delta.gone {
+        for key in delta.deleted {
             self.rows.swap_remove(&key);
         }
         for row in delta.rows {
@@ -51,11 +51,12 @@
     }
 }
 
-async fn start() -> (chestnut_fake::Handle, Table) {
+async fn start() -> (chestnut_fake::Handle, TableClient) {
     let listen = SocketAddr::from(([127, 0, 0, 1], 0));
     let speed = WeightSpeed { rate: 1.0, parallel: 1, bytes: 1e9 };
     let platform = platform::start(listen, speed).await.expect("a free port");
-    let table = Table::new(platform.url(), Duration::from_secs(5)).expect("a client");
+    let table =
+        TableClient::new(platform.url(), Duration::from_secs(5)).expect("a client");
     (platform, table)
 }
 
@@ -116,9 +117,9 @@
         let (_platform, table) = start().await;
         let feed = Feed::new(&TABLES);
         feed.refresh(&table, &SystemClock, Vec::new()).await.expect("it is up");
-        feed.note_failure(&PlatError::Down("outage".into()));
+        feed.note_failure(&PlatformError::Unavailable("outage".into()));
         let found = feed.scan(&table, &SystemClock, "claims", "", 1).await;
-        assert!(matches!(found, Err(PlatError::Down(_))));
+        assert!(matches!(found, Err(PlatformError::Unavailable(_))));
         feed.refresh(&table, &SystemClock, Vec::new()).await.expect("it is up");
         assert!(feed.scan(&table, &SystemClock, "claims", "", 1).await.is_ok());
     });
--- a/crates/once/src/journal.rs
+++ b/crates/once/src/journal.rs
@@ -5,7 +5,7 @@
 use std::time::{Duration, Instant};
 
 use bytes::Bytes;
-use chestnut_base::{AttemptId, Code, Outcome, Refusal, RequestId, SlotId};
+use chestnut_base::{AttemptId, Outcome, Refusal, RefusalCode, RequestId, SlotId};
 use indexmap::IndexMap;
 
 use crate::batch::{Batch, Write};
@@ -323,7 +323,7 @@
         let Some(entry) = self.index.entries.get_mut(id) else { return };
         let State::Done(summary, held) = &mut entry.state else { return };
         let Some(body) = body else {
-            let refusal = unkept().after(Duration::from_secs(2));
+            let refusal = unkept().with_retry_after(Duration::from_secs(2));
             return self.tell(id, &Reply::Refused(refusal));
         };
         let answer = summary.with_body(body);
@@ -461,6 +461,6 @@
         };
         let why = "the journal can't be used now, so the request was not started here; \
                    send it again with the same key after the time given";
-        Refusal::new(outcome, Code::JournalDown, why).after(wait)
+        Refusal::new(outcome, RefusalCode::JournalDown, why).with_retry_after(wait)
     }
 }
--- a/crates/once/tests/model/mod.rs
+++ b/crates/once/tests/model/mod.rs
@@ -5,7 +5,7 @@
 
 use bytes::Bytes;
 use chestnut_base::{
-    AttemptId, CallerName, Code, Digest, MemberId, Outcome, Refusal, RequestId,
+    AttemptId, CallerName, Digest, MemberId, Outcome, Refusal, RefusalCode, RequestId,
     ServiceName, SlotId, Target,
 };
 use chestnut_once::{
@@ -216,7 +216,7 @@
             }),
             Op::Refuse { run } => self.with_run(run, false, |world, run| {
                 let (id, attempt) = world.close(run);
-                let refusal = Refusal::not_run(Code::Overloaded, "full");
+                let refusal = Refusal::not_run(RefusalCode::Overloaded, "full");
                 let event = Event::Refused { id, attempt, refusal };
                 world.report(run, event);
             }),
@@ -226,7 +226,7 @@
                     let answer = answer(&world.runs[run]).into();
                     Event::Ended { id, attempt, answer, kept: world.kept(run) }
                 } else {
-                    let refusal = Refusal::in_doubt(Code::Broken, "broken");
+                    let refusal = Refusal::in_doubt(RefusalCode::Broken, "broken");
                     Event::Broke { id, attempt, refusal }
                 };
                 world.report(run, event);
--- a/crates/plat/src/table.rs
+++ b/crates/plat/src/table.rs
@@ -12,7 +12,7 @@
 use serde::{Deserialize, Serialize};
 use serde_json::Value;
 
-use crate::error::PlatError;
+use crate::error::PlatformError;
 
 /// The path of transactions; all other calls only read.
 const COMMIT: &str = "/v1/table/commit";
@@ -35,7 +35,7 @@
 /// A condition on a row, checked when the transaction commits.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case", tag = "check")]
-pub enum Check {
+pub enum Precondition {
     /// The row does not exist.
     Absent {
         /// The table's name.
@@ -89,7 +89,7 @@
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Txn {
     /// What must hold.
-    pub checks: Vec<Check>,
+    pub checks: Vec<Precondition>,
     /// What is written if all checks hold.
     pub writes: Vec<Write>,
 }
@@ -102,13 +102,13 @@
 
     /// Requires that the row does not exist.
     pub fn absent(mut self, table: &str, key: impl Into<String>) -> Self {
-        self.checks.push(Check::Absent { table: table.into(), key: key.into() });
+        self.checks.push(Precondition::Absent { table: table.into(), key: key.into() });
         self
     }
 
     /// Requires that the row has just this version.
     pub fn version(mut self, table: &str, key: impl Into<String>, version: u64) -> Self {
-        self.checks.push(Check::Version {
+        self.checks.push(Precondition::Version {
             table: table.into(),
             key: key.into(),
             version,
@@ -119,7 +119,11 @@
     /// Requires that the row is absent or was not written for `age`.
     pub fn idle(mut self, table: &str, key: impl Into<String>, age: Duration) -> Self {
         let millis = age.as_millis() as u64;
-        self.checks.push(Check::Idle { table: table.into(), key: key.into(), millis });
+        self.checks.push(Precondition::Idle {
+            table: table.into(),
+            key: key.into(),
+            millis,
+        });
         self
     }
 
@@ -139,7 +143,7 @@
 /// What became of a transaction.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case", tag = "answer")]
-pub enum TxnAnswer {
+pub enum TxnResponse {
     /// All checks held and all writes took effect.
     Committed {
         /// The version of the rows that were written.
@@ -162,7 +166,8 @@
     /// The rows that exist and were written after the version.
     pub rows: Vec<Row>,
     /// The keys of rows that were removed after the version.
-    pub gone: Vec<String>,
+    #[serde(rename = "gone")]
+    pub deleted: Vec<String>,
     /// The version up to which this is complete; ask from here next.
     pub version: u64,
     /// Whether there are changes after that version.
@@ -175,13 +180,13 @@
 impl Delta {
     /// Whether nothing changed.
     pub fn is_empty(&self) -> bool {
-        self.rows.is_empty() && self.gone.is_empty()
+        self.rows.is_empty() && self.deleted.is_empty()
     }
 }
 
 /// What a read asks for.
 #[derive(Debug, Clone, Serialize, Deserialize)]
-pub struct Scan {
+pub struct ScanQuery {
     /// The table's name.
     pub table: String,
     /// Only keys that start with this.
@@ -198,25 +203,28 @@
 
 /// What a read of several tables at once asks for.
 #[derive(Debug, Clone, Default, Serialize, Deserialize)]
-pub struct Changes {
+pub struct ChangesQuery {
     /// The tables' names.
     pub tables: Vec<String>,
     /// Only changes after this version.
     pub since: u64,
     /// Rows that are wanted whether they changed or not.
     #[serde(default)]
-    pub rows: Vec<Lookup>,
+    #[serde(rename = "rows")]
+    pub row_keys: Vec<RowKey>,
 }
 
 /// What changed in several tables after a version.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Changed {
+pub struct ChangesResponse {
     /// The rows that exist and were written after the version.
     pub rows: Vec<Row>,
     /// The tables and keys of rows that were removed after the version.
-    pub gone: Vec<(String, String)>,
+    #[serde(rename = "gone")]
+    pub deleted: Vec<(String, String)>,
     /// The rows that were wanted besides and exist.
-    pub wanted: Vec<Row>,
+    #[serde(rename = "wanted")]
+    pub requested: Vec<Row>,
     /// The version up to which this is complete; ask from here next.
     pub version: u64,
     /// The service's clock, in milliseconds.
@@ -225,7 +233,7 @@
 
 /// Which row a read asks for.
 #[derive(Debug, Clone, Serialize, Deserialize)]
-pub struct Lookup {
+pub struct RowKey {
     /// The table's name.
     pub table: String,
     /// The row's key.
@@ -239,15 +247,15 @@
 
 /// The client of the transactional table service.
 #[derive(Debug, Clone)]
-pub struct Table {
+pub struct TableClient {
     base: String,
     http: Client,
-    traffic: Arc<Traffic>,
+    traffic: Arc<TrafficCounters>,
 }
 
 /// How much a client has asked of the table service, bodies only.
 #[derive(Debug, Default)]
-pub struct Traffic {
+pub struct TrafficCounters {
     /// Transactions that were sent.
     pub commits: AtomicU64,
     /// Reads that were sent.
@@ -258,22 +266,25 @@
     pub received: AtomicU64,
 }
 
-impl Table {
+impl TableClient {
     /// Creates a client of the service at `base`, such as `http://10.0.0.5:7000`.
     ///
     /// Calls that take longer than `timeout` fail.
-    pub fn new(base: impl Into<String>, timeout: Duration) -> Result<Self, PlatError> {
+    pub fn new(
+        base: impl Into<String>,
+        timeout: Duration,
+    ) -> Result<Self, PlatformError> {
         let http = Client::builder().timeout(timeout).no_proxy().build()?;
         Ok(Self { base: base.into(), http, traffic: Arc::default() })
     }
 
     /// How much this client and its clones have asked of the service.
-    pub fn traffic(&self) -> &Traffic {
+    pub fn traffic(&self) -> &TrafficCounters {
         &self.traffic
     }
 
     /// Commits a transaction.
-    pub async fn commit(&self, txn: &Txn) -> Result<TxnAnswer, PlatError> {
+    pub async fn commit(&self, txn: &Txn) -> Result<TxnResponse, PlatformError> {
         self.traffic.commits.fetch_add(1, Ordering::Relaxed);
         self.call(COMMIT, txn).await
     }
@@ -284,9 +295,9 @@
         table: &str,
         prefix: &str,
         since: u64,
-    ) -> Result<Delta, PlatError> {
+    ) -> Result<Delta, PlatformError> {
         let scan =
-            Scan { table: table.into(), prefix: prefix.into(), since, limit: None };
+            ScanQuery { table: table.into(), prefix: prefix.into(), since, limit: None };
         self.call("/v1/table/scan", &scan).await
     }
 
@@ -294,25 +305,32 @@
     ///
     /// A table of thousands of rows, read at once, takes tens of megabytes that the
     /// process never gives back.
-    pub async fn scan_part(
+    pub async fn scan_page(
         &self,
         table: &str,
         since: u64,
         limit: usize,
-    ) -> Result<Delta, PlatError> {
+    ) -> Result<Delta, PlatformError> {
         let (table, prefix, limit) = (table.into(), String::new(), Some(limit));
-        let scan = Scan { table, prefix, since, limit };
+        let scan = ScanQuery { table, prefix, since, limit };
         self.call("/v1/table/scan", &scan).await
     }
 
     /// Reads what changed in several tables after a version.
-    pub async fn changes(&self, changes: &Changes) -> Result<Changed, PlatError> {
+    pub async fn changes(
+        &self,
+        changes: &ChangesQuery,
+    ) -> Result<ChangesResponse, PlatformError> {
         self.call("/v1/table/changes", changes).await
     }
 
     /// Reads one row.
-    pub async fn get(&self, table: &str, key: &str) -> Result<Option<Row>, PlatError> {
-        let lookup = Lookup { table: table.into(), key: key.into() };
+    pub async fn get(
+        &self,
+        table: &str,
+        key: &str,
+    ) -> Result<Option<Row>, PlatformError> {
+        let lookup = RowKey { table: table.into(), key: key.into() };
         let found: Found = self.call("/v1/table/get", &lookup).await?;
         Ok(found.row)
     }
@@ -321,10 +339,10 @@
         &self,
         path: &str,
         question: &Q,
-    ) -> Result<A, PlatError> {
+    ) -> Result<A, PlatformError> {
         let url = format!("{}{path}", self.base);
         let body = serde_json::to_vec(question)
-            .map_err(|error| PlatError::Protocol(error.to_string()))?;
+            .map_err(|error| PlatformError::Protocol(error.to_string()))?;
         if path != COMMIT {
             self.traffic.reads.fetch_add(1, Ordering::Relaxed);
         }
@@ -332,7 +350,7 @@
         let call = self.http.post(url).header("content-type", "application/json");
         let answer = call.body(body).send().await?;
         check_status(answer.status())?;
-        let bytes = answer.bytes().await.map_err(lost)?;
+        let bytes = answer.bytes().await.map_err(response_lost)?;
         self.traffic.received.fetch_add(bytes.len() as u64, Ordering::Relaxed);
         parse_json(&bytes)
     }
@@ -344,30 +362,31 @@
 /// both count as lost; to take them for a refusal would run a write twice.
 pub(crate) async fn read_json<A: for<'de> Deserialize<'de>>(
     answer: reqwest::Response,
-) -> Result<A, PlatError> {
-    parse_json(&answer.bytes().await.map_err(lost)?)
+) -> Result<A, PlatformError> {
+    parse_json(&answer.bytes().await.map_err(response_lost)?)
 }
 
-fn parse_json<A: for<'de> Deserialize<'de>>(bytes: &[u8]) -> Result<A, PlatError> {
-    serde_json::from_slice(bytes).map_err(|error| PlatError::Unknown(error.to_string()))
+fn parse_json<A: for<'de> Deserialize<'de>>(bytes: &[u8]) -> Result<A, PlatformError> {
+    serde_json::from_slice(bytes)
+        .map_err(|error| PlatformError::OutcomeUnknown(error.to_string()))
 }
 
 /// An answer that broke off after its status.
-pub(crate) fn lost(error: reqwest::Error) -> PlatError {
-    PlatError::Unknown(error.to_string())
+pub(crate) fn response_lost(error: reqwest::Error) -> PlatformError {
+    PlatformError::OutcomeUnknown(error.to_string())
 }
 
 /// Turns a status into an error; the services answer 503 before they do anything.
-pub(crate) fn check_status(status: StatusCode) -> Result<(), PlatError> {
+pub(crate) fn check_status(status: StatusCode) -> Result<(), PlatformError> {
     if status.is_success() {
         Ok(())
     } else if status == StatusCode::SERVICE_UNAVAILABLE
         || status == StatusCode::TOO_MANY_REQUESTS
     {
-        Err(PlatError::Down(format!("status {status}")))
+        Err(PlatformError::Unavailable(format!("status {status}")))
     } else if status.is_server_error() {
-        Err(PlatError::Unknown(format!("status {status}")))
+        Err(PlatformError::OutcomeUnknown(format!("status {status}")))
     } else {
-        Err(PlatError::Protocol(format!("status {status}")))
+        Err(PlatformError::Protocol(format!("status {status}")))
     }
 }
--- a/crates/plat/src/vms.rs
+++ b/crates/plat/src/vms.rs
@@ -7,7 +7,7 @@
 use reqwest::Client;
 use serde::{Deserialize, Serialize};
 
-use crate::error::PlatError;
+use crate::error::PlatformError;
 use crate::table::{check_status, read_json};
 
 /// What a VM is for.
@@ -35,7 +35,8 @@
     /// The VM is to stay.
     Live,
     /// The VM will be stopped and must get no new work.
-    Leaving,
+    #[serde(rename = "leaving")]
+    Draining,
 }
 
 /// An entry of the list.
@@ -64,13 +65,16 @@
 
 impl VmList {
     /// Creates a client of the list at `base`, such as `http://10.0.0.5:7000`.
-    pub fn new(base: impl Into<String>, timeout: Duration) -> Result<Self, PlatError> {
+    pub fn new(
+        base: impl Into<String>,
+        timeout: Duration,
+    ) -> Result<Self, PlatformError> {
         let http = Client::builder().timeout(timeout).no_proxy().build()?;
         Ok(Self { base: base.into(), http })
     }
 
     /// Reads the whole list as the platform knows it, some time ago.
-    pub async fn read(&self) -> Result<Vec<VmRow>, PlatError> {
+    pub async fn read(&self) -> Result<Vec<VmRow>, PlatformError> {
         let answer = self.http.get(format!("{}/v1/vms", self.base)).send().await?;
         check_status(answer.status())?;
         read_json(answer).await
--- a/crates/plat/tests/clients.rs
+++ b/crates/plat/tests/clients.rs
@@ -5,7 +5,7 @@
 
 use bytes::Bytes;
 use chestnut_fake::{Handle, WeightSpeed, platform};
-use chestnut_plat::{Objects, PlatError, Table, Txn, TxnAnswer};
+use chestnut_plat::{ObjectStore, PlatformError, TableClient, Txn, TxnResponse};
 use serde_json::{Value, json};
 
 /// Longer than any call takes that is answered.
@@ -30,67 +30,67 @@
 #[tokio::test]
 async fn commit_checks_and_writes_together() {
     let platform = platform().await;
-    let table = Table::new(platform.url(), PATIENT).unwrap();
-    let TxnAnswer::Committed { version, .. } = table.commit(&put("one")).await.unwrap()
+    let table = TableClient::new(platform.url(), PATIENT).unwrap();
+    let TxnResponse::Committed { version, .. } = table.commit(&put("one")).await.unwrap()
     else {
         panic!("the row is new")
     };
     let answer = table.commit(&put("two")).await.unwrap();
-    let TxnAnswer::Conflict { check: 0, row: Some(row) } = answer else {
+    let TxnResponse::Conflict { check: 0, row: Some(row) } = answer else {
         panic!("the row exists: {answer:?}")
     };
     assert_eq!((row.value, row.version), (json!("one"), version));
     let txn = Txn::new().version("t", "k", version).delete("t", "k");
-    assert!(matches!(table.commit(&txn).await, Ok(TxnAnswer::Committed { .. })));
+    assert!(matches!(table.commit(&txn).await, Ok(TxnResponse::Committed { .. })));
     let delta = table.scan("t", "", version).await.unwrap();
-    assert_eq!((delta.rows.len(), delta.gone), (0, vec!["k".to_owned()]));
+    assert_eq!((delta.rows.len(), delta.deleted), (0, vec!["k".to_owned()]));
 }
 
 #[tokio::test]
 async fn get_reads_the_key_and_not_its_namesakes() {
     let platform = platform().await;
-    let table = Table::new(platform.url(), PATIENT).unwrap();
+    let table = TableClient::new(platform.url(), PATIENT).unwrap();
     table.commit(&Txn::new().put("t", "slot:11", json!(11))).await.unwrap();
     assert_eq!(table.get("t", "slot:1").await.unwrap(), None);
     assert_eq!(table.get("t", "slot:11").await.unwrap().unwrap().value, json!(11));
 }
 
-/// The caller of the client sees `Unknown`, although the write took effect.
+/// The caller of the client sees `OutcomeUnknown`, although the write took effect.
 ///
 /// First the commit takes effect, then the connection is cut before the answer.
-/// A client that called this `Down` would let its caller write, or run, again.
+/// A client that called this `Unavailable` would let its caller write, or run, again.
 #[tokio::test]
 async fn lost_acknowledgement_is_unknown_and_read_back() {
     let platform = platform().await;
-    let table = Table::new(platform.url(), PATIENT).unwrap();
+    let table = TableClient::new(platform.url(), PATIENT).unwrap();
     fault(&platform, json!({"table": {"lose_acks": 1}})).await;
     let error = table.commit(&put("one")).await.unwrap_err();
-    assert!(matches!(error, PlatError::Unknown(_)), "{error}");
+    assert!(matches!(error, PlatformError::OutcomeUnknown(_)), "{error}");
     assert_eq!(table.get("t", "k").await.unwrap().unwrap().value, json!("one"));
-    assert!(matches!(table.commit(&put("two")).await, Ok(TxnAnswer::Conflict { .. })));
+    assert!(matches!(table.commit(&put("two")).await, Ok(TxnResponse::Conflict { .. })));
 }
 
-/// The caller of the client sees `Unknown` when it gave up waiting.
+/// The caller of the client sees `OutcomeUnknown` when it gave up waiting.
 ///
 /// The service is slow, the client's time passes, and the commit takes effect
 /// after that: giving up is no proof that nothing happened.
 #[tokio::test]
 async fn timeout_is_unknown() {
     let platform = platform().await;
-    let hasty = Table::new(platform.url(), Duration::from_millis(50)).unwrap();
+    let hasty = TableClient::new(platform.url(), Duration::from_millis(50)).unwrap();
     fault(&platform, json!({"table": {"delay_ms": 2000}})).await;
     let error = hasty.commit(&put("one")).await.unwrap_err();
-    assert!(matches!(error, PlatError::Unknown(_)), "{error}");
+    assert!(matches!(error, PlatformError::OutcomeUnknown(_)), "{error}");
 }
 
-/// The caller of the client sees `Down`: a refusal and a closed port did nothing.
+/// The caller of the client sees `Unavailable`: a refusal and a closed port did nothing.
 #[tokio::test]
 async fn refusal_and_closed_port_are_down() {
     let platform = platform().await;
-    let table = Table::new(platform.url(), PATIENT).unwrap();
+    let table = TableClient::new(platform.url(), PATIENT).unwrap();
     fault(&platform, json!({"table": {"down": true}})).await;
     let error = table.commit(&put("one")).await.unwrap_err();
-    assert!(matches!(error, PlatError::Down(_)), "{error}");
+    assert!(matches!(error, PlatformError::Unavailable(_)), "{error}");
     fault(&platform, json!({"table": {"down": false}})).await;
     assert_eq!(table.get("t", "k").await.unwrap(), None);
     let address = platform.address;
@@ -100,13 +100,13 @@
         tokio::time::sleep(Duration::from_millis(5)).await;
     }
     let error = table.commit(&put("one")).await.unwrap_err();
-    assert!(matches!(error, PlatError::Down(_)), "{error}");
+    assert!(matches!(error, PlatformError::Unavailable(_)), "{error}");
 }
 
 #[tokio::test]
 async fn objects_are_stored_once_when_fresh() {
     let platform = platform().await;
-    let objects = Objects::new(platform.url(), PATIENT).unwrap();
+    let objects = ObjectStore::new(platform.url(), PATIENT).unwrap();
     let (one, two) = (Bytes::from_static(b"one"), Bytes::from_static(b"two"));
     assert!(objects.put("a/b c", one.clone(), true).await.unwrap());
     assert!(!objects.put("a/b c", two, true).await.unwrap());
@@ -114,6 +114,6 @@
     assert_eq!(objects.list("a/").await.unwrap(), ["a/b c"]);
     fault(&platform, json!({"objects": {"lose_acks": 1}})).await;
     let error = objects.delete("a/b c").await.unwrap_err();
-    assert!(matches!(error, PlatError::Unknown(_)), "{error}");
+    assert!(matches!(error, PlatformError::OutcomeUnknown(_)), "{error}");
     assert_eq!(objects.get("a/b c").await.unwrap(), None);
 }
--- a/crates/pool/src/choose.rs
+++ b/crates/pool/src/choose.rs
@@ -18,7 +18,7 @@
 use std::time::{Duration, Instant};
 
 use chestnut_base::DomainName;
-use chestnut_edge::{Engine, PromptPart, Size, TargetModel};
+use chestnut_edge::{Engine, GenerationSize, PromptPart, TargetModel};
 use serde::{Deserialize, Serialize};
 use serde_with::{DurationMilliSeconds, serde_as};
 
@@ -35,7 +35,7 @@
     /// The model.
     pub target: TargetModel,
     /// The size of the generation.
-    pub size: Size,
+    pub size: GenerationSize,
     /// The parts of the prompt.
     pub parts: Vec<PromptPart>,
     /// How urgent it is; 0 goes first.
@@ -104,7 +104,7 @@
 pub const SILENT_COST: f64 = 60.0;
 
 /// Estimates a server's answer from what is in flight there, if a token is read in `token`.
-pub fn estimate(usage: Usage, size: Size, token: Duration) -> f64 {
+pub fn estimate(usage: Usage, size: GenerationSize, token: Duration) -> f64 {
     let unread = usage.unread as f64 + f64::from(size.prompt);
     unread * millis(token) + f64::from(usage.requests) * RUN_COST
 }
@@ -161,7 +161,7 @@
 fn room_wait(
     usage: Usage,
     ahead: Ahead,
-    size: Size,
+    size: GenerationSize,
     engine: &Engine,
     stay: Duration,
 ) -> f64 {
@@ -170,7 +170,7 @@
     // As streams end one by one, a share of the room is free after that share of a stay.
     let short = |need: f64, room: f64| ((need - room) / room.max(1.0)).max(0.0);
     let places = short(requests, f64::from(engine.slots));
-    places.max(short(tokens, engine.usable_tokens() as f64)) * millis(stay)
+    places.max(short(tokens, engine.usable_kv_tokens() as f64)) * millis(stay)
 }
 
 /// What a daemon itself adds to a server's cost, in milliseconds.
--- a/crates/pool/src/demand.rs
+++ b/crates/pool/src/demand.rs
@@ -204,6 +204,6 @@
 fn work(asked: Asked, stay: f64, token: Duration, engine: &Engine) -> f64 {
     let reading = asked.prompt * token.as_secs_f64() / READ_SHARE;
     let places = asked.requests * stay / f64::from(engine.slots.max(1));
-    let memory = asked.tokens * stay / (engine.usable_tokens().max(1) as f64);
+    let memory = asked.tokens * stay / (engine.usable_kv_tokens().max(1) as f64);
     reading.max(places).max(memory)
 }
--- a/crates/pool/src/fleet.rs
+++ b/crates/pool/src/fleet.rs
@@ -48,7 +48,7 @@
         let known = self.names.get(&entry.name).copied();
         if let Some(key) = known
             && let Some(server) = self.servers.get_mut(key)
-            && server.entry.born == entry.born
+            && server.entry.started_at_ms == entry.started_at_ms
         {
             server.entry = entry;
             server.missing = None;
--- a/crates/pool/src/moving.rs
+++ b/crates/pool/src/moving.rs
@@ -95,7 +95,7 @@
 
     /// Whether what it drops is gone, as far as the registry tells.
     pub fn is_drained(&self, runner: &ServerEntry) -> bool {
-        !self.change.drop.iter().any(|model| runner.holds(model))
+        !self.change.drop.iter().any(|model| runner.has_model(model))
     }
 
     /// Whether the move is under way still, as far as the registry tells.
@@ -104,7 +104,7 @@
             Stage::Draining(until) => now < until && !self.is_drained(runner),
             Stage::Loading(until) => {
                 let loaded =
-                    self.change.load.as_ref().is_none_or(|model| runner.holds(model));
+                    self.change.load.as_ref().is_none_or(|model| runner.has_model(model));
                 now < until && !loaded
             }
         }
--- a/crates/pool/src/placing.rs
+++ b/crates/pool/src/placing.rs
@@ -13,7 +13,7 @@
 use std::time::{Duration, Instant};
 
 use chestnut_base::{DomainName, MemberId, ModelName, ServerName};
-use chestnut_edge::{Engine, HeldModel, ServerEntry};
+use chestnut_edge::{Engine, LoadedModel, ServerEntry};
 use chestnut_place::{ModelState, Placement, PoolState, RunnerState, plan};
 use indexmap::{IndexMap, IndexSet};
 
@@ -253,7 +253,7 @@
         }
         for runner in scene.runners {
             let declared =
-                |held: &HeldModel| scene.engine.models.contains_key(&held.model);
+                |held: &LoadedModel| scene.engine.models.contains_key(&held.model);
             let held = runner.models.iter().all(declared);
             let fixed = self.is_fixed(scene, runner);
             let moving = self.moving.contains_key(&runner.name);
@@ -301,7 +301,7 @@
         let runner_state = |runner: &ServerEntry| RunnerState {
             domain: domains.get_index_of(&runner.domain).unwrap_or_default(),
             capacity: (scene.engine.memory_mb * MB) as u64,
-            other: (scene.engine.adapter_reserve() * MB) as u64,
+            other: (scene.engine.adapter_reserve_mb() * MB) as u64,
             stays: true,
             fixed: self.is_fixed(scene, runner),
         };
@@ -341,8 +341,9 @@
         let drops = |runner: &ServerEntry| {
             moving(runner).is_some_and(|moving| moving.change.drop.contains(name))
         };
-        let there =
-            |runner: &ServerEntry| loads(runner) || runner.holds(name) && !drops(runner);
+        let there = |runner: &ServerEntry| {
+            loads(runner) || runner.has_model(name) && !drops(runner)
+        };
         let indices = |which: &dyn Fn(&ServerEntry) -> bool| {
             let runners = scene.runners.iter().enumerate();
             runners.filter(|(_, runner)| which(runner)).map(|(index, _)| index).collect()
@@ -350,7 +351,7 @@
         ModelState {
             bytes: (declared.weights_mb * MB) as u64,
             replicas: 1,
-            cold: declared.load,
+            cold: declared.store_load_time,
             demand: self.demand(name),
             placed: indices(&there),
             loading: scene.runners.iter().filter(|runner| loads(runner)).count(),
@@ -361,7 +362,7 @@
 
 /// Whether the runner has a copy of the weights, so that the store isn't needed.
 fn is_near(runner: &ServerEntry, model: &ModelName) -> bool {
-    runner.warm.contains(model) || runner.on_disk.contains(model)
+    runner.in_memory.contains(model) || runner.on_disk.contains(model)
 }
 
 /// Whether the largest model fits beside what the runner holds.
@@ -369,7 +370,7 @@
     let size = |name: &ModelName| engine.models.get(name).map_or(0.0, |m| m.weights_mb);
     let held: f64 = runner.models.iter().map(|held| size(&held.model)).sum();
     let largest = engine.models.values().map(|m| m.weights_mb).fold(0.0, f64::max);
-    held + largest + engine.adapter_reserve() <= engine.memory_mb
+    held + largest + engine.adapter_reserve_mb() <= engine.memory_mb
 }
 
 /// The changes that lead from what runners hold to a placement, in its order; a runner
--- a/crates/pool/src/runner.rs
+++ b/crates/pool/src/runner.rs
@@ -8,7 +8,7 @@
 use std::time::{Duration, Instant};
 
 use chestnut_base::{AdapterName, MemberId, ModelName};
-use chestnut_edge::{Engine, EngineReport, HeldModel, OrderStep, TargetModel};
+use chestnut_edge::{Engine, EngineReport, LoadedModel, OrderAction, TargetModel};
 use indexmap::IndexMap;
 
 use crate::choose::Want;
@@ -70,7 +70,7 @@
     /// Nothing; it is there in this time.
     Ready(Duration),
     /// This order.
-    Order(OrderStep),
+    Order(OrderAction),
     /// It can't be had: all places are in use.
     Full,
 }
@@ -123,20 +123,20 @@
     /// shows models that are gone and memory that is taken: loading by it would
     /// crash the runner.
     pub fn learn(&mut self, report: &EngineReport, now: Instant) -> bool {
-        if report.orders < self.floor {
+        if report.accepted_orders < self.floor {
             return false;
         }
-        self.floor = report.orders;
+        self.floor = report.accepted_orders;
         if report.busy {
             // A model on its way is not among those that the report lists.
             self.busy = Some(now + BUSY_TIME);
             return false;
         }
-        self.orders = Some(report.orders);
+        self.orders = Some(report.accepted_orders);
         self.busy = None;
         self.leaving = None;
         self.learn_models(&report.models, now);
-        for (model, adapter) in &report.coming {
+        for (model, adapter) in &report.loading_adapters {
             let slot = Slot::new(now, now);
             self.adapters.entry(target(model, adapter)).or_insert(slot);
         }
@@ -144,7 +144,7 @@
     }
 
     /// Takes in which models and adapters the runner holds.
-    fn learn_models(&mut self, held: &[HeldModel], now: Instant) {
+    fn learn_models(&mut self, held: &[LoadedModel], now: Instant) {
         self.models = held.iter().map(|held| held.model.clone()).collect();
         let mut adapters = IndexMap::new();
         for model in held {
@@ -197,44 +197,44 @@
     }
 
     /// Takes in that the runner has accepted an order that takes `time`.
-    pub fn accepted(&mut self, step: &OrderStep, time: Duration, now: Instant) {
+    pub fn accepted(&mut self, step: &OrderAction, time: Duration, now: Instant) {
         self.orders = self.orders.map(|orders| orders + 1);
         self.floor = self.orders.unwrap_or(self.floor);
         match step {
-            OrderStep::Load(model) => {
+            OrderAction::Load(model) => {
                 self.busy = Some(now + time);
                 self.models.push(model.clone());
             }
             // The model keeps its memory until its runs have ended.
-            OrderStep::Unload(model) => {
+            OrderAction::Unload(model) => {
                 self.busy = Some(now + time);
                 self.leaving = Some(model.clone());
             }
-            OrderStep::LoadAdapter(model, adapter) => {
+            OrderAction::LoadAdapter(model, adapter) => {
                 let slot = Slot::new(now + time, now);
                 self.adapters.insert(target(model, adapter), slot);
             }
-            OrderStep::UnloadAdapter(..) => {}
+            OrderAction::UnloadAdapter(..) => {}
         }
     }
 
     /// Takes in that what was ordered holds.
-    pub fn holds(&mut self, step: &OrderStep, now: Instant) {
+    pub fn holds(&mut self, step: &OrderAction, now: Instant) {
         match step {
-            OrderStep::Load(model) if !self.models.contains(model) => {
+            OrderAction::Load(model) if !self.models.contains(model) => {
                 self.models.push(model.clone());
             }
-            OrderStep::Load(_) => {}
-            OrderStep::Unload(model) => {
+            OrderAction::Load(_) => {}
+            OrderAction::Unload(model) => {
                 self.models.retain(|held| held != model);
                 self.adapters.retain(|target, _| target.model != *model);
             }
-            OrderStep::LoadAdapter(model, adapter) => {
+            OrderAction::LoadAdapter(model, adapter) => {
                 let slot = Slot::new(now, now);
                 self.adapters.insert(target(model, adapter), slot);
             }
             // An adapter that nothing uses is dropped at once, by an accepted order.
-            OrderStep::UnloadAdapter(model, adapter) => {
+            OrderAction::UnloadAdapter(model, adapter) => {
                 self.adapters.swap_remove(&target(model, adapter));
                 self.orders = self.orders.map(|orders| orders + 1);
                 self.floor = self.orders.unwrap_or(self.floor);
@@ -300,13 +300,13 @@
             AdapterState::Ready => AdapterNeed::Ready(Duration::ZERO),
             AdapterState::Coming(left) => AdapterNeed::Ready(left),
             AdapterState::Free => {
-                let step = OrderStep::LoadAdapter(target.model.clone(), adapter);
+                let step = OrderAction::LoadAdapter(target.model.clone(), adapter);
                 AdapterNeed::Order(step)
             }
             AdapterState::Evict | AdapterState::Full => {
                 let victim = self.victim(now).cloned();
                 let step = victim.and_then(|victim| {
-                    Some(OrderStep::UnloadAdapter(victim.model, victim.adapter?))
+                    Some(OrderAction::UnloadAdapter(victim.model, victim.adapter?))
                 });
                 step.map_or(AdapterNeed::Full, AdapterNeed::Order)
             }
@@ -319,7 +319,7 @@
         let held: Option<f64> = self.models.iter().map(size).sum();
         match (held, size(model)) {
             (Some(held), Some(size)) => {
-                held + size + engine.adapter_reserve() <= engine.memory_mb
+                held + size + engine.adapter_reserve_mb() <= engine.memory_mb
             }
             // A model of unknown size may take any room.
             _ => false,
--- a/crates/pool/src/usage.rs
+++ b/crates/pool/src/usage.rs
@@ -2,14 +2,14 @@
 
 use std::ops::{AddAssign, SubAssign};
 
-use chestnut_edge::Size;
+use chestnut_edge::GenerationSize;
 use serde::{Deserialize, Serialize};
 
 /// One request in flight, as far as it takes room at a server.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Flight {
     /// The size of the generation; zero for plain requests.
-    pub size: Size,
+    pub size: GenerationSize,
     /// Whether the server has begun to answer.
     pub begun: bool,
 }
--- a/crates/pool/tests/choose.rs
+++ b/crates/pool/tests/choose.rs
@@ -5,7 +5,7 @@
 use std::time::{Duration, Instant};
 
 use chestnut_base::MemberId;
-use chestnut_edge::{HeldModel, PromptPart, Size};
+use chestnut_edge::{GenerationSize, LoadedModel, PromptPart};
 use chestnut_pool::{
     Bid, Prefixes, Room, Runner, Speeds, Ticket, Usage, Waiting, Want, bid,
 };
@@ -21,7 +21,7 @@
 fn want(target: chestnut_edge::TargetModel, prompt: u32) -> Want {
     Want {
         target,
-        size: Size { prompt, output: 150 },
+        size: GenerationSize { prompt, output: 150 },
         parts: Vec::new(),
         urgency: 0,
         target_time: Duration::from_millis(800),
@@ -82,10 +82,10 @@
 
 fn loaded(adapters: usize, now: Instant) -> Runner {
     let names = (0..adapters).map(|n| support::adapter(&format!("a{n}")));
-    let held = HeldModel { model: model("m"), version: 1, adapters: names.collect() };
+    let held = LoadedModel { model: model("m"), version: 1, adapters: names.collect() };
     let report = chestnut_edge::EngineReport {
         models: vec![held],
-        orders: 1,
+        accepted_orders: 1,
         ..Default::default()
     };
     let mut runner = Runner::default();
@@ -117,7 +117,7 @@
     // says so; callers would be sent there again and again.
     let now = Instant::now();
     let mut runner = loaded(0, now);
-    let step = chestnut_edge::OrderStep::Unload(model("m"));
+    let step = chestnut_edge::OrderAction::Unload(model("m"));
     runner.accepted(&step, Duration::from_secs(1), now);
     assert!(cost(&runner, base("m"), now).cost.is_infinite());
 }
--- a/crates/pool/tests/orders.rs
+++ b/crates/pool/tests/orders.rs
@@ -11,7 +11,7 @@
 use std::time::{Duration, Instant};
 
 use chestnut_base::ModelName;
-use chestnut_edge::{Engine, EngineReport, HeldModel, OrderStep, TargetModel};
+use chestnut_edge::{Engine, EngineReport, LoadedModel, OrderAction, TargetModel};
 use chestnut_pool::{AdapterNeed, Runner};
 use proptest::prelude::*;
 
@@ -30,12 +30,12 @@
 /// The runner itself.
 struct Truth {
     declared: Engine,
-    models: Vec<HeldModel>,
+    models: Vec<LoadedModel>,
     orders: u64,
     /// The model on its way and when it is there.
-    loading: Option<(OrderStep, Instant)>,
+    loading: Option<(OrderAction, Instant)>,
     /// Orders that were not answered, and when they act: the number they carry.
-    late: Vec<(OrderStep, u64, Instant)>,
+    late: Vec<(OrderAction, u64, Instant)>,
     /// What it reported, and when.
     reports: Vec<(Instant, EngineReport)>,
     born: u64,
@@ -98,8 +98,8 @@
         let report = EngineReport {
             models: self.models.clone(),
             busy: self.loading.is_some(),
-            orders: self.orders,
-            born: Some(self.born),
+            accepted_orders: self.orders,
+            started_at_ms: Some(self.born),
             ..EngineReport::default()
         };
         self.reports.push((now, report));
@@ -121,7 +121,7 @@
             self.finish(step);
             self.note(at);
         }
-        let due = |(.., at): &(OrderStep, u64, Instant)| *at <= now;
+        let due = |(.., at): &(OrderAction, u64, Instant)| *at <= now;
         let (acting, waiting): (Vec<_>, Vec<_>) =
             std::mem::take(&mut self.late).into_iter().partition(due);
         self.late = waiting;
@@ -131,7 +131,7 @@
     }
 
     /// Takes an order; returns whether it was accepted, and whether it holds already.
-    fn order(&mut self, step: OrderStep, after: u64, now: Instant) -> (bool, bool) {
+    fn order(&mut self, step: OrderAction, after: u64, now: Instant) -> (bool, bool) {
         if self.loading.is_some() || after != self.orders {
             return (false, false);
         }
@@ -140,7 +140,7 @@
         }
         self.orders += 1;
         match step {
-            OrderStep::Load(_) => self.loading = Some((step, now + LOAD)),
+            OrderAction::Load(_) => self.loading = Some((step, now + LOAD)),
             _ => self.finish(step),
         }
         self.check();
@@ -148,35 +148,35 @@
         (true, false)
     }
 
-    fn holds(&self, step: &OrderStep) -> bool {
+    fn holds(&self, step: &OrderAction) -> bool {
         let held = |name: &ModelName| self.models.iter().find(|held| held.model == *name);
         match step {
-            OrderStep::Load(name) => held(name).is_some(),
-            OrderStep::Unload(name) => held(name).is_none(),
-            OrderStep::LoadAdapter(name, one) => {
+            OrderAction::Load(name) => held(name).is_some(),
+            OrderAction::Unload(name) => held(name).is_none(),
+            OrderAction::LoadAdapter(name, one) => {
                 held(name).is_none_or(|held| held.adapters.contains(one))
             }
-            OrderStep::UnloadAdapter(name, one) => {
+            OrderAction::UnloadAdapter(name, one) => {
                 held(name).is_none_or(|held| !held.adapters.contains(one))
             }
         }
     }
 
-    fn finish(&mut self, step: OrderStep) {
-        let held = |models: &[HeldModel], name: ModelName| {
+    fn finish(&mut self, step: OrderAction) {
+        let held = |models: &[LoadedModel], name: ModelName| {
             models.iter().position(|held| held.model == name)
         };
         match step {
-            OrderStep::Load(model) => {
-                self.models.push(HeldModel { model, version: 1, adapters: Vec::new() });
+            OrderAction::Load(model) => {
+                self.models.push(LoadedModel { model, version: 1, adapters: Vec::new() });
             }
-            OrderStep::Unload(name) => self.models.retain(|held| held.model != name),
-            OrderStep::LoadAdapter(name, adapter) => {
+            OrderAction::Unload(name) => self.models.retain(|held| held.model != name),
+            OrderAction::LoadAdapter(name, adapter) => {
                 if let Some(at) = held(&self.models, name) {
                     self.models[at].adapters.push(adapter);
                 }
             }
-            OrderStep::UnloadAdapter(name, adapter) => {
+            OrderAction::UnloadAdapter(name, adapter) => {
                 if let Some(at) = held(&self.models, name) {
                     self.models[at].adapters.retain(|one| *one != adapter);
                 }
@@ -186,7 +186,7 @@
 
     fn check(&mut self) {
         let loading = self.loading.iter().filter_map(|(step, _)| match step {
-            OrderStep::Load(model) => Some(model),
+            OrderAction::Load(model) => Some(model),
             _ => None,
         });
         let held = self.models.iter().map(|held| &held.model).chain(loading);
@@ -232,12 +232,12 @@
                 let fits = self.learn() && self.known.fits(&name, &self.truth.declared);
                 let there = self.known.models().contains(&name);
                 if fits && !there {
-                    self.order(OrderStep::Load(name), fate);
+                    self.order(OrderAction::Load(name), fate);
                 }
             }
             Op::Unload { model: index, fate } => {
                 if self.learn() {
-                    self.order(OrderStep::Unload(model(SIZES[index].0)), fate);
+                    self.order(OrderAction::Unload(model(SIZES[index].0)), fate);
                 }
             }
             Op::Missed { model, number } => {
@@ -270,10 +270,10 @@
             return true;
         }
         let report = self.truth.report(self.now);
-        report.born == Some(self.born) && self.known.learn(&report, self.now)
+        report.started_at_ms == Some(self.born) && self.known.learn(&report, self.now)
     }
 
-    fn order(&mut self, step: OrderStep, fate: Fate) {
+    fn order(&mut self, step: OrderAction, fate: Fate) {
         let Some(after) = self.known.orders() else { return };
         if let Fate::Late(millis) = fate {
             let at = self.now + Duration::from_millis(millis);
@@ -281,7 +281,7 @@
             return self.known.doubt();
         }
         let (accepted, holds) = self.truth.order(step.clone(), after, self.now);
-        let in_use = matches!(step, OrderStep::UnloadAdapter(..));
+        let in_use = matches!(step, OrderAction::UnloadAdapter(..));
         match (fate, accepted, holds) {
             (Fate::Lost, ..) | (_, false, false) => self.known.doubt(),
             // An adapter that nothing uses is dropped at once.
--- a/crates/pool/tests/placing.rs
+++ b/crates/pool/tests/placing.rs
@@ -5,7 +5,7 @@
 use std::time::{Duration, Instant};
 
 use chestnut_base::{DomainName, MemberId, ModelName, ServerName, ServiceName};
-use chestnut_edge::{Engine, HeldModel, Phase, ServerEntry};
+use chestnut_edge::{Engine, LoadedModel, Phase, ServerEntry};
 use chestnut_pool::moving::Move;
 use chestnut_pool::placing::{Placing, Scene};
 use chestnut_pool::{Asked, LoadBound, Speeds};
@@ -20,19 +20,19 @@
 
 fn runner(name: &str, models: &[&str]) -> ServerEntry {
     let held =
-        |name: &&str| HeldModel { model: model(name), version: 1, adapters: vec![] };
+        |name: &&str| LoadedModel { model: model(name), version: 1, adapters: vec![] };
     ServerEntry {
         name: ServerName::try_from(name).expect("a valid name"),
-        born: Some(1),
+        started_at_ms: Some(1),
         service: ServiceName::try_from("letters").expect("a valid name"),
         address: "10.0.0.1:80".parse().expect("a valid address"),
         domain: DomainName::try_from("a").expect("a valid name"),
         slots: 64,
         phase: Phase::Ready,
-        cold: Duration::ZERO,
-        orders: 0,
+        warmup_remaining: Duration::ZERO,
+        accepted_orders: 0,
         models: models.iter().map(held).collect(),
-        warm: Vec::new(),
+        in_memory: Vec::new(),
         on_disk: Vec::new(),
     }
 }
@@ -60,7 +60,7 @@
         runner("r2", &["old", "y"]),
         runner("r3", &["hot"]),
     ];
-    runners[1].warm = vec![model("hot")];
+    runners[1].in_memory = vec![model("hot")];
     let start = Instant::now();
     let speeds = Speeds::default();
     let mut placing = Placing::new(start);
@@ -136,14 +136,14 @@
             let Some(runner) = self.runners.get_mut(index) else { continue };
             let held = &mut runner.models;
             match load {
-                true => held.push(HeldModel { model, version: 1, adapters: vec![] }),
+                true => held.push(LoadedModel { model, version: 1, adapters: vec![] }),
                 false => held.retain(|held| held.model != model),
             }
         }
     }
 
     fn replicas(&self, name: &str) -> usize {
-        self.runners.iter().filter(|runner| runner.holds(&model(name))).count()
+        self.runners.iter().filter(|runner| runner.has_model(&model(name))).count()
     }
 }
 
--- a/crates/pool/tests/queue.rs
+++ b/crates/pool/tests/queue.rs
@@ -4,7 +4,7 @@
 use std::time::{Duration, Instant};
 
 use chestnut_base::{DomainName, MemberId, ServerName, ServiceName};
-use chestnut_edge::{Phase, ServerEntry, Size};
+use chestnut_edge::{GenerationSize, Phase, ServerEntry};
 use chestnut_pool::{
     Asker, Fleet, Flight, Listed, Outcome, PlainWant, Queue, QueueStep, choose,
 };
@@ -133,16 +133,16 @@
 fn entry(number: usize) -> ServerEntry {
     ServerEntry {
         name: server(number),
-        born: Some(1),
+        started_at_ms: Some(1),
         service: ServiceName::try_from("ledger").expect("a valid name"),
         address: ([127, 0, 0, 1], 9000 + number as u16).into(),
         domain: domain(number),
         slots: SLOTS,
         phase: Phase::Ready,
-        cold: Duration::ZERO,
-        orders: 0,
+        warmup_remaining: Duration::ZERO,
+        accepted_orders: 0,
         models: Vec::new(),
-        warm: Vec::new(),
+        in_memory: Vec::new(),
         on_disk: Vec::new(),
     }
 }
@@ -158,7 +158,7 @@
         }
     }
     let service = ServiceName::try_from("ledger").expect("a valid name");
-    let flight = Flight { size: Size::default(), begun: false };
+    let flight = Flight { size: GenerationSize::default(), begun: false };
     let mut running: Vec<(u64, usize, ServerName)> = Vec::new();
     let mut due: IndexMap<usize, u64> = IndexMap::new();
     let (mut late, mut next) = (0, 0);
--- a/crates/pool/tests/servers.rs
+++ b/crates/pool/tests/servers.rs
@@ -5,23 +5,23 @@
 use std::time::{Duration, Instant};
 
 use chestnut_base::{DomainName, MemberId, ServerName, ServiceName};
-use chestnut_edge::{Phase, ServerEntry, Size};
+use chestnut_edge::{GenerationSize, Phase, ServerEntry};
 use chestnut_pool::lost::Lost;
 use chestnut_pool::{Fleet, Flight, Health};
 
 fn entry(name: &str, born: u64, phase: Phase) -> ServerEntry {
     ServerEntry {
         name: server(name),
-        born: Some(born),
+        started_at_ms: Some(born),
         service: ServiceName::try_from("letters").expect("a valid name"),
         address: "10.0.0.1:80".parse().expect("a valid address"),
         domain: DomainName::try_from("a").expect("a valid name"),
         slots: 6,
         phase,
-        cold: Duration::ZERO,
-        orders: 0,
+        warmup_remaining: Duration::ZERO,
+        accepted_orders: 0,
         models: Vec::new(),
-        warm: Vec::new(),
+        in_memory: Vec::new(),
         on_disk: Vec::new(),
     }
 }
@@ -79,7 +79,7 @@
     // A runner crashes and is back under its name. What was counted there is gone with
     // its former run, and the end of an old request must not count against the new run.
     let (mut fleet, now) = (Fleet::default(), Instant::now());
-    let size = Size { prompt: 100, output: 10 };
+    let size = GenerationSize { prompt: 100, output: 10 };
     let flight = Flight { size, begun: false };
     let old = fleet.list(entry("r1", 1, Phase::Ready));
     fleet.begin(old, flight);
--- a/crates/pool/tests/support/mod.rs
+++ b/crates/pool/tests/support/mod.rs
@@ -166,11 +166,11 @@
     let declared = |(name, size): &(&str, f64)| {
         let model = Model {
             weights_mb: size * 1000.0,
-            adapters: 8,
+            adapter_count: 8,
             adapter_mb: 66.0,
-            load: Duration::from_millis(1200),
-            warm_load: Duration::from_millis(600),
-            disk_load: Duration::from_millis(780),
+            store_load_time: Duration::from_millis(1200),
+            memory_load_time: Duration::from_millis(600),
+            disk_load_time: Duration::from_millis(780),
         };
         (self::model(name), model)
     };
--- a/crates/route/src/router.rs
+++ b/crates/route/src/router.rs
@@ -3,7 +3,7 @@
 use std::time::{Duration, Instant};
 
 use chestnut_base::ServerName;
-use chestnut_base::id::rendezvous;
+use chestnut_base::id::rendezvous_rank;
 use indexmap::IndexMap;
 use rand::rngs::SmallRng;
 use rand::{RngExt, SeedableRng};
@@ -30,7 +30,7 @@
 const PREFILL: Duration = Duration::from_micros(60);
 
 /// Tokens of a block of prompt text.
-const BLOCK_TOKENS: usize = chestnut_base::work::PREFIX_BLOCK / 4;
+const BLOCK_TOKENS: usize = chestnut_base::request::PREFIX_BLOCK_BYTES / 4;
 
 /// A backend server that may serve a request.
 #[derive(Debug, Clone, Copy, PartialEq)]
@@ -120,7 +120,7 @@
         if let Some(&key) = self.names.get(name) {
             return key;
         }
-        let hash = rendezvous("prefix", name.as_str());
+        let hash = rendezvous_rank("prefix", name.as_str());
         let key = self.servers.insert(Server { hash, ..Server::default() });
         self.names.insert(name.clone(), key);
         key
--- a/crates/wire/src/frame.rs
+++ b/crates/wire/src/frame.rs
@@ -7,15 +7,15 @@
 /// The largest frame that is sent or taken in, in bytes.
 ///
 /// A request's body is at most half of it, see the daemon's settings.
-pub const FRAME_LIMIT: usize = 4 * 1024 * 1024;
+pub const MAX_FRAME_BYTES: usize = 4 * 1024 * 1024;
 
 const PREFIX: usize = 4;
 
 /// A frame that can't be sent or read.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum FrameError {
-    /// The frame is larger than [`FRAME_LIMIT`].
-    Large(usize),
+    /// The frame is larger than [`MAX_FRAME_BYTES`].
+    TooLarge(usize),
     /// The bytes are not a message of the expected type.
     Malformed(String),
 }
@@ -23,9 +23,9 @@
 impl Display for FrameError {
     fn fmt(&self, f: &mut Formatter<'_>) -> fmt::Result {
         match self {
-            Self::Large(len) => write!(
+            Self::TooLarge(len) => write!(
                 f,
-                "a message has {len} bytes and the limit is {FRAME_LIMIT}; send a smaller body"
+                "a message has {len} bytes and the limit is {MAX_FRAME_BYTES}; send a smaller body"
             ),
             Self::Malformed(why) => write!(
                 f,
@@ -42,8 +42,8 @@
     let bytes = postcard::to_extend(message, vec![0; PREFIX])
         .map_err(|error| FrameError::Malformed(error.to_string()))?;
     let len = bytes.len() - PREFIX;
-    if len > FRAME_LIMIT {
-        return Err(FrameError::Large(len));
+    if len > MAX_FRAME_BYTES {
+        return Err(FrameError::TooLarge(len));
     }
     let mut bytes = bytes;
     bytes[..PREFIX].copy_from_slice(&(len as u32).to_le_bytes());
@@ -52,13 +52,13 @@
 
 /// Cuts incoming bytes into frames.
 #[derive(Debug, Default)]
-pub struct Frames {
+pub struct FrameDecoder {
     /// Bytes that arrived and were not decoded yet; the first `taken` are done.
     buffer: Vec<u8>,
     taken: usize,
 }
 
-impl Frames {
+impl FrameDecoder {
     /// Creates an empty buffer.
     pub fn new() -> Self {
         Self::default()
@@ -78,8 +78,8 @@
             return Ok(None);
         };
         let len = u32::from_le_bytes(*prefix) as usize;
-        if len > FRAME_LIMIT {
-            return Err(FrameError::Large(len));
+        if len > MAX_FRAME_BYTES {
+            return Err(FrameError::TooLarge(len));
         }
         let Some(body) = body.get(..len) else {
             return Ok(None);
--- a/crates/wire/src/message.rs
+++ b/crates/wire/src/message.rs
@@ -2,18 +2,18 @@
 
 use bytes::Bytes;
 use chestnut_base::{
-    AttemptId, Digest, Fence, MemberId, Refusal, RequestId, Revision, ServerName, VmName,
-    Work,
+    AttemptId, Digest, Fence, MemberId, Refusal, RequestId, RequestSpec, Revision,
+    ServerName, VmName,
 };
 use serde::{Deserialize, Serialize};
 
 /// What one daemon asks of another.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
-pub enum Ask {
+pub enum PeerRequest {
     /// Run a request on a backend server that the other daemon leads.
-    Run(Run),
+    Run(AttemptRequest),
     /// Run a non-idempotent request whose slot the other daemon leads.
-    Once(Once),
+    Once(OnceRequest),
     /// Tell what became of a non-idempotent request.
     Lookup(RequestId),
     /// Hand over what changed in the configuration after a revision.
@@ -21,23 +21,26 @@
     /// Tell how the other daemon is.
     Status,
     /// Learn that a daemon is leaving and gives up its claims.
-    Leaving(MemberId),
+    #[serde(rename = "Leaving")]
+    ShuttingDown(MemberId),
     /// Learn which requests were in flight when a backend server crashed.
-    Blame(Vec<Blame>),
+    #[serde(rename = "Blame")]
+    ReportSuspects(Vec<CrashSuspect>),
 }
 
 /// What is held against a request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Blame {
+pub struct CrashSuspect {
     /// The request's digest.
     pub digest: Digest,
     /// Whether it crashed a second backend server and is refused.
-    pub convicted: bool,
+    #[serde(rename = "convicted")]
+    pub confirmed: bool,
 }
 
 /// One attempt at a request on one backend server.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
-pub struct Run {
+pub struct AttemptRequest {
     /// The number of the attempt.
     pub attempt: AttemptId,
     /// The backend server that was picked.
@@ -45,18 +48,19 @@
     /// The claim's fence as the asking daemon knows it.
     pub fence: Fence,
     /// The request.
-    pub work: Work,
+    #[serde(rename = "work")]
+    pub request: RequestSpec,
     /// How to call the backend server.
-    pub call: Call,
+    pub call: HttpCall,
     /// Where to go on if an earlier attempt broke off.
-    pub resume: Option<Resume>,
+    pub resume: Option<ResumePoint>,
     /// Whether a backend server crashed under an earlier attempt.
     pub suspect: bool,
 }
 
 /// The call as the caller made it.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
-pub struct Call {
+pub struct HttpCall {
     /// The HTTP method.
     pub method: String,
     /// The path and query at the backend server.
@@ -69,7 +73,7 @@
 
 /// The tokens that a caller already has of a broken answer.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Resume {
+pub struct ResumePoint {
     /// How many tokens the caller has.
     pub tokens: u32,
     /// Their text.
@@ -78,18 +82,20 @@
 
 /// A non-idempotent request on its way to the lead of its slot.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
-pub struct Once {
+pub struct OnceRequest {
     /// The request; its id is always present.
-    pub work: Work,
+    #[serde(rename = "work")]
+    pub request: RequestSpec,
     /// How to call the backend server.
-    pub call: Call,
+    pub call: HttpCall,
 }
 
 /// A frame of an answer.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
-pub enum Say {
+pub enum PeerResponse {
     /// The other daemon still works on it; sent when nothing else was for a while.
-    Alive,
+    #[serde(rename = "Alive")]
+    Heartbeat,
     /// The request was admitted and will be dispatched; nothing was sent yet.
     Queued,
     /// The request was not dispatched, and this daemon will not dispatch it.
@@ -99,7 +105,7 @@
         /// Why, and when to come back.
         refusal: Refusal,
         /// Whether another backend server may take it, and which are better.
-        hint: Hint,
+        hint: RetryHint,
     },
     /// The request was handed to the backend server's connection.
     Dispatched,
@@ -128,7 +134,7 @@
         /// Why the model stopped, in the engine's words; empty for services.
         reason: String,
         /// The load of the backend server after this request.
-        load: Load,
+        load: ServerLoad,
     },
     /// The attempt was handed to the backend server and broke off.
     ///
@@ -145,9 +151,9 @@
     /// Final.
     Preempted {
         /// The load of the backend server after it.
-        load: Load,
+        load: ServerLoad,
     },
-    /// The state of a non-idempotent request; the answer to [`Ask::Lookup`].
+    /// The state of a non-idempotent request; the answer to [`PeerRequest::Lookup`].
     ///
     /// Final.
     Once(OnceState),
@@ -155,22 +161,23 @@
     ///
     /// Final.
     Config(Option<Bytes>),
-    /// The answer to [`Ask::Status`].
+    /// The answer to [`PeerRequest::Status`].
     ///
     /// Final.
-    Status(Status),
-    /// The answer to [`Ask::Leaving`] and [`Ask::Blame`].
+    Status(DaemonStatus),
+    /// The answer to [`PeerRequest::ShuttingDown`] and [`PeerRequest::ReportSuspects`].
     ///
     /// Final.
-    Noted,
+    #[serde(rename = "Noted")]
+    Acknowledged,
 }
 
-impl Say {
+impl PeerResponse {
     /// Whether no frame follows this one.
     pub fn is_final(&self) -> bool {
         !matches!(
             self,
-            Self::Alive
+            Self::Heartbeat
                 | Self::Queued
                 | Self::Dispatched
                 | Self::Head { .. }
@@ -182,16 +189,17 @@
 
 /// Where a refused request may go instead.
 #[derive(Debug, Clone, Default, PartialEq, Serialize, Deserialize)]
-pub struct Hint {
+pub struct RetryHint {
     /// Whether trying another backend server is of use.
-    pub elsewhere: bool,
+    #[serde(rename = "elsewhere")]
+    pub try_other_server: bool,
     /// The load of the backend server that refused.
-    pub load: Option<Load>,
+    pub load: Option<ServerLoad>,
 }
 
 /// How loaded a backend server is, as its lead knows it exactly.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Serialize, Deserialize)]
-pub struct Load {
+pub struct ServerLoad {
     /// Requests that the backend server runs.
     pub running: u32,
     /// Requests that wait at the lead.
@@ -228,7 +236,7 @@
 
 /// How a daemon is.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
-pub struct Status {
+pub struct DaemonStatus {
     /// The daemon's VM.
     pub vm: VmName,
     /// This start of the daemon.
@@ -236,7 +244,8 @@
     /// The revision in force.
     pub revision: Revision,
     /// Whether the daemon is leaving.
-    pub leaving: bool,
+    #[serde(rename = "leaving")]
+    pub shutting_down: bool,
     /// Requests in flight at its entry.
     pub requests: u32,
 }
--- a/crates/wire/tests/frames.rs
+++ b/crates/wire/tests/frames.rs
@@ -1,23 +1,24 @@
-//! Frames survive any split of the bytes, and foreign bytes do no harm.
+//! FrameDecoder survive any split of the bytes, and foreign bytes do no harm.
 
 use chestnut_base::{Outcome, Refusal, Revision};
-use chestnut_wire::{Ask, Frames, Hint, Say, encode};
+use chestnut_wire::{FrameDecoder, PeerRequest, PeerResponse, RetryHint, encode};
 use proptest::prelude::*;
 
-fn say() -> impl Strategy<Value = Say> {
+fn say() -> impl Strategy<Value = PeerResponse> {
     prop_oneof![
-        Just(Say::Queued),
-        (any::<u32>(), any::<u32>(), ".{0,40}")
-            .prop_map(|(first, count, text)| { Say::Tokens { first, count, text } }),
+        Just(PeerResponse::Queued),
+        (any::<u32>(), any::<u32>(), ".{0,40}").prop_map(|(first, count, text)| {
+            PeerResponse::Tokens { first, count, text }
+        }),
         proptest::collection::vec(any::<u8>(), 0..300)
-            .prop_map(|bytes| Say::Chunk(bytes.into())),
-        ".{0,40}".prop_map(|message| Say::Refused {
+            .prop_map(|bytes| PeerResponse::Chunk(bytes.into())),
+        ".{0,40}".prop_map(|message| PeerResponse::Refused {
             refusal: Refusal::new(
                 Outcome::NotRun,
-                chestnut_base::Code::Deadline,
+                chestnut_base::RefusalCode::Deadline,
                 message
             ),
-            hint: Hint::default(),
+            hint: RetryHint::default(),
         }),
     ]
 }
@@ -30,11 +31,11 @@
     ) {
         let bytes: Vec<u8> =
             says.iter().flat_map(|say| encode(say).expect("small enough")).collect();
-        let mut frames = Frames::new();
+        let mut frames = FrameDecoder::new();
         let mut seen = Vec::new();
         for piece in bytes.chunks(step) {
             frames.push(piece);
-            while let Some(say) = frames.decode::<Say>().expect("well formed") {
+            while let Some(say) = frames.decode::<PeerResponse>().expect("well formed") {
                 seen.push(say);
             }
         }
@@ -44,17 +45,17 @@
 
     #[test]
     fn foreign_bytes_never_panic(bytes in proptest::collection::vec(any::<u8>(), 0..400)) {
-        let mut frames = Frames::new();
+        let mut frames = FrameDecoder::new();
         frames.push(&bytes);
-        while let Ok(Some(_)) = frames.decode::<Ask>() {}
+        while let Ok(Some(_)) = frames.decode::<PeerRequest>() {}
     }
 }
 
 #[test]
 fn a_frame_over_the_limit_is_refused() {
-    let mut frames = Frames::new();
+    let mut frames = FrameDecoder::new();
     frames.push(&u32::MAX.to_le_bytes());
-    let error = frames.decode::<Ask>().expect_err("over the limit");
+    let error = frames.decode::<PeerRequest>().expect_err("over the limit");
     assert!(error.to_string().contains("send a smaller body"), "{error}");
-    assert_eq!(encode(&Ask::Config(Revision(1))).expect("small").len(), 6);
+    assert_eq!(encode(&PeerRequest::Config(Revision(1))).expect("small").len(), 6);
 }
