--- a/crates/gate/src/grant.rs
+++ b/crates/gate/src/grant.rs
@@ -314,8 +314,8 @@
     let total = holder.state().total_usage(now);
     Some(RunnerCapacity {
         requests: engine.slots.saturating_sub(total.requests),
-        kv_tokens: engine.usable_tokens().saturating_sub(total.kv_tokens),
-        max_event_gap: shared.declared().and_then(|declared| declared.least_pause()),
+        kv_tokens: engine.usable_kv_tokens().saturating_sub(total.kv_tokens),
+        max_event_gap: shared.declared().and_then(|declared| declared.min_event_gap()),
         step_time: shared.speeds().step_time(),
         steps_per_event: engine.event_tokens,
     })
--- a/crates/lab/src/journal/daemon.rs
+++ b/crates/lab/src/journal/daemon.rs
@@ -15,7 +15,7 @@
     BodyLocation, Effect, Event, Journal, Limits, Record, Reply, Response, WaiterId,
     row_key,
 };
-use chestnut_plat::{Objects, Table, Txn};
+use chestnut_plat::{ObjectStore, TableClient, Txn};
 use hdrhistogram::Histogram;
 use indexmap::IndexMap;
 use tokio::sync::mpsc::{self, UnboundedReceiver, UnboundedSender};
@@ -91,8 +91,8 @@
 /// A daemon of the experiment.
 pub struct Daemon {
     index: u16,
-    table: Table,
-    objects: Objects,
+    table: TableClient,
+    objects: ObjectStore,
     journal: Journal,
     claims: Vec<(SlotId, u64)>,
     inbox: UnboundedSender<Event>,
@@ -112,8 +112,8 @@
     pub fn new(
         index: u16,
         count: u16,
-        table: Table,
-        objects: Objects,
+        table: TableClient,
+        objects: ObjectStore,
         claims: Vec<(SlotId, u64)>,
     ) -> Self {
         let limits =
@@ -315,7 +315,7 @@
 }
 
 /// Writes `count` finished ids into a slot.
-pub async fn fill(table: &Table, slot: SlotId, count: usize) {
+pub async fn fill(table: &TableClient, slot: SlotId, count: usize) {
     let ids: Vec<usize> = (0..count).collect();
     for part in ids.chunks(500) {
         let put = |txn: Txn, number: &usize| {
--- a/crates/node/src/journal.rs
+++ b/crates/node/src/journal.rs
@@ -11,8 +11,8 @@
     Batch, BodyLocation, Change, CommitResult, Condition, Event, JournalRow,
     PAGES_PER_SLOT, Record, Recovered, Response, page_prefix, row_key,
 };
-use chestnut_plat::{Objects, PlatError, Row, Table, Txn, TxnAnswer};
-use chestnut_wire::{OnceState, Say};
+use chestnut_plat::{ObjectStore, PlatformError, Row, TableClient, Txn, TxnResponse};
+use chestnut_wire::{OnceState, PeerResponse};
 use tokio::sync::mpsc;
 use tokio::time::sleep;
 
@@ -57,8 +57,8 @@
 
 /// Seals a slot's log and reads the slot's rows with their ages.
 pub async fn load(
-    table: &Table,
-    objects: &Objects,
+    table: &TableClient,
+    objects: &ObjectStore,
     slot: SlotId,
     version: u64,
     me: MemberId,
@@ -74,9 +74,9 @@
 }
 
 async fn rows(
-    table: &Table,
+    table: &TableClient,
     slot: SlotId,
-) -> Result<Vec<(JournalRow, Duration)>, PlatError> {
+) -> Result<Vec<(JournalRow, Duration)>, PlatformError> {
     let mut rows = Vec::new();
     for page in 0..PAGES_PER_SLOT {
         let delta = table.scan(JOURNAL, &page_prefix(slot, page), 0).await?;
@@ -90,15 +90,17 @@
 }
 
 /// Commits a batch.
-pub async fn commit(table: &Table, batch: &Batch) -> CommitResult {
+pub async fn commit(table: &TableClient, batch: &Batch) -> CommitResult {
     match table.commit(&transaction(batch)).await {
-        Ok(TxnAnswer::Committed { version, .. }) => CommitResult::Committed { version },
-        Ok(TxnAnswer::Conflict { check, row }) => {
+        Ok(TxnResponse::Committed { version, .. }) => CommitResult::Committed { version },
+        Ok(TxnResponse::Conflict { check, row }) => {
             let row = row.filter(|row| row.table == JOURNAL);
             CommitResult::Conflict { condition: check, row: row.map(known).map(Box::new) }
         }
-        Err(PlatError::Down(_)) => CommitResult::Unavailable,
-        Err(PlatError::Unknown(_) | PlatError::Protocol(_)) => CommitResult::Unknown,
+        Err(PlatformError::Unavailable(_)) => CommitResult::Unavailable,
+        Err(PlatformError::OutcomeUnknown(_) | PlatformError::Protocol(_)) => {
+            CommitResult::Unknown
+        }
     }
 }
 
@@ -271,7 +273,7 @@
     });
     let mut gather = Gather::new();
     while let Some(say) = frames.recv().await {
-        if let Say::Tokens { .. } = say {
+        if let PeerResponse::Tokens { .. } = say {
             gather.push(&say);
         }
     }
--- a/crates/node/src/lead/table.rs
+++ b/crates/node/src/lead/table.rs
@@ -9,7 +9,7 @@
 };
 use chestnut_base::ServerName;
 use chestnut_member::ClaimKey;
-use chestnut_wire::Load;
+use chestnut_wire::ServerLoad;
 use indexmap::IndexMap;
 use kameo::Actor;
 use kameo::message::{Context, Message};
@@ -19,7 +19,7 @@
 use crate::shared::Shared;
 
 /// The load of each led backend server, as of its last change.
-pub type Loads = Arc<Mutex<IndexMap<ServerName, Load>>>;
+pub type Loads = Arc<Mutex<IndexMap<ServerName, ServerLoad>>>;
 
 /// What happens to a request at its lead.
 pub enum Event {
@@ -197,7 +197,7 @@
         });
     }
 
-    fn publish(&self, change: impl FnOnce(&mut IndexMap<ServerName, Load>)) {
+    fn publish(&self, change: impl FnOnce(&mut IndexMap<ServerName, ServerLoad>)) {
         change(&mut self.loads.lock().expect("no holder of the loads panics"));
     }
 }
@@ -233,9 +233,9 @@
     }
 }
 
-fn load(lead: &AdmissionController, now: Instant) -> Load {
+fn load(lead: &AdmissionController, now: Instant) -> ServerLoad {
     let snapshot = lead.snapshot(now);
-    Load {
+    ServerLoad {
         running: snapshot.running,
         queued: snapshot.queued,
         tokens: snapshot.cache_tokens,
--- a/crates/pool/src/moves.rs
+++ b/crates/pool/src/moves.rs
@@ -95,7 +95,7 @@
 
     /// Whether what it drops is gone, as far as the registry tells.
     pub fn is_drained(&self, runner: &ServerEntry) -> bool {
-        !self.planned.drop.iter().any(|model| runner.holds(model))
+        !self.planned.drop.iter().any(|model| runner.has_model(model))
     }
 
     /// Whether the move is under way still, as far as the registry tells.
@@ -103,8 +103,11 @@
         match self.stage {
             Stage::Draining(until) => now < until && !self.is_drained(runner),
             Stage::Loading(until) => {
-                let loaded =
-                    self.planned.load.as_ref().is_none_or(|model| runner.holds(model));
+                let loaded = self
+                    .planned
+                    .load
+                    .as_ref()
+                    .is_none_or(|model| runner.has_model(model));
                 now < until && !loaded
             }
         }
--- a/crates/pool/src/placement.rs
+++ b/crates/pool/src/placement.rs
@@ -13,7 +13,7 @@
 use std::time::{Duration, Instant};
 
 use chestnut_base::{DomainName, MemberId, ModelName, ServerName};
-use chestnut_edge::{Engine, HeldModel, ServerEntry};
+use chestnut_edge::{Engine, LoadedModel, ServerEntry};
 use chestnut_place::{ModelState, Placement, PoolState, RunnerState, plan_placement};
 use indexmap::{IndexMap, IndexSet};
 
@@ -275,7 +275,7 @@
         }
         for runner in scene.runners {
             let declared =
-                |held: &HeldModel| scene.engine.models.contains_key(&held.model);
+                |held: &LoadedModel| scene.engine.models.contains_key(&held.model);
             let held = runner.models.iter().all(declared);
             let fixed = self.is_fixed(scene, runner);
             let moving = self.moving.contains_key(&runner.name);
@@ -323,7 +323,7 @@
         let runner_state = |runner: &ServerEntry| RunnerState {
             domain: domains.get_index_of(&runner.domain).unwrap_or_default(),
             capacity: (scene.engine.memory_mb * MB) as u64,
-            other_bytes: (scene.engine.adapter_reserve() * MB) as u64,
+            other_bytes: (scene.engine.adapter_reserve_mb() * MB) as u64,
             accepts_models: true,
             locked: self.is_fixed(scene, runner),
         };
@@ -363,8 +363,9 @@
         let drops = |runner: &ServerEntry| {
             moving(runner).is_some_and(|moving| moving.planned.drop.contains(name))
         };
-        let there =
-            |runner: &ServerEntry| loads(runner) || runner.holds(name) && !drops(runner);
+        let there = |runner: &ServerEntry| {
+            loads(runner) || runner.has_model(name) && !drops(runner)
+        };
         let indices = |which: &dyn Fn(&ServerEntry) -> bool| {
             let runners = scene.runners.iter().enumerate();
             runners.filter(|(_, runner)| which(runner)).map(|(index, _)| index).collect()
@@ -372,7 +373,7 @@
         ModelState {
             bytes: (declared.weights_mb * MB) as u64,
             replicas: 1,
-            load_time: declared.load,
+            load_time: declared.store_load_time,
             demand: self.demand(name),
             placed: indices(&there),
             loading: scene.runners.iter().filter(|runner| loads(runner)).count(),
@@ -383,7 +384,7 @@
 
 /// Whether the runner has a copy of the weights, so that the store isn't needed.
 fn is_near(runner: &ServerEntry, model: &ModelName) -> bool {
-    runner.warm.contains(model) || runner.on_disk.contains(model)
+    runner.in_memory.contains(model) || runner.on_disk.contains(model)
 }
 
 /// Whether the largest model fits beside what the runner holds.
@@ -391,7 +392,7 @@
     let size = |name: &ModelName| engine.models.get(name).map_or(0.0, |m| m.weights_mb);
     let held: f64 = runner.models.iter().map(|held| size(&held.model)).sum();
     let largest = engine.models.values().map(|m| m.weights_mb).fold(0.0, f64::max);
-    held + largest + engine.adapter_reserve() <= engine.memory_mb
+    held + largest + engine.adapter_reserve_mb() <= engine.memory_mb
 }
 
 /// The changes that lead from what runners hold to a placement, in its order; a runner
