--- a/crates/once/src/batch.rs
+++ b/crates/once/src/batch.rs
@@ -1,4 +1,4 @@
-//! Group commit: many changes of the journal in one transaction.
+//! Group commit: many journal changes in one transaction of the table service.
 
 use chestnut_base::{RequestId, SlotId};
 
@@ -7,139 +7,137 @@
 /// One transaction on the journal.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Batch {
-    /// The number of the batch within the journal.
+    /// Unique among the batches and appends of one [`Journal`](crate::Journal).
     pub number: u64,
-    /// What must hold.
+    /// Checked in this order; all must hold.
     pub conditions: Vec<Condition>,
-    /// What is written if all conditions hold.
+    /// Applied together if all conditions hold.
     pub changes: Vec<Change>,
 }
 
-/// A condition of a batch.
+/// A precondition of a batch.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Condition {
-    /// The claim's row still has the version at which this daemon got it.
+    /// The claim's row still has the version at which this daemon claimed the slot.
     ///
-    /// A daemon that was paused may not know that another took its slot over. If
-    /// it could still write, both would start the same id. The row's version
-    /// changes with every holder, so that the check fails whatever the clocks say.
+    /// Fences off a daemon that was suspended while another took over its slot;
+    /// otherwise both could start the same id. The version changes with every
+    /// holder, so the check doesn't depend on clocks.
     Claim {
-        /// The slot.
+        /// The claimed slot.
         slot: SlotId,
         /// The version of the claim's row.
         version: u64,
     },
     /// The id has no row.
     ///
-    /// It holds off ids that were dropped from memory, and finds the batch's own
-    /// rows when its acknowledgement was lost.
+    /// Rejects ids that were evicted from memory. If the batch is sent again after
+    /// an unknown result, it also reveals rows that the batch itself wrote.
     Absent {
-        /// The slot.
+        /// The slot of the id.
         slot: SlotId,
-        /// The id.
+        /// The id without a row.
         id: RequestId,
     },
-    /// The id's row has just this version.
+    /// The id's row has exactly this version.
     ///
-    /// A removal whose acknowledgement was lost may take effect late; without the
-    /// check it would remove the record of a run that was started since.
+    /// A delete whose result is unknown may take effect late. Without the check it
+    /// could delete the record of a run that started in the meantime.
     Version {
-        /// The slot.
+        /// The slot of the id.
         slot: SlotId,
-        /// The id.
+        /// The id of the row.
         id: RequestId,
-        /// The version.
+        /// The expected version of the row.
         version: u64,
     },
 }
 
-/// A change of a row.
+/// A change to a row.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Change {
     /// Creates or replaces the id's row.
     Put(Box<Record>),
-    /// Removes the id's row.
+    /// Deletes the id's row.
     Delete {
-        /// The slot.
+        /// The slot of the id.
         slot: SlotId,
-        /// The id.
+        /// The id of the row.
         id: RequestId,
     },
 }
 
-/// What became of a batch.
+/// The result of a commit.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum CommitResult {
     /// All changes took effect.
     Committed {
-        /// The version of the rows that were written.
+        /// The new version of the written rows.
         version: u64,
     },
     /// A condition failed and nothing was written.
     Conflict {
         /// The index of the first condition that failed.
         condition: usize,
-        /// The row as it is, if it exists and belongs to the journal.
+        /// The current row, if it exists and belongs to the journal.
         row: Option<Box<JournalRow>>,
     },
-    /// Nothing was done.
+    /// The table service is unavailable; nothing was written.
     Unavailable,
-    /// The answer was lost; the changes may have taken effect or still may.
+    /// The response was lost; the changes may have taken effect or may still do so.
     Unknown,
 }
 
 /// A change that waits for the next batch.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub(crate) enum Write {
-    /// Records the start of an id, over a row of this version if there is one.
-    Start { slot: SlotId, id: RequestId, over: Option<u64> },
-    /// Writes what the slot's log holds of an id into the table.
+pub(crate) enum PendingWrite {
+    /// Records the start of an id, replacing a row of the given version if any.
+    Start { slot: SlotId, id: RequestId, replaced_version: Option<u64> },
+    /// Copies the record of an id from the slot's log into the table.
     ///
-    /// Over a row of this version if there is one: an attempt that was never handed
-    /// on and whose record was believed lost.
-    Copy { slot: SlotId, id: RequestId, over: Option<u64> },
-    /// Records the answer of an id.
-    Finish { slot: SlotId, id: RequestId },
-    /// Removes the row of an id that was not run or is past its retention.
-    Forget { slot: SlotId, id: RequestId, version: u64 },
+    /// The row that it replaces, if any, belongs to an attempt that was never
+    /// dispatched and whose record was assumed to be lost.
+    CopyFromLog { slot: SlotId, id: RequestId, replaced_version: Option<u64> },
+    /// Records the response to an id.
+    StoreResponse { slot: SlotId, id: RequestId },
+    /// Deletes the row of an id that was not run or whose retention has ended.
+    DeleteRow { slot: SlotId, id: RequestId, version: u64 },
 }
 
-impl Write {
-    /// The slot.
+impl PendingWrite {
     pub fn slot(&self) -> SlotId {
         match self {
             Self::Start { slot, .. }
-            | Self::Copy { slot, .. }
-            | Self::Finish { slot, .. }
-            | Self::Forget { slot, .. } => *slot,
+            | Self::CopyFromLog { slot, .. }
+            | Self::StoreResponse { slot, .. }
+            | Self::DeleteRow { slot, .. } => *slot,
         }
     }
 
-    /// The id.
     pub fn id(&self) -> &RequestId {
         match self {
             Self::Start { id, .. }
-            | Self::Copy { id, .. }
-            | Self::Finish { id, .. }
-            | Self::Forget { id, .. } => id,
+            | Self::CopyFromLog { id, .. }
+            | Self::StoreResponse { id, .. }
+            | Self::DeleteRow { id, .. } => id,
         }
     }
 
-    /// The condition on the id's row, if there is one.
+    /// The precondition on the id's row; `None` for a response.
     pub fn condition(&self) -> Option<Condition> {
         match self {
-            Self::Start { slot, id, over: None }
-            | Self::Copy { slot, id, over: None } => {
+            Self::Start { slot, id, replaced_version: None }
+            | Self::CopyFromLog { slot, id, replaced_version: None } => {
                 Some(Condition::Absent { slot: *slot, id: id.clone() })
             }
-            Self::Start { slot, id, over: Some(version) }
-            | Self::Copy { slot, id, over: Some(version) }
-            | Self::Forget { slot, id, version } => Some(Condition::Version {
+            Self::Start { slot, id, replaced_version: Some(version) }
+            | Self::CopyFromLog { slot, id, replaced_version: Some(version) }
+            | Self::DeleteRow { slot, id, version } => Some(Condition::Version {
                 slot: *slot,
                 id: id.clone(),
                 version: *version,
             }),
-            Self::Finish { .. } => None,
+            Self::StoreResponse { .. } => None,
         }
     }
 }
--- a/crates/once/src/event.rs
+++ b/crates/once/src/event.rs
@@ -1,4 +1,4 @@
-//! What goes into the journal and what comes out of it.
+//! Events that the journal handles and effects that it requests.
 
 use std::sync::Arc;
 use std::time::{Duration, Instant};
@@ -10,260 +10,266 @@
 use crate::index::WaiterId;
 use crate::record::{BodyLocation, JournalRow, Record, Response, ResponseSummary};
 
-/// What the journal is told.
+/// An input of the journal.
 #[derive(Debug, Clone)]
 pub enum Event {
-    /// The daemon holds the claim of a slot, at this version of the claim's row.
+    /// The daemon holds the claim of a slot.
     SlotClaimed {
-        /// The slot.
+        /// The claimed slot.
         slot: SlotId,
         /// The version of the claim's row.
         version: u64,
     },
     /// The daemon no longer holds the claim of a slot.
     ClaimLost(SlotId),
-    /// The daemon's lease holds until then, so that nobody takes its slots over.
+    /// The daemon's lease ends at this time; until then nobody takes over its slots.
     LeaseExpiry(Instant),
-    /// The slot's rows were read after the claim was taken, with their ages.
+    /// The slot's rows were read after it was claimed.
     SlotLoaded {
-        /// The slot.
+        /// The claimed slot.
         slot: SlotId,
         /// The version of the claim's row under which they were read.
         version: u64,
-        /// The rows.
+        /// The rows with the time since each was written.
         rows: Vec<(JournalRow, Duration)>,
-        /// The slot's log, sealed against its former leads.
+        /// The slot's log, sealed against former holders.
         log: SlotLog,
     },
-    /// The slot's rows could not be read.
+    /// The slot's rows or its log could not be read.
     LoadFailed {
-        /// The slot.
+        /// The claimed slot.
         slot: SlotId,
         /// The version of the claim's row under which they were to be read.
         version: u64,
     },
-    /// A request came.
+    /// A caller sent a non-idempotent request.
     Submit {
-        /// Who waits for the reply.
+        /// Gets the reply.
         waiter: WaiterId,
         /// The slot of the id.
         slot: SlotId,
-        /// The caller's name for the request.
+        /// The caller and its idempotency key.
         id: RequestId,
         /// A hash of the target and the body.
         digest: Digest,
         /// The attempt to make if the id is new.
         attempt: AttemptId,
-        /// What the request is sent to.
+        /// The model or service that the request is for.
         target: Target,
     },
-    /// Somebody wants to know what became of an id.
+    /// A caller queries the outcome of an id.
     Lookup {
-        /// Who waits for the reply.
+        /// Gets the reply.
         waiter: WaiterId,
         /// The slot of the id.
         slot: SlotId,
-        /// The caller's name for the request.
+        /// The caller and its idempotency key.
         id: RequestId,
     },
-    /// A batch was answered.
+    /// The result of [`Effect::Commit`].
     CommitFinished {
         /// The number of the batch.
         number: u64,
-        /// The answer.
+        /// Whether the batch took effect.
         result: CommitResult,
     },
-    /// An append to a slot's log was answered.
+    /// The result of [`Effect::AppendToLog`].
     AppendFinished {
-        /// The slot.
+        /// The slot of the log.
         slot: SlotId,
         /// The number of the append.
         number: u64,
-        /// The answer.
+        /// Whether the records are in the log.
         result: AppendResult,
     },
-    /// A run ended without being handed to a backend server's connection.
+    /// A run ended before the request was sent to a backend server.
     RunRefused {
-        /// The id.
+        /// The id of the request.
         id: RequestId,
-        /// The attempt.
+        /// The attempt that ended.
         attempt: AttemptId,
-        /// Why.
+        /// Passed on to the waiters.
         refusal: Refusal,
     },
-    /// A run was handed over and broke off.
+    /// A run was cut off after the request was sent.
     RunInterrupted {
-        /// The id.
+        /// The id of the request.
         id: RequestId,
-        /// The attempt.
+        /// The attempt that was cut off.
         attempt: AttemptId,
-        /// What the askers are told.
+        /// Passed on to the waiters.
         refusal: Refusal,
     },
-    /// A run ended with a whole answer, whose body is kept at `kept`.
+    /// A run ended with a complete response.
     RunFinished {
-        /// The id.
+        /// The id of the request.
         id: RequestId,
-        /// The attempt.
+        /// The attempt that ended.
         attempt: AttemptId,
-        /// The answer.
+        /// The response with its body.
         response: Arc<Response>,
-        /// Where the body is kept.
+        /// Where the body is stored.
         body: BodyLocation,
     },
-    /// The answer to [`Effect::RecoverResponse`].
+    /// The result of [`Effect::RecoverResponse`].
     RecoveryFinished {
-        /// The id.
+        /// The id of the request.
         id: RequestId,
-        /// The attempt that was looked for.
+        /// The attempt whose response was to be recovered.
         attempt: AttemptId,
         /// What was found.
         recovered: Recovered,
     },
-    /// The answer to [`Effect::FetchBody`]: the body, if it could be read.
+    /// The result of [`Effect::FetchBody`].
     BodyFetched {
-        /// The id.
+        /// The id of the request.
         id: RequestId,
-        /// The body.
+        /// `None` if the body could not be read.
         body: Option<Bytes>,
     },
 }
 
 /// The log of a slot in the object store.
 ///
-/// The table can't be written at times, and requests that must be journalled would
-/// have to wait for it. Then their starts go into objects with numbered names,
-/// each written only if it does not exist. A new lead takes the next number
-/// itself, the seal, so that whoever led the slot before finds its place taken.
+/// It takes the starts of requests while the table can't be written, so that they
+/// need not wait for it. Starts go into objects with numbered names, each of which is
+/// written only if it doesn't exist. A new holder writes the next number itself, as a
+/// seal, so that an append by a former holder finds its position taken.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct SlotLog {
-    /// What it holds, in order.
+    /// The logged records, in order.
     pub records: Vec<Record>,
-    /// The next place.
+    /// The first free position.
     pub next_position: u64,
 }
 
-/// What became of an append to a slot's log.
+/// The result of an append to a slot's log.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum AppendResult {
-    /// It is in the log.
+    /// The records are in the log.
     Appended,
-    /// Another daemon has the place or a later one.
+    /// Another daemon wrote this position or a later one.
     Conflict,
-    /// Nothing was done.
+    /// The object store is unavailable; nothing was written.
     Unavailable,
-    /// The answer was lost.
+    /// The response was lost; the records may be in the log.
     Unknown,
 }
 
-/// What is found of an id that an earlier daemon started.
+/// What was recovered of an id that was started earlier.
 #[derive(Debug, Clone)]
 pub enum Recovered {
-    /// Nothing.
+    /// No response was found.
     Nothing,
-    /// Its row has the answer by now.
+    /// Its row now contains the response.
     Row {
-        /// The answer without its body.
+        /// The response without its body.
         summary: ResponseSummary,
         /// The row's version.
         version: u64,
     },
-    /// The engine still has the answer.
+    /// The engine, or the daemon that relayed the run, still had the response.
     Engine {
-        /// The answer.
+        /// The response with its body.
         response: Arc<Response>,
-        /// Where the body was put.
+        /// Where the body is stored now.
         body: BodyLocation,
     },
 }
 
-/// What the journal wants done.
+/// An action that the daemon carries out for the journal.
 #[derive(Debug, Clone)]
 pub enum Effect {
-    /// Read the slot's rows and answer with [`Event::SlotLoaded`] or `LoadFailed`.
+    /// Read the slot's log and rows; results in [`Event::SlotLoaded`] or
+    /// [`Event::LoadFailed`].
     LoadSlot {
-        /// The slot.
+        /// The claimed slot.
         slot: SlotId,
         /// The version of the claim's row.
         version: u64,
     },
-    /// Commit a batch and answer with [`Event::CommitFinished`].
+    /// Commit a batch; results in [`Event::CommitFinished`].
     Commit(Batch),
-    /// Write records to a place in a slot's log, which nobody else may have, and
-    /// answer with [`Event::AppendFinished`].
+    /// Write records to a position of a slot's log if it is free and the last one;
+    /// results in [`Event::AppendFinished`].
     AppendToLog {
-        /// The slot.
+        /// The slot of the log.
         slot: SlotId,
-        /// The number of the append.
+        /// Unique among the batches and appends of one journal.
         number: u64,
-        /// The place in the log.
+        /// The position in the log.
         position: u64,
-        /// The records.
+        /// The records to write.
         records: Vec<Record>,
     },
-    /// Remove the places of a slot's log before `place`; the table has them.
+    /// Delete the positions of a slot's log before `position`; the table has them.
     TrimLog {
-        /// The slot.
+        /// The slot of the log.
         slot: SlotId,
-        /// The first place that stays.
+        /// The first position that stays.
         position: u64,
     },
-    /// Hand the request on, once, and answer with `RunRefused`, `RunInterrupted` or `RunFinished`.
+    /// Dispatch the request once; results in [`Event::RunRefused`],
+    /// [`Event::RunInterrupted`] or [`Event::RunFinished`].
     Run {
-        /// The asker that brought the request.
+        /// The waiter that submitted the request.
         waiter: WaiterId,
-        /// The id.
+        /// The id of the request.
         id: RequestId,
-        /// The attempt.
+        /// The attempt under which it runs.
         attempt: AttemptId,
     },
-    /// Tell an asker the end.
+    /// Send the final reply to a waiter.
     Reply {
-        /// The asker.
+        /// Gets the reply.
         waiter: WaiterId,
-        /// What it is told.
+        /// The result for this waiter.
         reply: Reply,
     },
-    /// Look for the answer of an id that an earlier daemon started.
+    /// Look for the response to an id that was started earlier; results in
+    /// [`Event::RecoveryFinished`].
     RecoverResponse {
-        /// The slot.
+        /// The slot of the id.
         slot: SlotId,
-        /// The id.
+        /// The id of the request.
         id: RequestId,
-        /// The attempt.
+        /// The attempt that was started.
         attempt: AttemptId,
-        /// What the request was sent to.
+        /// The model or service that the request was for.
         target: Target,
-        /// The backend server, if known.
+        /// The backend server that ran it, if known.
         server: Option<ServerName>,
     },
-    /// Read a stored answer's body from the object store.
+    /// Read the body of a stored response from the object store; results in
+    /// [`Event::BodyFetched`].
     FetchBody {
-        /// The id.
+        /// The id of the request.
         id: RequestId,
-        /// The object's key.
+        /// The key of the object.
         key: String,
     },
-    /// Remove the body of a forgotten answer from the object store.
+    /// Delete the body of an expired response, by its key, from the object store.
     DeleteBody(String),
-    /// Read the slot's log and then the id's row, and tell the asker what they say.
+    /// Read the slot's log and then the id's row, and reply to the waiter with the
+    /// stored state.
     ReadState {
-        /// The asker.
+        /// Gets the reply.
         waiter: WaiterId,
-        /// The slot.
+        /// The slot of the id.
         slot: SlotId,
-        /// The id.
+        /// The id to look up.
         id: RequestId,
     },
 }
 
-/// What an asker is told.
+/// The result for one waiter.
 #[derive(Debug, Clone)]
 pub enum Reply {
-    /// The whole answer; whoever got its parts already takes it as the end mark.
+    /// The complete response; a waiter that already streamed it takes this as the
+    /// end of the stream.
     Response(Arc<Response>),
-    /// Why there is no answer.
+    /// Why there is no response.
     Refused(Refusal),
-    /// The request runs; only those who look up are told so.
+    /// The request is running; sent only in reply to a lookup.
     Running,
 }
--- a/crates/once/src/index.rs
+++ b/crates/once/src/index.rs
@@ -1,4 +1,4 @@
-//! The ids that a journal holds in memory, within bounds.
+//! A bounded in-memory index of request ids.
 
 use std::collections::VecDeque;
 use std::sync::Arc;
@@ -9,27 +9,28 @@
 
 use crate::record::{Record, Response, ResponseSummary};
 
-/// The daemon's number for one asker.
+/// Identifies one waiting request or lookup; assigned by the daemon.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct WaiterId(pub u64);
 
-/// What is known of an id.
+/// The state of an id.
 #[derive(Debug, Clone)]
-pub(crate) enum State {
-    /// Its start waits for the journal since this time.
-    Pending(Instant),
-    /// Its start is recorded and it was handed on.
+pub(crate) enum RequestState {
+    /// Its start has been queued for the journal since this time.
+    Queued(Instant),
+    /// Its start is recorded and it was dispatched.
     Running,
-    /// It ended and its answer waits for the journal.
-    Ending(Arc<Response>, ResponseSummary),
-    /// Its answer is recorded, and held in memory if there is room.
+    /// It ended and its response is queued for the journal.
+    StoringResponse(Arc<Response>, ResponseSummary),
+    /// Its response is recorded, and cached in memory if there is room.
     Done(ResponseSummary, Option<Arc<Response>>),
-    /// It was started and its answer is being looked for.
-    Seeking,
-    /// It was started and its answer was not found when last looked for.
-    Doubt(Option<Instant>),
-    /// It was refused without a run; its row may exist until it is removed.
-    Void,
+    /// It was started and its response is being recovered.
+    Recovering,
+    /// It was started and its response is unknown; holds the time of the last
+    /// unsuccessful recovery.
+    InDoubt(Option<Instant>),
+    /// It was refused without a run; its row may exist until it is deleted.
+    NotRun,
 }
 
 /// An id in memory.
@@ -41,19 +42,19 @@
     pub target: Target,
     pub server: Option<ServerName>,
     /// The version of the id's row, once known.
-    pub version: Option<u64>,
+    pub row_version: Option<u64>,
     /// Whether its start is in the slot's log and not in the table.
-    pub unsaved: bool,
-    /// When the id may be forgotten; absent while it is not finished.
-    pub end: Option<Instant>,
-    pub state: State,
-    /// Who waits for the end; the first brought the request.
-    pub askers: Vec<WaiterId>,
+    pub log_only: bool,
+    /// When the id may be deleted; `None` until it is finished.
+    pub expires_at: Option<Instant>,
+    pub state: RequestState,
+    /// Who waits for the result; the first one submitted the request.
+    pub waiters: Vec<WaiterId>,
 }
 
 impl Entry {
-    /// The record of the id with this answer.
-    pub fn record(&self, id: &RequestId, answer: Option<ResponseSummary>) -> Record {
+    /// Builds the record to store, with this response.
+    pub fn record(&self, id: &RequestId, response: Option<ResponseSummary>) -> Record {
         Record {
             slot: self.slot,
             id: id.clone(),
@@ -62,20 +63,23 @@
             target: self.target.clone(),
             transaction_id: 0,
             server: self.server.clone(),
-            response: answer,
+            response,
         }
     }
 
-    /// Whether nothing goes on for the id.
+    /// Whether no run, write or recovery is in progress for the id.
     pub fn is_settled(&self) -> bool {
-        matches!(self.state, State::Done(..) | State::Doubt(_) | State::Void)
+        matches!(
+            self.state,
+            RequestState::Done(..) | RequestState::InDoubt(_) | RequestState::NotRun
+        )
     }
 
-    /// The entry of a record that was read.
-    pub fn of(record: Record, version: Option<u64>) -> (RequestId, Self) {
+    /// Creates the entry of a stored record; without a version it is in the log only.
+    pub fn from_record(record: Record, version: Option<u64>) -> (RequestId, Self) {
         let state = match record.response {
-            Some(summary) => State::Done(summary, None),
-            None => State::Doubt(None),
+            Some(summary) => RequestState::Done(summary, None),
+            None => RequestState::InDoubt(None),
         };
         let entry = Self {
             slot: record.slot,
@@ -83,85 +87,91 @@
             attempt: record.attempt,
             target: record.target,
             server: record.server,
-            version,
-            unsaved: version.is_none(),
-            end: None,
+            row_version: version,
+            log_only: version.is_none(),
+            expires_at: None,
             state,
-            askers: Vec::new(),
+            waiters: Vec::new(),
         };
         (record.id, entry)
     }
 }
 
-/// Items of the list of finished ids that may be out of date before it is cleaned.
-const SLACK: usize = 1000;
+/// Outdated items that the expiry queue may hold, beyond twice the number of
+/// entries, before they are removed.
+const EXPIRY_QUEUE_SLACK: usize = 1000;
 
 /// The ids in memory.
 #[derive(Debug, Default)]
 pub(crate) struct Index {
     pub entries: IndexMap<RequestId, Entry>,
-    /// Finished ids, oldest first, with the time after which they are forgotten.
+    /// Finished ids with their expiry, in the order in which they finished.
     ///
-    /// An item counts only if its entry has the same end.
-    finished: VecDeque<(Instant, RequestId)>,
-    /// Ids whose answers are held in memory, oldest first.
+    /// An item is outdated if its entry is gone or has another expiry.
+    expiry_queue: VecDeque<(Instant, RequestId)>,
+    /// Ids with cached responses and the sizes of these, oldest first.
     cached: VecDeque<(RequestId, usize)>,
-    bytes: usize,
+    cached_bytes: usize,
 }
 
 impl Index {
-    /// Notes that an id is finished and may be forgotten at `end`.
-    pub fn finish(&mut self, id: &RequestId, end: Instant) {
+    /// Marks an id as finished and lets it expire at `expires_at`.
+    pub fn schedule_expiry(&mut self, id: &RequestId, expires_at: Instant) {
         let Some(entry) = self.entries.get_mut(id) else { return };
-        entry.end = Some(end);
-        self.finished.push_back((end, id.clone()));
-        if self.finished.len() > 2 * self.entries.len() + SLACK {
+        entry.expires_at = Some(expires_at);
+        self.expiry_queue.push_back((expires_at, id.clone()));
+        if self.expiry_queue.len() > 2 * self.entries.len() + EXPIRY_QUEUE_SLACK {
             let entries = &self.entries;
-            let counts = |(end, id): &(Instant, RequestId)| {
-                entries.get(id).is_some_and(|entry| entry.end == Some(*end))
+            let is_current = |(expires_at, id): &(Instant, RequestId)| {
+                entries.get(id).is_some_and(|entry| entry.expires_at == Some(*expires_at))
             };
-            self.finished.retain(counts);
+            self.expiry_queue.retain(is_current);
         }
     }
 
-    /// Notes that an answer is held, and lets go of the oldest beyond `limit` bytes.
+    /// Records that a response is cached, and evicts the oldest beyond `limit` bytes.
     pub fn cache(&mut self, id: &RequestId, size: usize, limit: usize) {
         self.cached.push_back((id.clone(), size));
-        self.bytes += size;
-        while self.bytes > limit {
-            let Some((old, size)) = self.cached.pop_front() else { break };
-            self.bytes -= size;
-            if let Some(entry) = self.entries.get_mut(&old)
-                && let State::Done(_, held) = &mut entry.state
+        self.cached_bytes += size;
+        while self.cached_bytes > limit {
+            let Some((oldest, size)) = self.cached.pop_front() else { break };
+            self.cached_bytes -= size;
+            if let Some(entry) = self.entries.get_mut(&oldest)
+                && let RequestState::Done(_, cached) = &mut entry.state
             {
-                *held = None;
+                *cached = None;
             }
         }
     }
 
-    /// Takes the next finished id whose time is over.
-    pub fn expired(&mut self, now: Instant) -> Option<RequestId> {
-        while self.finished.front().is_some_and(|(end, _)| *end <= now) {
-            let (end, id) = self.finished.pop_front()?;
-            if self.entries.get(&id).is_some_and(|entry| entry.end == Some(end)) {
+    /// Takes the next expired id from the expiry queue; its entry stays.
+    pub fn pop_expired(&mut self, now: Instant) -> Option<RequestId> {
+        while self.expiry_queue.front().is_some_and(|(expires_at, _)| *expires_at <= now)
+        {
+            let (expires_at, id) = self.expiry_queue.pop_front()?;
+            if self
+                .entries
+                .get(&id)
+                .is_some_and(|entry| entry.expires_at == Some(expires_at))
+            {
                 return Some(id);
             }
         }
         None
     }
 
-    /// Drops the oldest finished ids beyond `limit`, and names their slots.
-    pub fn trim(&mut self, limit: usize) -> Vec<SlotId> {
+    /// Evicts the oldest finished ids beyond `limit` and returns their slots.
+    pub fn evict(&mut self, limit: usize) -> Vec<SlotId> {
         let mut slots = Vec::new();
         while self.entries.len() > limit {
-            let Some((end, id)) = self.finished.pop_front() else { break };
-            let idle = |entry: &Entry| {
-                entry.end == Some(end)
-                    && entry.askers.is_empty()
+            let Some((expires_at, id)) = self.expiry_queue.pop_front() else { break };
+            let is_evictable = |entry: &Entry| {
+                entry.expires_at == Some(expires_at)
+                    && entry.waiters.is_empty()
                     && entry.is_settled()
-                    && !entry.unsaved
+                    && !entry.log_only
             };
-            if self.entries.get(&id).is_some_and(idle)
+            if self.entries.get(&id).is_some_and(is_evictable)
                 && let Some(entry) = self.entries.swap_remove(&id)
             {
                 slots.push(entry.slot);
@@ -170,8 +180,7 @@
         slots
     }
 
-    /// Bytes of answers held in memory.
-    pub fn bytes(&self) -> usize {
-        self.bytes
+    pub fn cached_bytes(&self) -> usize {
+        self.cached_bytes
     }
 }
--- a/crates/once/src/journal.rs
+++ b/crates/once/src/journal.rs
@@ -1,4 +1,4 @@
-//! The journal of the slots that one daemon leads.
+//! The journal of the slots that one daemon holds.
 
 use std::collections::VecDeque;
 use std::sync::Arc;
@@ -8,206 +8,211 @@
 use chestnut_base::{AttemptId, Code, Outcome, Refusal, RequestId, SlotId};
 use indexmap::IndexMap;
 
-use crate::batch::{Batch, Write};
+use crate::batch::{Batch, PendingWrite};
 use crate::event::{Effect, Event, Recovered, Reply};
-use crate::index::{Entry, Index, State, WaiterId};
+use crate::index::{Entry, Index, RequestState, WaiterId};
 use crate::limits::{Limits, jitter};
 use crate::record::{BodyLocation, Record, Response};
-use crate::refuse::{in_doubt, unkept};
+use crate::refuse::{in_doubt, response_unreadable};
 
 mod ask;
 mod commit;
 mod lead;
 mod log;
 
-/// How long an id that was looked for in vain is not looked for again.
-const SEEK_PAUSE: Duration = Duration::from_secs(2);
+/// How long recovery of an id is not repeated after it found nothing.
+const RECOVERY_RETRY_INTERVAL: Duration = Duration::from_secs(2);
 
-/// Over how long callers are spread who are told to come back after an outage.
-const RETURN_SPREAD: Duration = Duration::from_secs(2);
+/// Spread of the retry delays that callers get during an outage.
+const RETRY_SPREAD: Duration = Duration::from_secs(2);
 
-/// A slot that the daemon leads or led.
+/// A slot that the daemon holds or held.
 #[derive(Debug)]
-struct Slot {
+struct SlotState {
     /// The version of the claim's row.
-    version: u64,
-    phase: Phase,
+    claim_version: u64,
+    phase: SlotPhase,
     /// Whether all ids of the slot that were ever started are in memory.
     complete: bool,
-    /// The next place in the slot's log, once it was read.
-    log: Option<u64>,
-    /// The append that is on its way.
-    append: Option<Append>,
-    /// Whether the log may hold what the table has by now.
-    dirty: bool,
+    /// The next position in the slot's log; `None` while it is unknown.
+    log_end: Option<u64>,
+    append_in_flight: Option<Append>,
+    /// Whether the log may hold records that the table has.
+    log_needs_trim: bool,
 }
 
 #[derive(Debug)]
-enum Phase {
-    /// The rows are being read; requests wait.
+enum SlotPhase {
+    /// The rows are being read; requests wait until their deadlines.
     Loading(Vec<(Instant, Event)>),
     /// The rows could not be read; they are read again at this time.
-    Failed(Instant),
-    /// Requests are taken.
+    LoadFailed(Instant),
+    /// Requests are accepted.
     Open,
-    /// The claim is lost; running requests end.
-    Lost,
+    /// The claim is lost; running requests finish.
+    ClaimLost,
 }
 
-/// How the table service is.
+/// Whether the table service responds.
 #[derive(Debug, Clone, Copy)]
-enum Link {
-    Up,
-    /// Nothing is sent before `until`, after so many failures in a row.
-    Down {
-        until: Instant,
-        tries: u32,
+enum TableState {
+    Available,
+    /// No batch is sent before `retry_at`.
+    Unavailable {
+        retry_at: Instant,
+        /// Failures in a row after the first, at most 16.
+        failures: u32,
     },
 }
 
-/// A batch that was sent and not answered yet.
+/// A batch that was sent and whose result is pending.
 #[derive(Debug)]
-struct Flight {
+struct BatchInFlight {
     batch: Batch,
-    /// The mark of the batch in the rows that it writes.
-    stamp: u64,
-    writes: Vec<Write>,
-    /// How often this very batch was sent before and its answer lost.
-    lost: u32,
+    /// Identifies the batch in the rows that it writes.
+    transaction_id: u64,
+    writes: Vec<PendingWrite>,
+    /// Earlier sends of this batch whose result is unknown.
+    resends: u32,
 }
 
-/// Starts on their way into a slot's log.
+/// Starts that were sent to a slot's log and whose result is pending.
 #[derive(Debug)]
 struct Append {
     number: u64,
-    place: u64,
+    position: u64,
     records: Vec<Record>,
-    /// How often it was sent before and its answer lost.
-    lost: u32,
+    /// Earlier sends of this append whose result is unknown.
+    resends: u32,
 }
 
-/// The journal of the slots that one daemon leads.
+/// The journal of the slots that one daemon holds.
 ///
-/// An id is handed on only after its start was committed, and its start is
-/// committed only if the id has no row, or a row of this daemon's that was never
-/// handed on. So each id is handed on at most once.
+/// An id is dispatched only after its start was recorded, and its start is recorded
+/// only if the id has no row, or a row of an attempt of this daemon that was never
+/// dispatched. So each id is dispatched at most once.
 pub struct Journal {
     limits: Limits,
-    /// What the stamps of this journal's batches start from.
-    origin: u64,
-    seed: u64,
-    slots: IndexMap<SlotId, Slot>,
+    /// Added to a batch's number to get its transaction id.
+    transaction_id_base: u64,
+    jitter_seed: u64,
+    slots: IndexMap<SlotId, SlotState>,
     index: Index,
-    /// Changes in the order in which they will be written.
-    queue: VecDeque<Write>,
-    /// Ids whose start waits, with the time at which their patience ends.
-    pending: VecDeque<(Instant, RequestId)>,
-    flight: Option<Flight>,
-    link: Link,
-    /// When the daemon's lease ends; from then on others may take its slots over.
-    lease: Instant,
-    /// The earliest start of the next batch.
-    next: Instant,
-    numbers: u64,
-    /// When the object store is asked again after it failed.
-    log_after: Instant,
+    /// In the order in which they will be written.
+    write_queue: VecDeque<PendingWrite>,
+    /// Ids whose start is queued, with the ends of their wait limits.
+    start_deadlines: VecDeque<(Instant, RequestId)>,
+    in_flight: Option<BatchInFlight>,
+    table: TableState,
+    /// After this time other daemons may take over the slots.
+    lease_expiry: Instant,
+    /// The earliest start of the next batch or append.
+    next_batch_at: Instant,
+    /// The number of the last batch or append.
+    last_number: u64,
+    /// Nothing is appended to logs before this time.
+    log_retry_at: Instant,
     effects: VecDeque<Effect>,
 }
 
 impl Journal {
-    /// Creates a journal that leads no slot.
+    /// Creates a journal without slots.
     ///
-    /// `seed` spreads its retries and marks its batches; it must be another one for
-    /// each start of a daemon.
+    /// `seed` spreads the retries and identifies the batches; it must differ for each
+    /// start of a daemon.
     pub fn new(limits: Limits, seed: u64, now: Instant) -> Self {
         Self {
             limits,
-            origin: seed,
-            seed,
+            transaction_id_base: seed,
+            jitter_seed: seed,
             slots: IndexMap::new(),
             index: Index::default(),
-            queue: VecDeque::new(),
-            pending: VecDeque::new(),
-            flight: None,
-            link: Link::Up,
-            lease: now,
-            next: now,
-            numbers: 0,
-            log_after: now,
+            write_queue: VecDeque::new(),
+            start_deadlines: VecDeque::new(),
+            in_flight: None,
+            table: TableState::Available,
+            lease_expiry: now,
+            next_batch_at: now,
+            last_number: 0,
+            log_retry_at: now,
             effects: VecDeque::new(),
         }
     }
 
-    /// Sets the least time between two batches.
-    pub fn set_batch_interval(&mut self, gap: Duration) {
-        self.limits.batch_interval = gap;
+    /// Sets the minimum time between the starts of two batches.
+    pub fn set_batch_interval(&mut self, interval: Duration) {
+        self.limits.batch_interval = interval;
     }
 
-    /// Takes in what happened.
+    /// Handles an event; the resulting effects are returned by [`Self::next_effect`].
     pub fn handle(&mut self, event: Event, now: Instant) {
         match event {
-            Event::SlotClaimed { slot, version } => self.lead(slot, version),
-            Event::ClaimLost(slot) => self.unlead(slot, now),
-            Event::LeaseExpiry(until) => self.lease = until,
+            Event::SlotClaimed { slot, version } => self.claim_slot(slot, version),
+            Event::ClaimLost(slot) => self.lose_claim(slot, now),
+            Event::LeaseExpiry(expiry) => self.lease_expiry = expiry,
             Event::SlotLoaded { slot, version, rows, log } => {
-                self.loaded(slot, version, rows, log, now)
+                self.slot_loaded(slot, version, rows, log, now)
             }
             Event::AppendFinished { slot, number, result } => {
-                self.appended(slot, number, result, now)
+                self.append_finished(slot, number, result, now)
             }
-            Event::LoadFailed { slot, version } => self.unloaded(slot, version, now),
-            Event::Submit { .. } => self.ask(event, now),
-            Event::Lookup { waiter: ticket, slot, id } => {
-                self.lookup(ticket, slot, id, now)
+            Event::LoadFailed { slot, version } => self.load_failed(slot, version, now),
+            Event::Submit { .. } => self.submit(event, now),
+            Event::Lookup { waiter, slot, id } => self.lookup(waiter, slot, id, now),
+            Event::CommitFinished { number, result } => {
+                self.commit_finished(number, result, now)
             }
-            Event::CommitFinished { number, result } => self.stored(number, result, now),
             Event::RunRefused { id, attempt, refusal } => {
-                self.refused(&id, attempt, refusal, now)
+                self.run_refused(&id, attempt, refusal, now)
             }
             Event::RunInterrupted { id, attempt, refusal } => {
-                self.broke(&id, attempt, refusal, now)
+                self.run_interrupted(&id, attempt, refusal, now)
             }
             Event::RunFinished { id, attempt, response, body } => {
-                self.ended(&id, attempt, response, body)
+                self.run_finished(&id, attempt, response, body)
             }
             Event::RecoveryFinished { id, attempt, recovered } => {
-                self.found(&id, attempt, recovered, now)
+                self.recovery_finished(&id, attempt, recovered, now)
             }
-            Event::BodyFetched { id, body } => self.fetched(&id, body),
+            Event::BodyFetched { id, body } => self.body_fetched(&id, body),
         }
-        self.pump(now);
+        self.send_due(now);
     }
 
-    /// Does what is due by time alone.
+    /// Does what is due at `now`: timeouts, retries, expiry and the next batch.
     pub fn tick(&mut self, now: Instant) {
-        self.lose_patience(now);
-        self.reload(now);
-        self.forget(now);
-        self.pump(now);
+        self.time_out_starts(now);
+        self.retry_loads(now);
+        self.expire_ids(now);
+        self.send_due(now);
         self.trim_logs();
     }
 
-    /// When [`Self::tick`] has something to do next.
+    /// When [`Self::tick`] must be called next; `None` while it has nothing to do.
+    ///
+    /// Doesn't cover id expiry and log trimming, which happen at the next call.
     pub fn next_deadline(&self) -> Option<Instant> {
-        let patience = self.pending.front().map(|(end, _)| *end);
-        let batch = (!self.queue.is_empty()).then(|| match self.link {
-            Link::Up if self.flight.is_some() => None,
-            Link::Up => Some(self.next),
-            Link::Down { .. } if self.waits_for_log() => Some(self.next),
-            Link::Down { until, .. } => {
-                self.flight.is_none().then(|| until.max(self.next))
+        let start_deadline = self.start_deadlines.front().map(|(deadline, _)| *deadline);
+        let batch = (!self.write_queue.is_empty()).then(|| match self.table {
+            TableState::Available if self.in_flight.is_some() => None,
+            TableState::Available => Some(self.next_batch_at),
+            TableState::Unavailable { .. } if self.has_start_for_log() => {
+                Some(self.next_batch_at)
+            }
+            TableState::Unavailable { retry_at, .. } => {
+                self.in_flight.is_none().then(|| retry_at.max(self.next_batch_at))
             }
         });
         let batch = batch.flatten();
         let slots = self.slots.values().filter_map(|slot| match &slot.phase {
-            Phase::Failed(at) => Some(*at),
-            Phase::Loading(waiting) => waiting.first().map(|(end, _)| *end),
-            Phase::Open | Phase::Lost => None,
+            SlotPhase::LoadFailed(retry_at) => Some(*retry_at),
+            SlotPhase::Loading(waiting) => waiting.first().map(|(deadline, _)| *deadline),
+            SlotPhase::Open | SlotPhase::ClaimLost => None,
         });
-        slots.chain(patience).chain(batch).min()
+        slots.chain(start_deadline).chain(batch).min()
     }
 
-    /// Takes the next effect.
+    /// Removes and returns the next effect to carry out.
     pub fn next_effect(&mut self) -> Option<Effect> {
         self.effects.pop_front()
     }
@@ -217,171 +222,197 @@
         self.index.entries.len()
     }
 
-    /// Bytes of finished answers in memory.
+    /// Bytes of finished responses in memory.
     pub fn cached_bytes(&self) -> usize {
-        self.index.bytes()
+        self.index.cached_bytes()
     }
 
-    /// Changes that wait to be written.
+    /// The number of changes that wait to be written.
     pub fn queued(&self) -> usize {
-        self.queue.len()
+        self.write_queue.len()
     }
 
-    /// Whether the table service answered last.
+    /// Whether the table service responded to the last batch; true before the first.
     pub fn is_table_up(&self) -> bool {
-        matches!(self.link, Link::Up)
+        matches!(self.table, TableState::Available)
     }
 
-    /// The slots of which requests are taken.
+    /// The number of slots whose requests are accepted.
     pub fn open_slots(&self) -> usize {
-        self.slots.values().filter(|slot| matches!(slot.phase, Phase::Open)).count()
+        self.slots.values().filter(|slot| matches!(slot.phase, SlotPhase::Open)).count()
     }
 
-    /// Requests that were handed on and whose answers are not recorded yet.
+    /// The number of dispatched requests whose responses are not recorded yet.
     pub fn running(&self) -> usize {
-        let active =
-            |entry: &&Entry| matches!(entry.state, State::Running | State::Ending(..));
-        self.index.entries.values().filter(active).count()
+        let is_running = |entry: &&Entry| {
+            matches!(
+                entry.state,
+                RequestState::Running | RequestState::StoringResponse(..)
+            )
+        };
+        self.index.entries.values().filter(is_running).count()
     }
 
-    fn refused(
+    fn run_refused(
         &mut self,
         id: &RequestId,
         attempt: AttemptId,
         refusal: Refusal,
         now: Instant,
     ) {
-        let Some(entry) = self.own(id, attempt) else { return };
-        entry.state = State::Void;
-        entry.unsaved = false;
+        let Some(entry) = self.running_entry(id, attempt) else { return };
+        entry.state = RequestState::NotRun;
+        entry.log_only = false;
         let slot = entry.slot;
-        if let Some(version) = entry.version {
-            self.queue.push_back(Write::Forget { slot, id: id.clone(), version });
+        if let Some(version) = entry.row_version {
+            self.write_queue.push_back(PendingWrite::DeleteRow {
+                slot,
+                id: id.clone(),
+                version,
+            });
         }
-        self.index.finish(id, now + self.limits.retention);
-        self.tell(id, &Reply::Refused(refusal));
+        self.index.schedule_expiry(id, now + self.limits.retention);
+        self.reply_to_waiters(id, &Reply::Refused(refusal));
     }
 
-    fn broke(
+    fn run_interrupted(
         &mut self,
         id: &RequestId,
         attempt: AttemptId,
         refusal: Refusal,
         now: Instant,
     ) {
-        let Some(entry) = self.own(id, attempt) else { return };
-        entry.state = State::Doubt(None);
-        self.index.finish(id, now + self.limits.retention);
-        self.tell(id, &Reply::Refused(refusal));
+        let Some(entry) = self.running_entry(id, attempt) else { return };
+        entry.state = RequestState::InDoubt(None);
+        self.index.schedule_expiry(id, now + self.limits.retention);
+        self.reply_to_waiters(id, &Reply::Refused(refusal));
     }
 
-    fn ended(
+    fn run_finished(
         &mut self,
         id: &RequestId,
         attempt: AttemptId,
-        answer: Arc<Response>,
-        kept: BodyLocation,
+        response: Arc<Response>,
+        body: BodyLocation,
     ) {
-        if self.own(id, attempt).is_some() {
-            self.end(id, answer, kept);
+        if self.running_entry(id, attempt).is_some() {
+            self.store_response(id, response, body);
         }
     }
 
-    /// Records the answer of an id and gives it out afterwards.
-    fn end(&mut self, id: &RequestId, answer: Arc<Response>, kept: BodyLocation) {
+    /// Queues the response for the table; the waiters get it once it is recorded.
+    fn store_response(
+        &mut self,
+        id: &RequestId,
+        response: Arc<Response>,
+        body: BodyLocation,
+    ) {
         let Some(entry) = self.index.entries.get_mut(id) else { return };
-        let summary = answer.summary(kept);
-        entry.state = State::Ending(answer.clone(), summary);
+        let summary = response.summary(body);
+        entry.state = RequestState::StoringResponse(response.clone(), summary);
         let slot = entry.slot;
-        self.queue.push_back(Write::Finish { slot, id: id.clone() });
+        self.write_queue.push_back(PendingWrite::StoreResponse { slot, id: id.clone() });
         if !self.is_table_up() {
-            // The answer is whole; an outage of the journal must not keep it back.
-            self.tell(id, &Reply::Response(answer));
+            // The response is complete; an outage of the table must not delay it.
+            self.reply_to_waiters(id, &Reply::Response(response));
         }
     }
 
-    fn found(
+    fn recovery_finished(
         &mut self,
         id: &RequestId,
         attempt: AttemptId,
-        found: Recovered,
+        recovered: Recovered,
         now: Instant,
     ) {
-        let end = now + self.limits.retention;
+        let expires_at = now + self.limits.retention;
         let Some(entry) = self.index.entries.get_mut(id) else { return };
-        if entry.attempt != attempt || !matches!(entry.state, State::Seeking) {
+        if entry.attempt != attempt || !matches!(entry.state, RequestState::Recovering) {
             return;
         }
-        match found {
+        match recovered {
             Recovered::Nothing => {
-                entry.state = State::Doubt(Some(now));
-                self.tell(id, &Reply::Refused(in_doubt()));
+                entry.state = RequestState::InDoubt(Some(now));
+                self.reply_to_waiters(id, &Reply::Refused(in_doubt()));
             }
             Recovered::Row { summary, version } => {
-                entry.version = Some(version);
-                entry.state = State::Done(summary, None);
-                self.index.finish(id, end);
-                for asker in self.take_askers(id) {
-                    self.wait(asker, id, now);
+                entry.row_version = Some(version);
+                entry.state = RequestState::Done(summary, None);
+                self.index.schedule_expiry(id, expires_at);
+                for waiter in self.take_waiters(id) {
+                    self.add_waiter(waiter, id, now);
                 }
             }
-            Recovered::Engine { response, body } => self.end(id, response, body),
+            Recovered::Engine { response, body } => {
+                self.store_response(id, response, body)
+            }
         }
     }
 
-    fn fetched(&mut self, id: &RequestId, body: Option<Bytes>) {
+    fn body_fetched(&mut self, id: &RequestId, body: Option<Bytes>) {
         let Some(entry) = self.index.entries.get_mut(id) else { return };
-        let State::Done(summary, held) = &mut entry.state else { return };
+        let RequestState::Done(summary, cached) = &mut entry.state else { return };
         let Some(body) = body else {
-            let refusal = unkept().after(Duration::from_secs(2));
-            return self.tell(id, &Reply::Refused(refusal));
+            let refusal = response_unreadable().after(Duration::from_secs(2));
+            return self.reply_to_waiters(id, &Reply::Refused(refusal));
         };
-        let answer = summary.with_body(body);
-        *held = Some(answer.clone());
-        self.index.cache(id, answer.body.len(), self.limits.max_cached_bytes);
-        self.tell(id, &Reply::Response(answer));
+        let response = summary.with_body(body);
+        *cached = Some(response.clone());
+        self.index.cache(id, response.body.len(), self.limits.max_cached_bytes);
+        self.reply_to_waiters(id, &Reply::Response(response));
     }
 
-    /// Refuses requests that have waited for the journal too long.
-    fn lose_patience(&mut self, now: Instant) {
-        while let Some((end, _)) = self.pending.front()
-            && *end <= now
+    /// Refuses requests that waited for the journal beyond the wait limit.
+    fn time_out_starts(&mut self, now: Instant) {
+        while let Some((deadline, _)) = self.start_deadlines.front()
+            && *deadline <= now
         {
-            let Some((end, id)) = self.pending.pop_front() else { break };
+            let Some((deadline, id)) = self.start_deadlines.pop_front() else { break };
             let limits = self.limits;
-            let due = |entry: &Entry| matches!(entry.state, State::Pending(since) if since + limits.wait_limit <= end);
-            if let Some(entry) = self.index.entries.get(&id).filter(|entry| due(entry)) {
-                let refusal = self.down(entry.slot, now);
-                self.void(&id, &refusal, now);
+            let is_due = |entry: &Entry| {
+                matches!(
+                    entry.state,
+                    RequestState::Queued(since) if since + limits.wait_limit <= deadline
+                )
+            };
+            if let Some(entry) = self.index.entries.get(&id).filter(|entry| is_due(entry))
+            {
+                let refusal = self.unavailable_refusal(entry.slot, now);
+                self.cancel_start(&id, &refusal, now);
             }
         }
-        let mut late = Vec::new();
+        let mut timed_out = Vec::new();
         for slot in self.slots.values_mut() {
-            if let Phase::Loading(waiting) = &mut slot.phase {
-                let count = waiting.iter().take_while(|(end, _)| *end <= now).count();
-                late.extend(waiting.drain(..count));
+            if let SlotPhase::Loading(waiting) = &mut slot.phase {
+                let count =
+                    waiting.iter().take_while(|(deadline, _)| *deadline <= now).count();
+                timed_out.extend(waiting.drain(..count));
             }
         }
-        for (_, event) in late {
-            if let Event::Submit { waiter: ticket, slot, .. } = event {
-                let refusal = self.down(slot, now);
-                self.reply(ticket, Reply::Refused(refusal));
+        for (_, event) in timed_out {
+            if let Event::Submit { waiter, slot, .. } = event {
+                let refusal = self.unavailable_refusal(slot, now);
+                self.reply(waiter, Reply::Refused(refusal));
             }
         }
     }
 
-    /// Removes the rows of ids whose retention is over.
-    fn forget(&mut self, now: Instant) {
-        while self.queue.len() < self.limits.max_batch_rows {
-            let Some(id) = self.index.expired(now) else { break };
+    /// Forgets ids whose retention has ended, and queues the deletion of their rows.
+    fn expire_ids(&mut self, now: Instant) {
+        while self.write_queue.len() < self.limits.max_batch_rows {
+            let Some(id) = self.index.pop_expired(now) else { break };
             let Some(entry) = self.index.entries.get(&id) else { continue };
-            if !entry.is_settled() || !entry.askers.is_empty() {
+            if !entry.is_settled() || !entry.waiters.is_empty() {
                 continue;
             }
-            match entry.version {
+            match entry.row_version {
                 Some(version) => {
                     let slot = entry.slot;
-                    self.queue.push_back(Write::Forget { slot, id, version });
+                    self.write_queue.push_back(PendingWrite::DeleteRow {
+                        slot,
+                        id,
+                        version,
+                    });
                 }
                 None => {
                     self.index.entries.swap_remove(&id);
@@ -390,59 +421,64 @@
         }
     }
 
-    /// Refuses the requests of a slot whose start was not committed.
+    /// Refuses the requests of a slot whose starts are still queued.
     fn refuse_starts(&mut self, slot: SlotId, refusal: &Refusal) {
-        let waits = |entry: &Entry| {
-            entry.slot == slot && matches!(entry.state, State::Pending(_))
+        let is_queued = |entry: &Entry| {
+            entry.slot == slot && matches!(entry.state, RequestState::Queued(_))
         };
         let entries = self.index.entries.iter();
-        let ids: Vec<_> =
-            entries.filter(|(_, entry)| waits(entry)).map(|(id, _)| id.clone()).collect();
+        let ids: Vec<_> = entries
+            .filter(|(_, entry)| is_queued(entry))
+            .map(|(id, _)| id.clone())
+            .collect();
         for id in ids {
-            self.set_void(&id);
-            self.tell(&id, &Reply::Refused(refusal.clone()));
+            self.mark_not_run(&id);
+            self.reply_to_waiters(&id, &Reply::Refused(refusal.clone()));
         }
     }
 
-    /// Refuses a request whose start may be committed yet.
-    fn void(&mut self, id: &RequestId, refusal: &Refusal, now: Instant) {
-        self.set_void(id);
-        self.index.finish(id, now + self.limits.retention);
-        self.tell(id, &Reply::Refused(refusal.clone()));
+    /// Refuses a request whose start may still be committed.
+    fn cancel_start(&mut self, id: &RequestId, refusal: &Refusal, now: Instant) {
+        self.mark_not_run(id);
+        self.index.schedule_expiry(id, now + self.limits.retention);
+        self.reply_to_waiters(id, &Reply::Refused(refusal.clone()));
     }
 
-    fn set_void(&mut self, id: &RequestId) {
+    fn mark_not_run(&mut self, id: &RequestId) {
         if let Some(entry) = self.index.entries.get_mut(id) {
-            entry.state = State::Void;
+            entry.state = RequestState::NotRun;
         }
     }
 
-    /// The entry of a run that this daemon made.
-    fn own(&mut self, id: &RequestId, attempt: AttemptId) -> Option<&mut Entry> {
+    /// Returns the entry of an id if this attempt at it is running.
+    fn running_entry(
+        &mut self,
+        id: &RequestId,
+        attempt: AttemptId,
+    ) -> Option<&mut Entry> {
         let entry = self.index.entries.get_mut(id)?;
-        let running = matches!(entry.state, State::Running);
-        (running && entry.attempt == attempt).then_some(entry)
+        let is_running = matches!(entry.state, RequestState::Running);
+        (is_running && entry.attempt == attempt).then_some(entry)
     }
 
-    fn take_askers(&mut self, id: &RequestId) -> Vec<WaiterId> {
+    fn take_waiters(&mut self, id: &RequestId) -> Vec<WaiterId> {
         let entry = self.index.entries.get_mut(id);
-        entry.map(|entry| std::mem::take(&mut entry.askers)).unwrap_or_default()
+        entry.map(|entry| std::mem::take(&mut entry.waiters)).unwrap_or_default()
     }
 
-    /// Tells all who wait for an id.
-    fn tell(&mut self, id: &RequestId, reply: &Reply) {
-        for asker in self.take_askers(id) {
-            self.reply(asker, reply.clone());
+    fn reply_to_waiters(&mut self, id: &RequestId, reply: &Reply) {
+        for waiter in self.take_waiters(id) {
+            self.reply(waiter, reply.clone());
         }
     }
 
-    fn reply(&mut self, ticket: WaiterId, reply: Reply) {
-        self.effects.push_back(Effect::Reply { waiter: ticket, reply });
+    fn reply(&mut self, waiter: WaiterId, reply: Reply) {
+        self.effects.push_back(Effect::Reply { waiter, reply });
     }
 
-    /// Drops the oldest ids beyond the limit.
-    fn trim(&mut self) {
-        for slot in self.index.trim(self.limits.max_ids) {
+    /// Evicts the oldest finished ids beyond the limit; their slots are then incomplete.
+    fn evict_ids(&mut self) {
+        for slot in self.index.evict(self.limits.max_ids) {
             if let Some(slot) = self.slots.get_mut(&slot) {
                 slot.complete = false;
             }
@@ -451,26 +487,29 @@
 
     /// Whether an id that is not in memory was certainly never started.
     ///
-    /// A daemon that was paused may have lost its slot, and the id may have run
-    /// elsewhere since. While its lease holds, nobody can have taken it over.
-    fn is_sure(&self, slot: SlotId, now: Instant) -> bool {
-        let open = |slot: &Slot| slot.complete && matches!(slot.phase, Phase::Open);
-        now < self.lease && self.slots.get(&slot).is_some_and(open)
+    /// After a suspension the daemon may have lost its slot, and the id may have run
+    /// elsewhere. While its lease is valid, nobody can have taken over the slot.
+    fn is_index_authoritative(&self, slot: SlotId, now: Instant) -> bool {
+        let is_open =
+            |slot: &SlotState| slot.complete && matches!(slot.phase, SlotPhase::Open);
+        now < self.lease_expiry && self.slots.get(&slot).is_some_and(is_open)
     }
 
-    /// The refusal of a request that can't be journalled now.
-    fn down(&mut self, slot: SlotId, now: Instant) -> Refusal {
-        let rest = match self.link {
-            Link::Down { until, .. } => until.saturating_duration_since(now),
-            Link::Up => self.limits.initial_backoff,
+    /// Builds the refusal of a request whose start can't be recorded now.
+    fn unavailable_refusal(&mut self, slot: SlotId, now: Instant) -> Refusal {
+        let remaining = match self.table {
+            TableState::Unavailable { retry_at, .. } => {
+                retry_at.saturating_duration_since(now)
+            }
+            TableState::Available => self.limits.initial_backoff,
         };
-        let wait = rest + jitter(RETURN_SPREAD, &mut self.seed);
-        let outcome = match self.is_sure(slot, now) {
+        let retry_after = remaining + jitter(RETRY_SPREAD, &mut self.jitter_seed);
+        let outcome = match self.is_index_authoritative(slot, now) {
             true => Outcome::NotRun,
             false => Outcome::InDoubt,
         };
         let why = "the journal can't be used now, so the request was not started here; \
                    send it again with the same key after the time given";
-        Refusal::new(outcome, Code::JournalDown, why).after(wait)
+        Refusal::new(outcome, Code::JournalDown, why).after(retry_after)
     }
 }
--- a/crates/once/src/journal/ask.rs
+++ b/crates/once/src/journal/ask.rs
@@ -1,134 +1,142 @@
-//! Requests and questions that come to the journal.
+//! Requests and lookups from callers.
 
 use std::time::Instant;
 
 use chestnut_base::{Digest, RequestId, SlotId};
 
-use super::{Journal, Link, Phase, SEEK_PAUSE};
-use crate::batch::Write;
+use super::{Journal, RECOVERY_RETRY_INTERVAL, SlotPhase, TableState};
+use crate::batch::PendingWrite;
 use crate::event::{Effect, Event, Reply};
-use crate::index::{Entry, State, WaiterId};
+use crate::index::{Entry, RequestState, WaiterId};
 use crate::record::BodyLocation;
-use crate::refuse::{in_doubt, moved, reused, unkept};
+use crate::refuse::{in_doubt, key_reused, response_unreadable, slot_moving};
 
 impl Journal {
-    pub(super) fn ask(&mut self, event: Event, now: Instant) {
-        let Event::Submit { waiter: ticket, slot, ref id, digest, attempt, ref target } =
-            event
+    pub(super) fn submit(&mut self, event: Event, now: Instant) {
+        let Event::Submit { waiter, slot, ref id, digest, attempt, ref target } = event
         else {
             return;
         };
         if let Some(entry) = self.index.entries.get(id)
-            && !matches!(entry.state, State::Void)
+            && !matches!(entry.state, RequestState::NotRun)
         {
             let id = id.clone();
-            return self.join(ticket, &id, digest, now);
+            return self.join(waiter, &id, digest, now);
         }
         let limits = self.limits;
         match self.slots.get_mut(&slot).map(|slot| &mut slot.phase) {
-            Some(Phase::Open) => {}
-            Some(Phase::Loading(waiting)) if waiting.len() < limits.max_queued => {
+            Some(SlotPhase::Open) => {}
+            Some(SlotPhase::Loading(waiting)) if waiting.len() < limits.max_queued => {
                 waiting.push((now + limits.wait_limit, event));
                 return;
             }
-            Some(Phase::Loading(_) | Phase::Failed(_)) => {
-                let refusal = self.down(slot, now);
-                return self.reply(ticket, Reply::Refused(refusal));
+            Some(SlotPhase::Loading(_) | SlotPhase::LoadFailed(_)) => {
+                let refusal = self.unavailable_refusal(slot, now);
+                return self.reply(waiter, Reply::Refused(refusal));
             }
-            Some(Phase::Lost) | None => {
-                return self.reply(ticket, Reply::Refused(moved()));
+            Some(SlotPhase::ClaimLost) | None => {
+                return self.reply(waiter, Reply::Refused(slot_moving()));
             }
         }
-        let full = self.queue.len() >= limits.max_queued;
-        let down = matches!(self.link, Link::Down { until, .. } if now < until);
-        if full || down && !self.has_log(slot, now) {
-            let refusal = self.down(slot, now);
-            return self.reply(ticket, Reply::Refused(refusal));
+        let queue_full = self.write_queue.len() >= limits.max_queued;
+        let table_down = matches!(
+            self.table,
+            TableState::Unavailable { retry_at, .. } if now < retry_at
+        );
+        if queue_full || table_down && !self.can_append(slot, now) {
+            let refusal = self.unavailable_refusal(slot, now);
+            return self.reply(waiter, Reply::Refused(refusal));
         }
         let (id, target) = (id.clone(), target.clone());
-        let old = self.index.entries.get(&id);
-        let over = old.and_then(|entry| entry.version);
-        // The earlier attempt was not handed on, so its number is free. With the
-        // same number, a row that it may have left is recognised as this one's.
-        let again = old.filter(|entry| entry.digest == digest);
-        let attempt = again.map_or(attempt, |entry| entry.attempt);
+        let previous = self.index.entries.get(&id);
+        let replaced_version = previous.and_then(|entry| entry.row_version);
+        // The earlier attempt was not dispatched, so its number can be reused. A row
+        // that it may have left behind is then recognised as this attempt's.
+        let same_request = previous.filter(|entry| entry.digest == digest);
+        let attempt = same_request.map_or(attempt, |entry| entry.attempt);
         let entry = Entry {
             slot,
             digest,
             attempt,
             target,
             server: None,
-            version: over,
-            unsaved: false,
-            end: None,
-            state: State::Pending(now),
-            askers: vec![ticket],
+            row_version: replaced_version,
+            log_only: false,
+            expires_at: None,
+            state: RequestState::Queued(now),
+            waiters: vec![waiter],
         };
         self.index.entries.insert(id.clone(), entry);
-        self.trim();
-        self.pending.push_back((now + limits.wait_limit, id.clone()));
-        // A removal that still waits would remove the row of the new start.
-        self.queue.retain(|write| *write.id() != id);
-        self.queue.push_back(Write::Start { slot, id, over });
+        self.evict_ids();
+        self.start_deadlines.push_back((now + limits.wait_limit, id.clone()));
+        // A delete that is still queued would delete the row of the new start.
+        self.write_queue.retain(|write| *write.id() != id);
+        self.write_queue.push_back(PendingWrite::Start { slot, id, replaced_version });
     }
 
-    /// Lets a request share the run or the answer of an id that is known.
-    fn join(&mut self, ticket: WaiterId, id: &RequestId, digest: Digest, now: Instant) {
+    /// Attaches a request to the run or the response of a known id.
+    fn join(&mut self, waiter: WaiterId, id: &RequestId, digest: Digest, now: Instant) {
         let Some(entry) = self.index.entries.get(id) else { return };
         if entry.digest != digest {
-            return self.reply(ticket, Reply::Refused(reused()));
+            return self.reply(waiter, Reply::Refused(key_reused()));
         }
-        self.wait(ticket, id, now);
+        self.add_waiter(waiter, id, now);
     }
 
     pub(super) fn lookup(
         &mut self,
-        ticket: WaiterId,
+        waiter: WaiterId,
         slot: SlotId,
         id: RequestId,
         now: Instant,
     ) {
         match self.index.entries.get(&id).map(|entry| &entry.state) {
-            Some(State::Pending(_) | State::Running | State::Ending(..)) => {
-                self.reply(ticket, Reply::Running)
-            }
-            Some(State::Done(..) | State::Seeking | State::Doubt(_)) => {
-                self.wait(ticket, &id, now)
-            }
-            // Only the row itself proves that an id was not started: this daemon
-            // may have been paused while another took the slot over.
-            Some(State::Void) | None => {
-                self.effects.push_back(Effect::ReadState { waiter: ticket, slot, id })
+            Some(
+                RequestState::Queued(_)
+                | RequestState::Running
+                | RequestState::StoringResponse(..),
+            ) => self.reply(waiter, Reply::Running),
+            Some(
+                RequestState::Done(..)
+                | RequestState::Recovering
+                | RequestState::InDoubt(_),
+            ) => self.add_waiter(waiter, &id, now),
+            // Only the row itself proves that an id was not started: this daemon may
+            // have been suspended while another took over the slot.
+            Some(RequestState::NotRun) | None => {
+                self.effects.push_back(Effect::ReadState { waiter, slot, id })
             }
         }
     }
 
-    /// Lets an asker wait for the end of a known id, and sees to it that it comes.
-    pub(super) fn wait(&mut self, asker: WaiterId, id: &RequestId, now: Instant) {
+    /// Adds a waiter to a known id, and starts what is needed to get its response.
+    pub(super) fn add_waiter(&mut self, waiter: WaiterId, id: &RequestId, now: Instant) {
         let Some(entry) = self.index.entries.get_mut(id) else { return };
-        entry.askers.push(asker);
+        entry.waiters.push(waiter);
         match &entry.state {
-            State::Done(summary, held) => {
-                let known = held.clone().or_else(|| summary.inline_response());
-                if let Some(answer) = known {
-                    return self.tell(id, &Reply::Response(answer));
+            RequestState::Done(summary, cached) => {
+                let response = cached.clone().or_else(|| summary.inline_response());
+                if let Some(response) = response {
+                    return self.reply_to_waiters(id, &Reply::Response(response));
                 }
                 match &summary.body {
-                    BodyLocation::Object(key) if entry.askers.len() == 1 => {
+                    BodyLocation::Object(key) if entry.waiters.len() == 1 => {
                         let (id, key) = (id.clone(), key.clone());
                         self.effects.push_back(Effect::FetchBody { id, key });
                     }
                     BodyLocation::Object(_) => {}
                     BodyLocation::Inline(_) | BodyLocation::NotStored => {
-                        self.tell(id, &Reply::Refused(unkept()))
+                        self.reply_to_waiters(id, &Reply::Refused(response_unreadable()))
                     }
                 }
             }
-            State::Doubt(Some(last)) if now < *last + SEEK_PAUSE => {
-                self.tell(id, &Reply::Refused(in_doubt()))
+            RequestState::InDoubt(Some(last_recovery))
+                if now < *last_recovery + RECOVERY_RETRY_INTERVAL =>
+            {
+                self.reply_to_waiters(id, &Reply::Refused(in_doubt()))
             }
-            State::Doubt(_) => {
-                entry.state = State::Seeking;
+            RequestState::InDoubt(_) => {
+                entry.state = RequestState::Recovering;
                 self.effects.push_back(Effect::RecoverResponse {
                     slot: entry.slot,
                     id: id.clone(),
@@ -137,11 +145,11 @@
                     server: entry.server.clone(),
                 });
             }
-            State::Pending(_)
-            | State::Running
-            | State::Ending(..)
-            | State::Seeking
-            | State::Void => {}
+            RequestState::Queued(_)
+            | RequestState::Running
+            | RequestState::StoringResponse(..)
+            | RequestState::Recovering
+            | RequestState::NotRun => {}
         }
     }
 }
--- a/crates/once/src/journal/commit.rs
+++ b/crates/once/src/journal/commit.rs
@@ -1,4 +1,4 @@
-//! Batches of the journal: how they are built and what their answers mean.
+//! Building batches and handling their results.
 
 use std::collections::VecDeque;
 use std::time::Instant;
@@ -6,306 +6,347 @@
 use chestnut_base::{RequestId, SlotId};
 use indexmap::IndexMap;
 
-use super::{Flight, Journal, Link, Phase};
-use crate::batch::{Batch, Change, CommitResult, Condition, Write};
+use super::{BatchInFlight, Journal, SlotPhase, TableState};
+use crate::batch::{Batch, Change, CommitResult, Condition, PendingWrite};
 use crate::event::{Effect, Reply};
-use crate::index::{Entry, State};
+use crate::index::{Entry, RequestState};
 use crate::limits::jitter;
 use crate::record::{BodyLocation, JournalRow};
-use crate::refuse::{in_doubt, moved, reused};
+use crate::refuse::{in_doubt, key_reused, slot_moving};
 
-/// How often a batch is sent whose answers are lost.
-const SEND_LIMIT: u32 = 2;
+/// How often a batch is sent while its result is unknown, including the first time.
+const MAX_SENDS: u32 = 2;
 
 impl Journal {
-    /// Sends the next batch if one is due, or the next append while the table is
-    /// down.
-    pub(super) fn pump(&mut self, now: Instant) {
-        let down = matches!(self.link, Link::Down { .. });
-        if now < self.next || self.queue.is_empty() || self.flight.is_some() && !down {
+    /// Sends the next batch if one is due, or appends starts to a log while the table
+    /// is unavailable.
+    pub(super) fn send_due(&mut self, now: Instant) {
+        let table_down = matches!(self.table, TableState::Unavailable { .. });
+        if now < self.next_batch_at
+            || self.write_queue.is_empty()
+            || self.in_flight.is_some() && !table_down
+        {
             return;
         }
-        self.next = now + self.limits.batch_interval;
-        let rests = matches!(self.link, Link::Down { until, .. } if now < until);
-        if self.flight.is_none() && !rests {
-            let writes = self.pick(now);
+        self.next_batch_at = now + self.limits.batch_interval;
+        let backing_off = matches!(
+            self.table,
+            TableState::Unavailable { retry_at, .. } if now < retry_at
+        );
+        if self.in_flight.is_none() && !backing_off {
+            let writes = self.next_writes(now);
             if !writes.is_empty() {
-                return self.send(writes, 0);
+                return self.send_batch(writes, 0);
             }
         }
-        if down {
-            self.divert(now);
+        if table_down {
+            self.append_starts(now);
         }
     }
 
-    /// Takes the next changes from the queue that still make sense.
-    fn pick(&mut self, now: Instant) -> Vec<Write> {
+    /// Takes the next writes from the queue, skipping deferred and obsolete ones.
+    fn next_writes(&mut self, now: Instant) -> Vec<PendingWrite> {
         let mut writes = Vec::new();
-        let mut later = Vec::new();
+        let mut deferred = Vec::new();
         while writes.len() < self.limits.max_batch_rows {
-            let Some(write) = self.queue.pop_front() else { break };
-            match self.sense(&write, now) {
-                Sense::Send => writes.push(write),
-                Sense::Later => later.push(write),
-                Sense::Never => {}
+            let Some(write) = self.write_queue.pop_front() else { break };
+            match self.readiness(&write, now) {
+                Readiness::Ready => writes.push(write),
+                Readiness::Deferred => deferred.push(write),
+                Readiness::Obsolete => {}
             }
         }
-        self.queue.extend(later);
-        // Starts come first, so that a batch whose acknowledgement was lost shows
-        // itself by the row of its first start.
+        self.write_queue.extend(deferred);
+        // Starts come first, so that resending a batch that took effect conflicts with
+        // the row of its first start.
         writes.sort_by_key(|write| {
-            !matches!(write, Write::Start { .. } | Write::Copy { .. })
+            !matches!(
+                write,
+                PendingWrite::Start { .. } | PendingWrite::CopyFromLog { .. }
+            )
         });
         writes
     }
 
-    pub(super) fn sense(&self, write: &Write, now: Instant) -> Sense {
+    pub(super) fn readiness(&self, write: &PendingWrite, now: Instant) -> Readiness {
         let state = self.index.entries.get(write.id()).map(|entry| &entry.state);
         let phase = self.slots.get(&write.slot()).map(|slot| &slot.phase);
         match write {
-            Write::Start { slot, .. } => match (state, phase) {
-                // They are not kept waiting by a table that may not answer.
-                (Some(State::Pending(_)), Some(Phase::Open))
-                    if !self.is_table_up() && self.has_log(*slot, now) =>
+            PendingWrite::Start { slot, .. } => match (state, phase) {
+                // Starts that can go into the log don't wait for a table that may not
+                // respond.
+                (Some(RequestState::Queued(_)), Some(SlotPhase::Open))
+                    if !self.is_table_up() && self.can_append(*slot, now) =>
                 {
-                    Sense::Later
+                    Readiness::Deferred
                 }
-                (Some(State::Pending(_)), Some(Phase::Open)) => Sense::Send,
-                _ => Sense::Never,
+                (Some(RequestState::Queued(_)), Some(SlotPhase::Open)) => {
+                    Readiness::Ready
+                }
+                _ => Readiness::Obsolete,
             },
-            Write::Copy { id, .. } => match phase {
-                Some(Phase::Open) if self.is_unsaved(id) => Sense::Send,
-                Some(Phase::Loading(_) | Phase::Failed(_)) => Sense::Later,
-                _ => Sense::Never,
+            PendingWrite::CopyFromLog { id, .. } => match phase {
+                Some(SlotPhase::Open) if self.is_log_only(id) => Readiness::Ready,
+                Some(SlotPhase::Loading(_) | SlotPhase::LoadFailed(_)) => {
+                    Readiness::Deferred
+                }
+                _ => Readiness::Obsolete,
             },
-            Write::Finish { .. } => match state {
-                Some(State::Ending(..)) => Sense::Send,
-                _ => Sense::Never,
+            PendingWrite::StoreResponse { .. } => match state {
+                Some(RequestState::StoringResponse(..)) => Readiness::Ready,
+                _ => Readiness::Obsolete,
             },
-            Write::Forget { .. } => match phase {
-                Some(Phase::Open) => Sense::Send,
-                Some(Phase::Loading(_) | Phase::Failed(_)) => Sense::Later,
-                Some(Phase::Lost) | None => Sense::Never,
+            PendingWrite::DeleteRow { .. } => match phase {
+                Some(SlotPhase::Open) => Readiness::Ready,
+                Some(SlotPhase::Loading(_) | SlotPhase::LoadFailed(_)) => {
+                    Readiness::Deferred
+                }
+                Some(SlotPhase::ClaimLost) | None => Readiness::Obsolete,
             },
         }
     }
 
-    fn send(&mut self, writes: Vec<Write>, lost: u32) {
-        self.numbers += 1;
-        let stamp = self.origin.wrapping_add(self.numbers);
-        let change = |write| self.change(write, stamp);
+    fn send_batch(&mut self, writes: Vec<PendingWrite>, resends: u32) {
+        self.last_number += 1;
+        let transaction_id = self.transaction_id_base.wrapping_add(self.last_number);
+        let change = |write| self.change_for(write, transaction_id);
         let batch = Batch {
-            number: self.numbers,
+            number: self.last_number,
             conditions: self.conditions(&writes),
             changes: writes.iter().filter_map(change).collect(),
         };
         self.effects.push_back(Effect::Commit(batch.clone()));
-        self.flight = Some(Flight { batch, stamp, writes, lost });
+        self.in_flight = Some(BatchInFlight { batch, transaction_id, writes, resends });
     }
 
-    /// First the claims of the slots, then a condition for each row that needs one.
-    fn conditions(&self, writes: &[Write]) -> Vec<Condition> {
+    /// Returns the claims of the slots, then a condition for each row that needs one.
+    fn conditions(&self, writes: &[PendingWrite]) -> Vec<Condition> {
         let mut claims = IndexMap::new();
         for write in writes {
-            // The answer of a request that was started under a former claim is
-            // true whoever holds the slot now, so it needs no claim.
+            // The response to a request that was started under an earlier claim is
+            // valid whoever holds the slot now, so it needs no claim.
             if let Some(slot) = self.slots.get(&write.slot())
-                && !matches!(slot.phase, Phase::Lost)
-                && !matches!(write, Write::Finish { .. })
+                && !matches!(slot.phase, SlotPhase::ClaimLost)
+                && !matches!(write, PendingWrite::StoreResponse { .. })
             {
-                claims.insert(write.slot(), slot.version);
+                claims.insert(write.slot(), slot.claim_version);
             }
         }
         let claims =
             claims.into_iter().map(|(slot, version)| Condition::Claim { slot, version });
-        claims.chain(writes.iter().filter_map(Write::condition)).collect()
+        claims.chain(writes.iter().filter_map(PendingWrite::condition)).collect()
     }
 
-    fn change(&self, write: &Write, stamp: u64) -> Option<Change> {
+    fn change_for(&self, write: &PendingWrite, transaction_id: u64) -> Option<Change> {
         let id = write.id();
         let slot = write.slot();
         let entry = self.index.entries.get(id);
-        if matches!(write, Write::Forget { .. }) {
+        if matches!(write, PendingWrite::DeleteRow { .. }) {
             return Some(Change::Delete { slot, id: id.clone() });
         }
-        let answer = match (write, &entry?.state) {
-            (Write::Copy { .. }, State::Done(summary, _)) => Some(summary.clone()),
-            (Write::Finish { .. }, State::Ending(_, summary)) => Some(summary.clone()),
-            (Write::Finish { .. }, _) => return None,
+        let response = match (write, &entry?.state) {
+            (PendingWrite::CopyFromLog { .. }, RequestState::Done(summary, _)) => {
+                Some(summary.clone())
+            }
+            (
+                PendingWrite::StoreResponse { .. },
+                RequestState::StoringResponse(_, summary),
+            ) => Some(summary.clone()),
+            (PendingWrite::StoreResponse { .. }, _) => return None,
             _ => None,
         };
-        let mut record = entry?.record(id, answer);
-        record.transaction_id = stamp;
+        let mut record = entry?.record(id, response);
+        record.transaction_id = transaction_id;
         Some(Change::Put(Box::new(record)))
     }
 
-    pub(super) fn stored(&mut self, number: u64, stored: CommitResult, now: Instant) {
-        let Some(flight) = self.flight.take_if(|flight| flight.batch.number == number)
+    pub(super) fn commit_finished(
+        &mut self,
+        number: u64,
+        result: CommitResult,
+        now: Instant,
+    ) {
+        let Some(in_flight) =
+            self.in_flight.take_if(|in_flight| in_flight.batch.number == number)
         else {
             return;
         };
-        match stored {
+        match result {
             CommitResult::Committed { version } => {
-                self.link = Link::Up;
-                for write in flight.writes {
-                    self.committed(write, version, now);
+                self.table = TableState::Available;
+                for write in in_flight.writes {
+                    self.write_committed(write, version, now);
                 }
             }
             CommitResult::Conflict { condition, row } => {
-                self.link = Link::Up;
-                self.conflict(flight, condition, row.map(|row| *row), now);
+                self.table = TableState::Available;
+                self.commit_conflict(in_flight, condition, row.map(|row| *row), now);
             }
-            CommitResult::Unavailable => self.failed(flight, now),
-            CommitResult::Unknown if self.may_resend(&flight, now) => self.resend(flight),
-            CommitResult::Unknown => self.failed(flight, now),
+            CommitResult::Unavailable => self.commit_failed(in_flight, now),
+            CommitResult::Unknown if self.should_resend(&in_flight, now) => {
+                self.resend(in_flight)
+            }
+            CommitResult::Unknown => self.commit_failed(in_flight, now),
         }
     }
 
-    /// Whether a batch whose answer was lost is sent again at once.
+    /// Whether a batch with an unknown result is sent again at once.
     ///
-    /// Starts that can go into the log do not wait for a second timeout.
-    fn may_resend(&self, flight: &Flight, now: Instant) -> bool {
-        let diverts = |write: &Write| {
-            matches!(write, Write::Start { .. }) && self.has_log(write.slot(), now)
+    /// Starts that can go into the log don't wait for a second timeout.
+    fn should_resend(&self, in_flight: &BatchInFlight, now: Instant) -> bool {
+        let can_use_log = |write: &PendingWrite| {
+            matches!(write, PendingWrite::Start { .. })
+                && self.can_append(write.slot(), now)
         };
-        flight.lost + 1 < SEND_LIMIT && !flight.writes.iter().any(diverts)
+        in_flight.resends + 1 < MAX_SENDS && !in_flight.writes.iter().any(can_use_log)
     }
 
-    /// Sends the very same batch again: its conditions tell whether it took effect.
-    fn resend(&mut self, flight: Flight) {
-        self.numbers += 1;
-        let batch = Batch { number: self.numbers, ..flight.batch };
+    /// Sends the identical batch again; its conditions show whether it took effect.
+    fn resend(&mut self, in_flight: BatchInFlight) {
+        self.last_number += 1;
+        let batch = Batch { number: self.last_number, ..in_flight.batch };
         self.effects.push_back(Effect::Commit(batch.clone()));
-        self.flight = Some(Flight { batch, lost: flight.lost + 1, ..flight });
+        self.in_flight =
+            Some(BatchInFlight { batch, resends: in_flight.resends + 1, ..in_flight });
     }
 
-    fn committed(&mut self, write: Write, version: u64, now: Instant) {
+    fn write_committed(&mut self, write: PendingWrite, version: u64, now: Instant) {
         match write {
-            Write::Start { slot, id, .. } => self.started(slot, &id, version),
-            Write::Copy { slot, id, .. } => self.copied(slot, &id, version),
-            Write::Finish { id, .. } => self.finished(&id, version, now),
-            Write::Forget { id, .. } => self.forgotten(&id),
+            PendingWrite::Start { slot, id, .. } => {
+                self.start_recorded(slot, &id, version)
+            }
+            PendingWrite::CopyFromLog { slot, id, .. } => {
+                self.copy_recorded(slot, &id, version)
+            }
+            PendingWrite::StoreResponse { id, .. } => {
+                self.response_recorded(&id, version, now)
+            }
+            PendingWrite::DeleteRow { id, .. } => self.row_deleted(&id),
         }
     }
 
-    fn started(&mut self, slot: SlotId, id: &RequestId, version: u64) {
+    fn start_recorded(&mut self, slot: SlotId, id: &RequestId, version: u64) {
         let Some(entry) = self.index.entries.get_mut(id) else { return };
-        entry.version = Some(version);
+        entry.row_version = Some(version);
         match entry.state {
-            State::Pending(_) => {
-                entry.state = State::Running;
+            RequestState::Queued(_) => {
+                entry.state = RequestState::Running;
                 let attempt = entry.attempt;
-                let Some(&ticket) = entry.askers.first() else { return };
-                self.effects.push_back(Effect::Run {
-                    waiter: ticket,
-                    id: id.clone(),
-                    attempt,
-                });
-            }
-            // It was refused while its start was on the way.
-            State::Void => {
-                self.queue.push_back(Write::Forget { slot, id: id.clone(), version })
+                let Some(&waiter) = entry.waiters.first() else { return };
+                self.effects.push_back(Effect::Run { waiter, id: id.clone(), attempt });
             }
+            // It was refused while its start was being committed.
+            RequestState::NotRun => self.write_queue.push_back(PendingWrite::DeleteRow {
+                slot,
+                id: id.clone(),
+                version,
+            }),
             _ => {}
         }
     }
 
-    fn finished(&mut self, id: &RequestId, version: u64, now: Instant) {
+    fn response_recorded(&mut self, id: &RequestId, version: u64, now: Instant) {
         let Some(entry) = self.index.entries.get_mut(id) else { return };
-        let State::Ending(answer, summary) = &entry.state else { return };
-        let (answer, summary) = (answer.clone(), summary.clone());
-        entry.version = Some(version);
-        entry.unsaved = false;
-        entry.state = State::Done(summary, Some(answer.clone()));
+        let RequestState::StoringResponse(response, summary) = &entry.state else {
+            return;
+        };
+        let (response, summary) = (response.clone(), summary.clone());
+        entry.row_version = Some(version);
+        entry.log_only = false;
+        entry.state = RequestState::Done(summary, Some(response.clone()));
         let slot = entry.slot;
-        self.tell(id, &Reply::Response(answer.clone()));
+        self.reply_to_waiters(id, &Reply::Response(response.clone()));
         if matches!(
             self.slots.get(&slot).map(|slot| &slot.phase),
-            Some(Phase::Lost) | None
+            Some(SlotPhase::ClaimLost) | None
         ) {
             self.index.entries.swap_remove(id);
             return;
         }
-        self.index.finish(id, now + self.limits.retention);
-        self.index.cache(id, answer.body.len(), self.limits.max_cached_bytes);
-        self.trim();
+        self.index.schedule_expiry(id, now + self.limits.retention);
+        self.index.cache(id, response.body.len(), self.limits.max_cached_bytes);
+        self.evict_ids();
     }
 
-    fn forgotten(&mut self, id: &RequestId) {
+    fn row_deleted(&mut self, id: &RequestId) {
         let Some(entry) = self.index.entries.get_mut(id) else { return };
-        entry.version = None;
+        entry.row_version = None;
         let key = match &entry.state {
-            State::Done(summary, _) => match &summary.body {
+            RequestState::Done(summary, _) => match &summary.body {
                 BodyLocation::Object(key) => Some(key.clone()),
                 _ => None,
             },
             _ => None,
         };
-        if entry.is_settled() && entry.askers.is_empty() {
+        if entry.is_settled() && entry.waiters.is_empty() {
             self.index.entries.swap_remove(id);
         }
         self.effects.extend(key.map(Effect::DeleteBody));
     }
 
-    fn conflict(
+    fn commit_conflict(
         &mut self,
-        flight: Flight,
+        in_flight: BatchInFlight,
         condition: usize,
         row: Option<JournalRow>,
         now: Instant,
     ) {
-        let Some(failed) = flight.batch.conditions.get(condition) else {
-            return self.requeue(flight.writes);
+        let Some(failed_condition) = in_flight.batch.conditions.get(condition) else {
+            return self.requeue(in_flight.writes);
         };
-        let id = match failed {
+        let id = match failed_condition {
             Condition::Claim { slot, version } => {
-                self.deposed(*slot, *version);
-                return self.requeue(flight.writes);
+                self.claim_superseded(*slot, *version);
+                return self.requeue(in_flight.writes);
             }
             Condition::Absent { id, .. } | Condition::Version { id, .. } => id.clone(),
         };
-        if flight.lost > 0 && self.took_effect(&flight, row.as_ref()) {
+        if in_flight.resends > 0 && self.was_committed(&in_flight, row.as_ref()) {
             let version = row.map_or(0, |row| row.version);
-            for write in flight.writes {
-                self.committed(write, version, now);
+            for write in in_flight.writes {
+                self.write_committed(write, version, now);
             }
             return;
         }
-        let (mut hit, rest): (Vec<_>, Vec<_>) =
-            flight.writes.into_iter().partition(|write| {
-                *write.id() == id && !matches!(write, Write::Finish { .. })
+        let (mut conflicting, rest): (Vec<_>, Vec<_>) =
+            in_flight.writes.into_iter().partition(|write| {
+                *write.id() == id && !matches!(write, PendingWrite::StoreResponse { .. })
             });
         self.requeue(rest);
-        match hit.pop() {
-            Some(Write::Start { slot, id, .. }) => self.taken(slot, &id, row, now),
-            Some(Write::Copy { slot, id, .. }) => self.met(slot, &id, row),
-            // The row is gone or another's by now; there is nothing to remove.
-            Some(Write::Forget { id, .. }) => self.forgotten(&id),
-            Some(Write::Finish { .. }) | None => {}
+        match conflicting.pop() {
+            Some(PendingWrite::Start { slot, id, .. }) => {
+                self.start_conflict(slot, &id, row, now)
+            }
+            Some(PendingWrite::CopyFromLog { slot, id, .. }) => {
+                self.copy_conflict(slot, &id, row)
+            }
+            // The row is gone or belongs to another attempt; there is nothing to delete.
+            Some(PendingWrite::DeleteRow { id, .. }) => self.row_deleted(&id),
+            Some(PendingWrite::StoreResponse { .. }) | None => {}
         }
     }
 
-    /// Whether the conflict shows that the batch took effect when its answer was lost.
+    /// Whether the conflict shows that an earlier send of the batch took effect.
     ///
-    /// All of a batch takes effect or nothing, so that any row with the batch's
-    /// stamp shows it. A row of the same attempt does not: an earlier batch that
-    /// was believed lost may have written it, and the other starts of this one
-    /// would be handed on without a record. A batch that only removes rows shows it
-    /// by a row that is gone.
-    fn took_effect(&self, flight: &Flight, row: Option<&JournalRow>) -> bool {
+    /// A batch is atomic, so any row with the batch's transaction id proves it. A row
+    /// of the same attempt doesn't: an earlier batch that was assumed to be lost may
+    /// have written it, and the other starts of this batch would be dispatched without
+    /// a record. For a batch that only deletes rows, a missing row proves it.
+    fn was_committed(&self, in_flight: &BatchInFlight, row: Option<&JournalRow>) -> bool {
         match row {
             Some(row) => row
                 .record
                 .as_ref()
-                .is_some_and(|record| record.transaction_id == flight.stamp),
-            None => {
-                flight.writes.iter().all(|write| matches!(write, Write::Forget { .. }))
-            }
+                .is_some_and(|record| record.transaction_id == in_flight.transaction_id),
+            None => in_flight
+                .writes
+                .iter()
+                .all(|write| matches!(write, PendingWrite::DeleteRow { .. })),
         }
     }
 
-    /// The start of an id met a row, or the lack of one.
-    fn taken(
+    /// Handles a start that failed on the row it found, or on a missing one.
+    fn start_conflict(
         &mut self,
         slot: SlotId,
         id: &RequestId,
@@ -314,89 +355,95 @@
     ) {
         let Some(entry) = self.index.entries.get_mut(id) else { return };
         let Some(row) = row else {
-            entry.version = None;
-            let write = Write::Start { slot, id: id.clone(), over: None };
-            return self.queue.push_front(write);
+            entry.row_version = None;
+            let write =
+                PendingWrite::Start { slot, id: id.clone(), replaced_version: None };
+            return self.write_queue.push_front(write);
         };
         let version = row.version;
         let Some(record) = row.record else {
-            // A row that can't be read counts as started.
-            entry.state = State::Doubt(Some(now));
-            entry.version = Some(version);
-            return self.tell(id, &Reply::Refused(in_doubt()));
+            // The request of a row that can't be parsed counts as started.
+            entry.state = RequestState::InDoubt(Some(now));
+            entry.row_version = Some(version);
+            return self.reply_to_waiters(id, &Reply::Refused(in_doubt()));
         };
         if record.attempt == entry.attempt {
-            return self.started(slot, id, version);
+            return self.start_recorded(slot, id, version);
         }
         let digest = entry.digest;
-        let askers = self.take_askers(id);
-        let (id, known) = Entry::of(record, Some(version));
-        let same = known.digest == digest;
-        self.index.entries.insert(id.clone(), known);
-        self.index.finish(&id, now + self.limits.retention);
-        for asker in askers {
-            match same {
-                true => self.wait(asker, &id, now),
-                false => self.reply(asker, Reply::Refused(reused())),
+        let waiters = self.take_waiters(id);
+        let (id, entry) = Entry::from_record(record, Some(version));
+        let same_digest = entry.digest == digest;
+        self.index.entries.insert(id.clone(), entry);
+        self.index.schedule_expiry(&id, now + self.limits.retention);
+        for waiter in waiters {
+            match same_digest {
+                true => self.add_waiter(waiter, &id, now),
+                false => self.reply(waiter, Reply::Refused(key_reused())),
             }
         }
     }
 
-    pub(super) fn deposed(&mut self, slot: SlotId, version: u64) {
-        let Some(known) = self.slots.get_mut(&slot) else { return };
-        if known.version == version {
-            known.phase = Phase::Lost;
-            self.refuse_starts(slot, &moved());
+    pub(super) fn claim_superseded(&mut self, slot: SlotId, version: u64) {
+        let Some(state) = self.slots.get_mut(&slot) else { return };
+        if state.claim_version == version {
+            state.phase = SlotPhase::ClaimLost;
+            self.refuse_starts(slot, &slot_moving());
         }
     }
 
-    /// Puts changes back, to be sent at once.
-    pub(super) fn requeue(&mut self, writes: Vec<Write>) {
+    /// Puts writes back at the front of the queue.
+    pub(super) fn requeue(&mut self, writes: Vec<PendingWrite>) {
         for write in writes.into_iter().rev() {
-            self.queue.push_front(write);
+            self.write_queue.push_front(write);
         }
     }
 
-    /// The batch could not be written: nothing new starts until the service is back.
-    fn failed(&mut self, flight: Flight, now: Instant) {
-        let tries = match self.link {
-            Link::Up => 0,
-            Link::Down { tries, .. } => (tries + 1).min(16),
+    /// Backs off after a batch that could not be written, and refuses queued starts that
+    /// can't go into a log.
+    fn commit_failed(&mut self, in_flight: BatchInFlight, now: Instant) {
+        let failures = match self.table {
+            TableState::Available => 0,
+            TableState::Unavailable { failures, .. } => (failures + 1).min(16),
         };
-        let wait =
-            (self.limits.initial_backoff * 2u32.pow(tries)).min(self.limits.max_backoff);
-        let until = now + jitter(wait, &mut self.seed);
-        self.link = Link::Down { until, tries };
-        self.requeue(flight.writes);
-        let (starts, rest): (VecDeque<Write>, VecDeque<Write>) =
-            std::mem::take(&mut self.queue).into_iter().partition(|write| {
-                matches!(write, Write::Start { .. }) && !self.has_log(write.slot(), now)
+        let delay = (self.limits.initial_backoff * 2u32.pow(failures))
+            .min(self.limits.max_backoff);
+        let retry_at = now + jitter(delay, &mut self.jitter_seed);
+        self.table = TableState::Unavailable { retry_at, failures };
+        self.requeue(in_flight.writes);
+        let (starts, rest): (VecDeque<PendingWrite>, VecDeque<PendingWrite>) =
+            std::mem::take(&mut self.write_queue).into_iter().partition(|write| {
+                matches!(write, PendingWrite::Start { .. })
+                    && !self.can_append(write.slot(), now)
             });
-        self.queue = rest;
+        self.write_queue = rest;
         for write in starts {
-            let refusal = self.down(write.slot(), now);
-            self.void(write.id(), &refusal, now);
+            let refusal = self.unavailable_refusal(write.slot(), now);
+            self.cancel_start(write.id(), &refusal, now);
         }
-        self.release();
+        self.release_responses();
     }
 
-    /// Gives out whole answers that wait for the journal only.
-    fn release(&mut self) {
-        let ids: Vec<_> = self.queue.iter().map(|write| write.id().clone()).collect();
+    /// Sends complete responses that wait only for the journal.
+    fn release_responses(&mut self) {
+        let ids: Vec<_> =
+            self.write_queue.iter().map(|write| write.id().clone()).collect();
         for id in ids {
             let state = self.index.entries.get(&id).map(|entry| &entry.state);
-            if let Some(State::Ending(answer, _)) = state {
-                let answer = answer.clone();
-                self.tell(&id, &Reply::Response(answer));
+            if let Some(RequestState::StoringResponse(response, _)) = state {
+                let response = response.clone();
+                self.reply_to_waiters(&id, &Reply::Response(response));
             }
         }
     }
 }
 
-/// Whether a change is to be sent.
+/// Whether a queued write goes into the next batch.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub(super) enum Sense {
-    Send,
-    Later,
-    Never,
+pub(super) enum Readiness {
+    Ready,
+    /// Stays in the queue.
+    Deferred,
+    /// Is dropped.
+    Obsolete,
 }
--- a/crates/once/src/journal/lead.rs
+++ b/crates/once/src/journal/lead.rs
@@ -1,65 +1,69 @@
-//! How the journal takes slots over and gives them up.
+//! Claiming, loading and losing slots.
 
 use std::time::{Duration, Instant};
 
 use chestnut_base::SlotId;
 
-use super::{Journal, Phase, Slot};
-use crate::batch::Write;
+use super::{Journal, SlotPhase, SlotState};
+use crate::batch::PendingWrite;
 use crate::event::{Effect, SlotLog};
-use crate::index::{Entry, State};
+use crate::index::{Entry, RequestState};
 use crate::limits::jitter;
 use crate::record::{JournalRow, Record};
-use crate::refuse::moved;
+use crate::refuse::slot_moving;
 
 impl Journal {
-    pub(super) fn lead(&mut self, slot: SlotId, version: u64) {
-        let same = |known: &Slot| {
-            known.version == version && !matches!(known.phase, Phase::Lost)
+    pub(super) fn claim_slot(&mut self, slot: SlotId, version: u64) {
+        let is_current = |state: &SlotState| {
+            state.claim_version == version && !matches!(state.phase, SlotPhase::ClaimLost)
         };
-        if self.slots.get(&slot).is_some_and(same) {
+        if self.slots.get(&slot).is_some_and(is_current) {
             return;
         }
-        self.refuse_starts(slot, &moved());
-        let old = self.slots.swap_remove(&slot).map(|known| known.phase);
-        // Requests that waited for the rows wait on.
-        let waiting = match old {
-            Some(Phase::Loading(waiting)) => waiting,
-            Some(Phase::Failed(_) | Phase::Open | Phase::Lost) | None => Vec::new(),
+        self.refuse_starts(slot, &slot_moving());
+        let previous = self.slots.swap_remove(&slot).map(|state| state.phase);
+        // Requests that wait for the rows continue to wait.
+        let waiting = match previous {
+            Some(SlotPhase::Loading(waiting)) => waiting,
+            Some(SlotPhase::LoadFailed(_) | SlotPhase::Open | SlotPhase::ClaimLost)
+            | None => Vec::new(),
         };
-        let phase = Phase::Loading(waiting);
+        let phase = SlotPhase::Loading(waiting);
         self.slots.insert(
             slot,
-            Slot {
-                version,
+            SlotState {
+                claim_version: version,
                 phase,
                 complete: false,
-                log: None,
-                append: None,
-                dirty: false,
+                log_end: None,
+                append_in_flight: None,
+                log_needs_trim: false,
             },
         );
         self.effects.push_back(Effect::LoadSlot { slot, version });
     }
 
-    pub(super) fn unlead(&mut self, slot: SlotId, now: Instant) {
-        let Some(known) = self.slots.get_mut(&slot) else { return };
-        let phase = std::mem::replace(&mut known.phase, Phase::Lost);
-        if let Phase::Loading(waiting) = phase {
+    pub(super) fn lose_claim(&mut self, slot: SlotId, now: Instant) {
+        let Some(state) = self.slots.get_mut(&slot) else { return };
+        let phase = std::mem::replace(&mut state.phase, SlotPhase::ClaimLost);
+        if let SlotPhase::Loading(waiting) = phase {
             for (_, event) in waiting {
                 self.handle(event, now);
             }
         }
-        self.refuse_starts(slot, &moved());
-        // The next lead's memory is the one that counts; ours may grow stale.
+        self.refuse_starts(slot, &slot_moving());
+        // The next holder's state is authoritative; this daemon's may become stale.
         self.index.entries.retain(|_, entry| {
             entry.slot != slot
-                || !entry.askers.is_empty()
-                || matches!(entry.state, State::Running | State::Ending(..))
+                || !entry.waiters.is_empty()
+                || matches!(
+                    entry.state,
+                    RequestState::Running | RequestState::StoringResponse(..)
+                )
         });
     }
 
-    pub(super) fn loaded(
+    pub(super) fn slot_loaded(
         &mut self,
         slot: SlotId,
         version: u64,
@@ -67,78 +71,87 @@
         log: SlotLog,
         now: Instant,
     ) {
-        let Some(known) = self.slots.get_mut(&slot) else { return };
-        if known.version != version || !matches!(known.phase, Phase::Loading(_)) {
+        let Some(state) = self.slots.get_mut(&slot) else { return };
+        if state.claim_version != version || !matches!(state.phase, SlotPhase::Loading(_))
+        {
             return;
         }
-        let phase = std::mem::replace(&mut known.phase, Phase::Open);
-        known.complete = rows.iter().all(|(row, _)| row.record.is_some());
-        known.log = Some(log.next_position);
-        known.dirty = true;
+        let phase = std::mem::replace(&mut state.phase, SlotPhase::Open);
+        state.complete = rows.iter().all(|(row, _)| row.record.is_some());
+        state.log_end = Some(log.next_position);
+        state.log_needs_trim = true;
         for (row, age) in rows {
             let Some(record) = row.record else { continue };
-            self.know(record, Some(row.version), age, now);
+            self.merge_record(record, Some(row.version), age, now);
         }
         for record in log.records {
-            let known = self.index.entries.get(&record.id);
-            // A row tells at least as much as the log, which is written first.
-            if known.is_none_or(|known| known.attempt != record.attempt) {
+            let entry = self.index.entries.get(&record.id);
+            // The log is written first, so a row is at least as recent.
+            if entry.is_none_or(|entry| entry.attempt != record.attempt) {
                 let id = record.id.clone();
-                self.know(record, None, Duration::ZERO, now);
-                self.queue.push_back(Write::Copy { slot, id, over: None });
+                self.merge_record(record, None, Duration::ZERO, now);
+                self.write_queue.push_back(PendingWrite::CopyFromLog {
+                    slot,
+                    id,
+                    replaced_version: None,
+                });
             }
         }
-        self.trim();
-        if let Phase::Loading(waiting) = phase {
+        self.evict_ids();
+        if let SlotPhase::Loading(waiting) = phase {
             for (_, event) in waiting {
                 self.handle(event, now);
             }
         }
     }
 
-    /// Takes in a record that was read, unless its run is this daemon's and goes on.
-    fn know(
+    /// Adds a stored record to the index, unless this daemon still works on the id.
+    ///
+    /// Of an attempt that this daemon refused without a run, only the row's version is
+    /// updated.
+    fn merge_record(
         &mut self,
         record: Record,
         version: Option<u64>,
         age: Duration,
         now: Instant,
     ) {
-        let (id, entry) = Entry::of(record, version);
-        if let Some(own) = self.index.entries.get_mut(&id) {
-            let never_ran =
-                matches!(own.state, State::Void) && own.attempt == entry.attempt;
+        let (id, entry) = Entry::from_record(record, version);
+        if let Some(existing) = self.index.entries.get_mut(&id) {
+            let never_ran = matches!(existing.state, RequestState::NotRun)
+                && existing.attempt == entry.attempt;
             if never_ran {
-                own.version = version.or(own.version);
+                existing.row_version = version.or(existing.row_version);
             }
-            if never_ran || !own.is_settled() {
+            if never_ran || !existing.is_settled() {
                 return;
             }
         }
-        let end = now + self.limits.retention.saturating_sub(age);
+        let expires_at = now + self.limits.retention.saturating_sub(age);
         self.index.entries.insert(id.clone(), entry);
-        self.index.finish(&id, end);
+        self.index.schedule_expiry(&id, expires_at);
     }
 
-    pub(super) fn unloaded(&mut self, slot: SlotId, version: u64, now: Instant) {
-        let wait = jitter(self.limits.initial_backoff * 2, &mut self.seed);
-        let Some(known) = self.slots.get_mut(&slot) else { return };
-        if known.version != version {
+    pub(super) fn load_failed(&mut self, slot: SlotId, version: u64, now: Instant) {
+        let delay = jitter(self.limits.initial_backoff * 2, &mut self.jitter_seed);
+        let Some(state) = self.slots.get_mut(&slot) else { return };
+        if state.claim_version != version {
             return;
         }
-        let phase = std::mem::replace(&mut known.phase, Phase::Failed(now + wait));
-        if let Phase::Loading(waiting) = phase {
+        let phase =
+            std::mem::replace(&mut state.phase, SlotPhase::LoadFailed(now + delay));
+        if let SlotPhase::Loading(waiting) = phase {
             for (_, event) in waiting {
                 self.handle(event, now);
             }
         }
     }
 
-    pub(super) fn reload(&mut self, now: Instant) {
-        for (slot, known) in &mut self.slots {
-            if matches!(known.phase, Phase::Failed(at) if at <= now) {
-                known.phase = Phase::Loading(Vec::new());
-                let version = known.version;
+    pub(super) fn retry_loads(&mut self, now: Instant) {
+        for (slot, state) in &mut self.slots {
+            if matches!(state.phase, SlotPhase::LoadFailed(retry_at) if retry_at <= now) {
+                state.phase = SlotPhase::Loading(Vec::new());
+                let version = state.claim_version;
                 self.effects.push_back(Effect::LoadSlot { slot: *slot, version });
             }
         }
--- a/crates/once/src/journal/log.rs
+++ b/crates/once/src/journal/log.rs
@@ -1,214 +1,240 @@
-//! The log of a slot in the object store, for when the table is down.
+//! The log of a slot in the object store, used while the table is unavailable.
 //!
-//! The journal would refuse every new non-idempotent request while the table
-//! service is down, which takes minutes. With the log it goes on: a start is
-//! handed on once it is in the table or in the log. A daemon that takes the slot
-//! over reads both, and what is in the log only is copied into the table when
-//! that is back. The log is not used by a daemon that dropped ids of the slot from
-//! memory, since only the table could tell whether those were started.
+//! Outages of the table service take minutes, during which the journal would refuse
+//! every new non-idempotent request. With the log it continues: a request is dispatched
+//! once its start is in the table or in the log. A daemon that takes over the slot reads
+//! both, and records that are only in the log are copied into the table when it is
+//! available again. A daemon that has evicted ids of the slot from memory doesn't use the
+//! log, since only the table could show whether those ids were started.
 
 use std::time::Instant;
 
 use chestnut_base::{RequestId, SlotId};
 
-use super::commit::Sense;
-use super::{Append, Journal, Phase};
-use crate::batch::Write;
+use super::commit::Readiness;
+use super::{Append, Journal, SlotPhase};
+use crate::batch::PendingWrite;
 use crate::event::{AppendResult, Effect};
-use crate::index::State;
+use crate::index::RequestState;
 use crate::limits::jitter;
 use crate::record::JournalRow;
 
-/// How often an append is sent whose answers are lost.
-const SEND_LIMIT: u32 = 2;
+/// How often an append is sent while its result is unknown, including the first time.
+const MAX_SENDS: u32 = 2;
 
 impl Journal {
-    /// Whether a slot's starts can go into its log.
-    pub(super) fn has_log(&self, slot: SlotId, now: Instant) -> bool {
+    /// Whether a slot's starts can go into its log now.
+    pub(super) fn can_append(&self, slot: SlotId, now: Instant) -> bool {
         self.slots.get(&slot).is_some_and(|slot| {
-            slot.complete && slot.log.is_some() && matches!(slot.phase, Phase::Open)
-        }) && now >= self.log_after
+            slot.complete
+                && slot.log_end.is_some()
+                && matches!(slot.phase, SlotPhase::Open)
+        }) && now >= self.log_retry_at
     }
 
-    /// Whether a start waits for its slot's log.
-    pub(super) fn waits_for_log(&self) -> bool {
-        self.queue.iter().any(|write| {
+    /// Whether a start is queued for a slot with a known log end and no append in flight.
+    pub(super) fn has_start_for_log(&self) -> bool {
+        self.write_queue.iter().any(|write| {
             let slot = self.slots.get(&write.slot());
-            let free =
-                slot.is_some_and(|slot| slot.log.is_some() && slot.append.is_none());
-            free && matches!(write, Write::Start { .. })
+            let is_idle = slot.is_some_and(|slot| {
+                slot.log_end.is_some() && slot.append_in_flight.is_none()
+            });
+            is_idle && matches!(write, PendingWrite::Start { .. })
         })
     }
 
-    /// Whether an id's start is in the log only.
-    pub(super) fn is_unsaved(&self, id: &RequestId) -> bool {
-        self.index.entries.get(id).is_some_and(|entry| entry.unsaved)
+    pub(super) fn is_log_only(&self, id: &RequestId) -> bool {
+        self.index.entries.get(id).is_some_and(|entry| entry.log_only)
     }
 
-    /// Sends the starts of the slot that waits longest into its log.
-    pub(super) fn divert(&mut self, now: Instant) {
-        let free = |write: &&Write| {
-            matches!(write, Write::Start { .. })
-                && self.sense(write, now) == Sense::Later
-                && self.slots.get(&write.slot()).is_some_and(|slot| slot.append.is_none())
+    /// Appends the starts of the first slot in the queue that has no append in flight.
+    pub(super) fn append_starts(&mut self, now: Instant) {
+        let is_candidate = |write: &&PendingWrite| {
+            matches!(write, PendingWrite::Start { .. })
+                && self.readiness(write, now) == Readiness::Deferred
+                && self
+                    .slots
+                    .get(&write.slot())
+                    .is_some_and(|slot| slot.append_in_flight.is_none())
+        };
+        let Some(slot) =
+            self.write_queue.iter().find(is_candidate).map(PendingWrite::slot)
+        else {
+            return;
         };
-        let Some(slot) = self.queue.iter().find(free).map(Write::slot) else { return };
         let mut records = Vec::new();
         let mut rest = std::collections::VecDeque::new();
-        for write in std::mem::take(&mut self.queue) {
+        for write in std::mem::take(&mut self.write_queue) {
             let fits = write.slot() == slot
                 && records.len() < self.limits.max_batch_rows
-                && matches!(write, Write::Start { .. });
+                && matches!(write, PendingWrite::Start { .. });
             match self.index.entries.get(write.id()) {
-                Some(entry) if fits && matches!(entry.state, State::Pending(_)) => {
+                Some(entry) if fits && matches!(entry.state, RequestState::Queued(_)) => {
                     records.push(entry.record(write.id(), None));
                 }
                 _ if fits => {}
                 _ => rest.push_back(write),
             }
         }
-        self.queue = rest;
-        let Some(place) = self.slots.get(&slot).and_then(|slot| slot.log) else { return };
-        self.append(slot, place, records, 0);
+        self.write_queue = rest;
+        let Some(position) = self.slots.get(&slot).and_then(|slot| slot.log_end) else {
+            return;
+        };
+        self.send_append(slot, position, records, 0);
     }
 
-    fn append(
+    fn send_append(
         &mut self,
         slot: SlotId,
-        place: u64,
+        position: u64,
         records: Vec<crate::record::Record>,
-        lost: u32,
+        resends: u32,
     ) {
-        self.numbers += 1;
-        let number = self.numbers;
-        let effect = Effect::AppendToLog {
-            slot,
-            number,
-            position: place,
-            records: records.clone(),
-        };
+        self.last_number += 1;
+        let number = self.last_number;
+        let effect =
+            Effect::AppendToLog { slot, number, position, records: records.clone() };
         self.effects.push_back(effect);
         if let Some(slot) = self.slots.get_mut(&slot) {
-            slot.append = Some(Append { number, place, records, lost });
+            slot.append_in_flight = Some(Append { number, position, records, resends });
         }
     }
 
-    pub(super) fn appended(
+    pub(super) fn append_finished(
         &mut self,
         slot: SlotId,
         number: u64,
-        appended: AppendResult,
+        result: AppendResult,
         now: Instant,
     ) {
-        let Some(known) = self.slots.get_mut(&slot) else { return };
-        let version = known.version;
-        let Some(append) = known.append.take_if(|append| append.number == number) else {
+        let Some(state) = self.slots.get_mut(&slot) else { return };
+        let version = state.claim_version;
+        let Some(append) =
+            state.append_in_flight.take_if(|append| append.number == number)
+        else {
             return;
         };
-        match appended {
+        match result {
             AppendResult::Appended => {
-                known.log = Some(append.place + 1);
-                known.dirty = true;
+                state.log_end = Some(append.position + 1);
+                state.log_needs_trim = true;
                 for record in append.records {
-                    self.logged(slot, &record.id);
+                    self.start_logged(slot, &record.id);
                 }
             }
-            AppendResult::Conflict => self.deposed(slot, version),
-            AppendResult::Unknown if append.lost + 1 < SEND_LIMIT => {
-                self.append(slot, append.place, append.records, append.lost + 1);
+            AppendResult::Conflict => self.claim_superseded(slot, version),
+            AppendResult::Unknown if append.resends + 1 < MAX_SENDS => {
+                self.send_append(
+                    slot,
+                    append.position,
+                    append.records,
+                    append.resends + 1,
+                );
             }
             AppendResult::Unavailable | AppendResult::Unknown => {
-                if appended == AppendResult::Unknown {
-                    // The place may be taken by these records yet.
-                    known.log = None;
+                if result == AppendResult::Unknown {
+                    // These records may still occupy the position.
+                    state.log_end = None;
                 }
-                self.log_after =
-                    now + jitter(self.limits.initial_backoff * 2, &mut self.seed);
+                self.log_retry_at =
+                    now + jitter(self.limits.initial_backoff * 2, &mut self.jitter_seed);
                 for record in append.records {
-                    let refusal = self.down(slot, now);
-                    let pending = self.index.entries.get(&record.id);
-                    if pending
-                        .is_some_and(|entry| matches!(entry.state, State::Pending(_)))
-                    {
-                        self.void(&record.id, &refusal, now);
+                    let refusal = self.unavailable_refusal(slot, now);
+                    let entry = self.index.entries.get(&record.id);
+                    if entry.is_some_and(|entry| {
+                        matches!(entry.state, RequestState::Queued(_))
+                    }) {
+                        self.cancel_start(&record.id, &refusal, now);
                     }
                 }
             }
         }
     }
 
-    /// The start of an id is in the log.
-    fn logged(&mut self, slot: SlotId, id: &RequestId) {
+    /// Dispatches a request whose start is in the log, and queues the copy.
+    fn start_logged(&mut self, slot: SlotId, id: &RequestId) {
         let Some(entry) = self.index.entries.get_mut(id) else { return };
-        if !matches!(entry.state, State::Pending(_)) {
+        if !matches!(entry.state, RequestState::Queued(_)) {
             return;
         }
-        entry.state = State::Running;
-        entry.unsaved = true;
+        entry.state = RequestState::Running;
+        entry.log_only = true;
         let attempt = entry.attempt;
-        let owner = entry.askers.first().copied();
-        self.queue.push_back(Write::Copy { slot, id: id.clone(), over: None });
-        if let Some(ticket) = owner {
-            self.effects.push_back(Effect::Run {
-                waiter: ticket,
-                id: id.clone(),
-                attempt,
-            });
+        let submitter = entry.waiters.first().copied();
+        self.write_queue.push_back(PendingWrite::CopyFromLog {
+            slot,
+            id: id.clone(),
+            replaced_version: None,
+        });
+        if let Some(waiter) = submitter {
+            self.effects.push_back(Effect::Run { waiter, id: id.clone(), attempt });
         }
     }
 
-    /// The copy of an id met a row, or the lack of one.
-    pub(super) fn met(&mut self, slot: SlotId, id: &RequestId, row: Option<JournalRow>) {
+    /// Handles a copy that failed on the row it found, or on a missing one.
+    pub(super) fn copy_conflict(
+        &mut self,
+        slot: SlotId,
+        id: &RequestId,
+        row: Option<JournalRow>,
+    ) {
         let Some(entry) = self.index.entries.get(id) else { return };
         let attempt = row.as_ref().and_then(|row| row.record.as_ref()).map(|r| r.attempt);
         match row {
             Some(row) if attempt == Some(entry.attempt) => {
-                self.copied(slot, id, row.version);
+                self.copy_recorded(slot, id, row.version);
             }
             row => {
-                let over = row.map(|row| row.version);
-                self.queue.push_front(Write::Copy { slot, id: id.clone(), over });
+                let replaced_version = row.map(|row| row.version);
+                self.write_queue.push_front(PendingWrite::CopyFromLog {
+                    slot,
+                    id: id.clone(),
+                    replaced_version,
+                });
             }
         }
     }
 
-    /// What the log holds of an id is in the table.
-    pub(super) fn copied(&mut self, slot: SlotId, id: &RequestId, version: u64) {
+    pub(super) fn copy_recorded(&mut self, slot: SlotId, id: &RequestId, version: u64) {
         if let Some(entry) = self.index.entries.get_mut(id) {
-            entry.unsaved = false;
-            entry.version = Some(version);
-            if matches!(entry.state, State::Void) {
+            entry.log_only = false;
+            entry.row_version = Some(version);
+            if matches!(entry.state, RequestState::NotRun) {
                 let id = id.clone();
-                self.queue.push_back(Write::Forget { slot, id, version });
+                self.write_queue.push_back(PendingWrite::DeleteRow { slot, id, version });
             } else if entry.is_settled()
-                && let Some(end) = entry.end
+                && let Some(expires_at) = entry.expires_at
             {
-                self.index.finish(id, end);
+                self.index.schedule_expiry(id, expires_at);
             }
         }
     }
 
-    /// Removes from the logs what the table has by now.
+    /// Removes the records that the table has from the logs, and reloads slots whose log
+    /// end is unknown.
     pub(super) fn trim_logs(&mut self) {
         if !self.is_table_up() {
             return;
         }
-        for (slot, known) in &mut self.slots {
-            if known.log.is_none() && matches!(known.phase, Phase::Open) {
-                // Where its end is got lost in the outage.
-                known.phase = Phase::Loading(Vec::new());
-                let version = known.version;
+        for (slot, state) in &mut self.slots {
+            if state.log_end.is_none() && matches!(state.phase, SlotPhase::Open) {
+                // An append with an unknown result left the log end unknown.
+                state.phase = SlotPhase::Loading(Vec::new());
+                let version = state.claim_version;
                 self.effects.push_back(Effect::LoadSlot { slot: *slot, version });
             }
-            let (Some(next), true) = (known.log, known.dirty) else { continue };
-            let open = matches!(known.phase, Phase::Open) && known.append.is_none();
-            let unsaved =
-                |entry: &crate::index::Entry| entry.unsaved && entry.slot == *slot;
-            if open && !self.index.entries.values().any(unsaved) {
-                known.dirty = false;
-                // The last place stays: a former lead finds the log grown by it.
+            let (Some(log_end), true) = (state.log_end, state.log_needs_trim) else {
+                continue;
+            };
+            let is_idle = matches!(state.phase, SlotPhase::Open)
+                && state.append_in_flight.is_none();
+            let log_only =
+                |entry: &crate::index::Entry| entry.log_only && entry.slot == *slot;
+            if is_idle && !self.index.entries.values().any(log_only) {
+                state.log_needs_trim = false;
+                // The last position stays, so that a former holder's append conflicts.
                 let effect =
-                    Effect::TrimLog { slot: *slot, position: next.saturating_sub(1) };
+                    Effect::TrimLog { slot: *slot, position: log_end.saturating_sub(1) };
                 self.effects.push_back(effect);
             }
         }
--- a/crates/once/src/lib.rs
+++ b/crates/once/src/lib.rs
@@ -1,26 +1,27 @@
-//! At most one run and one answer for each non-idempotent request.
+//! At most one run and one response for each non-idempotent request.
 //!
-//! The crate holds state machines without I/O: events and the time go in,
-//! effects come out, and the daemon carries them out. A request passes through
-//! these stages of the [`Journal`]:
+//! The crate holds state machines without I/O: they take events and the current time
+//! and return effects, which the daemon carries out. A request passes through these
+//! stages of the [`Journal`]:
 //!
-//! 1. [`Event::Submit`]: a known id joins its run, gets its stored answer or is told
-//!    that it is in doubt; an unknown id is queued,
+//! 1. [`Event::Submit`]: a known id joins its run, gets its stored response or a
+//!    refusal that says it is in doubt; a new id is queued,
 //! 2. [`Effect::Commit`]: a [`batch`] of many ids is written to the table service
 //!    in one transaction that checks the claims of their slots,
-//! 3. [`Effect::Run`]: only then the request is handed on, once,
-//! 4. [`Event::RunFinished`]: the answer is stored, then the callers get its end mark.
+//! 3. [`Effect::Run`]: only then the request is dispatched, once,
+//! 4. [`Event::RunFinished`]: the response is stored, then the callers get its end
+//!    mark.
 //!
-//! Beside it stand [`record`], the form in which the journal is kept, and
-//! [`suspect`], which finds the request that crashes backend servers.
+//! [`record`] defines how the journal is stored, and [`suspect`] finds the requests
+//! that crash backend servers.
 //!
 //! # Load pattern
 //!
-//! Letters and bookings arrive in bursts, and callers repeat them when an answer
-//! is late. The table service takes several hundred writes a second for the
-//! whole system. Without grouping, each request costs it two transactions, so
-//! that a burst of a few hundred requests a second takes all of its writes.
-//! [`Limits`] gives the grounds for each figure.
+//! Letters and bookings arrive in bursts, and callers retry them when a response is
+//! late. The table service takes several hundred writes per second for the whole
+//! system. Without group commit, each request would cost it two transactions, so a
+//! burst of a few hundred requests per second would take all of its writes.
+//! [`Limits`] gives the reasons for the individual limits.
 
 pub mod batch;
 pub mod event;
--- a/crates/once/src/record.rs
+++ b/crates/once/src/record.rs
@@ -1,4 +1,4 @@
-//! The form in which the journal is kept in the platform's services.
+//! How the journal is stored in the platform's services.
 
 use std::sync::Arc;
 
@@ -9,66 +9,66 @@
 use serde::{Deserialize, Serialize};
 use serde_json::Value;
 
-/// The pages in which a slot's rows are read.
+/// Pages in which a slot's rows are read.
 ///
-/// The journal keeps ids for a day, which may be ten thousands in a slot. Read at
-/// once they take some 5 KB each for a moment, as text and as parsed values; ten
-/// thousand would be most of a daemon's 64 MB.
+/// The journal retains ids for a day, which may be tens of thousands per slot. A
+/// row takes about 5 KB while it is read, as text and as parsed values, so ten
+/// thousand rows in one read would take most of a daemon's 64 MB.
 pub const PAGES_PER_SLOT: u8 = 16;
 
-/// The start of the keys of a page of a slot's rows.
+/// The common prefix of the keys of one page of a slot's rows.
 pub fn page_prefix(slot: SlotId, page: u8) -> String {
     format!("{}:{page:x}:", slot.0)
 }
 
 /// The key of an id's row.
 ///
-/// A caller's name holds no `/`, so that two ids never share a key.
+/// A caller's name contains no `/`, so two ids never share a key.
 pub fn row_key(slot: SlotId, id: &RequestId) -> String {
     let hash = Digest::of([id.caller.as_str().as_bytes(), id.key.as_bytes()]);
     let page = (hash.0 % u128::from(PAGES_PER_SLOT)) as u8;
     format!("{}{}/{}", page_prefix(slot, page), id.caller, id.key)
 }
 
-/// What the journal keeps of one request.
+/// The journal's record of one request.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Record {
-    /// The slot.
+    /// The slot of the id.
     pub slot: SlotId,
-    /// The caller's name for the request.
+    /// The caller and its idempotency key.
     pub id: RequestId,
     /// A hash of the target and the body.
     pub digest: Digest,
     /// The only attempt at the request.
     pub attempt: AttemptId,
-    /// What the request is sent to.
+    /// The model or service that the request is for.
     pub target: Target,
-    /// The mark of the transaction that wrote the record.
+    /// Identifies the transaction that wrote the record; 0 if it was not set.
     pub transaction_id: u64,
     /// The backend server, if it was known when the record was written.
     pub server: Option<ServerName>,
-    /// The answer; a request without one was started and may have run.
+    /// The response; a request without one was started and may have run.
     pub response: Option<ResponseSummary>,
 }
 
-/// What is known of a whole answer, without its body.
+/// A complete response without its body, as stored in the row.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ResponseSummary {
     /// The HTTP status.
     pub status: u16,
     /// The content type of the body.
     pub content_type: String,
-    /// The tokens of a model's answer; absent for plain services.
+    /// The number of tokens in a model's response; `None` for plain services.
     pub tokens: Option<u32>,
-    /// Why the model stopped.
+    /// Why the model stopped; empty for plain services.
     #[serde(rename = "reason")]
     pub finish_reason: String,
-    /// Where the body is.
+    /// Where the body is stored.
     #[serde(rename = "kept")]
     pub body: BodyLocation,
 }
 
-/// Where the body of a stored answer is.
+/// Where the body of a stored response is.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum BodyLocation {
@@ -76,28 +76,28 @@
     Inline(String),
     /// In the object store under this key.
     Object(String),
-    /// Nowhere: the object store could not take it.
+    /// Not stored: the body is too large, or the object store did not take it.
     #[serde(rename = "nowhere")]
     NotStored,
 }
 
-/// A whole answer.
+/// A complete response.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Response {
     /// The HTTP status.
     pub status: u16,
     /// The content type of the body.
     pub content_type: String,
-    /// The tokens of a model's answer; absent for plain services.
+    /// The number of tokens in a model's response; `None` for plain services.
     pub tokens: Option<u32>,
-    /// Why the model stopped.
+    /// Why the model stopped; empty for plain services.
     pub finish_reason: String,
-    /// The body; a model's answer is its text.
+    /// The body; for a model its generated text.
     pub body: Bytes,
 }
 
 impl Response {
-    /// What is kept of the answer when its body is at `body`.
+    /// Builds the summary to store, with the body stored at `body`.
     pub fn summary(&self, body: BodyLocation) -> ResponseSummary {
         ResponseSummary {
             status: self.status,
@@ -110,7 +110,7 @@
 }
 
 impl ResponseSummary {
-    /// The answer with its body.
+    /// Builds the complete response from a body that was read.
     pub fn with_body(&self, body: Bytes) -> Arc<Response> {
         Arc::new(Response {
             status: self.status,
@@ -121,7 +121,7 @@
         })
     }
 
-    /// The answer, if its body is in the row.
+    /// The complete response, if its body is in the row.
     pub fn inline_response(&self) -> Option<Arc<Response>> {
         match &self.body {
             BodyLocation::Inline(text) => Some(self.with_body(Bytes::from(text.clone()))),
@@ -130,18 +130,18 @@
     }
 }
 
-/// A row that was read.
+/// A row of the journal's table.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct JournalRow {
-    /// The record; absent if the row can't be read, which counts as started.
+    /// `None` if the row can't be parsed; its request counts as started.
     pub record: Option<Record>,
-    /// The row's version.
+    /// The row's version in the table.
     pub version: u64,
 }
 
-/// A record as a row's content.
+/// The stored form of a record; its field names are part of the format.
 #[derive(Serialize, Deserialize)]
-struct Content {
+struct RowContent {
     slot: u16,
     caller: CallerName,
     key: String,
@@ -158,7 +158,7 @@
 impl Record {
     /// The content of the record's row.
     pub fn to_value(&self) -> Value {
-        let content = Content {
+        let content = RowContent {
             slot: self.slot.0,
             caller: self.id.caller.clone(),
             key: self.id.key.clone(),
@@ -173,9 +173,9 @@
         serde_json::to_value(content).expect("a record holds only text and small numbers")
     }
 
-    /// Reads a record from a row's content; nothing if it is malformed.
+    /// Parses a row's content; `None` if it is malformed.
     pub fn from_value(value: Value) -> Option<Self> {
-        let content: Content = serde_json::from_value(value).ok()?;
+        let content: RowContent = serde_json::from_value(value).ok()?;
         let digest = u128::from_str_radix(&content.digest, 16).ok()?;
         let member = u64::from_str_radix(&content.member, 16).ok()?;
         Some(Self {
--- a/crates/once/src/refuse.rs
+++ b/crates/once/src/refuse.rs
@@ -1,38 +1,38 @@
-//! What askers are told who get no answer.
+//! Refusals of requests that get no response from the journal.
 
 use std::time::Duration;
 
 use chestnut_base::{Code, Outcome, Refusal};
 
-/// When to come back to a slot whose lead changes; a takeover that was released
-/// takes about this long.
-const MOVE_WAIT: Duration = Duration::from_millis(300);
+/// Retry delay while a slot moves to another daemon; the takeover of a released
+/// slot takes about this long.
+const SLOT_MOVE_RETRY_DELAY: Duration = Duration::from_millis(300);
 
-/// When to ask again for an id whose answer was not found.
-const SEEK_WAIT: Duration = Duration::from_secs(2);
+/// Retry delay for an id whose response was not found.
+const IN_DOUBT_RETRY_DELAY: Duration = Duration::from_secs(2);
 
-/// The refusal by a daemon that does not lead the slot, or not any more.
+/// For requests to a daemon that doesn't hold the slot, or no longer holds it.
 ///
-/// Another daemon may have run the id by now, so that this one can't know.
-pub(crate) fn moved() -> Refusal {
+/// Another daemon may have run the id, so the outcome is in doubt.
+pub(crate) fn slot_moving() -> Refusal {
     let why = "another daemon takes over the request's slot; send it again with the \
                same key";
-    Refusal::in_doubt(Code::Unavailable, why).after(MOVE_WAIT)
+    Refusal::in_doubt(Code::Unavailable, why).after(SLOT_MOVE_RETRY_DELAY)
 }
 
-pub(crate) fn reused() -> Refusal {
+pub(crate) fn key_reused() -> Refusal {
     let why = "the idempotency key was used with another body; use a new key";
     Refusal::not_run(Code::IdReused, why)
 }
 
 pub(crate) fn in_doubt() -> Refusal {
-    let why = "the request was started and its answer is not known; it will not be run \
-               again; ask for its outcome with GET /v1/requests/KEY";
-    Refusal::in_doubt(Code::Started, why).after(SEEK_WAIT)
+    let why = "the request was started and its response is not known; it will not be \
+               run again; query its outcome with GET /v1/requests/KEY";
+    Refusal::in_doubt(Code::Started, why).after(IN_DOUBT_RETRY_DELAY)
 }
 
-pub(crate) fn unkept() -> Refusal {
-    let why = "the request ran and its answer can't be read now; ask for it with \
+pub(crate) fn response_unreadable() -> Refusal {
+    let why = "the request ran and its response can't be read now; query it with \
                GET /v1/requests/KEY";
     Refusal::new(Outcome::Ran, Code::Started, why)
 }
--- a/crates/once/src/suspect.rs
+++ b/crates/once/src/suspect.rs
@@ -1,284 +1,293 @@
-//! Which request crashes backend servers.
+//! Finds the requests that crash backend servers.
 //!
 //! # Load pattern
 //!
-//! Now and then a request crashes each backend server that runs it, and its
-//! caller sends it again, at times under a new id. Without this module every
-//! retry and every resend costs another backend server with all that runs on it,
-//! until the pool is empty.
+//! Occasionally a request crashes every backend server that runs it, and its caller
+//! sends it again, sometimes under a new id. Without this module each retry and each
+//! resend would cost another backend server with everything that runs on it, until
+//! the pool is empty.
 //!
-//! # Decision
+//! # Algorithm
 //!
-//! A crash makes everything in flight there a suspect, by the digest of its body,
-//! so that a new id does not hide it. A backend server runs one suspect at a
-//! time. So the next crash with a suspect in flight names one digest, which is
-//! convicted: two backend servers are lost per harmful request, if its copies
-//! come one after another. CrashTracker that complete are cleared, as are those that
-//! nothing happened to for [`SUSPECT_DURATION`].
+//! A crash makes every request in flight on the server a suspect. Suspects are
+//! identified by the digest of the request, so a new id doesn't hide one. A backend
+//! server runs one suspect at a time, so the next crash with a suspect in flight
+//! identifies a single digest, which is then blocked. A harmful request thus costs two
+//! backend servers, if its copies come one after another. Suspects that complete are
+//! cleared, as are those that cause no crash for [`SUSPECT_DURATION`].
 //!
-//! Servers that fail together, with their rack, die within a second. A request that is
-//! sent again at once would be in flight at two of them, and be convicted by a failure
-//! that it has no part in. So a suspect is dispatched again only [`CRASH_WINDOW`] after
-//! the crash, and only a crash during a dispatch that waited so convicts it.
+//! Servers that fail together, for example with their rack, die within a second. A
+//! request that is retried at once could be in flight on two of them and would be
+//! blocked for a failure that it did not cause. So a suspect is dispatched again only
+//! [`CRASH_WINDOW`] after the crash, and only a crash during such a dispatch blocks it.
 //!
-//! # Grounds
+//! # False positives
 //!
-//! A server may die for another reason while a suspect runs alone, which convicts
-//! an innocent request. With 110 of 12,000 VMs failing a day, the chance is about
-//! 1 in 10⁷ for each second that a suspect runs. Asking for a third crash would
-//! lower it and cost one more server for each harmful request.
+//! A server may die for another reason while a suspect runs on it, which blocks an
+//! innocent request. With 110 of 12,000 VMs failing a day, the chance is about 1 in
+//! 10⁷ for each second that a suspect runs. Requiring a third crash would lower it,
+//! at the cost of one more server for each harmful request.
 
 use std::time::{Duration, Instant};
 
 use chestnut_base::{Digest, ServerName};
 use indexmap::{IndexMap, IndexSet};
 
-/// How long a digest stays suspect if it does not run again.
+/// How long a digest stays suspect if it doesn't run again.
 ///
-/// Callers send a broken request again within their deadlines, which are minutes.
+/// Callers retry a failed request within their deadlines, which are minutes.
 pub const SUSPECT_DURATION: Duration = Duration::from_secs(600);
 
-/// How long after a crash of a backend server another cut there is the same crash.
+/// How long after a crash of a backend server further cut streams there count as the
+/// same crash.
 ///
-/// A dying process still accepts connections for some milliseconds; what is handed
-/// to it then is cut again, and an innocent suspect would be convicted by it.
-/// Engines need many seconds to start and load a model, so that no second crash
-/// falls into this time. Servers that lose a common power supply die within it too.
+/// A dying process still accepts connections for some milliseconds. A request that is
+/// sent to it then is cut as well, which must not block an innocent suspect. Engines
+/// need many seconds to start and load a model, so a second crash can't happen within
+/// this time. Servers that lose a common power supply die within it too.
 pub const CRASH_WINDOW: Duration = Duration::from_secs(1);
 
-/// How long a convicted digest is refused.
+/// How long a digest stays blocked.
 ///
-/// A day: by then people have looked at the request or the engine was mended.
+/// Within a day someone has examined the request or fixed the engine.
 pub const BLOCK_DURATION: Duration = Duration::from_secs(24 * 3600);
 
-/// The greatest number of digests that are remembered.
+/// The maximum number of digests that are tracked.
 ///
 /// At 100 bytes each they take under half a megabyte; a crash adds at most the
 /// streams of one backend server.
 pub const MAX_DIGESTS: usize = 4096;
 
-/// One request in flight at a backend server.
+/// Identifies one dispatch of a request to a backend server.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 pub struct DispatchId(u64);
 
-/// Whether a request may be dispatched.
+/// Whether a request may be dispatched to a backend server now.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum DispatchDecision {
-    /// It may.
+    /// It may; it now counts as in flight.
     Dispatch(DispatchId),
-    /// Another suspect runs on the backend server; wait until it is done.
+    /// Another suspect runs on the backend server; wait until it has finished.
     Wait,
-    /// It became a suspect lately; wait until this time, when every server that failed
-    /// together with the first is known to be dead.
+    /// It became a suspect recently; wait until this time, by which every server that
+    /// failed together with the first is known to be dead.
     WaitUntil(Instant),
-    /// The request is refused for good.
+    /// The digest is blocked.
     Refuse,
 }
 
-/// What is held against a digest.
+/// The status of a digest that was in flight at a crash.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum DigestStatus {
-    /// It was in flight at one crash, among others.
+    /// It was in flight at a crash, possibly among others.
     Suspect,
     /// It was the only suspect in flight at a second crash.
     Blocked,
 }
 
-/// A change of what is held against a digest.
+/// A change of a digest's status.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct StatusChange {
-    /// The digest.
+    /// Hash of the target and the body of the request.
     pub digest: Digest,
-    /// What is held against it now; nothing if it was cleared.
+    /// The new status; `None` if the digest was cleared.
     pub status: Option<DigestStatus>,
 }
 
 #[derive(Debug, Clone, Copy)]
-struct Held {
-    evidence: DigestStatus,
-    /// When it was learnt first.
+struct TrackedDigest {
+    status: DigestStatus,
+    /// When it first became a suspect.
     since: Instant,
-    until: Instant,
+    expires_at: Instant,
 }
 
 #[derive(Debug, Clone, Copy)]
-struct Flight {
+struct InFlight {
     id: DispatchId,
     digest: Digest,
-    /// Dispatched as a suspect, so that a crash during it convicts.
-    tried: bool,
+    /// Dispatched as a suspect, so that a crash can block the digest.
+    was_suspect: bool,
 }
 
-/// CrashTracker, convicted digests, and what is in flight where.
+/// Tracks suspect and blocked digests and the requests in flight on each server.
 #[derive(Debug, Default)]
 pub struct CrashTracker {
-    held: IndexMap<Digest, Held>,
-    flights: IndexMap<ServerName, Vec<Flight>>,
-    /// When backend servers crashed last; kept for [`CRASH_WINDOW`].
+    digests: IndexMap<Digest, TrackedDigest>,
+    in_flight: IndexMap<ServerName, Vec<InFlight>>,
+    /// When backend servers crashed; retained for [`CRASH_WINDOW`].
     crashes: IndexMap<ServerName, Instant>,
-    numbers: u64,
+    last_dispatch: u64,
 }
 
 impl CrashTracker {
-    /// Creates the state of a daemon that suspects nothing.
+    /// Creates a tracker without suspects.
     pub fn new() -> Self {
         Self::default()
     }
 
-    /// What is held against a digest.
+    /// The status of a digest; `None` if it is neither suspect nor blocked.
     pub fn status(&self, digest: Digest, now: Instant) -> Option<DigestStatus> {
-        let held = self.held.get(&digest)?;
-        (now < held.until).then_some(held.evidence)
+        let tracked = self.digests.get(&digest)?;
+        (now < tracked.expires_at).then_some(tracked.status)
     }
 
-    /// Lets a request be dispatched, or not; whoever passes is in flight.
+    /// Decides whether a request may be dispatched, and if so counts it as in flight.
     pub fn try_dispatch(
         &mut self,
         server: &ServerName,
         digest: Digest,
         now: Instant,
     ) -> DispatchDecision {
-        let evidence = self.status(digest, now);
-        match evidence {
+        let status = self.status(digest, now);
+        match status {
             Some(DigestStatus::Blocked) => return DispatchDecision::Refuse,
             Some(DigestStatus::Suspect) => {
-                let settled = self.held[&digest].since + CRASH_WINDOW;
-                if now < settled {
-                    return DispatchDecision::WaitUntil(settled);
+                let window_end = self.digests[&digest].since + CRASH_WINDOW;
+                if now < window_end {
+                    return DispatchDecision::WaitUntil(window_end);
                 }
-                // With two suspects in flight a crash would not tell which it was.
+                // With two suspects in flight a crash would not tell which one caused it.
                 if self.runs_suspect(server, now) {
                     return DispatchDecision::Wait;
                 }
             }
             None => {}
         }
-        self.numbers += 1;
-        let id = DispatchId(self.numbers);
-        let flights = self.flights.entry(server.clone()).or_default();
-        flights.push(Flight { id, digest, tried: evidence.is_some() });
+        self.last_dispatch += 1;
+        let id = DispatchId(self.last_dispatch);
+        let in_flight = self.in_flight.entry(server.clone()).or_default();
+        in_flight.push(InFlight { id, digest, was_suspect: status.is_some() });
         DispatchDecision::Dispatch(id)
     }
 
-    /// Whether a request is in flight, and no crash was attributed to it.
+    /// Whether a request is still in flight and no crash was attributed to it.
     pub fn is_in_flight(&self, server: &ServerName, id: DispatchId) -> bool {
-        let flights = self.flights.get(server);
-        flights.is_some_and(|flights| flights.iter().any(|flight| flight.id == id))
+        let in_flight = self.in_flight.get(server);
+        in_flight.is_some_and(|requests| requests.iter().any(|request| request.id == id))
     }
 
-    /// Takes note that a request is in flight no more, and whether it completed.
+    /// Records that a request is no longer in flight; if it completed, a suspect is
+    /// cleared.
     pub fn finish(
         &mut self,
         server: &ServerName,
         id: DispatchId,
-        whole: bool,
+        completed: bool,
     ) -> Option<StatusChange> {
-        let flights = self.flights.get_mut(server)?;
-        let place = flights.iter().position(|flight| flight.id == id)?;
-        let flight = flights.swap_remove(place);
-        if flights.is_empty() {
-            self.flights.swap_remove(server);
+        let in_flight = self.in_flight.get_mut(server)?;
+        let position = in_flight.iter().position(|request| request.id == id)?;
+        let request = in_flight.swap_remove(position);
+        if in_flight.is_empty() {
+            self.in_flight.swap_remove(server);
         }
-        let suspect = |held: &Held| held.evidence == DigestStatus::Suspect;
-        let cleared = whole && self.held.get(&flight.digest).is_some_and(suspect);
+        let is_suspect =
+            |tracked: &TrackedDigest| tracked.status == DigestStatus::Suspect;
+        let cleared =
+            completed && self.digests.get(&request.digest).is_some_and(is_suspect);
         if !cleared {
             return None;
         }
-        self.held.swap_remove(&flight.digest);
-        Some(StatusChange { digest: flight.digest, status: None })
+        self.digests.swap_remove(&request.digest);
+        Some(StatusChange { digest: request.digest, status: None })
     }
 
-    /// Attributes the crash of a backend server to what is in flight there.
+    /// Attributes the crash of a backend server to the requests in flight on it.
     ///
-    /// The flights end with it, so that their later reports of the same crash
-    /// change nothing.
+    /// They no longer count as in flight, so their own later reports of the same crash
+    /// have no effect.
     pub fn record_crash(
         &mut self,
         server: &ServerName,
         now: Instant,
     ) -> Vec<StatusChange> {
-        let flights = self.flights.swap_remove(server).unwrap_or_default();
-        let tried: IndexSet<Digest> = flights
+        let in_flight = self.in_flight.swap_remove(server).unwrap_or_default();
+        let dispatched_as_suspect: IndexSet<Digest> = in_flight
             .iter()
-            .filter(|flight| flight.tried)
-            .map(|flight| flight.digest)
+            .filter(|request| request.was_suspect)
+            .map(|request| request.digest)
             .collect();
         let digests: IndexSet<Digest> =
-            flights.into_iter().map(|flight| flight.digest).collect();
+            in_flight.into_iter().map(|request| request.digest).collect();
         let suspects: Vec<Digest> = digests
             .iter()
             .copied()
             .filter(|digest| self.status(*digest, now).is_some())
             .collect();
         self.crashes.retain(|_, at| now < *at + CRASH_WINDOW);
-        let again = self.crashes.contains_key(server);
+        let same_crash = self.crashes.contains_key(server);
         self.crashes.entry(server.clone()).or_insert(now);
-        let lone = match suspects.as_slice() {
-            [lone] if !again && tried.contains(lone) => Some(*lone),
-            // Nothing was suspect before, or the suspects became so while they ran:
-            // each of them may have done it, or what killed the other server.
+        let culprit = match suspects.as_slice() {
+            [only] if !same_crash && dispatched_as_suspect.contains(only) => Some(*only),
+            // Nothing was suspect before, or the suspects became so while they ran: any
+            // of them may be the cause, or whatever killed the other server.
             _ => None,
         };
-        let verdict = |digest: Digest| {
-            let evidence = match lone == Some(digest) {
+        let change = |digest: Digest| {
+            let status = match culprit == Some(digest) {
                 true => DigestStatus::Blocked,
                 false => DigestStatus::Suspect,
             };
-            StatusChange { digest, status: Some(evidence) }
+            StatusChange { digest, status: Some(status) }
         };
-        let verdicts: Vec<_> = digests.into_iter().map(verdict).collect();
-        for verdict in &verdicts {
-            self.apply(*verdict, now);
+        let changes: Vec<_> = digests.into_iter().map(change).collect();
+        for change in &changes {
+            self.apply(*change, now);
         }
-        verdicts
+        changes
     }
 
-    /// Takes in a verdict, whoever came to it; a conviction outlasts a suspicion.
-    pub fn apply(&mut self, verdict: StatusChange, now: Instant) {
-        let Some(evidence) = verdict.status else {
-            self.held.swap_remove(&verdict.digest);
+    /// Applies a status change, also one from another daemon; a blocked digest doesn't
+    /// become a suspect again.
+    pub fn apply(&mut self, change: StatusChange, now: Instant) {
+        let Some(status) = change.status else {
+            self.digests.swap_remove(&change.digest);
             return;
         };
-        let held = self.status(verdict.digest, now);
-        if held == Some(DigestStatus::Blocked) && evidence == DigestStatus::Suspect {
+        let current = self.status(change.digest, now);
+        if current == Some(DigestStatus::Blocked) && status == DigestStatus::Suspect {
             return;
         }
-        let time = match evidence {
+        let duration = match status {
             DigestStatus::Suspect => SUSPECT_DURATION,
             DigestStatus::Blocked => BLOCK_DURATION,
         };
-        // A suspicion told again is no new crash, and is not waited for again.
-        let known = self.held.get(&verdict.digest).filter(|_| held.is_some());
-        let since = known.map_or(now, |known| known.since);
-        self.held.insert(verdict.digest, Held { evidence, since, until: now + time });
-        if self.held.len() > MAX_DIGESTS {
-            self.make_room(now);
+        // A repeated report is no new crash and doesn't restart the crash window.
+        let tracked = self.digests.get(&change.digest).filter(|_| current.is_some());
+        let since = tracked.map_or(now, |tracked| tracked.since);
+        self.digests.insert(
+            change.digest,
+            TrackedDigest { status, since, expires_at: now + duration },
+        );
+        if self.digests.len() > MAX_DIGESTS {
+            self.evict(now);
         }
     }
 
-    /// The number of suspects and of convicted digests.
+    /// The numbers of suspect and of blocked digests, in this order.
     pub fn counts(&self) -> (usize, usize) {
-        let convicted = |held: &&Held| held.evidence == DigestStatus::Blocked;
-        let count = self.held.values().filter(convicted).count();
-        (self.held.len() - count, count)
+        let is_blocked =
+            |tracked: &&TrackedDigest| tracked.status == DigestStatus::Blocked;
+        let blocked = self.digests.values().filter(is_blocked).count();
+        (self.digests.len() - blocked, blocked)
     }
 
     fn runs_suspect(&self, server: &ServerName, now: Instant) -> bool {
-        let flights = self.flights.get(server);
-        flights
-            .into_iter()
-            .flatten()
-            .any(|flight| self.status(flight.digest, now) == Some(DigestStatus::Suspect))
+        let in_flight = self.in_flight.get(server);
+        in_flight.into_iter().flatten().any(|request| {
+            self.status(request.digest, now) == Some(DigestStatus::Suspect)
+        })
     }
 
-    /// Drops what is over, else the oldest suspicion.
-    fn make_room(&mut self, now: Instant) {
-        self.held.retain(|_, held| now < held.until);
-        if self.held.len() <= MAX_DIGESTS {
+    /// Removes expired digests or, if there are none, the oldest suspect.
+    fn evict(&mut self, now: Instant) {
+        self.digests.retain(|_, tracked| now < tracked.expires_at);
+        if self.digests.len() <= MAX_DIGESTS {
             return;
         }
-        let suspect = |held: &Held| held.evidence == DigestStatus::Suspect;
-        let place = self.held.values().position(suspect).unwrap_or(0);
-        self.held.shift_remove_index(place);
+        let is_suspect =
+            |tracked: &TrackedDigest| tracked.status == DigestStatus::Suspect;
+        let position = self.digests.values().position(is_suspect).unwrap_or(0);
+        self.digests.shift_remove_index(position);
     }
 }
