--- a/crates/once/tests/model/mod.rs
+++ b/crates/once/tests/model/mod.rs
@@ -1,4 +1,4 @@
-//! Daemons with journals, a table service and a backend server, all in memory.
+//! A simulation of daemons with journals, a table service and a backend server.
 
 use std::collections::VecDeque;
 use std::time::{Duration, Instant};
@@ -17,16 +17,15 @@
 mod op;
 mod platform;
 
-pub use op::{Guard, Link, Op};
+pub use op::{Delivery, Disabled, Op};
 
-/// How long a daemon's lease holds in the model.
 const LEASE: Duration = Duration::from_secs(6);
 
 const SLOT: SlotId = SlotId(0);
 const DAEMONS: usize = 3;
 
-/// A change that was believed lost and takes effect later.
-enum Late {
+/// A write that takes effect after its sender has timed out.
+enum DelayedWrite {
     Batch(Batch),
     Append(u64, Vec<Record>),
 }
@@ -39,38 +38,42 @@
 }
 
 #[derive(Debug, Clone)]
-struct RunState {
+struct Run {
     daemon: MemberId,
     id: RequestId,
     digest: Digest,
     attempt: AttemptId,
-    sent: bool,
-    over: bool,
+    dispatched: bool,
+    finished: bool,
 }
 
-struct Asked {
+/// A request or a lookup of a caller.
+struct Call {
     id: RequestId,
+    /// `None` for a lookup.
     digest: Option<Digest>,
-    answered: bool,
+    replied: bool,
 }
 
-/// The world, with what callers were told.
-pub struct World {
-    guard: Guard,
+/// The simulated system, which checks every reply to a caller.
+pub struct Simulation {
+    disabled: Disabled,
     limits: Limits,
     now: Instant,
     daemons: Vec<Daemon>,
     holder: Option<usize>,
     /// The version of the claim's row.
-    claim: u64,
-    version: u64,
+    claim_version: u64,
+    /// The last version that the table assigned.
+    last_version: u64,
     rows: IndexMap<RequestId, (Record, u64)>,
-    late: VecDeque<Late>,
-    /// The slot's log: places and what they hold.
+    delayed: VecDeque<DelayedWrite>,
+    /// The records in the slot's log by position.
     log: IndexMap<u64, Vec<Record>>,
-    runs: Vec<RunState>,
-    asked: Vec<Asked>,
-    numbers: u64,
+    runs: Vec<Run>,
+    /// Indexed by waiter id.
+    calls: Vec<Call>,
+    last_number: u64,
 }
 
 fn id(number: u8) -> RequestId {
@@ -86,8 +89,8 @@
     Target::Service { name: ServiceName::try_from("letters").expect("a valid name") }
 }
 
-/// The one right answer to a run.
-fn answer(run: &RunState) -> Response {
+/// The only correct response of a run.
+fn response(run: &Run) -> Response {
     Response {
         status: 200,
         content_type: "text/plain".into(),
@@ -97,219 +100,230 @@
     }
 }
 
-impl World {
-    pub fn new(guard: Guard, ids: usize) -> Self {
+impl Simulation {
+    pub fn new(disabled: Disabled, max_ids: usize) -> Self {
         let now = Instant::now();
-        let limits = Limits { max_ids: ids, max_batch_rows: 4, ..Limits::default() };
-        let mut world = Self {
-            guard,
+        let limits = Limits { max_ids, max_batch_rows: 4, ..Limits::default() };
+        let mut simulation = Self {
+            disabled,
             limits,
             now,
             daemons: Vec::new(),
             holder: None,
-            claim: 0,
-            version: 1,
+            claim_version: 0,
+            last_version: 1,
             rows: IndexMap::new(),
-            late: VecDeque::new(),
+            delayed: VecDeque::new(),
             log: IndexMap::new(),
             runs: Vec::new(),
-            asked: Vec::new(),
-            numbers: 0,
+            calls: Vec::new(),
+            last_number: 0,
         };
-        world.daemons = (0..DAEMONS).map(|_| world.daemon()).collect();
-        world.give(0);
-        world
+        simulation.daemons = (0..DAEMONS).map(|_| simulation.new_daemon()).collect();
+        simulation.assign_slot(0);
+        simulation
     }
 
-    fn daemon(&mut self) -> Daemon {
-        self.numbers += 1;
+    fn new_daemon(&mut self) -> Daemon {
+        self.last_number += 1;
         Daemon {
-            member: MemberId(self.numbers),
-            journal: Journal::new(self.limits, self.numbers, self.now),
+            member: MemberId(self.last_number),
+            journal: Journal::new(self.limits, self.last_number, self.now),
             effects: VecDeque::new(),
             lease: self.now,
         }
     }
 
-    fn give(&mut self, daemon: usize) {
-        self.version += 1;
-        self.claim = self.version;
+    fn assign_slot(&mut self, daemon: usize) {
+        self.last_version += 1;
+        self.claim_version = self.last_version;
         self.holder = Some(daemon);
-        self.notice(daemon);
+        self.refresh_view(daemon);
     }
 
-    fn notice(&mut self, daemon: usize) {
-        let forever = self.guard == Guard::NoLease;
-        let until = self.now + if forever { LEASE * 1_000_000 } else { LEASE };
+    fn refresh_view(&mut self, daemon: usize) {
+        let forever = self.disabled == Disabled::LeaseExpiry;
+        let expiry = self.now + if forever { LEASE * 1_000_000 } else { LEASE };
         self.daemons[daemon].lease = self.now + LEASE;
-        self.tell(daemon, Event::LeaseExpiry(until));
+        self.handle(daemon, Event::LeaseExpiry(expiry));
         if self.holder == Some(daemon) {
-            let version = self.claim;
-            self.tell(daemon, Event::SlotClaimed { slot: SLOT, version });
+            let version = self.claim_version;
+            self.handle(daemon, Event::SlotClaimed { slot: SLOT, version });
         } else {
-            self.tell(daemon, Event::ClaimLost(SLOT));
+            self.handle(daemon, Event::ClaimLost(SLOT));
         }
     }
 
-    /// Tells a daemon's journal something and checks what it tells callers.
-    fn tell(&mut self, daemon: usize, event: Event) {
+    /// Passes an event to a daemon's journal and checks its replies.
+    fn handle(&mut self, daemon: usize, event: Event) {
         self.daemons[daemon].journal.handle(event, self.now);
-        self.collect(daemon);
+        self.collect_effects(daemon);
     }
 
-    fn collect(&mut self, daemon: usize) {
+    fn collect_effects(&mut self, daemon: usize) {
         while let Some(effect) = self.daemons[daemon].journal.next_effect() {
             match effect {
-                Effect::Reply { waiter: ticket, reply } => self.check(ticket, reply),
+                Effect::Reply { waiter, reply } => self.check_reply(waiter, reply),
                 other => self.daemons[daemon].effects.push_back(other),
             }
         }
     }
 
-    fn check(&mut self, ticket: WaiterId, reply: Reply) {
-        let asked = &mut self.asked[ticket.0 as usize];
-        assert!(!asked.answered, "two answers to one request");
-        asked.answered = true;
-        let (id, digest) = (asked.id.clone(), asked.digest);
+    fn check_reply(&mut self, waiter: WaiterId, reply: Reply) {
+        let call = &mut self.calls[waiter.0 as usize];
+        assert!(!call.replied, "two replies to one call");
+        call.replied = true;
+        let (id, digest) = (call.id.clone(), call.digest);
         match reply {
             Reply::Running => {}
             Reply::Refused(refusal) => self.check_refusal(&id, digest, &refusal),
-            Reply::Response(got) => {
+            Reply::Response(actual) => {
                 let mut runs = self.runs.iter();
-                let run = runs.find(|run| run.sent && run.id == id).expect("it ran");
-                assert_eq!(*got, answer(run), "another answer than the run's");
-                assert!(digest.is_none_or(|digest| digest == run.digest), "another body");
+                let run =
+                    runs.find(|run| run.dispatched && run.id == id).expect("it ran");
+                assert_eq!(*actual, response(run), "not the response of the run");
+                assert!(
+                    digest.is_none_or(|digest| digest == run.digest),
+                    "response to another body"
+                );
             }
         }
     }
 
     fn check_refusal(&self, id: &RequestId, digest: Option<Digest>, refusal: &Refusal) {
-        let ran = |run: &&RunState| {
-            run.sent && run.id == *id && digest.is_none_or(|digest| digest == run.digest)
+        let ran = |run: &&Run| {
+            run.dispatched
+                && run.id == *id
+                && digest.is_none_or(|digest| digest == run.digest)
         };
         if refusal.outcome == Outcome::NotRun {
             let run = self.runs.iter().find(ran);
-            assert!(run.is_none(), "told not run, but it ran: {refusal}");
+            assert!(run.is_none(), "refused as not run, but it ran: {refusal}");
         }
     }
 
     pub fn apply(&mut self, op: &Op) {
         match *op {
-            Op::Ask { daemon, id: number, body } => {
-                self.ask(daemon, number, body);
+            Op::Submit { daemon, id: number, body } => {
+                self.submit(daemon, number, body);
             }
             Op::Lookup { daemon, id: number } => {
-                let ticket = self.ticket(id(number), None);
-                self.tell(
-                    daemon,
-                    Event::Lookup { waiter: ticket, slot: SLOT, id: id(number) },
-                );
+                let waiter = self.add_call(id(number), None);
+                self.handle(daemon, Event::Lookup { waiter, slot: SLOT, id: id(number) });
             }
-            Op::Step { daemon, link } => self.step(daemon, link),
-            Op::Arrive => {
-                if let Some(late) = self.late.pop_front() {
-                    self.arrive(late);
+            Op::Step { daemon, delivery } => self.step(daemon, delivery),
+            Op::ApplyDelayed => {
+                if let Some(write) = self.delayed.pop_front() {
+                    self.apply_delayed(write);
                 }
             }
-            Op::Dispatch { run } => self.with_run(run, false, |world, run| {
-                world.runs[run].sent = true;
-                let state = world.runs[run].clone();
-                let same = |other: &&RunState| other.sent && other.id == state.id;
-                let count = world.runs.iter().filter(same).count();
-                assert!(count <= 1, "{} ran {count} times", state.id.key);
+            Op::Dispatch { run } => self.with_run(run, false, |simulation, run| {
+                simulation.runs[run].dispatched = true;
+                let dispatched = simulation.runs[run].clone();
+                let same = |other: &&Run| other.dispatched && other.id == dispatched.id;
+                let count = simulation.runs.iter().filter(same).count();
+                assert!(count <= 1, "{} ran {count} times", dispatched.id.key);
             }),
-            Op::Refuse { run } => self.with_run(run, false, |world, run| {
-                let (id, attempt) = world.close(run);
+            Op::Refuse { run } => self.with_run(run, false, |simulation, run| {
+                let (id, attempt) = simulation.finish_run(run);
                 let refusal = Refusal::not_run(Code::Overloaded, "full");
                 let event = Event::RunRefused { id, attempt, refusal };
-                world.report(run, event);
-            }),
-            Op::End { run, whole } => self.with_run(run, true, |world, run| {
-                let (id, attempt) = world.close(run);
-                let event = if whole {
-                    let answer = answer(&world.runs[run]).into();
-                    Event::RunFinished {
-                        id,
-                        attempt,
-                        response: answer,
-                        body: world.kept(run),
-                    }
-                } else {
-                    let refusal = Refusal::in_doubt(Code::Broken, "broken");
-                    Event::RunInterrupted { id, attempt, refusal }
-                };
-                world.report(run, event);
+                simulation.report_run(run, event);
             }),
+            Op::Finish { run, completed } => {
+                self.with_run(run, true, |simulation, run| {
+                    let (id, attempt) = simulation.finish_run(run);
+                    let event = if completed {
+                        let response = response(&simulation.runs[run]).into();
+                        Event::RunFinished {
+                            id,
+                            attempt,
+                            response,
+                            body: simulation.body_location(run),
+                        }
+                    } else {
+                        let refusal = Refusal::in_doubt(Code::Broken, "broken");
+                        Event::RunInterrupted { id, attempt, refusal }
+                    };
+                    simulation.report_run(run, event);
+                })
+            }
             Op::Takeover { daemon } => {
-                if let Some(old) = self.holder {
-                    self.now = self.now.max(self.daemons[old].lease);
+                if let Some(former) = self.holder {
+                    self.now = self.now.max(self.daemons[former].lease);
                 }
-                self.give(daemon);
+                self.assign_slot(daemon);
             }
             Op::Release { daemon } => {
-                if let Some(old) = self.holder {
+                if let Some(former) = self.holder {
                     self.holder = None;
-                    self.notice(old);
+                    self.refresh_view(former);
                 }
-                self.give(daemon);
+                self.assign_slot(daemon);
             }
-            Op::Notice { daemon } => self.notice(daemon),
+            Op::RefreshView { daemon } => self.refresh_view(daemon),
             Op::Crash { daemon } => self.crash(daemon),
-            Op::Pass { millis } => {
+            Op::Advance { millis } => {
                 self.now += Duration::from_millis(millis.into());
                 for daemon in 0..DAEMONS {
                     self.daemons[daemon].journal.tick(self.now);
-                    self.collect(daemon);
+                    self.collect_effects(daemon);
                 }
             }
         }
     }
 
-    fn ask(&mut self, daemon: usize, number: u8, body: u8) -> WaiterId {
+    fn submit(&mut self, daemon: usize, number: u8, body: u8) -> WaiterId {
         let (id, digest) = (id(number), digest(number, body));
-        let ticket = self.ticket(id.clone(), Some(digest));
-        self.numbers += 1;
+        let waiter = self.add_call(id.clone(), Some(digest));
+        self.last_number += 1;
         let member = self.daemons[daemon].member;
-        let attempt = AttemptId { member, number: self.numbers };
+        let attempt = AttemptId { member, number: self.last_number };
         let target = target();
-        let ask =
-            Event::Submit { waiter: ticket, slot: SLOT, id, digest, attempt, target };
-        self.tell(daemon, ask);
-        ticket
+        let submit = Event::Submit { waiter, slot: SLOT, id, digest, attempt, target };
+        self.handle(daemon, submit);
+        waiter
     }
 
-    fn ticket(&mut self, id: RequestId, digest: Option<Digest>) -> WaiterId {
-        self.asked.push(Asked { id, digest, answered: false });
-        WaiterId(self.asked.len() as u64 - 1)
+    fn add_call(&mut self, id: RequestId, digest: Option<Digest>) -> WaiterId {
+        self.calls.push(Call { id, digest, replied: false });
+        WaiterId(self.calls.len() as u64 - 1)
     }
 
-    /// Does something with a run that was or was not handed over and is not over.
-    fn with_run(&mut self, pick: usize, sent: bool, act: impl FnOnce(&mut Self, usize)) {
-        let open = |run: &RunState| run.sent == sent && !run.over;
+    /// Acts on one of the unfinished runs that were, or were not, dispatched; does
+    /// nothing if there is none.
+    fn with_run(
+        &mut self,
+        pick: usize,
+        dispatched: bool,
+        act: impl FnOnce(&mut Self, usize),
+    ) {
+        let matches = |run: &Run| run.dispatched == dispatched && !run.finished;
         let runs: Vec<usize> =
-            (0..self.runs.len()).filter(|&run| open(&self.runs[run])).collect();
+            (0..self.runs.len()).filter(|&run| matches(&self.runs[run])).collect();
         if !runs.is_empty() {
             act(self, runs[pick % runs.len()]);
         }
     }
 
-    fn close(&mut self, run: usize) -> (RequestId, AttemptId) {
+    fn finish_run(&mut self, run: usize) -> (RequestId, AttemptId) {
         let run = &mut self.runs[run];
-        run.over = true;
+        run.finished = true;
         (run.id.clone(), run.attempt)
     }
 
-    fn report(&mut self, run: usize, event: Event) {
+    /// Passes the end of a run to the daemon that started it, unless that has crashed.
+    fn report_run(&mut self, run: usize, event: Event) {
         let member = self.runs[run].daemon;
-        let place = self.daemons.iter().position(|daemon| daemon.member == member);
-        if let Some(daemon) = place {
-            self.tell(daemon, event);
+        let daemon = self.daemons.iter().position(|daemon| daemon.member == member);
+        if let Some(daemon) = daemon {
+            self.handle(daemon, event);
         }
     }
 
-    /// Some bodies are in rows, others in the object store.
-    fn kept(&self, run: usize) -> BodyLocation {
-        let body = answer(&self.runs[run]).body;
+    /// Bodies of every other run are in the row, the rest in the object store.
+    fn body_location(&self, run: usize) -> BodyLocation {
+        let body = response(&self.runs[run]).body;
         let text = String::from_utf8(body.to_vec()).expect("the model's bodies are text");
         if run.is_multiple_of(2) {
             BodyLocation::Inline(text)
@@ -318,133 +332,137 @@
         }
     }
 
-    /// A daemon dies: those who waited there are told that nothing is known.
+    /// Replaces a daemon by a new one; its waiters get no reply.
     fn crash(&mut self, daemon: usize) {
         let member = self.daemons[daemon].member;
         for run in &mut self.runs {
-            // What was handed over goes on at the backend server.
-            run.over |= run.daemon == member && !run.sent;
+            // Dispatched requests continue at the backend server.
+            run.finished |= run.daemon == member && !run.dispatched;
         }
-        self.daemons[daemon] = self.daemon();
+        self.daemons[daemon] = self.new_daemon();
     }
 
-    fn step(&mut self, daemon: usize, link: Link) {
+    fn step(&mut self, daemon: usize, delivery: Delivery) {
         let Some(effect) = self.daemons[daemon].effects.pop_front() else { return };
         match effect {
             Effect::LoadSlot { slot, version } => {
-                let event = match link {
-                    Link::Good => {
-                        let (rows, log) = (self.read(), self.seal());
+                let event = match delivery {
+                    Delivery::Normal => {
+                        let (rows, log) = (self.read_rows(), self.seal_log());
                         Event::SlotLoaded { slot, version, rows, log }
                     }
                     _ => Event::LoadFailed { slot, version },
                 };
-                self.tell(daemon, event);
+                self.handle(daemon, event);
             }
             Effect::Commit(batch) => {
-                let stored = self.send(&batch, link);
-                self.tell(
+                let result = self.send_batch(&batch, delivery);
+                self.handle(
                     daemon,
-                    Event::CommitFinished { number: batch.number, result: stored },
+                    Event::CommitFinished { number: batch.number, result },
                 );
             }
-            Effect::Run { waiter: ticket, id, attempt } => {
-                let digest = self.asked[ticket.0 as usize].digest;
-                let state = RunState {
+            Effect::Run { waiter, id, attempt } => {
+                let digest = self.calls[waiter.0 as usize].digest;
+                let run = Run {
                     daemon: self.daemons[daemon].member,
                     digest: digest.expect("only requests run"),
                     id,
                     attempt,
-                    sent: false,
-                    over: false,
+                    dispatched: false,
+                    finished: false,
                 };
-                self.runs.push(state);
+                self.runs.push(run);
             }
             Effect::RecoverResponse { id, attempt, .. } => {
-                let found = self.seek(&id, attempt, link);
-                self.tell(
-                    daemon,
-                    Event::RecoveryFinished { id, attempt, recovered: found },
-                );
+                let recovered = self.recover_response(&id, attempt, delivery);
+                self.handle(daemon, Event::RecoveryFinished { id, attempt, recovered });
             }
             Effect::FetchBody { id, key } => {
-                let body = (link == Link::Good).then(|| Bytes::from(key));
-                self.tell(daemon, Event::BodyFetched { id, body });
+                let body = (delivery == Delivery::Normal).then(|| Bytes::from(key));
+                self.handle(daemon, Event::BodyFetched { id, body });
             }
-            Effect::ReadState { waiter: ticket, id, .. } => {
-                self.asked[ticket.0 as usize].answered = true;
+            Effect::ReadState { waiter, id, .. } => {
+                self.calls[waiter.0 as usize].replied = true;
                 let logged = self.log.values().flatten().any(|record| record.id == id);
-                if !self.rows.contains_key(&id) && !logged && link == Link::Good {
-                    let ran = self.runs.iter().any(|run| run.sent && run.id == id);
-                    assert!(!ran, "told unknown, but it ran");
+                if !self.rows.contains_key(&id) && !logged && delivery == Delivery::Normal
+                {
+                    let ran = self.runs.iter().any(|run| run.dispatched && run.id == id);
+                    assert!(!ran, "reported as unknown, but it ran");
                 }
             }
-            Effect::AppendToLog { slot, number, position: place, records } => {
-                let appended = self.append(place, records, link);
-                self.tell(
-                    daemon,
-                    Event::AppendFinished { slot, number, result: appended },
-                );
+            Effect::AppendToLog { slot, number, position, records } => {
+                let result = self.append(position, records, delivery);
+                self.handle(daemon, Event::AppendFinished { slot, number, result });
             }
-            Effect::TrimLog { position: place, .. } => {
-                self.log.retain(|known, _| *known >= place)
+            Effect::TrimLog { position, .. } => {
+                self.log.retain(|stored, _| *stored >= position)
             }
             Effect::DeleteBody(_) | Effect::Reply { .. } => {}
         }
     }
 
-    fn seek(&self, id: &RequestId, attempt: AttemptId, link: Link) -> Recovered {
+    fn recover_response(
+        &self,
+        id: &RequestId,
+        attempt: AttemptId,
+        delivery: Delivery,
+    ) -> Recovered {
         let row = self.rows.get(id).and_then(|(record, version)| {
             let summary = record.response.clone()?;
             Some(Recovered::Row { summary, version: *version })
         });
-        let place = self.runs.iter().position(|run| run.attempt == attempt && run.sent);
-        match (row, place, link) {
-            (Some(row), _, Link::Good) => row,
-            (None, Some(run), Link::Good) if self.runs[run].over => Recovered::Engine {
-                response: answer(&self.runs[run]).into(),
-                body: self.kept(run),
-            },
+        let run =
+            self.runs.iter().position(|run| run.attempt == attempt && run.dispatched);
+        match (row, run, delivery) {
+            (Some(row), _, Delivery::Normal) => row,
+            (None, Some(run), Delivery::Normal) if self.runs[run].finished => {
+                Recovered::Engine {
+                    response: response(&self.runs[run]).into(),
+                    body: self.body_location(run),
+                }
+            }
             _ => Recovered::Nothing,
         }
     }
 
-    /// Ends all faults, asks for each id again and checks the last answers.
+    /// Ends all faults, submits each id again and checks that every call gets a reply.
     pub fn settle(&mut self, ids: u8) {
-        while let Some(late) = self.late.pop_front() {
-            self.arrive(late);
+        while let Some(write) = self.delayed.pop_front() {
+            self.apply_delayed(write);
         }
-        let last = self.holder.unwrap_or(0);
+        let holder = self.holder.unwrap_or(0);
         for daemon in 0..DAEMONS {
-            self.notice(daemon);
+            self.refresh_view(daemon);
         }
-        self.quiesce();
+        self.run_until_idle();
         for number in 0..ids {
-            self.ask(last, number, 0);
+            self.submit(holder, number, 0);
         }
-        self.quiesce();
-        let waiting = self.asked.iter().filter(|asked| !asked.answered).count();
-        // Requests of daemons that died get no answer from the journal.
-        assert!(waiting <= self.dead_letters(), "{waiting} requests without an answer");
+        self.run_until_idle();
+        let waiting = self.calls.iter().filter(|call| !call.replied).count();
+        assert!(waiting <= self.max_unreplied(), "{waiting} calls without a reply");
         for daemon in &self.daemons {
             assert_eq!(daemon.journal.running(), 0, "a run is left over");
         }
     }
 
-    fn dead_letters(&self) -> usize {
-        // Only daemons that crashed forget those who wait.
-        let first = self.daemons.iter().all(|daemon| daemon.member.0 <= DAEMONS as u64);
-        if first { 0 } else { self.asked.len() }
+    /// The number of calls that may stay without a reply.
+    fn max_unreplied(&self) -> usize {
+        // Only the journal of a crashed daemon leaves its waiters without a reply.
+        let none_crashed =
+            self.daemons.iter().all(|daemon| daemon.member.0 <= DAEMONS as u64);
+        if none_crashed { 0 } else { self.calls.len() }
     }
 
-    fn quiesce(&mut self) {
+    fn run_until_idle(&mut self) {
         for _ in 0..400 {
             for daemon in 0..DAEMONS {
-                self.step(daemon, Link::Good);
+                self.step(daemon, Delivery::Normal);
             }
             self.apply(&Op::Dispatch { run: 0 });
-            self.apply(&Op::End { run: 0, whole: true });
-            self.apply(&Op::Pass { millis: 50 });
+            self.apply(&Op::Finish { run: 0, completed: true });
+            self.apply(&Op::Advance { millis: 50 });
         }
     }
 }
--- a/crates/once/tests/model/op.rs
+++ b/crates/once/tests/model/op.rs
@@ -1,68 +1,68 @@
-//! What can happen in the world, and what can be left out of it.
+//! Operations of the simulation, and the safeguards that it can disable.
 
-/// A safeguard that the model can leave out.
+/// A safeguard that the simulation disables.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Guard {
-    /// Nothing is left out.
-    All,
-    /// The table ignores the claims in a batch and whether rows exist.
-    NoFence,
+pub enum Disabled {
+    /// All safeguards are in effect.
+    Nothing,
+    /// The table ignores claims, and whether rows exist.
+    ClaimAndAbsenceChecks,
     /// The table ignores whether rows exist.
-    NoAbsent,
+    AbsenceChecks,
     /// The table ignores the versions of rows.
-    NoVersion,
-    /// A lost acknowledgement counts as success.
-    NoReadBack,
-    /// A new lead does not read the journal, and the table ignores existing rows.
-    NoRecovery,
-    /// A daemon always believes that its lease holds.
-    NoLease,
-    /// A row of the same attempt counts as one of the same transaction.
-    NoStamp,
-    /// A new lead does not take a place in the log for its seal.
-    NoSeal,
-    /// A new lead does not read the log.
-    NoLog,
+    VersionChecks,
+    /// A commit whose response was lost counts as committed.
+    UnknownResults,
+    /// A new holder doesn't read the rows, and the table ignores whether rows exist.
+    RowLoading,
+    /// A daemon always assumes that its lease is valid.
+    LeaseExpiry,
+    /// A row of the same attempt counts as written by the same transaction.
+    TransactionIds,
+    /// A new holder doesn't seal the log.
+    LogSeal,
+    /// A new holder doesn't read the log.
+    LogReading,
 }
 
-/// One step of the world.
+/// One step of the simulation.
 #[derive(Debug, Clone)]
 pub enum Op {
     /// A caller sends an id with a body to a daemon.
-    Ask { daemon: usize, id: u8, body: u8 },
-    /// A caller asks a daemon what became of an id.
+    Submit { daemon: usize, id: u8, body: u8 },
+    /// A caller queries the outcome of an id at a daemon.
     Lookup { daemon: usize, id: u8 },
-    /// A daemon carries out its next effect; the platform takes it as `link` says.
-    Step { daemon: usize, link: Link },
-    /// A change that was believed lost takes effect now.
-    Arrive,
-    /// A run is handed to the backend server, if it is still to be.
+    /// A daemon carries out its next effect; the platform treats it as `delivery` says.
+    Step { daemon: usize, delivery: Delivery },
+    /// The oldest delayed write takes effect.
+    ApplyDelayed,
+    /// One of the runs that wait for dispatch is sent to the backend server.
     Dispatch { run: usize },
-    /// A run is refused before it is handed over.
+    /// One of the runs that wait for dispatch is refused.
     Refuse { run: usize },
-    /// A run that was handed over ends whole, or breaks off.
-    End { run: usize, whole: bool },
-    /// Another daemon takes the slot over once the lease has lapsed.
+    /// One of the dispatched runs completes or is cut off.
+    Finish { run: usize, completed: bool },
+    /// Another daemon takes over the slot after the holder's lease has expired.
     Takeover { daemon: usize },
-    /// A daemon gives its slot up to another.
+    /// The holder releases the slot to another daemon.
     Release { daemon: usize },
     /// A daemon learns who holds the slot, and renews its lease.
-    Notice { daemon: usize },
-    /// A daemon dies and starts anew.
+    RefreshView { daemon: usize },
+    /// A daemon crashes and is replaced by a new one.
     Crash { daemon: usize },
     /// Time passes.
-    Pass { millis: u16 },
+    Advance { millis: u16 },
 }
 
-/// How the table service takes a change.
+/// How the platform handles a call.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Link {
-    /// It does it and says so.
-    Good,
-    /// It does it and the answer is lost.
-    Lost,
-    /// It does it some time after the asker gave up.
-    Late,
-    /// It refuses.
-    Down,
+pub enum Delivery {
+    /// The call takes effect and its response arrives.
+    Normal,
+    /// The call takes effect but its response is lost.
+    ResponseLost,
+    /// The call takes effect only after its sender has timed out.
+    Delayed,
+    /// The call fails without an effect.
+    Unavailable,
 }
--- a/crates/once/tests/model/platform.rs
+++ b/crates/once/tests/model/platform.rs
@@ -1,4 +1,4 @@
-//! The table service and the object store of the world.
+//! The table service and the object store of the simulation.
 
 use std::time::Duration;
 
@@ -7,30 +7,30 @@
     AppendResult, Batch, Change, CommitResult, Condition, JournalRow, Record, SlotLog,
 };
 
-use super::{Guard, Late, Link, World};
+use super::{DelayedWrite, Delivery, Disabled, Simulation};
 
-impl World {
-    pub(super) fn arrive(&mut self, late: Late) {
-        match late {
-            Late::Batch(batch) => drop(self.commit(&batch)),
-            Late::Append(place, records) => {
-                self.log.entry(place).or_insert(records);
+impl Simulation {
+    pub(super) fn apply_delayed(&mut self, write: DelayedWrite) {
+        match write {
+            DelayedWrite::Batch(batch) => drop(self.commit(&batch)),
+            DelayedWrite::Append(position, records) => {
+                self.log.entry(position).or_insert(records);
             }
         }
     }
 
-    /// Reads the log and takes its next place.
-    pub(super) fn seal(&mut self) -> SlotLog {
-        let records = match self.guard {
-            Guard::NoLog => Vec::new(),
+    /// Reads the log and seals it at its next position.
+    pub(super) fn seal_log(&mut self) -> SlotLog {
+        let records = match self.disabled {
+            Disabled::LogReading => Vec::new(),
             _ => {
-                let mut places: Vec<_> = self.log.iter().collect();
-                places.sort_by_key(|(place, _)| **place);
-                places.into_iter().flat_map(|(_, records)| records.clone()).collect()
+                let mut log: Vec<_> = self.log.iter().collect();
+                log.sort_by_key(|(position, _)| **position);
+                log.into_iter().flat_map(|(_, records)| records.clone()).collect()
             }
         };
-        let next = self.log.keys().max().map_or(0, |place| place + 1);
-        if self.guard == Guard::NoSeal {
+        let next = self.log.keys().max().map_or(0, |position| position + 1);
+        if self.disabled == Disabled::LogSeal {
             return SlotLog { records, next_position: next };
         }
         self.log.insert(next, Vec::new());
@@ -39,74 +39,80 @@
 
     pub(super) fn append(
         &mut self,
-        place: u64,
+        position: u64,
         records: Vec<Record>,
-        link: Link,
+        delivery: Delivery,
     ) -> AppendResult {
-        match link {
-            Link::Good => self.put(place, records),
-            Link::Lost => {
-                self.put(place, records);
+        match delivery {
+            Delivery::Normal => self.append_now(position, records),
+            Delivery::ResponseLost => {
+                self.append_now(position, records);
                 AppendResult::Unknown
             }
-            Link::Late => {
-                self.late.push_back(Late::Append(place, records));
+            Delivery::Delayed => {
+                self.delayed.push_back(DelayedWrite::Append(position, records));
                 AppendResult::Unknown
             }
-            Link::Down => AppendResult::Unavailable,
+            Delivery::Unavailable => AppendResult::Unavailable,
         }
     }
 
-    fn put(&mut self, place: u64, records: Vec<Record>) -> AppendResult {
-        let held = self.log.entry(place).or_insert_with(|| records.clone());
-        let own = *held == records;
-        let last = self.log.keys().max() == Some(&place);
-        if own && last { AppendResult::Appended } else { AppendResult::Conflict }
+    fn append_now(&mut self, position: u64, records: Vec<Record>) -> AppendResult {
+        let stored = self.log.entry(position).or_insert_with(|| records.clone());
+        let same = *stored == records;
+        let last = self.log.keys().max() == Some(&position);
+        if same && last { AppendResult::Appended } else { AppendResult::Conflict }
     }
 
-    pub(super) fn read(&self) -> Vec<(JournalRow, Duration)> {
-        if self.guard == Guard::NoRecovery {
+    pub(super) fn read_rows(&self) -> Vec<(JournalRow, Duration)> {
+        if self.disabled == Disabled::RowLoading {
             return Vec::new();
         }
-        let known = |(record, version): &(Record, u64)| {
-            let known = JournalRow { record: Some(record.clone()), version: *version };
-            (known, Duration::ZERO)
+        let row_with_age = |(record, version): &(Record, u64)| {
+            let row = JournalRow { record: Some(record.clone()), version: *version };
+            (row, Duration::ZERO)
         };
-        self.rows.values().map(known).collect()
+        self.rows.values().map(row_with_age).collect()
     }
 
-    pub(super) fn send(&mut self, batch: &Batch, link: Link) -> CommitResult {
-        let lost = match self.guard {
-            Guard::NoReadBack => CommitResult::Committed { version: self.version },
+    pub(super) fn send_batch(
+        &mut self,
+        batch: &Batch,
+        delivery: Delivery,
+    ) -> CommitResult {
+        let unknown = match self.disabled {
+            Disabled::UnknownResults => {
+                CommitResult::Committed { version: self.last_version }
+            }
             _ => CommitResult::Unknown,
         };
-        match link {
-            Link::Good => self.commit(batch),
-            Link::Lost => {
+        match delivery {
+            Delivery::Normal => self.commit(batch),
+            Delivery::ResponseLost => {
                 self.commit(batch);
-                lost
+                unknown
             }
-            Link::Late => {
-                self.late.push_back(Late::Batch(batch.clone()));
-                lost
+            Delivery::Delayed => {
+                self.delayed.push_back(DelayedWrite::Batch(batch.clone()));
+                unknown
             }
-            Link::Down => CommitResult::Unavailable,
+            Delivery::Unavailable => CommitResult::Unavailable,
         }
     }
 
     pub(super) fn commit(&mut self, batch: &Batch) -> CommitResult {
         for (condition, check) in batch.conditions.iter().enumerate() {
-            let (holds, row) = self.holds(check);
+            let (holds, row) = self.check_condition(check);
             if !holds {
-                let row = row.map(|row| Box::new(self.stamped(row, batch)));
+                let row = row.map(|row| Box::new(self.conflicting_row(row, batch)));
                 return CommitResult::Conflict { condition, row };
             }
         }
-        self.version += 1;
+        self.last_version += 1;
         for change in &batch.changes {
             match change {
                 Change::Put(record) => {
-                    let row = ((**record).clone(), self.version);
+                    let row = ((**record).clone(), self.last_version);
                     self.rows.insert(record.id.clone(), row);
                 }
                 Change::Delete { id, .. } => {
@@ -114,24 +120,29 @@
                 }
             }
         }
-        CommitResult::Committed { version: self.version }
+        CommitResult::Committed { version: self.last_version }
     }
 
-    /// Without the stamps, a row looks like the one that the batch writes.
-    fn stamped(&self, mut row: JournalRow, batch: &Batch) -> JournalRow {
-        let Some(held) = row.record.as_mut() else { return row };
+    /// The row as reported to the daemon.
+    ///
+    /// With transaction ids disabled, a row of the same attempt looks as if the batch
+    /// had written it.
+    fn conflicting_row(&self, mut row: JournalRow, batch: &Batch) -> JournalRow {
+        let Some(stored) = row.record.as_mut() else { return row };
         for change in &batch.changes {
-            if let (Change::Put(record), Guard::NoStamp) = (change, self.guard)
-                && record.attempt == held.attempt
+            if let (Change::Put(record), Disabled::TransactionIds) =
+                (change, self.disabled)
+                && record.attempt == stored.attempt
             {
-                held.transaction_id = record.transaction_id;
+                stored.transaction_id = record.transaction_id;
             }
         }
         row
     }
 
-    fn holds(&self, check: &Condition) -> (bool, Option<JournalRow>) {
-        let known = |id: &RequestId| {
+    /// Returns whether the condition holds, and the row that it is about.
+    fn check_condition(&self, check: &Condition) -> (bool, Option<JournalRow>) {
+        let journal_row = |id: &RequestId| {
             let row = self.rows.get(id);
             row.map(|(record, version)| JournalRow {
                 record: Some(record.clone()),
@@ -139,18 +150,24 @@
             })
         };
         match check {
-            Condition::Claim { version, .. } => {
-                (*version == self.claim || self.guard == Guard::NoFence, None)
-            }
+            Condition::Claim { version, .. } => (
+                *version == self.claim_version
+                    || self.disabled == Disabled::ClaimAndAbsenceChecks,
+                None,
+            ),
             Condition::Absent { id, .. } => {
-                let ignored = [Guard::NoFence, Guard::NoAbsent, Guard::NoRecovery];
-                let row = known(id);
-                (row.is_none() || ignored.contains(&self.guard), row)
+                let ignored = [
+                    Disabled::ClaimAndAbsenceChecks,
+                    Disabled::AbsenceChecks,
+                    Disabled::RowLoading,
+                ];
+                let row = journal_row(id);
+                (row.is_none() || ignored.contains(&self.disabled), row)
             }
             Condition::Version { id, version, .. } => {
-                let row = known(id);
+                let row = journal_row(id);
                 let same = row.as_ref().is_some_and(|row| row.version == *version);
-                (same || self.guard == Guard::NoVersion, row)
+                (same || self.disabled == Disabled::VersionChecks, row)
             }
         }
     }
--- a/crates/once/tests/poison.rs
+++ b/crates/once/tests/poison.rs
@@ -1,9 +1,9 @@
-//! A pool under requests that crash every backend server that runs them.
+//! A pool of backend servers under requests that crash every server that runs them.
 //!
-//! Callers send a crashing request again under new ids, one copy after the other,
-//! among harmless ones. Each crashing request costs at most two backend servers,
-//! is refused from then on, and everything harmless completes; servers that die
-//! for other reasons convict nobody whose request completes.
+//! Among harmless requests, callers send a crashing request again under new ids, one
+//! copy after another. Each crashing request costs at most two backend servers and is
+//! refused from then on, and all harmless requests complete. Servers that fail for
+//! other reasons don't cause a request to be blocked that completes.
 
 use std::time::Instant;
 
@@ -17,34 +17,34 @@
 
 const SERVERS: usize = 4;
 
-/// A request on its way through the pool.
+/// One copy of a request sent by a caller.
 #[derive(Debug, Clone)]
 struct Request {
     digest: u8,
-    flight: Option<(usize, DispatchId)>,
-    over: bool,
+    in_flight: Option<(usize, DispatchId)>,
+    finished: bool,
 }
 
 #[derive(Debug, Clone)]
 enum Op {
-    /// A caller sends a request; those with small numbers crash servers.
-    Send(u8),
-    /// A request that waits is offered to a server.
-    Offer { request: usize, server: usize },
-    /// A request in flight ends, whole or with a crash.
-    End { request: usize },
-    /// A server dies for a reason of its own.
-    Die { server: usize },
+    /// A caller sends a request; digests below `harmful_digests` crash servers.
+    Submit(u8),
+    /// One of the waiting requests is to be dispatched to a server.
+    TryDispatch { request: usize, server: usize },
+    /// One of the requests in flight completes or crashes its server.
+    Finish { request: usize },
+    /// A server fails for another reason.
+    Fail { server: usize },
 }
 
 struct Pool {
-    isolate: bool,
-    harmful: u8,
-    suspects: CrashTracker,
+    isolate_suspects: bool,
+    harmful_digests: u8,
+    tracker: CrashTracker,
     now: Instant,
     requests: Vec<Request>,
-    /// Servers lost per harmful digest.
-    lost: Vec<u32>,
+    /// Crashed servers per harmful digest.
+    crashes_caused: Vec<u32>,
 }
 
 fn server(number: usize) -> ServerName {
@@ -56,109 +56,132 @@
 }
 
 impl Pool {
-    fn new(isolate: bool, harmful: u8) -> Self {
-        let (suspects, now) = (CrashTracker::new(), Instant::now());
-        let lost = vec![0; usize::from(harmful)];
-        Self { isolate, harmful, suspects, now, requests: Vec::new(), lost }
+    fn new(isolate_suspects: bool, harmful_digests: u8) -> Self {
+        let (tracker, now) = (CrashTracker::new(), Instant::now());
+        let crashes_caused = vec![0; usize::from(harmful_digests)];
+        Self {
+            isolate_suspects,
+            harmful_digests,
+            tracker,
+            now,
+            requests: Vec::new(),
+            crashes_caused,
+        }
     }
 
     fn apply(&mut self, op: &Op) {
         self.now += CRASH_WINDOW;
         match *op {
-            Op::Send(digest) => {
-                // Copies of a harmful request come one after the other.
-                let mut known = self.requests.iter();
-                let copy = known.any(|one| one.digest == digest && !one.over);
-                if !copy || digest >= self.harmful {
-                    self.requests.push(Request { digest, flight: None, over: false });
+            Op::Submit(digest) => {
+                // Copies of a harmful request are sent one after another.
+                let mut requests = self.requests.iter();
+                let has_unfinished_copy =
+                    requests.any(|request| request.digest == digest && !request.finished);
+                if !has_unfinished_copy || digest >= self.harmful_digests {
+                    self.requests.push(Request {
+                        digest,
+                        in_flight: None,
+                        finished: false,
+                    });
                 }
             }
-            Op::Offer { request, server } => {
-                self.with(request, false, |pool, at| pool.offer(at, server))
+            Op::TryDispatch { request, server } => {
+                self.with_request(request, false, |pool, index| {
+                    pool.try_dispatch(index, server)
+                })
             }
-            Op::End { request } => self.with(request, true, Self::end),
-            Op::Die { server } => self.crash(server),
+            Op::Finish { request } => self.with_request(request, true, Self::finish),
+            Op::Fail { server } => self.crash(server),
         }
     }
 
-    fn with(&mut self, pick: usize, flying: bool, act: impl FnOnce(&mut Self, usize)) {
-        let fits = |one: &Request| !one.over && one.flight.is_some() == flying;
-        let fitting: Vec<usize> =
-            (0..self.requests.len()).filter(|&at| fits(&self.requests[at])).collect();
-        if !fitting.is_empty() {
-            act(self, fitting[pick % fitting.len()]);
+    fn with_request(
+        &mut self,
+        pick: usize,
+        is_in_flight: bool,
+        act: impl FnOnce(&mut Self, usize),
+    ) {
+        let matches = |request: &Request| {
+            !request.finished && request.in_flight.is_some() == is_in_flight
+        };
+        let matching: Vec<usize> = (0..self.requests.len())
+            .filter(|&index| matches(&self.requests[index]))
+            .collect();
+        if !matching.is_empty() {
+            act(self, matching[pick % matching.len()]);
         }
     }
 
-    fn offer(&mut self, at: usize, number: usize) {
-        let digest = digest(self.requests[at].digest);
-        match self.suspects.try_dispatch(&server(number), digest, self.now) {
+    fn try_dispatch(&mut self, index: usize, number: usize) {
+        let digest = digest(self.requests[index].digest);
+        match self.tracker.try_dispatch(&server(number), digest, self.now) {
             DispatchDecision::Dispatch(id) => {
-                self.requests[at].flight = Some((number, id))
+                self.requests[index].in_flight = Some((number, id))
             }
-            DispatchDecision::Refuse => self.requests[at].over = true,
+            DispatchDecision::Refuse => self.requests[index].finished = true,
             DispatchDecision::WaitUntil(_) => {}
-            DispatchDecision::Wait if self.isolate => {}
+            DispatchDecision::Wait if self.isolate_suspects => {}
             DispatchDecision::Wait => {
-                // Without isolation it runs beside the other suspect: it is let in
-                // as an unknown digest and the crash is still its own.
-                let unknown = Digest(u128::MAX - at as u128);
+                // Without isolation it runs beside the other suspect: it is dispatched
+                // with an unknown digest, but still counts as the cause of its crash.
+                let unknown = Digest(u128::MAX - index as u128);
                 if let DispatchDecision::Dispatch(id) =
-                    self.suspects.try_dispatch(&server(number), unknown, self.now)
+                    self.tracker.try_dispatch(&server(number), unknown, self.now)
                 {
-                    self.requests[at].flight = Some((number, id));
+                    self.requests[index].in_flight = Some((number, id));
                 }
             }
         }
     }
 
-    fn end(&mut self, at: usize) {
-        let request = self.requests[at].clone();
-        let Some((number, id)) = request.flight else { return };
-        if request.digest < self.harmful {
-            self.lost[usize::from(request.digest)] += 1;
-            self.requests[at].over = true;
+    fn finish(&mut self, index: usize) {
+        let request = self.requests[index].clone();
+        let Some((number, id)) = request.in_flight else { return };
+        if request.digest < self.harmful_digests {
+            self.crashes_caused[usize::from(request.digest)] += 1;
+            self.requests[index].finished = true;
             self.crash(number);
         } else {
-            self.suspects.finish(&server(number), id, true);
-            self.requests[at].over = true;
+            self.tracker.finish(&server(number), id, true);
+            self.requests[index].finished = true;
         }
     }
 
     fn crash(&mut self, number: usize) {
-        self.suspects.record_crash(&server(number), self.now);
+        self.tracker.record_crash(&server(number), self.now);
         for request in &mut self.requests {
-            if request.flight.is_some_and(|(at, _)| at == number) {
-                // Harmless requests run again; a crashing one's caller sends anew.
-                request.flight = None;
+            if request.in_flight.is_some_and(|(server, _)| server == number) {
+                // Harmless requests are retried; a crashing one is sent as a new copy.
+                request.in_flight = None;
             }
         }
     }
 
-    /// Lets everything harmless run to its end.
-    fn drain(&mut self) {
+    /// Runs all harmless requests until they complete.
+    fn finish_harmless(&mut self) {
         for _ in 0..4 * self.requests.len() {
             for server in 0..SERVERS {
-                self.apply(&Op::Offer { request: server, server });
+                self.apply(&Op::TryDispatch { request: server, server });
             }
-            self.apply(&Op::End { request: 0 });
+            self.apply(&Op::Finish { request: 0 });
         }
     }
 }
 
-fn op(deaths: u32, kinds: u8) -> impl Strategy<Value = Op> {
+fn op(failure_weight: u32, digests: u8) -> impl Strategy<Value = Op> {
     prop_oneof![
-        6 => (0..kinds).prop_map(Op::Send),
+        6 => (0..digests).prop_map(Op::Submit),
         10 => (0..64usize, 0..SERVERS)
-            .prop_map(|(request, server)| Op::Offer { request, server }),
-        6 => (0..64usize).prop_map(|request| Op::End { request }),
-        deaths => (0..SERVERS).prop_map(|server| Op::Die { server }),
+            .prop_map(|(request, server)| Op::TryDispatch { request, server }),
+        6 => (0..64usize).prop_map(|request| Op::Finish { request }),
+        failure_weight => (0..SERVERS).prop_map(|server| Op::Fail { server }),
     ]
 }
 
-/// CrashTracker run beside each other: a crash names nobody, and servers go on dying.
+/// When suspects run beside each other, a crash identifies none of them and further
+/// servers crash.
 #[test]
-fn more_servers_are_lost_without_isolation() {
+fn more_servers_crash_without_isolation() {
     let config = Config { cases: 400, failure_persistence: None, ..Config::default() };
     let rng = TestRng::deterministic_rng(RngAlgorithm::ChaCha);
     let found = TestRunner::new_with_rng(config, rng).run(
@@ -166,95 +189,99 @@
         |ops| {
             let mut pool = Pool::new(false, 1);
             ops.iter().for_each(|op| pool.apply(op));
-            prop_assert!(pool.lost[0] <= 2, "{} servers lost", pool.lost[0]);
+            prop_assert!(
+                pool.crashes_caused[0] <= 2,
+                "{} servers crashed",
+                pool.crashes_caused[0]
+            );
             Ok(())
         },
     );
-    let error = found.expect_err("a broken promise").to_string();
-    assert!(error.contains("3 servers lost"), "{error}");
+    let error = found.expect_err("a violation").to_string();
+    assert!(error.contains("3 servers crashed"), "{error}");
 }
 
-/// An innocent suspect is handed to a server that is dying already: both cuts are
-/// one crash, and it is not convicted.
+/// An innocent suspect is sent to a server that is already dying: both cut streams
+/// belong to one crash.
 #[test]
-fn a_dying_server_convicts_nobody_twice() {
-    let (mut suspects, now) = (CrashTracker::new(), Instant::now());
+fn second_cut_at_a_dying_server_does_not_block() {
+    let (mut tracker, now) = (CrashTracker::new(), Instant::now());
     let innocent = digest(1);
-    suspects.try_dispatch(&server(0), innocent, now);
-    suspects.try_dispatch(&server(0), digest(0), now);
-    suspects.record_crash(&server(0), now);
-    suspects.try_dispatch(&server(0), innocent, now);
-    suspects.record_crash(&server(0), now + CRASH_WINDOW / 50);
-    assert_eq!(suspects.status(innocent, now), Some(DigestStatus::Suspect));
+    tracker.try_dispatch(&server(0), innocent, now);
+    tracker.try_dispatch(&server(0), digest(0), now);
+    tracker.record_crash(&server(0), now);
+    tracker.try_dispatch(&server(0), innocent, now);
+    tracker.record_crash(&server(0), now + CRASH_WINDOW / 50);
+    assert_eq!(tracker.status(innocent, now), Some(DigestStatus::Suspect));
 }
 
-/// A letter is refused for a day though nothing is wrong with it: two servers die with
-/// their rack within 50 ms, and the letter was in flight at the first, sent again, and
-/// in flight at the second.
+/// Guards against refusing a harmless request for a day: two servers fail with their
+/// rack within 50 ms, while the request is in flight on the first and then, after a
+/// retry, on the second.
 #[test]
-fn servers_that_die_together_convict_nobody() {
-    let (mut suspects, now) = (CrashTracker::new(), Instant::now());
+fn servers_that_fail_together_do_not_block() {
+    let (mut tracker, now) = (CrashTracker::new(), Instant::now());
     let innocent = digest(1);
-    suspects.try_dispatch(&server(0), innocent, now);
-    suspects.try_dispatch(&server(0), digest(2), now);
-    suspects.record_crash(&server(0), now);
-    suspects.try_dispatch(&server(1), innocent, now);
-    suspects.record_crash(&server(1), now + CRASH_WINDOW / 20);
-    assert_eq!(suspects.status(innocent, now), Some(DigestStatus::Suspect));
+    tracker.try_dispatch(&server(0), innocent, now);
+    tracker.try_dispatch(&server(0), digest(2), now);
+    tracker.record_crash(&server(0), now);
+    tracker.try_dispatch(&server(1), innocent, now);
+    tracker.record_crash(&server(1), now + CRASH_WINDOW / 20);
+    assert_eq!(tracker.status(innocent, now), Some(DigestStatus::Suspect));
 }
 
-/// The same where another daemon saw the first crash and told of it.
+/// As above, but another daemon observed the first crash and reported it.
 #[test]
-fn a_suspicion_just_heard_of_convicts_nobody() {
-    let (mut suspects, now) = (CrashTracker::new(), Instant::now());
+fn crash_right_after_a_report_does_not_block() {
+    let (mut tracker, now) = (CrashTracker::new(), Instant::now());
     let innocent = digest(1);
-    let heard = StatusChange { digest: innocent, status: Some(DigestStatus::Suspect) };
-    suspects.apply(heard, now);
-    suspects.try_dispatch(&server(1), innocent, now);
-    suspects.record_crash(&server(1), now + CRASH_WINDOW / 200);
-    assert_eq!(suspects.status(innocent, now), Some(DigestStatus::Suspect));
+    let report = StatusChange { digest: innocent, status: Some(DigestStatus::Suspect) };
+    tracker.apply(report, now);
+    tracker.try_dispatch(&server(1), innocent, now);
+    tracker.record_crash(&server(1), now + CRASH_WINDOW / 200);
+    assert_eq!(tracker.status(innocent, now), Some(DigestStatus::Suspect));
 }
 
-/// The same with a third server, at which the letter was not: something else kills
-/// servers, whichever crash is noticed first.
+/// As above with more servers, one of which the request was not on. That one shows that
+/// servers fail for another reason, whichever crash is detected first.
 #[test]
-fn a_wider_failure_convicts_nobody() {
-    let later = CRASH_WINDOW / 20;
-    for bystander_first in [true, false] {
-        let (mut suspects, now) = (CrashTracker::new(), Instant::now());
+fn failure_of_several_servers_does_not_block() {
+    let delay = CRASH_WINDOW / 20;
+    for other_server_first in [true, false] {
+        let (mut tracker, now) = (CrashTracker::new(), Instant::now());
         let innocent = digest(1);
         for number in 0..3 {
-            if number == 2 && bystander_first {
-                suspects.record_crash(&server(3), now + later * 2);
+            if number == 2 && other_server_first {
+                tracker.record_crash(&server(3), now + delay * 2);
             }
-            suspects.try_dispatch(&server(number), innocent, now);
-            suspects.record_crash(&server(number), now + later * number as u32);
+            tracker.try_dispatch(&server(number), innocent, now);
+            tracker.record_crash(&server(number), now + delay * number as u32);
         }
-        if !bystander_first {
-            suspects.record_crash(&server(3), now + later * 3);
+        if !other_server_first {
+            tracker.record_crash(&server(3), now + delay * 3);
         }
-        assert_ne!(suspects.status(innocent, now), Some(DigestStatus::Blocked));
+        assert_ne!(tracker.status(innocent, now), Some(DigestStatus::Blocked));
     }
 }
 
-/// A request that kills each server within milliseconds, sent again at once, costs two.
+/// A request that crashes each server within milliseconds and is retried at once.
 #[test]
-fn a_fast_killer_costs_two_servers() {
-    let (mut suspects, mut now) = (CrashTracker::new(), Instant::now());
-    suspects.try_dispatch(&server(0), digest(0), now);
-    suspects.record_crash(&server(0), now);
-    let DispatchDecision::WaitUntil(settled) =
-        suspects.try_dispatch(&server(1), digest(0), now)
+fn fast_crashing_request_costs_two_servers() {
+    let (mut tracker, mut now) = (CrashTracker::new(), Instant::now());
+    tracker.try_dispatch(&server(0), digest(0), now);
+    tracker.record_crash(&server(0), now);
+    let DispatchDecision::WaitUntil(window_end) =
+        tracker.try_dispatch(&server(1), digest(0), now)
     else {
-        panic!("sent to a second server while the first dies");
+        panic!("dispatched to a second server within the crash window");
     };
-    now = settled;
+    now = window_end;
     assert!(matches!(
-        suspects.try_dispatch(&server(1), digest(0), now),
+        tracker.try_dispatch(&server(1), digest(0), now),
         DispatchDecision::Dispatch(_)
     ));
-    suspects.record_crash(&server(1), now + CRASH_WINDOW / 20);
-    assert_eq!(suspects.status(digest(0), now), Some(DigestStatus::Blocked));
+    tracker.record_crash(&server(1), now + CRASH_WINDOW / 20);
+    assert_eq!(tracker.status(digest(0), now), Some(DigestStatus::Blocked));
 }
 
 proptest! {
@@ -271,28 +298,34 @@
     ) {
         let mut pool = Pool::new(true, 1);
         ops.iter().for_each(|op| pool.apply(op));
-        pool.drain();
-        prop_assert!(pool.lost[0] <= 2, "{} servers lost", pool.lost[0]);
-        let harmless = |one: &&Request| one.digest >= 1;
-        prop_assert!(pool.requests.iter().filter(harmless).all(|one| one.over));
+        pool.finish_harmless();
+        prop_assert!(
+            pool.crashes_caused[0] <= 2,
+            "{} servers crashed",
+            pool.crashes_caused[0]
+        );
+        let harmless = |request: &&Request| request.digest >= 1;
+        prop_assert!(
+            pool.requests.iter().filter(harmless).all(|request| request.finished)
+        );
         for number in 1..8 {
-            let evidence = pool.suspects.status(digest(number), pool.now);
-            prop_assert_ne!(evidence, Some(DigestStatus::Blocked));
+            let status = pool.tracker.status(digest(number), pool.now);
+            prop_assert_ne!(status, Some(DigestStatus::Blocked));
         }
     }
 
     #[test]
-    fn harmless_requests_are_cleared_by_completing(
+    fn completed_requests_are_cleared(
         ops in prop::collection::vec(op(1, 8), 1..200),
         number in 0..8u8,
     ) {
         let mut pool = Pool::new(true, 0);
         ops.iter().for_each(|op| pool.apply(op));
-        let convicted = pool.suspects.status(digest(number), pool.now);
-        if convicted != Some(DigestStatus::Blocked) {
-            pool.apply(&Op::Send(number));
-            pool.drain();
-            prop_assert_eq!(pool.suspects.status(digest(number), pool.now), None);
+        let status = pool.tracker.status(digest(number), pool.now);
+        if status != Some(DigestStatus::Blocked) {
+            pool.apply(&Op::Submit(number));
+            pool.finish_harmless();
+            prop_assert_eq!(pool.tracker.status(digest(number), pool.now), None);
         }
     }
 }
