--- a/crates/once/src/journal.rs
+++ b/crates/once/src/journal.rs
@@ -13,12 +13,12 @@
 use crate::index::{Entry, Index, RequestState, WaiterId};
 use crate::limits::{Limits, jitter};
 use crate::record::{BodyLocation, Record, Response};
-use crate::refuse::{in_doubt, response_unreadable};
+use crate::refusals::{in_doubt, response_unreadable};
 
-mod ask;
+mod claims;
 mod commit;
-mod lead;
 mod log;
+mod requests;
 
 /// How long recovery of an id is not repeated after it found nothing.
 const RECOVERY_RETRY_INTERVAL: Duration = Duration::from_secs(2);
--- a/crates/once/src/journal/lead.rs
+++ b/crates/once/src/journal/claims.rs
@@ -10,7 +10,7 @@
 use crate::index::{Entry, RequestState};
 use crate::limits::jitter;
 use crate::record::{JournalRow, Record};
-use crate::refuse::slot_moving;
+use crate::refusals::slot_moving;
 
 impl Journal {
     pub(super) fn claim_slot(&mut self, slot: SlotId, version: u64) {
--- a/crates/once/src/journal/commit.rs
+++ b/crates/once/src/journal/commit.rs
@@ -12,7 +12,7 @@
 use crate::index::{Entry, RequestState};
 use crate::limits::jitter;
 use crate::record::{BodyLocation, JournalRow};
-use crate::refuse::{in_doubt, key_reused, slot_moving};
+use crate::refusals::{in_doubt, key_reused, slot_moving};
 
 /// How often a batch is sent while its result is unknown, including the first time.
 const MAX_SENDS: u32 = 2;
--- a/crates/once/src/journal/ask.rs
+++ b/crates/once/src/journal/requests.rs
@@ -9,7 +9,7 @@
 use crate::event::{Effect, Event, Reply};
 use crate::index::{Entry, RequestState, WaiterId};
 use crate::record::BodyLocation;
-use crate::refuse::{in_doubt, key_reused, response_unreadable, slot_moving};
+use crate::refusals::{in_doubt, key_reused, response_unreadable, slot_moving};
 
 impl Journal {
     pub(super) fn submit(&mut self, event: Event, now: Instant) {
--- a/crates/once/src/lib.rs
+++ b/crates/once/src/lib.rs
@@ -29,7 +29,7 @@
 pub mod journal;
 pub mod limits;
 pub mod record;
-mod refuse;
+mod refusals;
 pub mod suspect;
 
 pub use batch::{Batch, Change, CommitResult, Condition};
