--- /dev/null
+++ b/crates/once/src/refusals.rs
@@ -0,0 +1,38 @@
+//! Refusals of requests that get no response from the journal.
+
+use std::time::Duration;
+
+use chestnut_base::{Code, Outcome, Refusal};
+
+/// Retry delay while a slot moves to another daemon; the takeover of a released
+/// slot takes about this long.
+const SLOT_MOVE_RETRY_DELAY: Duration = Duration::from_millis(300);
+
+/// Retry delay for an id whose response was not found.
+const IN_DOUBT_RETRY_DELAY: Duration = Duration::from_secs(2);
+
+/// For requests to a daemon that doesn't hold the slot, or no longer holds it.
+///
+/// Another daemon may have run the id, so the outcome is in doubt.
+pub(crate) fn slot_moving() -> Refusal {
+    let why = "another daemon takes over the request's slot; send it again with the \
+               same key";
+    Refusal::in_doubt(Code::Unavailable, why).after(SLOT_MOVE_RETRY_DELAY)
+}
+
+pub(crate) fn key_reused() -> Refusal {
+    let why = "the idempotency key was used with another body; use a new key";
+    Refusal::not_run(Code::IdReused, why)
+}
+
+pub(crate) fn in_doubt() -> Refusal {
+    let why = "the request was started and its response is not known; it will not be \
+               run again; query its outcome with GET /v1/requests/KEY";
+    Refusal::in_doubt(Code::Started, why).after(IN_DOUBT_RETRY_DELAY)
+}
+
+pub(crate) fn response_unreadable() -> Refusal {
+    let why = "the request ran and its response can't be read now; query it with \
+               GET /v1/requests/KEY";
+    Refusal::new(Outcome::Ran, Code::Started, why)
+}
