--- a/crates/edge/src/call.rs
+++ b/crates/edge/src/call.rs
@@ -1,6 +1,7 @@
-//! A caller's request as far as the system reads it.
+//! The parts of a caller's request and of a backend server's response that the
+//! daemon interprets.
 //!
-//! The body and all other headers travel beside it, unread.
+//! Bodies and all other headers are forwarded without being parsed.
 
 use std::fmt::{self, Display, Formatter};
 use std::time::Duration;
@@ -8,12 +9,12 @@
 use chestnut_base::{AdapterName, ModelName, ServerName};
 use serde::{Deserialize, Serialize};
 
-/// The model that a request is for, with an adapter on top if it names one.
+/// The model that a request names, optionally with an adapter.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct TargetModel {
     /// The base model.
     pub model: ModelName,
-    /// The adapter on top of it.
+    /// The adapter to apply to the base model.
     pub adapter: Option<AdapterName>,
 }
 
@@ -26,60 +27,61 @@
     }
 }
 
-/// How large a generation is, in tokens.
+/// The size of a generation, in tokens.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct GenerationSize {
     /// Tokens of the prompt.
     pub prompt: u32,
-    /// The greatest number of tokens of the answer.
+    /// The maximum number of output tokens.
     pub output: u32,
 }
 
 impl GenerationSize {
-    /// The tokens that the generation takes in the KV cache.
+    /// The maximum number of KV cache tokens that the generation occupies.
     pub fn tokens(self) -> u64 {
         u64::from(self.prompt) + u64::from(self.output)
     }
 }
 
-/// A part of a prompt that other requests may share.
+/// A segment of a prompt that several requests may have in common.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct PromptPart {
-    /// The part's name; equal names mean equal text.
+    /// Identifies the text: equal ids mean equal text.
     pub id: u64,
-    /// The part's length in tokens.
+    /// The length in tokens.
     pub tokens: u32,
 }
 
-/// A caller's request as far as the system reads it.
+/// The parts of a caller's request that the daemon interprets.
 #[derive(Debug, Clone, Default, PartialEq)]
 pub struct Call {
-    /// The caller's name for this attempt; every retry of the caller has a new one.
+    /// The caller's id for this attempt; each retry by the caller has a new one.
     pub id: Option<String>,
-    /// The host that the request is addressed to, in lower case, without a port.
+    /// The requested host, in lower case, without a port.
     pub host: String,
     /// The path, without the query.
     pub path: String,
-    /// How long the caller waits for the whole answer.
+    /// How long the caller waits for the complete response.
     pub budget: Option<Duration>,
-    /// The model that is to answer.
+    /// The requested model; `None` for a request to a plain service.
     pub target: Option<TargetModel>,
-    /// The size of the generation.
+    /// The size of the generation; zero for a request to a plain service.
     pub size: GenerationSize,
-    /// The caller's guess at the number of output tokens; often far off.
+    /// The caller's estimate of the number of output tokens; often inaccurate.
     pub estimated_output: Option<u32>,
-    /// The prompt's parts, in order; the last belongs to the caller's session.
+    /// The segments of the prompt, in order; the last one is specific to the caller's
+    /// session.
     pub parts: Vec<PromptPart>,
-    /// The last event that the caller has, if it resumes a stream.
+    /// The number of the last event that the caller received, if it resumes a stream.
     pub resume_after: Option<u64>,
 }
 
-/// Why a caller's request can't be read.
+/// A caller's request that can't be parsed.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum CallError {
-    /// A header that must be there is missing.
+    /// The named header is required and missing.
     Missing(&'static str),
-    /// A header's value is malformed.
+    /// The named header has an invalid value.
     Malformed(&'static str),
 }
 
@@ -96,32 +98,34 @@
 
 impl std::error::Error for CallError {}
 
-/// What the system adds to a request when it sends it to a backend server.
+/// What the daemon adds to a request before it sends it to a backend server.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Attempt {
     /// The only server that may run the request.
     ///
-    /// Addresses of servers that are gone are used again by others.
+    /// A new server can reuse the address of one that is gone, so the address alone
+    /// does not identify the server.
     pub server: ServerName,
-    /// The time that is left for the whole answer.
+    /// The time left for the complete response.
     pub budget: Duration,
-    /// How urgent the request is at the engine; 0 goes first.
+    /// The priority at the engine; 0 is the highest.
     pub priority: u8,
-    /// The last event that was passed on, if a broken stream goes on here.
+    /// The number of the last event that was forwarded, if the attempt resumes a
+    /// broken stream.
     pub resume_after: Option<u64>,
 }
 
-/// What the head of a backend server's answer says.
+/// What the daemon reads from the head of a backend server's response.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct ResponseHead {
-    /// The attempt that is answered, as the server echoes it.
+    /// The id of the attempt, as echoed by the server.
     pub id: Option<String>,
-    /// Whether the server says that it did not run the request and never will.
+    /// Whether the server guarantees that it has not run the request and never will.
     pub not_run: bool,
-    /// Whether another server has the address now.
+    /// Whether the address now belongs to another server.
     pub misdirected: bool,
-    /// Whether the answer bears a runner's signature.
+    /// Whether the response carries a runner's signature.
     pub signed: bool,
-    /// How long the server keeps an idle connection open, if it says so.
+    /// How long the server keeps an idle connection open, if it announces it.
     pub keep_alive: Option<Duration>,
 }
--- a/crates/edge/src/declared.rs
+++ b/crates/edge/src/declared.rs
@@ -6,31 +6,31 @@
 use chestnut_base::{ModelName, Revision, ServiceName};
 use indexmap::IndexMap;
 
-/// Everything that is declared, as of one revision.
+/// All declarations, as of one revision.
 #[derive(Debug, Clone, Default, PartialEq)]
 pub struct Declarations {
-    /// Grows with each change, in uneven steps.
+    /// Increases with each change, not necessarily by one.
     pub revision: Revision,
-    /// Which requests go where.
+    /// All routes, of all hosts.
     pub routes: Vec<Route>,
-    /// What requests can be sent to.
+    /// The services that routes refer to.
     pub services: IndexMap<ServiceName, Service>,
-    /// What callers are held to.
+    /// Limits on callers' requests and connections.
     pub limits: RequestLimits,
 }
 
-/// What may be repeated of the requests on a route.
+/// How requests on a route are answered and whether they may run more than once.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum RouteKind {
     /// Plain requests that may run more than once.
     Idempotent,
     /// Plain requests that may run at most once.
     NonIdempotent,
-    /// Answers in numbered events.
+    /// Requests that are answered by a stream of numbered events.
     Stream {
-        /// Whether a broken stream may go on at another server.
+        /// Whether a broken stream may be resumed at another server.
         resumable: bool,
-        /// The longest pause between events for which an answer is on time.
+        /// The longest gap between events for which a stream counts as on time.
         event_gap: Option<Duration>,
     },
 }
@@ -46,91 +46,92 @@
     }
 }
 
-/// A part of a route's requests that goes to one service.
+/// The share of a route's requests that goes to one service.
 #[derive(Debug, Clone, PartialEq)]
 pub struct TrafficShare {
-    /// The service.
+    /// The destination.
     pub service: ServiceName,
-    /// The part, relative to the other shares of the route.
+    /// The share, relative to the sum of the weights of the route.
     pub weight: f64,
 }
 
-/// Where requests with a host and path go, and what they may expect.
+/// Maps requests with a host and path prefix to services, with their time limits.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Route {
-    /// The route's name, for logs.
+    /// Identifies the route in logs.
     pub name: String,
     /// The host, in lower case.
     pub host: String,
-    /// Begins and ends with a slash; the longest one that begins the path counts.
+    /// The path prefix, with a leading and a trailing slash; the longest match wins.
     pub prefix: String,
-    /// What may be repeated.
+    /// How requests are answered and whether they may be repeated.
     pub kind: RouteKind,
-    /// The longest time that a caller is kept waiting for its whole answer.
+    /// The maximum time until a caller has the complete response.
     pub timeout: Duration,
-    /// The time to the answer, or to a stream's first event, that counts as on time.
+    /// The time to the response, or to a stream's first event, that counts as on time.
     pub objective: Duration,
-    /// How long callers wait for a stream's first or next event before they leave.
+    /// How long callers wait for the first or next event of a stream before they
+    /// disconnect.
     pub wait_limit: Duration,
-    /// How urgent requests are; 0 goes first.
+    /// The priority of requests; 0 is the highest.
     pub priority: u8,
-    /// The greatest number of backend servers that may run one attempt.
+    /// The maximum number of backend servers that may run one attempt.
     pub max_attempts: u32,
-    /// Where requests go; never empty.
+    /// How requests are split between services; never empty.
     pub shares: Vec<TrafficShare>,
 }
 
-/// A group of backend servers that answer the same requests.
+/// A group of interchangeable backend servers.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Service {
-    /// Connections that one backend server accepts, from all daemons together.
+    /// The maximum number of connections to one backend server, over all daemons.
     pub max_connections: u32,
-    /// How the servers run models, if they do.
+    /// The servers' model engine; `None` for a plain service.
     pub engine: Option<Arc<Engine>>,
 }
 
-/// How the backend servers of a service run models.
+/// The model engine that all backend servers of a service run.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Engine {
-    /// Requests that one server runs at the same time.
+    /// The maximum number of requests that one server runs concurrently.
     pub slots: u32,
-    /// Tokens that fit into one server's KV cache.
+    /// The capacity of one server's KV cache, in tokens.
     pub kv_tokens: u64,
-    /// Tokens in one event of a stream, at least 1.
+    /// Tokens per event of a stream, at least 1.
     pub event_tokens: u32,
-    /// Memory for weights and adapters of one server, in megabytes.
+    /// Memory for weights and adapters on one server, in megabytes.
     pub memory_mb: f64,
-    /// Adapters that one server holds at most.
+    /// The maximum number of adapters on one server.
     pub adapter_slots: usize,
-    /// Loads from the weight store that may begin in a second, over all servers.
+    /// The maximum rate of new loads from the weight store, over all servers.
     pub loads_per_s: f64,
     /// The models that requests may name.
     pub models: IndexMap<ModelName, Model>,
 }
 
-/// The part of the KV cache that is planned with.
+/// The fraction of the KV cache that scheduling may fill.
 ///
-/// Answers may grow longer than their callers guess; an engine that runs out of
-/// memory reads whole prompts again.
+/// Outputs can exceed the callers' estimates, and an engine that runs out of KV cache
+/// has to prefill whole prompts again.
 const USABLE_KV_FRACTION: f64 = 0.92;
 
 impl Engine {
-    /// The tokens of the KV cache that are planned with.
+    /// The tokens of one server's KV cache that scheduling may fill.
     pub fn usable_kv_tokens(&self) -> u64 {
         (self.kv_tokens as f64 * USABLE_KV_FRACTION) as u64
     }
 }
 
-/// A model that an engine can hold.
+/// A model that an engine can load.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Model {
     /// The size of the weights, in megabytes.
     pub weights_mb: f64,
-    /// The number of adapters.
+    /// The number of adapters that exist for the model.
     pub adapter_count: u32,
     /// The size of one adapter, in megabytes.
     pub adapter_mb: f64,
-    /// How long a load from the weight store takes while few are on the way.
+    /// How long a load from the weight store takes while few loads run concurrently.
     pub store_load_time: Duration,
     /// How long a load from the server's own memory takes.
     pub memory_load_time: Duration,
@@ -138,21 +139,21 @@
     pub disk_load_time: Duration,
 }
 
-/// What callers are held to.
+/// Limits on callers' requests and connections.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct RequestLimits {
-    /// The largest head of a request, in bytes.
+    /// The maximum size of a request's head, in bytes.
     pub head_bytes: usize,
-    /// The largest body of a request, in bytes.
+    /// The maximum size of a request's body, in bytes.
     pub body_bytes: usize,
-    /// How long a caller may take to send a head.
+    /// How long a caller may take to send a request's head.
     pub head_timeout: Duration,
-    /// How long a connection may be idle.
+    /// How long a connection may stay idle.
     pub idle_timeout: Duration,
 }
 
 impl Default for RequestLimits {
-    /// Limits for the time before the first declarations are known.
+    /// The limits until the first declarations have been read.
     fn default() -> Self {
         Self {
             head_bytes: 16 * 1024,
@@ -164,24 +165,25 @@
 }
 
 impl Engine {
-    /// Memory that is kept free for a server's adapters, in megabytes.
+    /// Memory that is reserved for adapters on one server, in megabytes.
     pub fn adapter_reserve_mb(&self) -> f64 {
-        let largest = self.models.values().map(|model| model.adapter_mb);
-        largest.fold(0.0, f64::max) * self.adapter_slots as f64
+        let adapter_sizes = self.models.values().map(|model| model.adapter_mb);
+        adapter_sizes.fold(0.0, f64::max) * self.adapter_slots as f64
     }
 }
 
 impl Declarations {
-    /// The longest pause between events for which streams of every route are on time.
+    /// The smallest declared event gap: a stream that keeps to it is on time on every
+    /// route. `None` if no route declares one.
     pub fn min_event_gap(&self) -> Option<Duration> {
-        let pauses = self.routes.iter().filter_map(|route| match route.kind {
+        let event_gaps = self.routes.iter().filter_map(|route| match route.kind {
             RouteKind::Stream { event_gap, .. } => event_gap,
             RouteKind::Idempotent | RouteKind::NonIdempotent => None,
         });
-        pauses.min()
+        event_gaps.min()
     }
 
-    /// The route of a request: the longest prefix among those of the host.
+    /// The route with the longest prefix of `path` among those of the host.
     pub fn match_route(&self, host: &str, path: &str) -> Option<&Route> {
         self.routes
             .iter()
--- a/crates/edge/src/dialect.rs
+++ b/crates/edge/src/dialect.rs
@@ -1,7 +1,7 @@
-//! How a deployment's adapter translates.
+//! The traits that a deployment's adapter implements.
 //!
-//! Every method is a pure translation of one message. Nothing here waits, retries
-//! or decides; whatever the daemon does not know by these types it does not use.
+//! Each method translates one message and has no side effects: it doesn't wait, retry
+//! or decide. The daemon only uses what these types convey.
 
 use std::fmt::{self, Display, Formatter};
 
@@ -15,17 +15,17 @@
 use crate::server::ServerEntry;
 use crate::store::{Delta, Page, Transaction, TransactionOutcome};
 
-/// A message from outside that can't be read.
+/// A message that can't be decoded.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct DecodeError {
-    /// What was read.
+    /// The kind of message; starts the error text.
     pub subject: &'static str,
-    /// What is wrong with it.
+    /// Why decoding failed.
     pub reason: String,
 }
 
 impl DecodeError {
-    /// Creates an error about a kind of message.
+    /// Creates an error about a message of the kind `subject`.
     pub fn new(subject: &'static str, reason: impl Display) -> Self {
         Self { subject, reason: reason.to_string() }
     }
@@ -35,7 +35,7 @@
     fn fmt(&self, f: &mut Formatter<'_>) -> fmt::Result {
         write!(
             f,
-            "{} can't be read ({}); check that its writer follows the documented form",
+            "{} can't be decoded ({}); check that the sender follows the documented format",
             self.subject, self.reason
         )
     }
@@ -43,79 +43,82 @@
 
 impl std::error::Error for DecodeError {}
 
-/// The callers' protocol.
+/// The protocol between callers and the daemon.
 pub trait CallerProtocol: Send + Sync {
-    /// Reads the head of a caller's request.
+    /// Parses the head of a caller's request.
     fn read_call(&self, head: &request::Parts) -> Result<Call, CallError>;
 
-    /// Writes the answer to a request that was refused or failed.
+    /// Builds the response to a request that was refused or failed.
     ///
-    /// `id` is the caller's name for the attempt, if it could be read.
+    /// `id` is the caller's id for the attempt; `None` if it could not be parsed.
     fn write_refusal(&self, refusal: &Refusal, id: Option<&str>) -> Response<Bytes>;
 
-    /// The caller that asks where to connect: the name it asks for.
+    /// Parses the query of a directory request; returns the requested name.
     fn read_directory_query(&self, query: &str) -> Option<String>;
 
-    /// Writes the addresses to connect to, and for how long they hold.
+    /// Builds the response to a directory request: the addresses to connect to, valid
+    /// for `ttl`.
     fn write_directory(
         &self,
         addresses: &[std::net::SocketAddr],
         ttl: std::time::Duration,
     ) -> Response<Bytes>;
 
-    /// The path at which callers ask where to connect.
+    /// The path of directory requests, by which callers find the daemons' addresses.
     fn directory_path(&self) -> &'static str;
 
-    /// The path at which the platform asks whether the daemon is ready.
+    /// The path of the platform's readiness probe.
     fn readiness_path(&self) -> &'static str;
 }
 
-/// The backend servers' protocol.
+/// The protocol between the daemon and backend servers.
 pub trait BackendProtocol: Send + Sync {
-    /// Writes the head of the request that is sent for an attempt.
+    /// Builds the head of the request to the backend server from the caller's.
     ///
-    /// Headers of the caller that are the system's to set are dropped.
+    /// Drops the caller's values of headers that are reserved for the daemon.
     fn write_attempt(&self, call: &request::Parts, attempt: &Attempt) -> request::Parts;
 
-    /// Reads the head of an answer.
+    /// Parses the head of a response.
     fn read_response_head(&self, head: &response::Parts) -> ResponseHead;
 
-    /// Writes the headers of the answer to the caller.
+    /// Builds the headers of the response to the caller from the backend server's.
     fn write_response_headers(&self, head: &response::Parts) -> HeaderMap;
 
-    /// Writes an order to an engine.
+    /// Builds the request that sends an order to an engine.
     fn write_order(&self, order: &Order) -> Request<Bytes>;
 
-    /// Reads the answer to an order.
+    /// Interprets the response to an order.
     fn read_order_response(&self, status: StatusCode, head: &HeaderMap) -> OrderResponse;
 
-    /// Writes the question for an engine's report.
+    /// Builds the request for an engine's report.
     fn write_report_request(&self) -> Request<Bytes>;
 
-    /// Reads an engine's report.
+    /// Decodes an engine's report.
     fn read_report(&self, body: &Bytes) -> Result<EngineReport, DecodeError>;
 }
 
-/// The protocol of the platform's store.
+/// The protocol between the daemon and the platform's store.
 pub trait StoreProtocol: Send + Sync {
-    /// Writes a transaction.
+    /// Builds the request that commits a transaction.
     fn write_commit(&self, commit: &Transaction) -> Request<Bytes>;
 
-    /// Reads the answer to a transaction; an error leaves open whether it acted.
+    /// Decodes the response to a transaction; after an error it is unknown whether the
+    /// transaction was committed.
     fn read_commit(
         &self,
         status: StatusCode,
         body: &Bytes,
     ) -> Result<TransactionOutcome, DecodeError>;
 
-    /// Asks for the rows of a table from a key on.
+    /// Builds the request for the rows of a table with keys after `after`, or from the
+    /// first row on.
     fn write_scan(&self, table: &str, after: Option<&str>) -> Request<Bytes>;
 
-    /// Reads rows of a table.
+    /// Decodes the response to a scan.
     fn read_page(&self, body: &Bytes) -> Result<Page, DecodeError>;
 
-    /// Asks for changes of a table after a version; the store answers once there
-    /// is one, or after `wait`.
+    /// Builds the request for the changes of a table after a version (a long poll):
+    /// the store responds once there is a change, or after `wait`.
     fn write_changes_request(
         &self,
         table: &str,
@@ -123,7 +126,8 @@
         wait: std::time::Duration,
     ) -> Request<Bytes>;
 
-    /// Reads changes; nothing if the store no longer has the history.
+    /// Decodes the response to a request for changes; `None` if the store no longer has
+    /// the history since the requested version.
     fn read_changes(
         &self,
         status: StatusCode,
@@ -131,25 +135,26 @@
     ) -> Result<Option<Delta>, DecodeError>;
 }
 
-/// Where declarations and the registry of backend servers come from.
+/// The location and encoding of the declarations and of the backend servers' registry
+/// in the store.
 pub trait DeclarationSource: Send + Sync {
-    /// The table of the store that holds the declarations.
+    /// The table that holds the declarations.
     fn declarations_table(&self) -> &'static str;
 
-    /// The key under which they lie.
+    /// The key of the row that holds the declarations.
     fn declarations_key(&self) -> &'static str;
 
-    /// The table of the store that is the registry of backend servers.
+    /// The table that holds the registry, one row per backend server.
     fn servers_table(&self) -> &'static str;
 
-    /// Reads declarations.
+    /// Decodes the declarations.
     fn read_declarations(&self, value: &Bytes) -> Result<Declarations, DecodeError>;
 
-    /// Reads an entry of the registry.
+    /// Decodes a registry entry.
     fn read_server(&self, key: &str, value: &Bytes) -> Result<ServerEntry, DecodeError>;
 }
 
-/// A deployment's adapter.
+/// A deployment's adapter: all of its protocols together.
 pub trait Dialect:
     CallerProtocol + BackendProtocol + StoreProtocol + DeclarationSource
 {
--- a/crates/edge/src/lib.rs
+++ b/crates/edge/src/lib.rs
@@ -1,14 +1,14 @@
-//! What the daemon exchanges with the outside, free of any wire format.
+//! The data that the daemon exchanges with the outside, independent of wire formats.
 //!
-//! A deployment's adapter implements the traits in [`dialect`]: it turns bytes
-//! and headers into the types of the other modules and back, and decides
-//! nothing. The daemon does the network I/O and takes the decisions.
+//! A deployment's adapter implements the traits in [`dialect`]: it translates between
+//! messages on the wire and the types of the other modules. The adapter takes no
+//! decisions; those and the network I/O are up to the daemon.
 //!
-//! - [`call`]: a caller's request as far as the system reads it,
+//! - [`call`]: callers' requests and backend servers' responses,
 //! - [`declared`]: routes, services and models that operators declare,
-//! - [`server`]: what a backend server says of itself in the registry,
-//! - [`order`]: orders to model engines and their reports,
-//! - [`store`]: rows of the platform's store.
+//! - [`server`]: backend servers' entries in the registry,
+//! - [`order`]: orders to model engines and the engines' reports,
+//! - [`store`]: rows and transactions of the platform's store.
 
 pub mod call;
 pub mod declared;
--- a/crates/edge/src/order.rs
+++ b/crates/edge/src/order.rs
@@ -1,64 +1,65 @@
-//! Orders to model engines, and what engines report.
+//! Orders to model engines, and the reports that engines return.
 
 use chestnut_base::{AdapterName, Fence, ModelName, ServerName, VmName};
 use serde::{Deserialize, Serialize};
 
 use crate::server::LoadedModel;
 
-/// What an engine is to do.
+/// What an order makes an engine do.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub enum OrderAction {
-    /// Load a model's newest weights.
+    /// Load the newest weights of a model.
     Load(ModelName),
-    /// Drop a model, its adapters and what is cached of its prompts.
+    /// Unload a model with its adapters and the cached KV of its prompts.
     Unload(ModelName),
-    /// Load an adapter of a model that is there.
+    /// Load an adapter of a model that is already loaded.
     LoadAdapter(ModelName, AdapterName),
-    /// Drop an adapter.
+    /// Unload an adapter.
     UnloadAdapter(ModelName, AdapterName),
 }
 
-/// An order to an engine.
+/// A load or unload command to an engine.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Order {
-    /// The only server that may carry it out.
+    /// The only server that may execute the order.
     pub server: ServerName,
-    /// What it is to do.
+    /// What the engine is to do.
     pub action: OrderAction,
-    /// The number of orders that the engine must have accepted before.
+    /// The number of orders that the engine must have accepted so far.
     ///
-    /// An order whose answer was lost may act seconds later; once another order was
-    /// accepted its number no longer fits and it is dropped.
+    /// An order whose response was lost can arrive seconds later. Once the engine has
+    /// accepted another order, the number no longer matches and the engine drops the
+    /// late one.
     pub expected_orders: u64,
-    /// Who gives the order.
+    /// The VM whose daemon holds the claim on the engine.
     pub holder: VmName,
     /// The fence of the holder's claim on the engine.
     pub fence: Fence,
 }
 
-/// An engine's answer to an order.
+/// An engine's response to an order.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum OrderResponse {
-    /// It is being carried out.
+    /// The engine has started to execute the order.
     Accepted,
-    /// What was ordered holds already.
+    /// The engine is already in the requested state.
     Holds,
-    /// Another order is in progress, or the number of orders does not fit.
+    /// Another order is in progress, or [`Order::expected_orders`] does not match.
     Conflict,
-    /// A later holder has given orders.
+    /// The engine has received an order with a newer fence.
     Fenced,
-    /// Another server has the address now.
+    /// The address now belongs to another server.
     Misdirected,
-    /// The engine can't carry it out.
+    /// The engine can't execute the order.
     Invalid,
-    /// The engine did not take it, for now.
+    /// The engine rejected the order temporarily.
     Busy,
-    /// The answer does not tell; the order may act.
+    /// The response is inconclusive; the order may still take effect.
     Unknown,
 }
 
 impl OrderResponse {
-    /// Its name in metrics.
+    /// The label value in metrics.
     pub fn name(self) -> &'static str {
         match self {
             Self::Accepted => "accepted",
@@ -73,23 +74,23 @@
     }
 }
 
-/// What an engine reports; some hundred milliseconds old.
+/// The state that an engine reports; a few hundred milliseconds old.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct EngineReport {
-    /// The models that it holds.
+    /// The loaded models.
     pub models: Vec<LoadedModel>,
     /// Whether an order is in progress.
     pub busy: bool,
-    /// The number of orders that it has accepted since its start.
+    /// The number of orders accepted since the server started.
     pub accepted_orders: u64,
-    /// Requests that wait.
+    /// Requests that wait in the engine's queue.
     pub queued: u32,
-    /// Requests that run.
+    /// Requests that are running.
     pub active: u32,
     /// Tokens in the KV cache that can't be evicted.
     pub kv_tokens_used: u64,
-    /// Adapters on their way.
+    /// Adapters that are being loaded.
     pub loading_adapters: Vec<(ModelName, AdapterName)>,
-    /// When this run of the server began, in Unix milliseconds.
+    /// When the server process started, in Unix milliseconds.
     pub started_at_ms: Option<u64>,
 }
--- a/crates/edge/src/server.rs
+++ b/crates/edge/src/server.rs
@@ -1,4 +1,4 @@
-//! What a backend server says of itself in the registry.
+//! What a backend server publishes about itself in the registry.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -8,69 +8,71 @@
 
 use crate::declared::Model;
 
-/// Whether a backend server takes new requests.
+/// Whether a backend server accepts new requests.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Phase {
-    /// It does.
+    /// It accepts new requests.
     Ready,
-    /// It finishes what it has and leaves; with the time until it is gone if that
-    /// comes at short notice.
+    /// It finishes its running requests and shuts down. Holds the time until the
+    /// server is gone if the shutdown is at short notice.
     Leaving(Option<Duration>),
 }
 
-/// A model that a runner holds.
+/// A model that is loaded on a runner.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct LoadedModel {
-    /// The model.
+    /// The base model.
     pub model: ModelName,
-    /// The version of its weights.
+    /// The version of the loaded weights.
     pub version: u64,
-    /// The adapters that are loaded on top.
+    /// The loaded adapters of the model.
     pub adapters: Vec<AdapterName>,
 }
 
-/// What a backend server says of itself in the registry.
+/// A backend server's entry in the registry.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ServerEntry {
-    /// The server's name.
+    /// The server's name; a restarted server keeps it.
     pub name: ServerName,
-    /// The start of this run of the server, in Unix milliseconds.
+    /// When the server process started, in Unix milliseconds.
     ///
-    /// A server that starts again under its name holds and knows nothing of before.
+    /// A server that restarts under the same name has lost its models and all other
+    /// state.
     #[serde(rename = "born")]
     pub started_at_ms: Option<u64>,
-    /// What it serves.
+    /// The service that the server belongs to.
     pub service: ServiceName,
-    /// Where it listens.
+    /// The address that the server listens on.
     pub address: SocketAddr,
-    /// Its failure domain.
+    /// The failure domain.
     pub domain: DomainName,
-    /// Requests that it runs at the same time.
+    /// The maximum number of requests that the server runs concurrently.
     pub slots: u32,
-    /// Whether it takes new requests.
+    /// Whether the server accepts new requests.
     pub phase: Phase,
-    /// How much longer it is slow after its start.
+    /// The rest of the warm-up after the start, during which the server is slow.
     #[serde(rename = "cold")]
     pub warmup_remaining: Duration,
-    /// The number of orders that it has accepted since its start.
+    /// The number of orders accepted since the server started.
     #[serde(rename = "orders")]
     pub accepted_orders: u64,
-    /// The models that it holds.
+    /// The loaded models.
     pub models: Vec<LoadedModel>,
-    /// Models whose weights lie in its own memory, ready to be loaded fast.
+    /// Models whose weights are cached in the server's own memory and load fast.
     #[serde(rename = "warm")]
     pub in_memory: Vec<ModelName>,
-    /// Models whose weights lie on its own disk.
+    /// Models whose weights are cached on the server's own disk.
     pub on_disk: Vec<ModelName>,
 }
 
 impl ServerEntry {
-    /// Whether the registry lists a model at the server.
+    /// Whether the entry lists `model` as loaded.
     pub fn has_model(&self, model: &ModelName) -> bool {
-        self.models.iter().any(|held| held.model == *model)
+        self.models.iter().any(|loaded| loaded.model == *model)
     }
 
-    /// How long a load of a model takes here, by the copies that the server keeps.
+    /// How long the server takes to load a model, by the fastest copy of the weights
+    /// that it has access to.
     pub fn load_time(&self, name: &ModelName, model: &Model) -> Duration {
         if self.in_memory.contains(name) {
             model.memory_load_time
--- a/crates/edge/src/store.rs
+++ b/crates/edge/src/store.rs
@@ -1,45 +1,47 @@
-//! Rows of the platform's store.
+//! Rows and transactions of the platform's store.
 //!
-//! A row lies in a table under a key. Every transaction gives the rows that it
-//! writes the next version of one counter that runs over the whole store.
+//! A row is identified by its table and key. A single counter provides the versions
+//! for the whole store: each transaction increments it and stamps the rows that it
+//! writes with the new value.
 
 use std::time::Duration;
 
 use bytes::Bytes;
 
-/// A condition of a transaction: the row still has this version.
+/// A condition of a transaction: the row has the given version at commit.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Precondition {
-    /// The table's name.
+    /// The name of the row's table.
     pub table: String,
-    /// The row's key.
+    /// The row's key within the table.
     pub key: String,
-    /// The version; 0 if the row must not exist.
+    /// The required version; 0 if the row must not exist.
     pub version: u64,
 }
 
-/// A change that a transaction makes.
+/// A write to one row within a transaction.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Write {
-    /// The table's name.
+    /// The name of the row's table.
     pub table: String,
-    /// The row's key.
+    /// The row's key within the table.
     pub key: String,
-    /// The new content; nothing removes the row.
+    /// The new content; `None` deletes the row.
     pub value: Option<Bytes>,
 }
 
-/// A transaction: all of it takes effect or nothing.
+/// An atomic group of writes, with the preconditions for all of them.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct Transaction {
-    /// What must hold.
+    /// All of these must hold at commit.
     pub checks: Vec<Precondition>,
-    /// What changes.
+    /// Applied together if the preconditions hold.
     pub writes: Vec<Write>,
 }
 
 impl Transaction {
-    /// Requires that a row has a version; 0 requires that it does not exist.
+    /// Requires that the row has the version at commit; 0 requires that it does not
+    /// exist.
     pub fn require_version(mut self, table: &str, key: &str, version: u64) -> Self {
         self.checks.push(Precondition { table: table.into(), key: key.into(), version });
         self
@@ -52,56 +54,56 @@
         self
     }
 
-    /// Removes a row.
+    /// Deletes a row.
     pub fn remove(mut self, table: &str, key: &str) -> Self {
         self.writes.push(Write { table: table.into(), key: key.into(), value: None });
         self
     }
 }
 
-/// What became of a transaction.
+/// The store's response to a transaction.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum TransactionOutcome {
-    /// It took effect; its rows have this version.
+    /// The transaction was committed.
     Done {
-        /// The version of the rows that were written.
+        /// The new version of the written rows.
         version: u64,
     },
-    /// A condition did not hold and nothing changed.
+    /// A precondition did not hold; nothing was written.
     Conflict,
-    /// Nothing was done; the store is busy or turns this daemon away.
+    /// The store was busy or rejected this daemon; nothing was written.
     Refused,
 }
 
-/// A row that was written or removed.
+/// The state of a row after its last write or deletion.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Change {
-    /// The row's key.
+    /// The row's key within the table.
     pub key: String,
-    /// The version of the write.
+    /// The version of the write or deletion.
     pub version: u64,
-    /// The content; nothing if the row was removed.
+    /// The content; `None` if the row was deleted.
     pub value: Option<Bytes>,
 }
 
-/// What changed in a table after a version.
+/// The changes of a table after a version.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct Delta {
-    /// The rows, in order of their versions.
+    /// The changed rows, in order of their versions.
     pub changes: Vec<Change>,
-    /// The version up to which this is complete; continue from here.
+    /// The changes are complete up to this version; the next request continues here.
     pub version: u64,
 }
 
-/// A part of the rows of a table.
+/// One page of a scan over a table.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct Page {
     /// The rows, in order of their keys.
     pub rows: Vec<Change>,
-    /// Whether there are rows after these.
+    /// Whether more rows follow.
     pub more: bool,
-    /// The newest version of the store at this moment.
+    /// The store's newest version when the page was read.
     pub version: u64,
-    /// The store's steady clock.
+    /// The store's monotonic clock when the page was read.
     pub store_time: Duration,
 }
