--- a/crates/base/src/clock.rs
+++ b/crates/base/src/clock.rs
@@ -1,4 +1,4 @@
-//! The time source that is passed in everywhere.
+//! The time source, which is injected so that tests can control it.
 
 use std::sync::Mutex;
 use std::time::{Duration, Instant, SystemTime};
@@ -7,21 +7,22 @@
 
 /// A source of time.
 ///
-/// Decisions never read the time themselves, so that tests can run them on a
-/// [`ManualClock`].
+/// Code that depends on the time takes a clock instead of reading the system's, so that
+/// tests can run it on a [`ManualClock`].
 pub trait Clock: Send + Sync + 'static {
-    /// The monotonic time, for intervals and deadlines.
+    /// The monotonic time, for intervals and deadlines; excludes the time during which
+    /// the VM was suspended.
     fn now(&self) -> Instant;
 
-    /// The wall-clock time, for logs and for what people read.
+    /// The wall-clock time, for logs and other output.
     fn wall_time(&self) -> SystemTime;
 
-    /// The time that the VM has stood still since it was started, which the monotonic
-    /// time does not count.
+    /// The total time for which the VM has been suspended since it booted, which
+    /// [`now`](Self::now) does not count.
     fn suspended_time(&self) -> Duration;
 }
 
-/// The clock of the operating system.
+/// The operating system's clocks.
 #[derive(Debug, Default, Clone, Copy)]
 pub struct SystemClock;
 
@@ -40,12 +41,12 @@
         let nanos = |time: Timespec| {
             i128::from(time.tv_sec) * 1_000_000_000 + i128::from(time.tv_nsec)
         };
-        let still = nanos(boot) - nanos(monotonic);
-        Duration::from_nanos(u64::try_from(still).unwrap_or_default())
+        let suspended = nanos(boot) - nanos(monotonic);
+        Duration::from_nanos(u64::try_from(suspended).unwrap_or_default())
     }
 }
 
-/// A clock that stands still until it is advanced.
+/// A clock for tests that only changes when it is advanced.
 #[derive(Debug)]
 pub struct ManualClock {
     start: Instant,
@@ -54,7 +55,8 @@
 }
 
 impl ManualClock {
-    /// Creates a clock that stands at its starting point.
+    /// Creates a clock with an elapsed time of zero; its wall-clock time is the Unix
+    /// epoch.
     pub fn new() -> Self {
         Self {
             start: Instant::now(),
@@ -63,19 +65,19 @@
         }
     }
 
-    /// Moves the clock forward.
+    /// Advances the monotonic and the wall-clock time.
     pub fn advance(&self, by: Duration) {
-        *self.offset.lock().expect("no holder of the clock panics") += by;
+        *self.offset.lock().expect("clock lock is not poisoned") += by;
     }
 
-    /// Lets the VM stand still.
-    pub fn suspend(&self, time: Duration) {
-        *self.suspended.lock().expect("no holder of the clock panics") += time;
+    /// Simulates a suspension of the VM: adds to the suspended time only.
+    pub fn suspend(&self, duration: Duration) {
+        *self.suspended.lock().expect("clock lock is not poisoned") += duration;
     }
 
-    /// The time that has passed since the clock was created.
+    /// By how much the clock was advanced since it was created.
     pub fn elapsed(&self) -> Duration {
-        *self.offset.lock().expect("no holder of the clock panics")
+        *self.offset.lock().expect("clock lock is not poisoned")
     }
 }
 
@@ -95,6 +97,6 @@
     }
 
     fn suspended_time(&self) -> Duration {
-        *self.suspended.lock().expect("no holder of the clock panics")
+        *self.suspended.lock().expect("clock lock is not poisoned")
     }
 }
--- a/crates/base/src/id.rs
+++ b/crates/base/src/id.rs
@@ -1,4 +1,4 @@
-//! Small numbers that the system hands out itself.
+//! Identifiers that the system generates, and hashes for placement.
 
 use std::fmt::{self, Display, Formatter};
 
@@ -7,15 +7,16 @@
 
 use crate::request::RequestId;
 
-/// One start of a daemon; a restarted daemon gets a new one.
+/// Identifies one run of a daemon; a restarted daemon gets a new id.
 #[derive(
     Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
 pub struct MemberId(pub u64);
 
-/// A number that grows with each change of a claim's holder.
+/// A fencing token: increases each time a claim changes its holder.
 ///
-/// Whoever receives an order compares it, so that a former holder is refused.
+/// Receivers of orders reject a fence that is older than the newest they have received,
+/// so that a former holder can't act any more.
 #[derive(
     Debug,
     Clone,
@@ -31,7 +32,7 @@
 )]
 pub struct Fence(pub u64);
 
-/// The number of a configuration; a later one is greater.
+/// The version of the configuration; increases with each change.
 #[derive(
     Debug,
     Clone,
@@ -47,37 +48,38 @@
 )]
 pub struct Revision(pub u64);
 
-/// An order to a backend server; resending keeps it.
+/// Identifies an order to a backend server; a resent order keeps its id.
 #[derive(
     Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
 pub struct OrderId(pub u64);
 
-/// A part of the space of request ids, journalled by one daemon.
+/// A partition of the request ids; one daemon at a time journals each.
 #[derive(
     Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
 pub struct SlotId(pub u16);
 
-/// One try at a request; every retry gets its own.
+/// Identifies one attempt at a request; each retry has a new id.
 #[derive(
     Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
 pub struct AttemptId {
     /// The daemon that made the attempt.
     pub member: MemberId,
-    /// The number of the attempt within the daemon.
+    /// The sequence number of the attempt within that run of the daemon.
     pub number: u64,
 }
 
-/// A 128-bit hash of a request's target and body.
+/// A 128-bit hash that identifies a request's target and body.
 #[derive(
     Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
 pub struct Digest(pub u128);
 
 impl Digest {
-    /// Hashes the parts in order; the parts' boundaries count.
+    /// Hashes the parts in order. Each is prefixed with its length, so that moving a
+    /// boundary between parts changes the hash.
     pub fn of<'a>(parts: impl IntoIterator<Item = &'a [u8]>) -> Self {
         let mut hash = Xxh3::new();
         for part in parts {
@@ -88,31 +90,33 @@
     }
 }
 
-/// The slot among `count` in which the request id is journalled.
+/// The slot, out of `count`, that journals the request id.
 pub fn slot_of(id: &RequestId, count: u16) -> SlotId {
-    let mut text = String::from(id.caller.as_str());
-    text.push('\n');
-    text.push_str(&id.key);
-    let slots = u64::from(count.max(1));
-    SlotId((xxh3_64(text.as_bytes()) % slots) as u16)
+    let mut hash_input = String::from(id.caller.as_str());
+    hash_input.push('\n');
+    hash_input.push_str(&id.key);
+    let slot_count = u64::from(count.max(1));
+    SlotId((xxh3_64(hash_input.as_bytes()) % slot_count) as u16)
 }
 
-/// The rank of `member` for `thing` in rendezvous hashing; the greatest wins.
-pub fn rendezvous_rank(thing: &str, member: &str) -> u64 {
+/// The rank of `member` for `key` in rendezvous hashing; the member with the highest
+/// rank owns the key.
+pub fn rendezvous_rank(key: &str, member: &str) -> u64 {
     let mut hash = Xxh3::new();
-    hash.update(thing.as_bytes());
+    hash.update(key.as_bytes());
     hash.update(&[0]);
     hash.update(member.as_bytes());
     hash.digest()
 }
 
-/// The rank of a member that is to win in proportion to its weight; the greatest wins.
+/// The rank of `member` for `key` in weighted rendezvous hashing; the highest wins.
 ///
-/// Among members of one weight it is the order of [`rendezvous_rank`].
-pub fn weighted_rendezvous_rank(thing: &str, member: &str, weight: u32) -> f64 {
-    // Between 0 and 1, and neither of them.
-    let share = (rendezvous_rank(thing, member) as f64 + 1.0) / (u64::MAX as f64 + 2.0);
-    f64::from(weight.max(1)) / -share.ln()
+/// Each member owns a fraction of the keys in proportion to its weight. Members of equal
+/// weight have the same order as by [`rendezvous_rank`].
+pub fn weighted_rendezvous_rank(key: &str, member: &str, weight: u32) -> f64 {
+    // Strictly between 0 and 1, so that the logarithm is finite and not 0.
+    let uniform = (rendezvous_rank(key, member) as f64 + 1.0) / (u64::MAX as f64 + 2.0);
+    f64::from(weight.max(1)) / -uniform.ln()
 }
 
 impl Display for MemberId {
--- a/crates/base/src/lib.rs
+++ b/crates/base/src/lib.rs
@@ -1,13 +1,10 @@
-//! Types that every other crate shares.
+//! Types that all other crates share.
 //!
-//! The crate has no stages of its own. It defines the vocabulary in which the
-//! stages of the system talk to each other:
-//!
-//! - [`name`]: checked names of things that operators declare,
-//! - [`id`]: small `Copy` numbers that the system hands out itself,
-//! - [`clock`]: the time source that is passed in everywhere,
-//! - [`request`]: one caller's request in the form in which it is queued and routed,
-//! - [`outcome`]: what a caller is told when it does not get its answer.
+//! - [`name`]: validated names of declared objects,
+//! - [`id`]: identifiers that the system generates, and hashes for placement,
+//! - [`clock`]: the time source, which tests replace,
+//! - [`request`]: the description of a request for queueing and routing,
+//! - [`outcome`]: errors that callers receive.
 
 pub mod clock;
 pub mod id;
--- a/crates/base/src/name.rs
+++ b/crates/base/src/name.rs
@@ -1,20 +1,20 @@
-//! Checked names of things that operators declare.
+//! Validated names of declared objects.
 
 use std::fmt::{self, Display, Formatter};
 
 use serde::{Deserialize, Serialize};
 
-/// The longest name that is accepted, in bytes.
+/// The maximum length of a name, in bytes.
 pub const MAX_NAME_BYTES: usize = 96;
 
-/// A text that is not a valid name.
+/// Why a text is not a valid name.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum NameError {
     /// The text is empty.
     Empty,
-    /// The text is longer than [`MAX_NAME_BYTES`].
+    /// The text has this many bytes, more than [`MAX_NAME_BYTES`].
     TooLong(usize),
-    /// The text holds a character that names may not hold.
+    /// The text contains this character, which names must not contain.
     InvalidChar(char),
 }
 
@@ -38,25 +38,26 @@
 
 impl std::error::Error for NameError {}
 
-fn check(text: &str) -> Result<(), NameError> {
+fn validate(text: &str) -> Result<(), NameError> {
     if text.is_empty() {
         return Err(NameError::Empty);
     }
     if text.len() > MAX_NAME_BYTES {
         return Err(NameError::TooLong(text.len()));
     }
-    let valid = |c: char| c.is_ascii_alphanumeric() || "-_.:@".contains(c);
-    match text.chars().find(|&c| !valid(c)) {
+    let is_valid = |c: char| c.is_ascii_alphanumeric() || "-_.:@".contains(c);
+    match text.chars().find(|&c| !is_valid(c)) {
         Some(c) => Err(NameError::InvalidChar(c)),
         None => Ok(()),
     }
 }
 
-macro_rules! names {
+macro_rules! define_names {
     ($($(#[$doc:meta])* $name:ident)*) => {$(
         $(#[$doc])*
         ///
-        /// Holds 1 to [`MAX_NAME_BYTES`] letters, digits and the signs `-_.:@`.
+        /// Has 1 to [`MAX_NAME_BYTES`] ASCII letters, digits and characters out of
+        /// `-_.:@`.
         #[derive(
             Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
         )]
@@ -64,7 +65,7 @@
         pub struct $name(String);
 
         impl $name {
-            /// The name as text.
+            /// The name as a string slice.
             pub fn as_str(&self) -> &str {
                 &self.0
             }
@@ -74,7 +75,7 @@
             type Error = NameError;
 
             fn try_from(text: String) -> Result<Self, NameError> {
-                check(&text)?;
+                validate(&text)?;
                 Ok(Self(text))
             }
         }
@@ -101,12 +102,13 @@
     )*};
 }
 
-names! {
+define_names! {
     /// The name of a VM.
     VmName
     /// The name of a failure domain.
     DomainName
-    /// The name of a backend server: a model runner or a plain service's server.
+    /// The name of a backend server, which is a model runner or a server of a plain
+    /// service.
     ServerName
     /// The name of a pool of runners.
     PoolName
@@ -122,6 +124,6 @@
     CallerName
     /// The name of a team of operators.
     TeamName
-    /// The name of a kind of request.
+    /// The name of a declared kind of request.
     KindName
 }
--- a/crates/base/src/outcome.rs
+++ b/crates/base/src/outcome.rs
@@ -1,4 +1,4 @@
-//! What a caller is told when it does not get its answer.
+//! Errors that callers receive instead of a response.
 
 use std::fmt::{self, Display, Formatter};
 use std::time::Duration;
@@ -6,15 +6,15 @@
 use serde::{Deserialize, Serialize};
 use serde_with::{DurationMilliSeconds, serde_as};
 
-/// What became of a request.
+/// Whether a request was run.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Outcome {
-    /// No attempt was ever handed to a backend server's connection.
+    /// No attempt was written to a connection to a backend server.
     NotRun,
     /// A backend server ran the request.
     Ran,
-    /// An attempt was handed over and its end is not known.
+    /// An attempt was sent to a backend server and its result is unknown.
     InDoubt,
 }
 
@@ -22,54 +22,54 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum RefusalCode {
-    /// No model, adapter or version of that name is declared.
+    /// The named model, adapter or version is not declared.
     UnknownModel,
-    /// No plain service of that name is declared.
+    /// The named plain service is not declared.
     UnknownService,
-    /// No kind of request of that name is declared.
+    /// The named kind of request is not declared.
     UnknownKind,
-    /// No route leads from the request's host and path to a service.
+    /// No route matches the request's host and path.
     UnknownRoute,
-    /// The request can't be read.
+    /// The request can't be parsed.
     BadRequest,
-    /// The body is larger than the limit.
+    /// The body exceeds the size limit.
     TooLarge,
-    /// The caller did not say who it is, or with a wrong key.
+    /// The caller sent no credentials or an invalid key.
     Unauthorised,
     /// The deadline can't be met.
     Deadline,
-    /// All queues that could take the request are full.
+    /// All queues that accept such requests are full.
     Overloaded,
-    /// The caller has used up its share.
+    /// The caller has used up its quota.
     CallerLimit,
-    /// The entry's own memory limit is reached.
+    /// The entry has reached its memory limit.
     EntryFull,
-    /// The model is declared and not resident yet.
+    /// The model is declared, but not loaded on any runner yet.
     NotResident,
-    /// No backend server answers.
+    /// No backend server is available.
     Unavailable,
-    /// The journal can't be written, so a non-idempotent request may not start.
+    /// The journal can't be written, which must precede a non-idempotent request.
     JournalDown,
-    /// The id was used before with another body.
+    /// The request id was used before with a different target or body.
     IdReused,
-    /// The request was started before and its answer is not known.
+    /// The request was started before and its result is unknown.
     Started,
-    /// The request crashed backend servers before and is refused for good.
+    /// The request has crashed backend servers repeatedly and is rejected permanently.
     Poison,
-    /// The daemon is leaving or not up to date; use another address.
+    /// The daemon is shutting down or has a stale view; use another address.
     Leaving,
-    /// The time ran out after the request was handed over.
+    /// The deadline passed after the request was sent to a backend server.
     Late,
-    /// The backend server broke off.
+    /// The backend server broke off the response.
     Broken,
     /// The caller cancelled the request.
     Cancelled,
-    /// The system itself failed.
+    /// The serving system itself failed.
     Internal,
 }
 
 impl RefusalCode {
-    /// The HTTP status that carries the code.
+    /// The HTTP status for responses with this code.
     pub fn status(self) -> u16 {
         match self {
             Self::UnknownModel | Self::UnknownService | Self::UnknownRoute => 404,
@@ -92,7 +92,7 @@
         }
     }
 
-    /// Whether the same request may succeed when it is sent again later.
+    /// Whether the request would fail again if it were resent unchanged.
     pub fn is_final(self) -> bool {
         matches!(
             self,
@@ -109,17 +109,17 @@
     }
 }
 
-/// The answer to a request that was refused or failed.
+/// The response to a request that was refused or failed.
 #[serde_as]
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Refusal {
-    /// What became of the request.
+    /// Whether the request was run.
     pub outcome: Outcome,
-    /// Why.
+    /// Why the request was refused or failed.
     pub code: RefusalCode,
-    /// A sentence for people that names the remedy.
+    /// An explanation for people, including what they can do about it.
     pub message: String,
-    /// How long to wait before sending again; absent if that is of no use.
+    /// How long to wait before a retry; `None` if a retry is of no use.
     #[serde(rename = "retry_after_ms")]
     #[serde_as(as = "Option<DurationMilliSeconds<u64>>")]
     pub retry_after: Option<Duration>,
@@ -131,19 +131,19 @@
         Self::new(Outcome::NotRun, code, message)
     }
 
-    /// Creates a refusal of a request whose end is not known.
+    /// Creates a refusal of a request whose result is unknown.
     pub fn in_doubt(code: RefusalCode, message: impl Into<String>) -> Self {
         Self::new(Outcome::InDoubt, code, message)
     }
 
-    /// Creates a refusal.
+    /// Creates a refusal without a retry delay.
     pub fn new(outcome: Outcome, code: RefusalCode, message: impl Into<String>) -> Self {
         Self { outcome, code, message: message.into(), retry_after: None }
     }
 
-    /// Says when to come back.
-    pub fn with_retry_after(mut self, wait: Duration) -> Self {
-        self.retry_after = Some(wait);
+    /// Sets the delay after which the caller may retry.
+    pub fn with_retry_after(mut self, delay: Duration) -> Self {
+        self.retry_after = Some(delay);
         self
     }
 }
--- a/crates/base/src/request.rs
+++ b/crates/base/src/request.rs
@@ -1,4 +1,4 @@
-//! One caller's request in the form in which it is queued and routed.
+//! The description of a caller's request, by which it is queued and routed.
 
 use std::time::Duration;
 
@@ -11,82 +11,81 @@
     AdapterName, CallerName, KindName, ModelName, ServiceName, TeamName, VersionName,
 };
 
-/// How urgent a kind of request is; the more urgent is the lesser.
+/// The urgency of a kind of request; orders from most to least urgent.
 #[derive(
     Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
 #[serde(rename_all = "snake_case")]
 pub enum Urgency {
-    /// A person waits at a desk.
+    /// Interactive: a person can't continue without the response.
     Urgent,
-    /// A person waits for the answer and can do something else meanwhile.
+    /// A person waits for the response, but can do other things meanwhile.
     Normal,
-    /// Nobody waits.
+    /// Batch: no person waits.
     Slow,
 }
 
-/// The name by which a caller knows its request.
+/// The id that a caller gives to a request; retries of a request reuse it.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct RequestId {
-    /// The caller.
+    /// The caller, within which keys are unique.
     pub caller: CallerName,
-    /// The caller's `Idempotency-Key`.
+    /// The value of the `Idempotency-Key` header.
     pub key: String,
 }
 
-/// What a request is sent to.
+/// The destination of a request.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub enum Target {
-    /// A model, with an adapter on top if one is named.
+    /// A model, optionally with an adapter.
     Model {
-        /// The model.
+        /// The base model.
         model: ModelName,
         /// The model's version.
         version: VersionName,
-        /// The adapter.
+        /// The adapter; `None` for the base model alone.
         adapter: Option<AdapterName>,
     },
     /// A plain service.
     Service {
-        /// The service.
+        /// The service's name.
         name: ServiceName,
     },
 }
 
-/// One caller's request as the system queues and routes it.
-///
-/// The body travels beside it.
+/// The metadata of a request; the body is passed separately.
 #[serde_as]
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct RequestSpec {
-    /// The caller's name for the request, if it gave one.
+    /// The caller's id for the request; `None` if it sent none.
     pub id: Option<RequestId>,
-    /// Who sent the request.
+    /// The caller that sent the request.
     pub caller: CallerName,
     /// The team that declared the kind.
     pub team: TeamName,
     /// The kind of request.
     pub kind: KindName,
-    /// What the request is sent to.
+    /// The destination.
     pub target: Target,
-    /// How urgent the request is.
+    /// The urgency of the kind.
     pub urgency: Urgency,
-    /// How much time is left to answer in full, counted from when this was sent.
+    /// The time left for the complete response, counted from when this value was sent.
     ///
-    /// Daemons' clocks differ, so that a point in time would not travel.
+    /// It is not an absolute deadline, since the clocks of different daemons differ.
     #[serde_as(as = "DurationMilliSeconds<u64>")]
     pub budget: Duration,
-    /// Whether running the request twice does no harm.
+    /// Whether the request may run more than once.
     pub idempotent: bool,
-    /// Whether the caller wants the answer as a stream of events.
+    /// Whether the caller requests the response as a stream of events.
     pub stream: bool,
     /// The estimated length of the prompt, in tokens.
     #[serde(rename = "prompt")]
     pub prompt_tokens: u32,
-    /// The greatest length of the answer, in tokens.
+    /// The maximum length of the output, in tokens.
     #[serde(rename = "output")]
     pub max_output_tokens: u32,
-    /// Chained hashes of the prompt's blocks, for prefix affinity.
+    /// Chained hashes of the prompt's blocks, see [`prefix_hashes`]; used to route to a
+    /// runner that has the prefix cached.
     #[serde(rename = "prefix")]
     pub prefix_hashes: Vec<u64>,
     /// A hash of the target and the body.
@@ -94,27 +93,28 @@
 }
 
 impl RequestSpec {
-    /// The tokens that the request may occupy on a runner.
+    /// The maximum number of KV cache tokens that the request occupies on a runner.
     pub fn tokens(&self) -> u64 {
         u64::from(self.prompt_tokens) + u64::from(self.max_output_tokens)
     }
 }
 
-/// The length of a block of prompt text that engines cache as one, in bytes.
+/// The length of a block of prompt text that engines cache as a unit, in bytes.
 pub const PREFIX_BLOCK_BYTES: usize = 64;
 
-/// The greatest number of blocks of a prompt that are hashed.
+/// The maximum number of blocks of a prompt that are hashed.
 pub const MAX_PREFIX_BLOCKS: usize = 32;
 
-/// Chained hashes of a prompt's whole blocks: equal at `i` if all text up to it is.
+/// Hashes a prompt's complete blocks, each hash chained to the one before: two prompts
+/// have equal hashes at `i` if their text is equal up to the end of block `i`.
 pub fn prefix_hashes(text: &str) -> Vec<u64> {
-    let mut last = 0;
+    let mut previous = 0;
     text.as_bytes()
         .chunks_exact(PREFIX_BLOCK_BYTES)
         .take(MAX_PREFIX_BLOCKS)
         .map(|block| {
-            last = xxh3_64_with_seed(block, last);
-            last
+            previous = xxh3_64_with_seed(block, previous);
+            previous
         })
         .collect()
 }
--- a/crates/edge/src/call.rs
+++ b/crates/edge/src/call.rs
@@ -65,7 +65,7 @@
     pub budget: Option<Duration>,
     /// The requested model; `None` for a request to a plain service.
     pub target: Option<TargetModel>,
-    /// The size of the generation; zero for a request to a plain service.
+    /// The size of the generation; zero if the caller states none.
     pub size: GenerationSize,
     /// The caller's estimate of the number of output tokens; often inaccurate.
     pub estimated_output: Option<u32>,
