--- a/crates/base/src/outcome.rs
+++ b/crates/base/src/outcome.rs
@@ -10,7 +10,7 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Outcome {
-    /// No attempt was written to a connection to a backend server.
+    /// No attempt was handed to a connection to a backend server.
     NotRun,
     /// A backend server ran the request.
     Ran,
--- a/crates/wire/src/frame.rs
+++ b/crates/wire/src/frame.rs
@@ -1,22 +1,24 @@
-//! Length-prefixed frames of `postcard` bytes.
+//! Frames: a message encoded by `postcard`, prefixed with its length.
 
 use std::fmt::{self, Display, Formatter};
 
 use serde::{Serialize, de::DeserializeOwned};
 
-/// The largest frame that is sent or taken in, in bytes.
+/// The maximum length of an encoded message that is sent or accepted, in bytes.
 ///
-/// A request's body is at most half of it, see the daemon's settings.
+/// The daemon's settings limit a request's body to half of it.
 pub const MAX_FRAME_BYTES: usize = 4 * 1024 * 1024;
 
-const PREFIX: usize = 4;
+/// The length of the prefix: a little-endian `u32`.
+const LEN_PREFIX_BYTES: usize = 4;
 
-/// A frame that can't be sent or read.
+/// Why a message can't be encoded or decoded.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum FrameError {
-    /// The frame is larger than [`MAX_FRAME_BYTES`].
+    /// The message has this many bytes, more than [`MAX_FRAME_BYTES`].
     TooLarge(usize),
-    /// The bytes are not a message of the expected type.
+    /// The message can't be encoded, or the bytes are not a message of the expected
+    /// type; holds the reason.
     Malformed(String),
 }
 
@@ -27,9 +29,9 @@
                 f,
                 "a message has {len} bytes and the limit is {MAX_FRAME_BYTES}; send a smaller body"
             ),
-            Self::Malformed(why) => write!(
+            Self::Malformed(reason) => write!(
                 f,
-                "a message can't be read ({why}); run the same version on all daemons"
+                "a message is malformed ({reason}); run the same version on all daemons"
             ),
         }
     }
@@ -39,42 +41,46 @@
 
 /// Encodes a message as one frame.
 pub fn encode<T: Serialize>(message: &T) -> Result<Vec<u8>, FrameError> {
-    let bytes = postcard::to_extend(message, vec![0; PREFIX])
+    let bytes = postcard::to_extend(message, vec![0; LEN_PREFIX_BYTES])
         .map_err(|error| FrameError::Malformed(error.to_string()))?;
-    let len = bytes.len() - PREFIX;
+    let len = bytes.len() - LEN_PREFIX_BYTES;
     if len > MAX_FRAME_BYTES {
         return Err(FrameError::TooLarge(len));
     }
     let mut bytes = bytes;
-    bytes[..PREFIX].copy_from_slice(&(len as u32).to_le_bytes());
+    bytes[..LEN_PREFIX_BYTES].copy_from_slice(&(len as u32).to_le_bytes());
     Ok(bytes)
 }
 
-/// Cuts incoming bytes into frames.
+/// Splits a stream of bytes into frames and decodes them.
 #[derive(Debug, Default)]
 pub struct FrameDecoder {
-    /// Bytes that arrived and were not decoded yet; the first `taken` are done.
     buffer: Vec<u8>,
-    taken: usize,
+    /// The length of the already decoded start of `buffer`, which the next
+    /// [`push`](Self::push) removes.
+    consumed: usize,
 }
 
 impl FrameDecoder {
-    /// Creates an empty buffer.
+    /// Creates a decoder without any buffered bytes.
     pub fn new() -> Self {
         Self::default()
     }
 
-    /// Adds bytes that arrived.
+    /// Appends received bytes; their boundaries need not be those of frames.
     pub fn push(&mut self, bytes: &[u8]) {
-        self.buffer.drain(..self.taken);
-        self.taken = 0;
+        self.buffer.drain(..self.consumed);
+        self.consumed = 0;
         self.buffer.extend_from_slice(bytes);
     }
 
-    /// Decodes the next message if it has arrived whole.
+    /// Decodes the next message; `None` if its frame is not complete yet.
+    ///
+    /// After an error the rest of the stream can't be decoded.
     pub fn decode<T: DeserializeOwned>(&mut self) -> Result<Option<T>, FrameError> {
-        let rest = &self.buffer[self.taken..];
-        let Some((prefix, body)) = rest.split_first_chunk::<PREFIX>() else {
+        let remaining = &self.buffer[self.consumed..];
+        let Some((prefix, body)) = remaining.split_first_chunk::<LEN_PREFIX_BYTES>()
+        else {
             return Ok(None);
         };
         let len = u32::from_le_bytes(*prefix) as usize;
@@ -86,12 +92,12 @@
         };
         let message = postcard::from_bytes(body)
             .map_err(|error| FrameError::Malformed(error.to_string()))?;
-        self.taken += PREFIX + len;
+        self.consumed += LEN_PREFIX_BYTES + len;
         Ok(Some(message))
     }
 
-    /// Whether all bytes that arrived were decoded.
+    /// Whether all received bytes have been decoded.
     pub fn is_empty(&self) -> bool {
-        self.taken == self.buffer.len()
+        self.consumed == self.buffer.len()
     }
 }
--- a/crates/wire/src/lib.rs
+++ b/crates/wire/src/lib.rs
@@ -1,13 +1,13 @@
-//! The messages between the system's own processes.
+//! The protocol between daemons.
 //!
-//! Each question travels on a bidirectional stream of its own, so that a slow
-//! answer holds up no other:
+//! Each request uses its own bidirectional stream, so that a slow response doesn't delay
+//! others:
 //!
-//! 1. the asking daemon opens a stream and sends one [`PeerRequest`],
-//! 2. the other daemon answers with [`PeerResponse`] frames until a final one,
-//! 3. either side resets the stream to break off.
+//! 1. the client daemon opens a stream and sends one [`PeerRequest`],
+//! 2. the server daemon sends [`PeerResponse`] frames, the last of which is final,
+//! 3. either side can cancel by resetting the stream.
 //!
-//! [`frame`] turns messages into length-prefixed bytes and back.
+//! [`frame`] encodes messages as length-prefixed frames and decodes them.
 
 pub mod frame;
 pub mod message;
--- a/crates/wire/src/message.rs
+++ b/crates/wire/src/message.rs
@@ -1,4 +1,7 @@
-//! The messages themselves.
+//! The messages between daemons.
+//!
+//! `postcard` encodes variants and fields by their position: reordering them breaks
+//! compatibility.
 
 use bytes::Bytes;
 use chestnut_base::{
@@ -7,165 +10,166 @@
 };
 use serde::{Deserialize, Serialize};
 
-/// What one daemon asks of another.
+/// A request from one daemon to another.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub enum PeerRequest {
-    /// Run a request on a backend server that the other daemon leads.
+    /// Run a request on a backend server that the receiver leads.
     Run(AttemptRequest),
-    /// Run a non-idempotent request whose slot the other daemon leads.
+    /// Run a non-idempotent request whose slot the receiver leads.
     Once(OnceRequest),
-    /// Tell what became of a non-idempotent request.
+    /// Look up the state of a non-idempotent request.
     Lookup(RequestId),
-    /// Hand over what changed in the configuration after a revision.
+    /// Get the changes to the configuration after a revision.
     Config(Revision),
-    /// Tell how the other daemon is.
+    /// Get the receiver's status.
     Status,
-    /// Learn that a daemon is leaving and gives up its claims.
+    /// Announces that a daemon is shutting down and releases its claims.
     #[serde(rename = "Leaving")]
     ShuttingDown(MemberId),
-    /// Learn which requests were in flight when a backend server crashed.
+    /// Reports the requests that were in flight when a backend server crashed.
     #[serde(rename = "Blame")]
     ReportSuspects(Vec<CrashSuspect>),
 }
 
-/// What is held against a request.
+/// A request that was in flight when a backend server crashed.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct CrashSuspect {
-    /// The request's digest.
+    /// Identifies the request by its target and body.
     pub digest: Digest,
-    /// Whether it crashed a second backend server and is refused.
+    /// Whether it crashed a second backend server and is rejected from now on.
     #[serde(rename = "convicted")]
     pub confirmed: bool,
 }
 
-/// One attempt at a request on one backend server.
+/// A request to run one attempt on one backend server.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct AttemptRequest {
-    /// The number of the attempt.
+    /// Identifies the attempt.
     pub attempt: AttemptId,
-    /// The backend server that was picked.
+    /// The selected backend server.
     pub server: ServerName,
-    /// The claim's fence as the asking daemon knows it.
+    /// The fence of the claim on the server, in the sender's view.
     pub fence: Fence,
-    /// The request.
+    /// The metadata of the request.
     #[serde(rename = "work")]
     pub request: RequestSpec,
-    /// How to call the backend server.
+    /// The HTTP request to the backend server.
     pub call: HttpCall,
-    /// Where to go on if an earlier attempt broke off.
+    /// Where to resume if an earlier attempt broke off.
     pub resume: Option<ResumePoint>,
-    /// Whether a backend server crashed under an earlier attempt.
+    /// Whether a backend server crashed during an earlier attempt.
     pub suspect: bool,
 }
 
-/// The call as the caller made it.
+/// The caller's HTTP request, as sent to the backend server.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct HttpCall {
-    /// The HTTP method.
+    /// The request method.
     pub method: String,
-    /// The path and query at the backend server.
+    /// The path and query on the backend server.
     pub path: String,
     /// The content type of the body.
     pub content_type: String,
-    /// The body.
+    /// The complete request body.
     pub body: Bytes,
 }
 
-/// The tokens that a caller already has of a broken answer.
+/// The part of a broken response that the caller has already received.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ResumePoint {
-    /// How many tokens the caller has.
+    /// The number of tokens.
     pub tokens: u32,
-    /// Their text.
+    /// The text of the tokens.
     pub text: String,
 }
 
-/// A non-idempotent request on its way to the lead of its slot.
+/// A request to run a non-idempotent request at the lead of its slot.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct OnceRequest {
-    /// The request; its id is always present.
+    /// The metadata of the request; its id is always present.
     #[serde(rename = "work")]
     pub request: RequestSpec,
-    /// How to call the backend server.
+    /// The HTTP request to the backend server.
     pub call: HttpCall,
 }
 
-/// A frame of an answer.
+/// A frame of the response to a [`PeerRequest`].
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub enum PeerResponse {
-    /// The other daemon still works on it; sent when nothing else was for a while.
+    /// The request is still in progress; sent when no other frame was for a while.
     #[serde(rename = "Alive")]
     Heartbeat,
-    /// The request was admitted and will be dispatched; nothing was sent yet.
+    /// The request was admitted and waits to be dispatched.
     Queued,
-    /// The request was not dispatched, and this daemon will not dispatch it.
+    /// The request was not dispatched and will not be by the sender.
     ///
     /// Final.
     Refused {
-        /// Why, and when to come back.
+        /// The reason and the retry delay.
         refusal: Refusal,
-        /// Whether another backend server may take it, and which are better.
+        /// Whether to retry at another backend server, and the load of this one.
         hint: RetryHint,
     },
-    /// The request was handed to the backend server's connection.
+    /// The request was handed to a connection to the backend server.
     Dispatched,
-    /// The backend server answered with a status.
+    /// The backend server sent the head of its response.
     Head {
         /// The HTTP status.
         status: u16,
         /// The content type of the body.
         content_type: String,
     },
-    /// Tokens of a model's answer.
+    /// Tokens of a model's response.
     Tokens {
-        /// The number of the first token in the whole answer, from 0.
+        /// The index of the first token in the complete response, from 0.
         first: u32,
-        /// How many tokens the text holds.
+        /// The number of tokens in the text.
         count: u32,
-        /// The text.
+        /// The text of the tokens.
         text: String,
     },
-    /// Bytes of a plain service's answer.
+    /// Part of the body of a plain service's response.
     Chunk(Bytes),
-    /// The answer is whole.
+    /// The response is complete.
     ///
-    /// Final. An answer without it was cut off.
+    /// Final. A response that ends without this frame was truncated.
     End {
-        /// Why the model stopped, in the engine's words; empty for services.
+        /// The engine's finish reason; empty for plain services.
         reason: String,
-        /// The load of the backend server after this request.
+        /// The load of the backend server after the request.
         load: ServerLoad,
     },
-    /// The attempt was handed to the backend server and broke off.
+    /// The attempt was sent to the backend server and broke off.
     ///
     /// Final.
     Broken {
-        /// Why.
+        /// The cause.
         message: String,
-        /// Whether the backend server itself died.
+        /// Whether the backend server crashed.
         crashed: bool,
     },
-    /// The attempt was cancelled for more urgent work; the rest is to be offered
-    /// again from the tokens that were sent.
+    /// The attempt was cancelled in favour of a more urgent request; the caller's daemon
+    /// is to resume it after the tokens that were sent.
     ///
     /// Final.
     Preempted {
-        /// The load of the backend server after it.
+        /// The load of the backend server after the cancellation.
         load: ServerLoad,
     },
-    /// The state of a non-idempotent request; the answer to [`PeerRequest::Lookup`].
+    /// The response to [`PeerRequest::Lookup`].
     ///
     /// Final.
     Once(OnceState),
-    /// What changed in the configuration, in the form of the `config` crate.
+    /// The response to [`PeerRequest::Config`], encoded by the `config` crate.
     ///
     /// Final.
     Config(Option<Bytes>),
-    /// The answer to [`PeerRequest::Status`].
+    /// The response to [`PeerRequest::Status`].
     ///
     /// Final.
     Status(DaemonStatus),
-    /// The answer to [`PeerRequest::ShuttingDown`] and [`PeerRequest::ReportSuspects`].
+    /// The response to [`PeerRequest::ShuttingDown`] and
+    /// [`PeerRequest::ReportSuspects`].
     ///
     /// Final.
     #[serde(rename = "Noted")]
@@ -173,7 +177,7 @@
 }
 
 impl PeerResponse {
-    /// Whether no frame follows this one.
+    /// Whether this is the last frame of the response.
     pub fn is_final(&self) -> bool {
         !matches!(
             self,
@@ -187,65 +191,65 @@
     }
 }
 
-/// Where a refused request may go instead.
+/// How to retry a refused request.
 #[derive(Debug, Clone, Default, PartialEq, Serialize, Deserialize)]
 pub struct RetryHint {
-    /// Whether trying another backend server is of use.
+    /// Whether another backend server may accept the request.
     #[serde(rename = "elsewhere")]
     pub try_other_server: bool,
-    /// The load of the backend server that refused.
+    /// The load of the backend server at which the request was refused.
     pub load: Option<ServerLoad>,
 }
 
-/// How loaded a backend server is, as its lead knows it exactly.
+/// The load of a backend server, as counted by its lead.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Serialize, Deserialize)]
 pub struct ServerLoad {
-    /// Requests that the backend server runs.
+    /// Requests that are running on the backend server.
     pub running: u32,
-    /// Requests that wait at the lead.
+    /// Requests that are queued at the lead.
     pub queued: u32,
-    /// Tokens that running and waiting requests may occupy.
+    /// The maximum number of tokens that running and queued requests occupy.
     pub tokens: u64,
-    /// The estimated wait of a normal request that comes now, in milliseconds.
+    /// The estimated queueing time of a new request of normal urgency, in milliseconds.
     pub wait_ms: u32,
-    /// The measured time of an engine step, in microseconds; 0 if not known.
+    /// The measured time of an engine step, in microseconds; 0 if unknown.
     pub step_us: u32,
 }
 
 /// The state of a non-idempotent request in its slot's journal.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub enum OnceState {
-    /// The id was never started.
+    /// No request with the id was started.
     Unknown,
-    /// The request runs now.
+    /// The request is running.
     Running,
-    /// The request was started and its answer is not known.
+    /// The request was started and its result is unknown.
     InDoubt,
-    /// The request ended; its answer is stored.
+    /// The request is complete; holds the stored response.
     Done {
         /// The HTTP status.
         status: u16,
         /// The content type of the body.
         content_type: String,
-        /// The body.
+        /// The complete response body.
         body: Bytes,
     },
-    /// The slot's lead can't tell now.
+    /// The state can't be determined at the moment; holds the reason.
     Unreadable(String),
 }
 
-/// How a daemon is.
+/// The state of a daemon.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct DaemonStatus {
-    /// The daemon's VM.
+    /// The VM that the daemon runs on.
     pub vm: VmName,
-    /// This start of the daemon.
+    /// Identifies the run of the daemon.
     pub member: MemberId,
-    /// The revision in force.
+    /// The revision of the configuration that the daemon uses.
     pub revision: Revision,
-    /// Whether the daemon is leaving.
+    /// Whether the daemon is shutting down.
     #[serde(rename = "leaving")]
     pub shutting_down: bool,
-    /// Requests in flight at its entry.
+    /// Requests in flight that callers sent to this daemon.
     pub requests: u32,
 }
--- a/crates/wire/tests/frames.rs
+++ b/crates/wire/tests/frames.rs
@@ -1,10 +1,10 @@
-//! FrameDecoder survive any split of the bytes, and foreign bytes do no harm.
+//! The frame decoder accepts any split of the bytes and doesn't panic on invalid ones.
 
 use chestnut_base::{Outcome, Refusal, Revision};
 use chestnut_wire::{FrameDecoder, PeerRequest, PeerResponse, RetryHint, encode};
 use proptest::prelude::*;
 
-fn say() -> impl Strategy<Value = PeerResponse> {
+fn response() -> impl Strategy<Value = PeerResponse> {
     prop_oneof![
         Just(PeerResponse::Queued),
         (any::<u32>(), any::<u32>(), ".{0,40}").prop_map(|(first, count, text)| {
@@ -25,37 +25,37 @@
 
 proptest! {
     #[test]
-    fn any_split_gives_the_same_messages(
-        says in proptest::collection::vec(say(), 1..8),
-        step in 1usize..50,
+    fn decoding_does_not_depend_on_the_split(
+        responses in proptest::collection::vec(response(), 1..8),
+        chunk_len in 1usize..50,
     ) {
         let bytes: Vec<u8> =
-            says.iter().flat_map(|say| encode(say).expect("small enough")).collect();
-        let mut frames = FrameDecoder::new();
-        let mut seen = Vec::new();
-        for piece in bytes.chunks(step) {
-            frames.push(piece);
-            while let Some(say) = frames.decode::<PeerResponse>().expect("well formed") {
-                seen.push(say);
+            responses.iter().flat_map(|response| encode(response).expect("small enough")).collect();
+        let mut decoder = FrameDecoder::new();
+        let mut decoded = Vec::new();
+        for chunk in bytes.chunks(chunk_len) {
+            decoder.push(chunk);
+            while let Some(response) = decoder.decode::<PeerResponse>().expect("well formed") {
+                decoded.push(response);
             }
         }
-        prop_assert_eq!(seen, says);
-        prop_assert!(frames.is_empty());
+        prop_assert_eq!(decoded, responses);
+        prop_assert!(decoder.is_empty());
     }
 
     #[test]
-    fn foreign_bytes_never_panic(bytes in proptest::collection::vec(any::<u8>(), 0..400)) {
-        let mut frames = FrameDecoder::new();
-        frames.push(&bytes);
-        while let Ok(Some(_)) = frames.decode::<PeerRequest>() {}
+    fn invalid_bytes_never_panic(bytes in proptest::collection::vec(any::<u8>(), 0..400)) {
+        let mut decoder = FrameDecoder::new();
+        decoder.push(&bytes);
+        while let Ok(Some(_)) = decoder.decode::<PeerRequest>() {}
     }
 }
 
 #[test]
-fn a_frame_over_the_limit_is_refused() {
-    let mut frames = FrameDecoder::new();
-    frames.push(&u32::MAX.to_le_bytes());
-    let error = frames.decode::<PeerRequest>().expect_err("over the limit");
+fn too_large_frame_is_rejected() {
+    let mut decoder = FrameDecoder::new();
+    decoder.push(&u32::MAX.to_le_bytes());
+    let error = decoder.decode::<PeerRequest>().expect_err("over the limit");
     assert!(error.to_string().contains("send a smaller body"), "{error}");
     assert_eq!(encode(&PeerRequest::Config(Revision(1))).expect("small").len(), 6);
 }
