--- a/crates/admit/src/controller.rs
+++ b/crates/admit/src/controller.rs
@@ -14,10 +14,10 @@
 use chestnut_base::Urgency;
 use slotmap::SlotMap;
 
+use crate::forecast::{Held, Item, Room, starts};
 use crate::job::{Effect, Job, RejectReason, Rejection, Ticket};
+use crate::latency::Pace;
 use crate::limits::{AdmissionPolicy, Limits, Shed};
-use crate::pace::Pace;
-use crate::plan::{Held, Item, Room, starts};
 use crate::queue::Place;
 use crate::usage::Usage;
 
--- a/crates/admit/src/controller/overload.rs
+++ b/crates/admit/src/controller/overload.rs
@@ -5,10 +5,10 @@
 use chestnut_base::Urgency;
 
 use super::{AdmissionController, SLOW, State};
+use crate::forecast::starts;
 use crate::job::{Effect, RejectReason, Ticket};
 use crate::limits::Shed;
-use crate::plan::starts;
-use crate::shed::Price;
+use crate::shedding::Price;
 
 impl AdmissionController {
     /// Preempts and refuses until all that wait are foreseen to be in time.
--- a/crates/admit/src/lib.rs
+++ b/crates/admit/src/lib.rs
@@ -6,7 +6,7 @@
 //!
 //! A request passes through these stages:
 //!
-//! 1. [`AdmissionController::offer`] estimates with [`Pace`] and [`plan`] when it would finish;
+//! 1. [`AdmissionController::offer`] estimates with [`Pace`] and [`forecast`] when it would finish;
 //!    what can't finish in time is refused at once, with the time to come back,
 //! 2. it waits in the order of [`queue`]; [`Usage`] decides whose request goes
 //!    when there is not room for all,
@@ -15,20 +15,20 @@
 //! 4. a slow stream may be preempted on the way for an urgent request; the shell
 //!    cancels it and offers the rest again.
 //!
-//! [`plan`]: mod@plan
+//! [`forecast`]: mod@forecast
 //! [`queue`]: mod@queue
 
 pub mod controller;
+pub mod forecast;
 pub mod job;
+pub mod latency;
 pub mod limits;
-pub mod pace;
-pub mod plan;
 pub mod queue;
-pub mod shed;
+pub mod shedding;
 pub mod usage;
 
 pub use controller::{AdmissionController, AttemptEnd, LoadSnapshot};
 pub use job::{Effect, Job, RejectReason, Rejection, Ticket};
+pub use latency::{Line, Pace};
 pub use limits::{AdmissionPolicy, Limits, Order, Shed};
-pub use pace::{Line, Pace};
 pub use usage::Usage;
