--- a/crates/admit/src/controller.rs
+++ b/crates/admit/src/controller.rs
@@ -1,11 +1,12 @@
-//! The state of one backend server at its lead; [`overload`] makes room in it.
+//! The admission controller of one backend server; [`overload`] handles lateness.
 //!
-//! Load pattern: a burst of urgent requests finds all streams taken by drafts that
-//! have minutes. Waiting for one to end costs a seat check its deadline, and
-//! streams kept free for urgent requests are idle the rest of the day. So a slow
-//! stream is preempted if its rest can still be in time. In `docs/POLICY.md` bursts
-//! fall by 4 to 15 in 100 without it, a tenth of the streams in reserve does not
-//! make up for it, and letting normal work preempt, or be preempted, gains nothing.
+//! Load pattern: a burst of urgent requests finds all streams taken by slow requests
+//! whose deadlines are minutes away. Waiting for a stream to end costs an urgent request
+//! its deadline, and streams reserved for urgent requests are idle the rest of the day.
+//! So a slow stream is preempted if its remainder can still be in time. By the figures in
+//! `docs/POLICY.md`, bursts lose 4 to 15 in 100 without preemption, a reserve of a tenth
+//! of the streams does not make up for it, and letting requests of normal urgency
+//! preempt, or be preempted, gains nothing.
 
 mod overload;
 
@@ -14,309 +15,342 @@
 use chestnut_base::Urgency;
 use slotmap::SlotMap;
 
-use crate::forecast::{Held, Item, Room, starts};
+use crate::forecast::{Capacity, Demand, Reservation, estimate_starts};
 use crate::job::{Effect, Job, RejectReason, Rejection, Ticket};
-use crate::latency::Pace;
-use crate::limits::{AdmissionPolicy, Limits, Shed};
-use crate::queue::Place;
-use crate::usage::Usage;
+use crate::latency::LatencyModel;
+use crate::limits::{AdmissionPolicy, Limits, SheddingPolicy};
+use crate::queue::QueueKey;
+use crate::usage::UsageTracker;
 
-/// The least and the greatest time that a caller is told to stay away.
+/// The shortest and the longest retry delay of a refusal.
 ///
-/// Below the least, callers of a full system would come back about as often as
-/// hops allow, and their offers would be most of its traffic.
-const RETRY: (Duration, Duration) = (Duration::from_millis(250), Duration::from_secs(30));
+/// With a shorter minimum, callers of an overloaded system would retry about as often as
+/// network latency allows, and their offers would be most of its traffic.
+const RETRY_AFTER_RANGE: (Duration, Duration) =
+    (Duration::from_millis(250), Duration::from_secs(30));
 
-/// How often a caller may come back at most in the time that it has.
+/// The most retries that a caller is allowed in the time until its deadline.
 ///
-/// Who is refused by a full system is often late by a little only; told no more
-/// than that, callers with much time came back 22 times each at five times the
-/// capacity, with no more answers.
-const RETURNS: u32 = 10;
+/// A refused request is often late by only a little. With that little as retry delay, at
+/// five times the capacity, callers with much time left retried 22 times each and got no
+/// more responses.
+const MAX_RETRIES_BEFORE_DEADLINE: u32 = 10;
 
-/// How many times as long as declared the steps of a slow server are.
+/// The multiple of the declared step time from which a server counts as slow.
 ///
-/// A burst of prompts alone makes steps up to twice as long on every server; then
-/// there is nowhere better to go.
-const SLOW: u32 = 3;
+/// A burst of prompts alone makes steps up to twice as long on every server, so another
+/// server would be no better.
+const SLOW_STEP_FACTOR: u32 = 3;
 
-/// How often faded accounts are forgotten.
-const TIDY: Duration = Duration::from_secs(1);
+/// How often decayed usage accounts are removed.
+const USAGE_PRUNE_INTERVAL: Duration = Duration::from_secs(1);
 
 /// How an attempt ended.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum AttemptEnd {
-    /// The answer is whole.
+    /// The response is complete.
     Completed,
-    /// The backend server broke off.
+    /// The backend server failed.
     Failed,
-    /// The caller or the shell gave up, or the stream was preempted.
+    /// The caller or the daemon cancelled it, or the stream was preempted.
     Cancelled,
 }
 
-/// How loaded a backend server is.
+/// The load of a backend server.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct LoadSnapshot {
     /// Requests that run.
     pub running: u32,
     /// Requests that wait.
     pub queued: u32,
-    /// Tokens that they may occupy.
+    /// The most tokens of KV cache that running and waiting requests can occupy.
     pub cache_tokens: u64,
-    /// The estimated wait of a request that comes now and is due last.
+    /// The estimated wait of a new request that is dispatched after all others.
     pub estimated_wait: Duration,
-    /// The time of a step.
+    /// The estimated time of an engine step.
     pub step_time: Duration,
 }
 
-/// What a request at the lead is doing.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-enum State {
+enum RequestState {
     Waiting,
     Running(Progress),
-    /// Told to stop; holds its stream until its end is reported.
+    /// Preempted; holds its stream until its end is reported.
     Stopping(Progress),
 }
 
-/// How far a dispatched request is.
+/// The progress of a dispatched request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 struct Progress {
-    since: Instant,
-    /// How long it was foreseen to run.
-    foreseen: Duration,
-    /// When the last token came; the dispatch if none has.
-    last: Instant,
-    /// What [`AdmissionController::prompts`] was then.
-    prompts: u64,
-    got: u32,
+    dispatched_at: Instant,
+    /// The run time as estimated at dispatch.
+    estimated_run_time: Duration,
+    /// The arrival of the last token, or the dispatch before the first one.
+    last_token_at: Instant,
+    /// [`AdmissionController::prefilled_tokens`] at that time.
+    prefilled_tokens: u64,
+    /// Tokens received so far.
+    generated: u32,
 }
 
 #[derive(Debug, Clone)]
-struct Entry {
+struct TrackedRequest {
     job: Job,
-    place: Place,
-    state: State,
-    /// Seconds of stream time that the caller was charged.
+    queue_key: QueueKey,
+    state: RequestState,
+    /// Seconds of stream time charged to the caller.
     charged: f64,
 }
 
-/// The state of one backend server at its lead.
+/// Admission, queueing and preemption for one backend server.
 ///
-/// Requests that are not waiting hold a stream each; there are never more of them
-/// than [`Limits::max_streams`], and they never occupy more than [`Limits::max_cache_tokens`]
-/// unless a single one does.
+/// Every request that does not wait holds a stream. At most [`Limits::max_streams`] do,
+/// and together they occupy at most [`Limits::max_cache_tokens`], unless there is only
+/// one.
 #[derive(Debug)]
 pub struct AdmissionController {
     limits: Limits,
-    rule: AdmissionPolicy,
-    pace: Pace,
-    usage: Usage,
-    jobs: SlotMap<Ticket, Entry>,
-    /// In the order of dispatch as of the last change.
+    policy: AdmissionPolicy,
+    latency: LatencyModel,
+    usage: UsageTracker,
+    requests: SlotMap<Ticket, TrackedRequest>,
+    /// In dispatch order as of the last change.
     waiting: Vec<Ticket>,
     /// Dispatched and not ended.
     running: Vec<Ticket>,
     effects: Vec<Effect>,
-    number: u64,
-    /// Tokens of prompts that were computed so far.
-    prompts: u64,
-    /// The foreseen time of a step, as of the last event.
-    step: Duration,
+    /// The sequence number of the newest request.
+    last_sequence: u64,
+    /// Prompt tokens prefilled so far by all requests.
+    prefilled_tokens: u64,
+    /// The estimated time of a step as of the last event.
+    step_time: Duration,
     closed: bool,
-    tidied: Instant,
+    last_prune: Instant,
 }
 
 impl AdmissionController {
-    /// Starts with nothing in flight.
-    pub fn new(limits: Limits, rule: AdmissionPolicy, now: Instant) -> Self {
+    /// Starts without requests, and with the declared step time as estimate.
+    pub fn new(limits: Limits, policy: AdmissionPolicy, now: Instant) -> Self {
         Self {
             limits,
-            rule,
-            pace: Pace::new(&limits),
-            usage: Usage::new(now),
-            jobs: SlotMap::with_key(),
+            policy,
+            latency: LatencyModel::new(&limits),
+            usage: UsageTracker::new(now),
+            requests: SlotMap::with_key(),
             waiting: Vec::new(),
             running: Vec::new(),
             effects: Vec::new(),
-            number: 0,
-            prompts: 0,
-            step: limits.step_time,
+            last_sequence: 0,
+            prefilled_tokens: 0,
+            step_time: limits.step_time,
             closed: false,
-            tidied: now,
+            last_prune: now,
         }
     }
 
-    /// Takes new limits; what already runs beyond them runs on.
+    /// Replaces the limits; requests already running beyond them continue.
     pub fn set_limits(&mut self, limits: Limits) {
         self.limits = limits;
     }
 
-    /// Offers a request; an effect about its ticket follows sooner or later.
+    /// Offers a request; an effect with its ticket follows, now or later.
     pub fn offer(&mut self, job: Job, now: Instant) -> Ticket {
-        self.number += 1;
-        let place = Place {
+        self.last_sequence += 1;
+        let queue_key = QueueKey {
             urgency: job.urgency,
-            since: now,
+            enqueued_at: now,
             deadline: job.deadline,
-            number: self.number,
+            sequence: self.last_sequence,
         };
-        let (resumed, entry) =
-            (job.resumed, Entry { job, place, state: State::Waiting, charged: 0.0 });
-        let ticket = self.jobs.insert(entry);
+        let (resumed, request) = (
+            job.resumed,
+            TrackedRequest { job, queue_key, state: RequestState::Waiting, charged: 0.0 },
+        );
+        let ticket = self.requests.insert(request);
         self.enqueue(ticket, now);
-        self.step = self.foresee_step();
+        self.step_time = self.estimate_step_time();
         self.charge(ticket, self.cost(ticket), now);
         if self.closed {
-            self.refuse(ticket, RejectReason::Closed, Some(RETRY.0), now);
-        } else if !resumed && self.is_short(ticket, now) {
-            self.refuse(ticket, RejectReason::Short, None, now);
+            self.refuse(ticket, RejectReason::Closed, Some(RETRY_AFTER_RANGE.0), now);
+        } else if !resumed && self.is_infeasible(ticket, now) {
+            self.refuse(ticket, RejectReason::Infeasible, None, now);
         } else {
             self.dispatch(now);
-            self.make_room(now);
-            self.bound(now);
+            self.resolve_lateness(now);
+            self.enforce_queue_limit(now);
         }
         ticket
     }
 
-    /// Notes tokens of a dispatched request; the first ones include the prefill.
+    /// Records tokens of a dispatched request; the time to the first ones includes the
+    /// prefill.
     pub fn record_tokens(&mut self, ticket: Ticket, count: u32, now: Instant) {
-        let Some(entry) = self.jobs.get_mut(ticket) else { return };
-        let (State::Running(progress) | State::Stopping(progress)) = &mut entry.state
+        let Some(request) = self.requests.get_mut(ticket) else { return };
+        let (RequestState::Running(progress) | RequestState::Stopping(progress)) =
+            &mut request.state
         else {
             return;
         };
-        let took = now.saturating_duration_since(progress.last);
-        if progress.got == 0 {
-            self.pace.first(entry.job.prompt_tokens, took);
-            self.prompts += u64::from(entry.job.prompt_tokens);
+        let elapsed = now.saturating_duration_since(progress.last_token_at);
+        if progress.generated == 0 {
+            self.latency.record_first_token(request.job.prompt_tokens, elapsed);
+            self.prefilled_tokens += u64::from(request.job.prompt_tokens);
         } else {
-            self.pace.tokens(self.prompts - progress.prompts, count, took);
+            self.latency.record_tokens(
+                self.prefilled_tokens - progress.prefilled_tokens,
+                count,
+                elapsed,
+            );
         }
-        progress.got += count;
-        progress.last = now;
-        progress.prompts = self.prompts;
+        progress.generated += count;
+        progress.last_token_at = now;
+        progress.prefilled_tokens = self.prefilled_tokens;
     }
 
-    /// Notes the end of a request, dispatched or not; later events about it are
-    /// ignored.
-    pub fn finish(&mut self, ticket: Ticket, how: AttemptEnd, now: Instant) {
-        let Some(entry) = self.remove(ticket) else { return };
-        let (spent, got) = match entry.state {
-            State::Waiting => (0.0, 0),
-            State::Running(at) | State::Stopping(at) => {
-                (now.saturating_duration_since(at.since).as_secs_f64(), at.got)
-            }
+    /// Records the end of a request, whether it was dispatched or not; later events about
+    /// it are ignored.
+    pub fn finish(&mut self, ticket: Ticket, end: AttemptEnd, now: Instant) {
+        let Some(request) = self.remove(ticket) else { return };
+        let (stream_time, generated) = match request.state {
+            RequestState::Waiting => (0.0, 0),
+            RequestState::Running(progress) | RequestState::Stopping(progress) => (
+                now.saturating_duration_since(progress.dispatched_at).as_secs_f64(),
+                progress.generated,
+            ),
         };
-        if let (AttemptEnd::Completed, State::Running(at)) = (how, entry.state) {
-            self.pace.ran(at.foreseen, now.saturating_duration_since(at.since));
-            self.pace.ended(entry.job.urgency, got, entry.job.max_output_tokens);
+        if let (AttemptEnd::Completed, RequestState::Running(progress)) =
+            (end, request.state)
+        {
+            self.latency.record_run_time(
+                progress.estimated_run_time,
+                now.saturating_duration_since(progress.dispatched_at),
+            );
+            self.latency.record_length(
+                request.job.urgency,
+                generated,
+                request.job.max_output_tokens,
+            );
         }
-        self.account(&entry.job, spent - entry.charged, now);
-        self.step = self.foresee_step();
+        self.charge_usage(&request.job, stream_time - request.charged, now);
+        self.step_time = self.estimate_step_time();
         self.dispatch(now);
     }
 
-    /// Refuses what can no longer be in time; to be called a few times a second.
+    /// Refuses requests that can no longer be in time, and preempts streams where that
+    /// helps. To be called a few times a second.
     pub fn tick(&mut self, now: Instant) {
-        if now.saturating_duration_since(self.tidied) >= TIDY {
-            self.usage.tidy(now);
-            self.tidied = now;
+        if now.saturating_duration_since(self.last_prune) >= USAGE_PRUNE_INTERVAL {
+            self.usage.prune(now);
+            self.last_prune = now;
         }
-        self.step = self.foresee_step();
-        self.sort(now);
-        self.rescue(now);
+        self.step_time = self.estimate_step_time();
+        self.sort_queue(now);
+        self.evacuate_slow_server(now);
         self.dispatch(now);
-        self.make_room(now);
+        self.resolve_lateness(now);
     }
 
-    /// Refuses everything that waits and all that is offered from now on.
+    /// Refuses all waiting requests and all offers from now on.
     pub fn close(&mut self, now: Instant) {
         self.closed = true;
         for ticket in self.waiting.clone() {
-            self.refuse(ticket, RejectReason::Closed, Some(RETRY.0), now);
+            self.refuse(ticket, RejectReason::Closed, Some(RETRY_AFTER_RANGE.0), now);
         }
     }
 
-    /// Takes offers again after [`AdmissionController::close`].
+    /// Accepts offers again after [`AdmissionController::close`].
     pub fn reopen(&mut self) {
         self.closed = false;
     }
 
-    /// Takes the effects that have come up.
+    /// Returns the effects since the last call, in order.
     pub fn take_effects(&mut self) -> Vec<Effect> {
         std::mem::take(&mut self.effects)
     }
 
-    /// How loaded the backend server is.
+    /// The current load, with an estimate of the wait as of `now`.
     pub fn snapshot(&self, now: Instant) -> LoadSnapshot {
-        let tokens = self.jobs.values().map(|entry| entry.job.cache_tokens()).sum();
+        let cache_tokens =
+            self.requests.values().map(|request| request.job.cache_tokens()).sum();
         LoadSnapshot {
             running: self.running.len() as u32,
             queued: self.waiting.len() as u32,
-            cache_tokens: tokens,
-            estimated_wait: self.wait(now),
-            step_time: self.step,
+            cache_tokens,
+            estimated_wait: self.estimate_wait(now),
+            step_time: self.step_time,
         }
     }
 
-    /// How fast the backend server is.
-    pub fn pace(&self) -> &Pace {
-        &self.pace
+    /// The speed of the backend server as measured so far.
+    pub fn latency_model(&self) -> &LatencyModel {
+        &self.latency
     }
 
-    /// Requests that hold a stream, and the tokens that they occupy.
+    /// The number of requests that hold a stream, and the tokens of KV cache that they
+    /// occupy.
     pub fn in_flight(&self) -> (usize, u64) {
-        let tokens =
-            self.running.iter().map(|&ticket| self.jobs[ticket].job.cache_tokens());
-        (self.running.len(), tokens.sum())
+        let cache_tokens =
+            self.running.iter().map(|&ticket| self.requests[ticket].job.cache_tokens());
+        (self.running.len(), cache_tokens.sum())
     }
 
-    /// Requests that wait.
+    /// The number of requests that wait.
     pub fn queued(&self) -> usize {
         self.waiting.len()
     }
 
-    /// Puts a request into its place in the queue.
+    /// Inserts a request into the queue in order.
     fn enqueue(&mut self, ticket: Ticket, now: Instant) {
-        let (jobs, order) = (&self.jobs, self.rule.order);
-        let place = &jobs[ticket].place;
+        let (requests, order) = (&self.requests, self.policy.queue_order);
+        let queue_key = &requests[ticket].queue_key;
         let index = self.waiting.partition_point(|&other| {
-            jobs[other].place.compare(place, order, now).is_lt()
+            requests[other].queue_key.compare(queue_key, order, now).is_lt()
         });
         self.waiting.insert(index, ticket);
     }
 
-    /// Brings the queue in order again, since requests age.
-    fn sort(&mut self, now: Instant) {
-        let (jobs, order) = (&self.jobs, self.rule.order);
-        self.waiting.sort_by(|&a, &b| jobs[a].place.compare(&jobs[b].place, order, now));
+    /// Restores the order of the queue, which ageing changes over time.
+    fn sort_queue(&mut self, now: Instant) {
+        let (requests, order) = (&self.requests, self.policy.queue_order);
+        self.waiting.sort_by(|&a, &b| {
+            requests[a].queue_key.compare(&requests[b].queue_key, order, now)
+        });
     }
 
-    /// Dispatches in order whatever has room.
+    /// Dispatches waiting requests in order while there is capacity.
     fn dispatch(&mut self, now: Instant) {
-        let room = self.room();
-        let (mut running, mut used) = self.in_flight();
+        let capacity = self.capacity();
+        let (mut running, mut used_tokens) = self.in_flight();
         let mut index = 0;
         while let Some(&ticket) = self.waiting.get(index) {
-            let item = self.item(ticket);
-            if let Some(late) = self.hopeless(ticket, item.run, now) {
-                self.refuse(ticket, RejectReason::Late, Some(late), now);
-            } else if room.takes(running, used, item.tokens, item.urgent) {
+            let demand = self.demand(ticket);
+            if let Some(lateness) = self.lateness(ticket, demand.run_time, now) {
+                self.refuse(ticket, RejectReason::DeadlineMissed, Some(lateness), now);
+            } else if capacity.fits(
+                running,
+                used_tokens,
+                demand.cache_tokens,
+                demand.urgent,
+            ) {
                 self.waiting.remove(index);
                 self.running.push(ticket);
                 let progress = Progress {
-                    since: now,
-                    foreseen: item.run,
-                    last: now,
-                    prompts: self.prompts,
-                    got: 0,
+                    dispatched_at: now,
+                    estimated_run_time: demand.run_time,
+                    last_token_at: now,
+                    prefilled_tokens: self.prefilled_tokens,
+                    generated: 0,
                 };
-                self.jobs[ticket].state = State::Running(progress);
+                self.requests[ticket].state = RequestState::Running(progress);
                 self.effects.push(Effect::Dispatch(ticket));
                 running += 1;
-                used += item.tokens;
-            } else if running < room.streams && room.reserve > 0 && !item.urgent {
-                // Only the reserve is left: an urgent request may pass.
+                used_tokens += demand.cache_tokens;
+            } else if running < capacity.streams
+                && capacity.urgent_reserve > 0
+                && !demand.urgent
+            {
+                // Only the reserve is left: an urgent request further back may use it.
                 index += 1;
             } else {
                 break;
@@ -324,25 +358,33 @@
         }
     }
 
-    /// By how much a request would be late even if it were dispatched now.
-    fn hopeless(&self, ticket: Ticket, run: Duration, now: Instant) -> Option<Duration> {
-        let job = &self.jobs[ticket].job;
-        let late = (now + run).checked_duration_since(job.deadline)?;
-        (self.rule.shed != Shed::Full && !job.resumed).then_some(late)
+    /// By how much a request would miss its deadline if it were dispatched now.
+    ///
+    /// `None` if it would be in time or must not be refused for lateness.
+    fn lateness(
+        &self,
+        ticket: Ticket,
+        run_time: Duration,
+        now: Instant,
+    ) -> Option<Duration> {
+        let job = &self.requests[ticket].job;
+        let lateness = (now + run_time).checked_duration_since(job.deadline)?;
+        (self.policy.shedding != SheddingPolicy::QueueFull && !job.resumed)
+            .then_some(lateness)
     }
 
-    /// Keeps the queue within its bound.
-    fn bound(&mut self, now: Instant) {
+    /// Refuses requests until the queue is within its limit.
+    fn enforce_queue_limit(&mut self, now: Instant) {
         while self.waiting.len() > self.limits.max_queued {
-            let victim = self.dearest(&self.waiting);
+            let victim = self.select_victim(&self.waiting);
             let Some(victim) = victim else { break };
-            let told = self.rule.shed != Shed::Full;
-            let reason = if told && self.is_hot(victim) {
-                RejectReason::Share
+            let deadline_aware = self.policy.shedding != SheddingPolicy::QueueFull;
+            let reason = if deadline_aware && self.exceeds_share(victim) {
+                RejectReason::ShareExceeded
             } else {
-                RejectReason::Full
+                RejectReason::QueueFull
             };
-            let wait = told.then(|| self.wait(now));
+            let wait = deadline_aware.then(|| self.estimate_wait(now));
             self.refuse(victim, reason, wait, now);
         }
     }
@@ -351,123 +393,151 @@
         &mut self,
         ticket: Ticket,
         reason: RejectReason,
-        retry: Option<Duration>,
+        retry_after: Option<Duration>,
         now: Instant,
     ) {
-        let Some(entry) = self.remove(ticket) else { return };
-        self.account(&entry.job, -entry.charged, now);
-        let left = entry.job.deadline.saturating_duration_since(now);
-        let retry = retry.map(|wait| wait.max(left / RETURNS).clamp(RETRY.0, RETRY.1));
-        self.effects
-            .push(Effect::Refuse(ticket, Rejection { reason, retry_after: retry }));
+        let Some(request) = self.remove(ticket) else { return };
+        self.charge_usage(&request.job, -request.charged, now);
+        let time_left = request.job.deadline.saturating_duration_since(now);
+        let retry_after = retry_after.map(|wait| {
+            wait.max(time_left / MAX_RETRIES_BEFORE_DEADLINE)
+                .clamp(RETRY_AFTER_RANGE.0, RETRY_AFTER_RANGE.1)
+        });
+        self.effects.push(Effect::Refuse(ticket, Rejection { reason, retry_after }));
     }
 
-    fn remove(&mut self, ticket: Ticket) -> Option<Entry> {
-        let entry = self.jobs.remove(ticket)?;
+    fn remove(&mut self, ticket: Ticket) -> Option<TrackedRequest> {
+        let request = self.requests.remove(ticket)?;
         self.waiting.retain(|&other| other != ticket);
         self.running.retain(|&other| other != ticket);
-        Some(entry)
+        Some(request)
     }
 
+    /// Charges the estimated cost of a request to its caller in advance.
     fn charge(&mut self, ticket: Ticket, cost: f64, now: Instant) {
-        let Some(entry) = self.jobs.get_mut(ticket) else { return };
-        entry.charged = cost;
-        let job = entry.job.clone();
-        self.account(&job, cost, now);
+        let Some(request) = self.requests.get_mut(ticket) else { return };
+        request.charged = cost;
+        let job = request.job.clone();
+        self.charge_usage(&job, cost, now);
     }
 
-    fn account(&mut self, job: &Job, cost: f64, now: Instant) {
+    fn charge_usage(&mut self, job: &Job, cost: f64, now: Instant) {
         let slow = job.urgency == Urgency::Slow;
         self.usage.charge(&job.caller, &job.team, job.share, slow, cost, now);
     }
 
     /// Whether even an idle backend server could not finish a request in time.
-    fn is_short(&self, ticket: Ticket, now: Instant) -> bool {
-        let job = &self.jobs[ticket].job;
-        let run = self.pace.run(
+    fn is_infeasible(&self, ticket: Ticket, now: Instant) -> bool {
+        let job = &self.requests[ticket].job;
+        let run_time = self.latency.run_time(
             job.urgency,
             job.prompt_tokens,
             job.max_output_tokens,
-            self.pace.step(0.0),
+            self.latency.step_time(0.0),
         );
-        self.rule.shed != Shed::Full && now + run > job.deadline
+        self.policy.shedding != SheddingPolicy::QueueFull && now + run_time > job.deadline
     }
 
-    /// The time after which a request that is due last would start.
-    fn wait(&self, now: Instant) -> Duration {
-        let order = self.schedule(now);
-        let next = Item { run: Duration::ZERO, tokens: 0, urgent: false };
-        let items = order.iter().map(|&ticket| self.item(ticket)).chain([next]);
-        let begins = starts(self.room(), now, self.held(now), items);
-        begins.last().map_or(Duration::ZERO, |&start| start - now)
+    /// The time until a request behind all others would start.
+    fn estimate_wait(&self, now: Instant) -> Duration {
+        let order = self.forecast_order(now);
+        let last = Demand { run_time: Duration::ZERO, cache_tokens: 0, urgent: false };
+        let demands = order.iter().map(|&ticket| self.demand(ticket)).chain([last]);
+        let starts =
+            estimate_starts(self.capacity(), now, self.reservations(now), demands);
+        starts.last().map_or(Duration::ZERO, |&start| start - now)
     }
 
-    fn held(&self, now: Instant) -> impl Iterator<Item = Held> {
+    /// What running requests occupy and until when; preempted ones end at once.
+    fn reservations(&self, now: Instant) -> impl Iterator<Item = Reservation> {
         self.running.iter().map(move |&ticket| {
-            let entry = &self.jobs[ticket];
-            let end = match entry.state {
-                State::Running(at) => (at.last + self.run(entry)).max(now),
-                State::Waiting | State::Stopping(_) => now,
+            let request = &self.requests[ticket];
+            let end = match request.state {
+                RequestState::Running(progress) => {
+                    (progress.last_token_at + self.remaining_time(request)).max(now)
+                }
+                RequestState::Waiting | RequestState::Stopping(_) => now,
             };
-            Held { end, tokens: entry.job.cache_tokens() }
+            Reservation { end, cache_tokens: request.job.cache_tokens() }
         })
     }
 
-    fn item(&self, ticket: Ticket) -> Item {
-        let entry = &self.jobs[ticket];
-        Item {
-            run: self.run(entry),
-            tokens: entry.job.cache_tokens(),
-            urgent: entry.job.urgency == Urgency::Urgent,
+    fn demand(&self, ticket: Ticket) -> Demand {
+        let request = &self.requests[ticket];
+        Demand {
+            run_time: self.remaining_time(request),
+            cache_tokens: request.job.cache_tokens(),
+            urgent: request.job.urgency == Urgency::Urgent,
         }
     }
 
-    /// The time that a request still takes from its dispatch or its last token.
-    fn run(&self, entry: &Entry) -> Duration {
-        let (job, step) = (&entry.job, self.step);
-        match entry.state {
-            State::Running(at) if at.got > 0 => {
-                self.pace.rest(job.urgency, job.max_output_tokens, at.got, step)
-            }
-            State::Stopping(at) => {
-                self.pace.rest(job.urgency, job.max_output_tokens, at.got, step)
-                    + self.pace.prefill(job.prompt_tokens + at.got)
+    /// The time that a request still takes, from its dispatch or its last token.
+    ///
+    /// For a preempted request it is counted from its next dispatch, with a new prefill.
+    fn remaining_time(&self, request: &TrackedRequest) -> Duration {
+        let (job, step_time) = (&request.job, self.step_time);
+        match request.state {
+            RequestState::Running(progress) if progress.generated > 0 => {
+                self.latency.remaining_time(
+                    job.urgency,
+                    job.max_output_tokens,
+                    progress.generated,
+                    step_time,
+                )
             }
-            State::Waiting | State::Running(_) => {
-                self.pace.run(job.urgency, job.prompt_tokens, job.max_output_tokens, step)
+            RequestState::Stopping(progress) => {
+                self.latency.remaining_time(
+                    job.urgency,
+                    job.max_output_tokens,
+                    progress.generated,
+                    step_time,
+                ) + self.latency.prefill_time(job.prompt_tokens + progress.generated)
             }
+            RequestState::Waiting | RequestState::Running(_) => self.latency.run_time(
+                job.urgency,
+                job.prompt_tokens,
+                job.max_output_tokens,
+                step_time,
+            ),
         }
     }
 
+    /// The estimated seconds of stream time that a request still takes.
     fn cost(&self, ticket: Ticket) -> f64 {
-        self.run(&self.jobs[ticket]).as_secs_f64()
+        self.remaining_time(&self.requests[ticket]).as_secs_f64()
     }
 
-    /// The time of a step with the prompts of those that run and wait: while
-    /// `n` streams give a mean answer, they and those after them bring `n` prompts.
-    fn foresee_step(&self) -> Duration {
-        let (mut prompts, mut outputs) = (0.0, 0.0);
-        for entry in self.jobs.values() {
-            prompts += f64::from(entry.job.prompt_tokens);
-            outputs += self.pace.expected(entry.job.urgency, entry.job.max_output_tokens);
+    /// Estimates the step time from all running and waiting requests: while `n` streams
+    /// produce a response of mean length, they and their successors prefill `n` prompts.
+    fn estimate_step_time(&self) -> Duration {
+        let (mut prompt_tokens, mut output_tokens) = (0.0, 0.0);
+        for request in self.requests.values() {
+            prompt_tokens += f64::from(request.job.prompt_tokens);
+            output_tokens += self
+                .latency
+                .expected_length(request.job.urgency, request.job.max_output_tokens);
         }
-        let streams = self.jobs.len().min(self.room().streams) as f64;
-        let share = if outputs > 0.0 { streams * prompts / outputs } else { 0.0 };
-        self.pace.step(share)
+        let streams = self.requests.len().min(self.capacity().streams) as f64;
+        let prefilled_per_step = if output_tokens > 0.0 {
+            streams * prompt_tokens / output_tokens
+        } else {
+            0.0
+        };
+        self.latency.step_time(prefilled_per_step)
     }
 
-    fn room(&self) -> Room {
+    fn capacity(&self) -> Capacity {
         let streams = self.limits.max_streams.max(1) as usize;
-        let reserve = (streams as f64 * self.rule.reserve) as usize;
-        Room {
+        let urgent_reserve = (streams as f64 * self.policy.urgent_reserve) as usize;
+        Capacity {
             streams,
-            reserve: reserve.min(streams - 1),
-            tokens: self.limits.max_cache_tokens,
+            urgent_reserve: urgent_reserve.min(streams - 1),
+            cache_tokens: self.limits.max_cache_tokens,
         }
     }
 }
 
-/// The bytes that a waiting request occupies, beside its names' text.
+/// The bytes that a waiting request occupies, without the text of its names.
 pub fn bytes_per_request() -> usize {
-    size_of::<Entry>() + size_of::<Ticket>()
+    size_of::<TrackedRequest>() + size_of::<Ticket>()
 }
--- a/crates/admit/src/forecast.rs
+++ b/crates/admit/src/forecast.rs
@@ -1,78 +1,96 @@
-//! Foresees when waiting requests start and end.
+//! Estimates when waiting requests start and end.
 //!
-//! The backend server is taken as so many streams and so many tokens of cache;
-//! waiting requests start in order, each when a stream and its tokens are free.
-//! One pass costs `(running + waiting) · log(streams)` and answers three
-//! questions: would a new request be in time, would an admitted one be pushed
-//! past its deadline, and how long is the wait. A formula over the mean backlog
-//! was left out: it can't tell one long stream that ends late from many short
-//! ones, which is the case of long jobs among short ones.
+//! The backend server is modelled as a number of streams and an amount of KV cache;
+//! waiting requests start in order, each as soon as a stream and enough cache are free.
+//! One pass costs `(running + waiting) · log(streams)` and tells whether a new request
+//! would be in time, whether it would push an admitted one past its deadline, and how
+//! long the wait is. A formula over the mean backlog would not do: it can't tell one long
+//! stream that ends late from many short ones, which matters when long requests are mixed
+//! with short ones.
 
 use std::cmp::Reverse;
 use std::collections::BinaryHeap;
 use std::time::{Duration, Instant};
 
-/// What holds a part of the backend server until it ends.
+/// Capacity that a running request occupies until it ends.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
-pub struct Held {
-    /// When it ends.
+pub struct Reservation {
+    /// The estimated end.
     pub end: Instant,
-    /// The tokens that it occupies.
-    pub tokens: u64,
+    /// The tokens of KV cache that the request occupies.
+    pub cache_tokens: u64,
 }
 
-/// A waiting request, as far as its start and end go.
+/// The resources that a waiting request needs.
 #[derive(Debug, Clone, Copy)]
-pub struct Item {
-    /// The time from its dispatch to its end.
-    pub run: Duration,
-    /// The tokens that it occupies.
-    pub tokens: u64,
-    /// Whether it may take the streams that are reserved for urgent requests.
+pub struct Demand {
+    /// The estimated time from dispatch to end.
+    pub run_time: Duration,
+    /// The tokens of KV cache that the request occupies.
+    pub cache_tokens: u64,
+    /// Whether the request may use the streams reserved for urgent requests.
     pub urgent: bool,
 }
 
-/// What the backend server has for running streams.
+/// The capacity of the backend server.
 #[derive(Debug, Clone, Copy)]
-pub struct Room {
+pub struct Capacity {
     /// Streams in total.
     pub streams: usize,
-    /// Of them, those that only urgent requests may take.
-    pub reserve: usize,
-    /// Tokens of cache.
-    pub tokens: u64,
+    /// Of the streams, those reserved for urgent requests.
+    pub urgent_reserve: usize,
+    /// Tokens of KV cache.
+    pub cache_tokens: u64,
 }
 
-impl Room {
-    /// Whether one more request may start beside those that run.
-    pub fn takes(&self, running: usize, used: u64, tokens: u64, urgent: bool) -> bool {
+impl Capacity {
+    /// Whether one more request fits beside those that run.
+    ///
+    /// An idle server fits any request.
+    pub fn fits(
+        &self,
+        running: usize,
+        used_tokens: u64,
+        cache_tokens: u64,
+        urgent: bool,
+    ) -> bool {
         if running == 0 {
             return true;
         }
-        let streams = if urgent { self.streams } else { self.streams - self.reserve };
-        running < streams && used + tokens <= self.tokens
+        let streams =
+            if urgent { self.streams } else { self.streams - self.urgent_reserve };
+        running < streams && used_tokens + cache_tokens <= self.cache_tokens
     }
 }
 
-/// The time at which each item starts, if they start in the order given.
-pub fn starts(
-    room: Room,
+/// Estimates when each request starts if they start in the given order.
+pub fn estimate_starts(
+    capacity: Capacity,
     now: Instant,
-    running: impl Iterator<Item = Held>,
-    items: impl Iterator<Item = Item>,
+    running: impl Iterator<Item = Reservation>,
+    waiting: impl Iterator<Item = Demand>,
 ) -> Vec<Instant> {
-    let mut held: BinaryHeap<_> = running.map(Reverse).collect();
-    let mut used: u64 = held.iter().map(|Reverse(held)| held.tokens).sum();
+    let mut reservations: BinaryHeap<_> = running.map(Reverse).collect();
+    let mut used_tokens: u64 =
+        reservations.iter().map(|Reverse(held)| held.cache_tokens).sum();
     let mut time = now;
-    items
-        .map(|item| {
-            while !room.takes(held.len(), used, item.tokens, item.urgent) {
-                let Some(Reverse(first)) = held.pop() else { break };
-                used -= first.tokens;
+    waiting
+        .map(|demand| {
+            while !capacity.fits(
+                reservations.len(),
+                used_tokens,
+                demand.cache_tokens,
+                demand.urgent,
+            ) {
+                let Some(Reverse(first)) = reservations.pop() else { break };
+                used_tokens -= first.cache_tokens;
                 time = time.max(first.end);
             }
-            held.push(Reverse(Held { end: time + item.run, tokens: item.tokens }));
-            used += item.tokens;
+            reservations.push(Reverse(Reservation {
+                end: time + demand.run_time,
+                cache_tokens: demand.cache_tokens,
+            }));
+            used_tokens += demand.cache_tokens;
             time
         })
         .collect()
--- a/crates/admit/src/job.rs
+++ b/crates/admit/src/job.rs
@@ -1,4 +1,4 @@
-//! What a lead knows of a request, and what it decides about it.
+//! Requests as the admission controller sees them, and its decisions about them.
 
 use std::time::{Duration, Instant};
 
@@ -6,117 +6,118 @@
 use slotmap::new_key_type;
 
 new_key_type! {
-    /// A request at a lead, from its offer to its end.
+    /// Identifies a request at a controller from its offer to its end.
     ///
-    /// Tickets are never reused, so that a late event about a request that has
-    /// ended changes nothing.
+    /// Tickets are never reused, so a late event about a finished request is ignored.
     pub struct Ticket;
 }
 
-/// A request as it is offered to a lead.
+/// A request as it is offered to a controller.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Job {
-    /// Who sent it.
+    /// The caller that sent the request.
     pub caller: CallerName,
     /// The caller's team.
     pub team: TeamName,
-    /// The weight of the caller's share; 0 counts as 1.
+    /// The caller's weight in the fair share; 0 counts as 1.
     pub share: u32,
-    /// How urgent it is.
+    /// The priority class.
     pub urgency: Urgency,
-    /// When the answer must be whole.
+    /// The time by which the response must be complete.
     pub deadline: Instant,
     /// The length of the prompt, in tokens.
     pub prompt_tokens: u32,
-    /// The greatest length of the answer that is still to come, in tokens.
+    /// The maximum length of the remaining response, in tokens.
     pub max_output_tokens: u32,
-    /// Whether it can be cancelled and go on from the tokens already sent.
+    /// Whether the request can be cancelled and resumed after the tokens already sent.
     pub resumable: bool,
-    /// Whether the caller already holds the first part of the answer.
+    /// Whether the caller already holds the first part of the response.
     ///
-    /// Such a request is never refused by the lead: the caller would be left
-    /// with half an answer.
+    /// The controller never refuses such a request, since the caller would be left with
+    /// an incomplete response.
     pub resumed: bool,
 }
 
 impl Job {
-    /// The tokens that it may occupy in the engine's cache.
+    /// The most tokens of the engine's KV cache that the request can occupy.
     pub fn cache_tokens(&self) -> u64 {
         u64::from(self.prompt_tokens) + u64::from(self.max_output_tokens)
     }
 }
 
-/// Something that the lead wants done.
+/// An action that the controller requests from the daemon around it.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Effect {
-    /// Hand the request to the backend server.
+    /// Send the request to the backend server.
     Dispatch(Ticket),
-    /// Tell the caller that the request was not run; the ticket has ended.
+    /// Tell the caller that the request was not run; the ticket is no longer valid.
     Refuse(Ticket, Rejection),
-    /// Cancel the stream, report its end, and offer the rest again.
+    /// Cancel the stream, report its end, and offer the remainder again.
     Preempt(Ticket),
 }
 
-/// Why a request is refused and when to come back.
+/// Why a request was refused and when to retry it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Rejection {
-    /// Why.
+    /// The cause.
     pub reason: RejectReason,
-    /// When the caller should come back; absent if that is of no use.
+    /// The delay before the caller retries; `None` if a retry can't succeed.
     pub retry_after: Option<Duration>,
 }
 
-/// Why a request is refused.
+/// The cause of a refusal.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum RejectReason {
-    /// Even an idle backend server could not finish it in time.
-    Short,
-    /// It would finish too late behind the requests before it.
-    Late,
+    /// Even an idle backend server could not finish the request in time.
+    Infeasible,
+    /// The requests queued ahead would delay it beyond its deadline.
+    DeadlineMissed,
     /// The queue is full.
-    Full,
-    /// A more urgent or shorter request, or one of a caller that has had less,
-    /// took its place.
+    QueueFull,
+    /// A request that is more urgent, shorter, or from a caller with less usage took its
+    /// position in the queue.
     Displaced,
-    /// The caller is over its share, and there is not room for all.
-    Share,
-    /// The lead hands the backend server over.
+    /// The caller exceeds its share while the server is overloaded.
+    ShareExceeded,
+    /// The daemon is handing the lead of the backend server over.
     Closed,
 }
 
 impl RejectReason {
-    /// The code that the caller is told.
+    /// The error code for the caller.
     pub fn code(self) -> Code {
         match self {
-            Self::Short | Self::Late => Code::Deadline,
-            Self::Full | Self::Displaced => Code::Overloaded,
-            Self::Share => Code::CallerLimit,
+            Self::Infeasible | Self::DeadlineMissed => Code::Deadline,
+            Self::QueueFull | Self::Displaced => Code::Overloaded,
+            Self::ShareExceeded => Code::CallerLimit,
             Self::Closed => Code::Unavailable,
         }
     }
 
-    /// Whether another backend server may take the request.
+    /// Whether another backend server may accept the request.
     pub fn may_retry_elsewhere(self) -> bool {
-        !matches!(self, Self::Short)
+        !matches!(self, Self::Infeasible)
     }
 
-    /// A sentence for the caller that names the remedy.
+    /// The error message for the caller, with the remedy.
     pub fn message(self) -> &'static str {
         match self {
-            Self::Short => {
+            Self::Infeasible => {
                 "the deadline is shorter than the request takes; allow more time or ask for fewer tokens"
             }
-            Self::Late => {
-                "the request can't be finished by its deadline; come back after the time given"
+            Self::DeadlineMissed => {
+                "the request can't be finished by its deadline; retry after the given delay"
             }
-            Self::Full => "the queue is full; come back after the time given",
+            Self::QueueFull => "the queue is full; retry after the given delay",
             Self::Displaced => {
-                "other requests were served first; come back after the time given"
+                "other requests were served first; retry after the given delay"
             }
-            Self::Share => {
-                "the caller has used its share; come back after the time given"
+            Self::ShareExceeded => {
+                "the caller has used its share; retry after the given delay"
+            }
+            Self::Closed => {
+                "the backend server is moving to another daemon; send the request again"
             }
-            Self::Closed => "the backend server changes its lead; send the request again",
         }
     }
 }
--- a/crates/admit/src/latency.rs
+++ b/crates/admit/src/latency.rs
@@ -1,13 +1,13 @@
-//! How fast a backend server is, as measured.
+//! A model of a backend server's speed, fitted to measurements.
 //!
-//! Load pattern: engines batch, and a step takes longer when prompts are computed
-//! in it: in a burst of short requests the prompts, not the answers, fill the
-//! engine, and one server may slow down without failing. Without the measurement
-//! a lead promises by the declared step time, and a burst is admitted and then late
-//! as a whole. So steps are fitted against the prompt tokens computed in them, and
-//! foreseen from the prompts and answers of those that run and wait. The weights halve after [`MEMORY`] samples: a
-//! server that emits 1,000 tokens a second is known again within a second, while
-//! single outliers move the estimate by less than half a percent.
+//! Load pattern: engines batch, and a step takes longer if prompts are prefilled in it.
+//! In a burst of short requests the prompts, not the responses, occupy the engine, and a
+//! server may become slow without failing. With only the declared step time a burst would
+//! be admitted and then be late as a whole. So step time is fitted against the prompt
+//! tokens prefilled in the step, and predicted from the prompts and responses of the
+//! requests that run and wait. Weights halve after [`SAMPLE_HALF_LIFE`] samples: for a
+//! server that emits 1,000 tokens a second the model adapts within a second, while a
+//! single outlier moves the estimate by less than half a percent.
 
 use std::time::Duration;
 
@@ -15,22 +15,23 @@
 
 use crate::limits::Limits;
 
-/// The number of samples after which an old one counts a half.
-const MEMORY: f64 = 200.0;
+/// The number of samples after which the weight of an old one has halved.
+const SAMPLE_HALF_LIFE: f64 = 200.0;
 
-/// The number of answers after which an old length counts a half.
-const LENGTHS: f64 = 30.0;
+/// The window of the moving averages over completed requests, in requests.
+const REQUEST_WINDOW: f64 = 30.0;
 
-/// The least and the greatest correction of foreseen times.
-const BIAS: (f64, f64) = (0.5, 4.0);
+/// The least and the greatest correction factor of estimated run times.
+const CORRECTION_RANGE: (f64, f64) = (0.5, 4.0);
 
-/// The least variance of prompt tokens at which a slope is trusted.
-const SPREAD: f64 = 1.0;
+/// The least variance of prompt tokens at which the fitted slope is used.
+const MIN_VARIANCE: f64 = 1.0;
 
-/// A line fitted to samples, old ones fading.
+/// A linear regression with exponentially decaying weights.
 #[derive(Debug, Clone, Copy)]
-pub struct Line {
-    keep: f64,
+pub struct DecayingRegression {
+    /// The factor by which all weights shrink per sample.
+    decay: f64,
     weight: f64,
     x: f64,
     y: f64,
@@ -38,11 +39,13 @@
     xy: f64,
 }
 
-impl Line {
-    /// Starts from one assumed sample that counts as much as `weight` real ones.
-    pub fn new(half: f64, x: f64, y: f64, weight: f64) -> Self {
+impl DecayingRegression {
+    /// Starts from one prior sample that counts as much as `weight` measured ones.
+    ///
+    /// `half_life` is the number of samples after which a weight has halved.
+    pub fn new(half_life: f64, x: f64, y: f64, weight: f64) -> Self {
         Self {
-            keep: 0.5_f64.powf(1.0 / half),
+            decay: 0.5_f64.powf(1.0 / half_life),
             weight,
             x: weight * x,
             y: weight * y,
@@ -53,124 +56,136 @@
 
     /// Adds a sample.
     pub fn add(&mut self, x: f64, y: f64) {
-        self.weight = self.weight * self.keep + 1.0;
-        self.x = self.x * self.keep + x;
-        self.y = self.y * self.keep + y;
-        self.xx = self.xx * self.keep + x * x;
-        self.xy = self.xy * self.keep + x * y;
+        self.weight = self.weight * self.decay + 1.0;
+        self.x = self.x * self.decay + x;
+        self.y = self.y * self.decay + y;
+        self.xx = self.xx * self.decay + x * x;
+        self.xy = self.xy * self.decay + x * y;
     }
 
-    /// The fitted value at `x`; never below a tenth of the mean.
-    pub fn at(&self, x: f64) -> f64 {
+    /// The predicted value at `x`; the slope is never negative, and the value is at least
+    /// a tenth of the mean.
+    pub fn predict(&self, x: f64) -> f64 {
         let (mean_x, mean_y) = (self.x / self.weight, self.y / self.weight);
         let variance = self.xx / self.weight - mean_x * mean_x;
         let covariance = self.xy / self.weight - mean_x * mean_y;
-        let slope = if variance > SPREAD { covariance / variance } else { 0.0 };
+        let slope = if variance > MIN_VARIANCE { covariance / variance } else { 0.0 };
         (mean_y + slope.max(0.0) * (x - mean_x)).max(mean_y * 0.1)
     }
 }
 
-/// How fast a backend server is.
+/// Predicts step, prefill and run times of a backend server.
 #[derive(Debug, Clone)]
-pub struct Pace {
-    /// Seconds of a step against the prompt tokens computed in it.
-    step: Line,
-    /// Seconds to the first token against the tokens of the prompt.
-    first: Line,
-    /// The part of the allowed length that answers reach, by urgency.
-    lengths: [f64; 3],
-    /// How many times as long as foreseen requests have run lately.
-    bias: f64,
+pub struct LatencyModel {
+    /// Seconds per step against the prompt tokens prefilled in it.
+    step_time: DecayingRegression,
+    /// Seconds to the first token against the length of the prompt in tokens.
+    first_token: DecayingRegression,
+    /// Mean fraction of the allowed length that responses reach, by urgency.
+    length_ratios: [f64; 3],
+    /// Mean ratio of actual to estimated run time.
+    correction: f64,
 }
 
-impl Pace {
-    /// Starts from what is declared.
+impl LatencyModel {
+    /// Starts from the declared step time.
     pub fn new(limits: &Limits) -> Self {
-        let step = limits.step_time.as_secs_f64();
+        let step_time = limits.step_time.as_secs_f64();
         Self {
-            step: Line::new(MEMORY, 0.0, step, 5.0),
-            first: Line::new(MEMORY, 0.0, step, 5.0),
-            lengths: [1.0; 3],
-            bias: 1.0,
+            step_time: DecayingRegression::new(SAMPLE_HALF_LIFE, 0.0, step_time, 5.0),
+            first_token: DecayingRegression::new(SAMPLE_HALF_LIFE, 0.0, step_time, 5.0),
+            length_ratios: [1.0; 3],
+            correction: 1.0,
         }
     }
 
-    /// Notes that a stream gave `count` tokens after `took`, in which the engine
-    /// computed `prompts` tokens of prompts.
-    pub fn tokens(&mut self, prompts: u64, count: u32, took: Duration) {
+    /// Records that a stream produced `count` tokens in `elapsed`, during which the
+    /// engine prefilled `prefilled_tokens` tokens of prompts.
+    pub fn record_tokens(
+        &mut self,
+        prefilled_tokens: u64,
+        count: u32,
+        elapsed: Duration,
+    ) {
         if count > 0 {
             let count = f64::from(count);
-            self.step.add(prompts as f64 / count, took.as_secs_f64() / count);
+            self.step_time
+                .add(prefilled_tokens as f64 / count, elapsed.as_secs_f64() / count);
         }
     }
 
-    /// Notes how long the first token of a prompt took.
-    pub fn first(&mut self, prompt: u32, took: Duration) {
-        self.first.add(f64::from(prompt), took.as_secs_f64());
+    /// Records the time from dispatch to the first token.
+    pub fn record_first_token(&mut self, prompt_tokens: u32, elapsed: Duration) {
+        self.first_token.add(f64::from(prompt_tokens), elapsed.as_secs_f64());
     }
 
-    /// Notes the length of a whole answer against the length allowed.
-    pub fn ended(&mut self, urgency: Urgency, got: u32, allowed: u32) {
+    /// Records the length of a complete response against the allowed length.
+    pub fn record_length(&mut self, urgency: Urgency, generated: u32, allowed: u32) {
         if allowed > 0 {
-            let part = f64::from(got.min(allowed)) / f64::from(allowed);
-            let length = &mut self.lengths[urgency as usize];
-            *length += (part - *length) / LENGTHS;
+            let ratio = f64::from(generated.min(allowed)) / f64::from(allowed);
+            let mean = &mut self.length_ratios[urgency as usize];
+            *mean += (ratio - *mean) / REQUEST_WINDOW;
         }
     }
 
-    /// Notes how long a whole answer took against what was foreseen.
-    pub fn ran(&mut self, foreseen: Duration, took: Duration) {
-        let foreseen = foreseen.as_secs_f64();
-        if foreseen > 0.0 {
-            let times = self.bias * took.as_secs_f64() / foreseen;
-            self.bias += (times.clamp(BIAS.0, BIAS.1) - self.bias) / LENGTHS;
+    /// Records the run time of a complete response against its estimate.
+    pub fn record_run_time(&mut self, estimated: Duration, actual: Duration) {
+        let estimated = estimated.as_secs_f64();
+        if estimated > 0.0 {
+            let ratio = self.correction * actual.as_secs_f64() / estimated;
+            self.correction += (ratio.clamp(CORRECTION_RANGE.0, CORRECTION_RANGE.1)
+                - self.correction)
+                / REQUEST_WINDOW;
         }
     }
 
-    /// The time of a step that computes `prompts` tokens of prompts.
-    pub fn step(&self, prompts: f64) -> Duration {
-        seconds(self.step.at(prompts))
+    /// The time of a step in which `prefilled_tokens` tokens of prompts are prefilled.
+    pub fn step_time(&self, prefilled_tokens: f64) -> Duration {
+        from_seconds(self.step_time.predict(prefilled_tokens))
     }
 
-    /// The time to the first token of a prompt.
-    pub fn prefill(&self, prompt: u32) -> Duration {
-        seconds(self.first.at(f64::from(prompt)))
+    /// The time from dispatch to the first token.
+    pub fn prefill_time(&self, prompt_tokens: u32) -> Duration {
+        from_seconds(self.first_token.predict(f64::from(prompt_tokens)))
     }
 
-    /// The tokens that an answer is expected to have.
-    pub fn expected(&self, urgency: Urgency, allowed: u32) -> f64 {
-        f64::from(allowed) * self.lengths[urgency as usize]
+    /// The expected length of a response, in tokens.
+    pub fn expected_length(&self, urgency: Urgency, allowed: u32) -> f64 {
+        f64::from(allowed) * self.length_ratios[urgency as usize]
     }
 
-    /// The time that a request takes from its dispatch to its end.
-    pub fn run(
+    /// The time from the dispatch of a request to its end.
+    pub fn run_time(
         &self,
         urgency: Urgency,
-        prompt: u32,
-        output: u32,
-        step: Duration,
+        prompt_tokens: u32,
+        max_output_tokens: u32,
+        step_time: Duration,
     ) -> Duration {
-        let rest = (self.expected(urgency, output) - 1.0).max(0.0);
-        (self.prefill(prompt) + step.mul_f64(rest)).mul_f64(self.bias)
+        let after_first =
+            (self.expected_length(urgency, max_output_tokens) - 1.0).max(0.0);
+        (self.prefill_time(prompt_tokens) + step_time.mul_f64(after_first))
+            .mul_f64(self.correction)
     }
 
-    /// The time that a running stream still takes after `got` tokens.
-    pub fn rest(
+    /// The time that a running stream still takes after `generated` tokens.
+    pub fn remaining_time(
         &self,
         urgency: Urgency,
         allowed: u32,
-        got: u32,
-        step: Duration,
+        generated: u32,
+        step_time: Duration,
     ) -> Duration {
-        let left = f64::from(allowed.saturating_sub(got));
-        let expected = self.expected(urgency, allowed) - f64::from(got);
-        // A stream that outlived its expected length ends anywhere before the
-        // allowed one.
-        let rest = expected.max(left / 2.0).min(left);
-        step.mul_f64(rest * self.bias)
+        let left = f64::from(allowed.saturating_sub(generated));
+        let expected = self.expected_length(urgency, allowed) - f64::from(generated);
+        // A stream beyond its expected length may end anywhere up to the allowed one;
+        // half of what is left is the mean.
+        let remaining = expected.max(left / 2.0).min(left);
+        step_time.mul_f64(remaining * self.correction)
     }
 }
 
-fn seconds(value: f64) -> Duration {
+/// Converts to a duration; zero if the value is negative or not representable.
+fn from_seconds(value: f64) -> Duration {
     Duration::try_from_secs_f64(value).unwrap_or(Duration::ZERO)
 }
--- a/crates/admit/src/lib.rs
+++ b/crates/admit/src/lib.rs
@@ -1,22 +1,21 @@
-//! Admission, queueing and preemption at the lead of one backend server.
+//! Admission control, queueing and preemption for one backend server.
 //!
-//! The lead sees every request that is meant for its backend server, so that its
-//! counts are exact. It holds no connection and reads no clock: events go in
-//! with the time at which they happened, effects come out.
+//! The daemon that leads a backend server runs one [`AdmissionController`] for it. All
+//! requests for the server pass through it, so its counts are exact. It does no I/O and
+//! reads no clock: events go in with the time at which they happened, and [`Effect`]s
+//! come out.
 //!
 //! A request passes through these stages:
 //!
-//! 1. [`AdmissionController::offer`] estimates with [`Pace`] and [`forecast`] when it would finish;
-//!    what can't finish in time is refused at once, with the time to come back,
-//! 2. it waits in the order of [`queue`]; [`Usage`] decides whose request goes
-//!    when there is not room for all,
+//! 1. [`AdmissionController::offer`] estimates its end with [`LatencyModel`] and
+//!    [`forecast`]; a request that can't meet its deadline is refused at once, with a
+//!    retry delay,
+//! 2. it waits in the order of [`queue`]; under overload, [`shedding`] and
+//!    [`UsageTracker`] determine which request is refused,
 //! 3. it is dispatched within the [`Limits`] and holds a stream until
 //!    [`AdmissionController::finish`],
-//! 4. a slow stream may be preempted on the way for an urgent request; the shell
-//!    cancels it and offers the rest again.
-//!
-//! [`forecast`]: mod@forecast
-//! [`queue`]: mod@queue
+//! 4. a slow stream may be preempted for an urgent request: the daemon cancels it and
+//!    offers the remainder again.
 
 pub mod controller;
 pub mod forecast;
@@ -29,6 +28,6 @@
 
 pub use controller::{AdmissionController, AttemptEnd, LoadSnapshot};
 pub use job::{Effect, Job, RejectReason, Rejection, Ticket};
-pub use latency::{Line, Pace};
-pub use limits::{AdmissionPolicy, Limits, Order, Shed};
-pub use usage::Usage;
+pub use latency::{DecayingRegression, LatencyModel};
+pub use limits::{AdmissionPolicy, Limits, QueueOrder, SheddingPolicy};
+pub use usage::UsageTracker;
--- a/crates/admit/src/limits.rs
+++ b/crates/admit/src/limits.rs
@@ -1,92 +1,91 @@
-//! What a backend server takes, and by which rules its lead decides.
+//! The capacity of a backend server and the policy of its admission controller.
 
 use std::time::Duration;
 
-/// What a backend server takes at the same time.
+/// The capacity of a backend server.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Limits {
-    /// Streams that run at the same time; at least 1.
+    /// Streams that run concurrently; at least 1.
     pub max_streams: u32,
-    /// Tokens that running streams may occupy together.
+    /// Tokens of KV cache that running streams may occupy together.
     ///
-    /// A single request that needs more is let in alone, since the engine decides
+    /// A single request that needs more is dispatched alone, since the engine decides
     /// whether it fits.
     pub max_cache_tokens: u64,
-    /// Requests that wait at the lead.
+    /// Requests that may wait in the controller's queue.
     pub max_queued: usize,
-    /// The expected time of an engine step, until it is measured.
+    /// The declared time of an engine step, used until steps are measured.
     ///
-    /// For a plain service, the expected time of a call.
+    /// For a plain service, the declared time of a call.
     pub step_time: Duration,
 }
 
 /// The order in which waiting requests are dispatched.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Order {
+pub enum QueueOrder {
     /// First come, first served.
-    Arrival,
+    Fifo,
     /// The more urgent class first, then the earlier deadline, with ageing.
-    Class,
-    /// The earlier deadline first, whatever the class.
+    Priority,
+    /// The earlier deadline first, regardless of the class.
     Deadline,
 }
 
-/// What is refused when there is not room for all.
+/// Which requests are refused under overload.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Shed {
-    /// Nothing but what finds the queue full.
-    Full,
-    /// What comes last.
+pub enum SheddingPolicy {
+    /// Only those that find the queue full.
+    QueueFull,
+    /// The newest.
     Newest,
-    /// The least urgent, then the caller most over its share, then the longest.
+    /// The least urgent, then those of the caller most over its share, then the longest.
     Costliest,
 }
 
-/// The rules by which a lead decides.
+/// The policy by which a controller orders, refuses and preempts requests.
 ///
-/// The defaults are the ones chosen in `docs/POLICY.md`; the others are there to
-/// be compared with them.
+/// `docs/POLICY.md` compares the defaults with the alternatives.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct AdmissionPolicy {
     /// The order of the queue.
-    pub order: Order,
-    /// What is refused when there is not room for all.
-    pub shed: Shed,
+    pub queue_order: QueueOrder,
+    /// Which requests are refused under overload.
+    pub shedding: SheddingPolicy,
     /// Whether callers over their share are refused first.
-    pub fair: bool,
-    /// Whether slow streams are preempted by urgent requests.
-    pub preempt: bool,
-    /// The part of the streams that only urgent requests may take.
-    pub reserve: f64,
-    /// The part of the backend server's time that slow requests get at least.
-    pub floor: f64,
-    /// The part of the estimated run time that is kept as a margin.
-    pub margin: f64,
+    pub fair_share: bool,
+    /// Whether urgent requests preempt slow streams.
+    pub preemption: bool,
+    /// The fraction of the streams that is reserved for urgent requests.
+    pub urgent_reserve: f64,
+    /// The minimum fraction of the stream time that goes to slow requests.
+    pub slow_floor: f64,
+    /// The fraction of the estimated run time that is kept as a safety margin.
+    pub deadline_margin: f64,
 }
 
 impl AdmissionPolicy {
-    /// First come, first served, and no look at deadlines: the naive baseline.
+    /// First come, first served, without regard to deadlines: the baseline.
     pub const FIFO: Self = Self {
-        order: Order::Arrival,
-        shed: Shed::Full,
-        fair: false,
-        preempt: false,
-        reserve: 0.0,
-        floor: 0.0,
-        margin: 0.0,
+        queue_order: QueueOrder::Fifo,
+        shedding: SheddingPolicy::QueueFull,
+        fair_share: false,
+        preemption: false,
+        urgent_reserve: 0.0,
+        slow_floor: 0.0,
+        deadline_margin: 0.0,
     };
 }
 
 impl Default for AdmissionPolicy {
     fn default() -> Self {
         Self {
-            order: Order::Deadline,
-            shed: Shed::Costliest,
-            fair: true,
-            preempt: true,
-            reserve: 0.0,
-            floor: 0.05,
-            margin: 0.15,
+            queue_order: QueueOrder::Deadline,
+            shedding: SheddingPolicy::Costliest,
+            fair_share: true,
+            preemption: true,
+            urgent_reserve: 0.0,
+            slow_floor: 0.05,
+            deadline_margin: 0.15,
         }
     }
 }
--- a/crates/admit/src/queue.rs
+++ b/crates/admit/src/queue.rs
@@ -1,56 +1,56 @@
 //! The order in which waiting requests are dispatched.
 //!
-//! Load pattern: urgent requests come in bursts while slow ones keep the backend
-//! server busy. First come, first served makes a seat check wait behind every
-//! draft that came before it. By deadline, the seat check goes first because it
-//! is due first, and a draft moves ahead as its own deadline comes near, so that
-//! it is not starved: the deadline itself is the ageing. By class, a request
-//! moves up one class after half of its time.
+//! Load pattern: urgent requests arrive in bursts while slow ones keep the backend server
+//! busy. First come, first served makes an urgent request wait behind every slow one that
+//! arrived before it. Ordered by deadline, the urgent request goes first because it is
+//! due first, and a slow one advances as its own deadline approaches, so it is not
+//! starved: the deadline itself provides the ageing. Ordered by class, a request moves up
+//! one class after half of its time budget.
 
 use std::cmp::Ordering;
 use std::time::Instant;
 
 use chestnut_base::Urgency;
 
-use crate::limits::Order;
+use crate::limits::QueueOrder;
 
-/// What the place of a waiting request depends on.
+/// The sort key of a waiting request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Place {
-    /// How urgent it is.
+pub struct QueueKey {
+    /// The priority class.
     pub urgency: Urgency,
-    /// When it came.
-    pub since: Instant,
-    /// When it must be done.
+    /// The time of arrival.
+    pub enqueued_at: Instant,
+    /// The time by which the response must be complete.
     pub deadline: Instant,
-    /// Its number at the lead; no two requests have the same.
-    pub number: u64,
+    /// The sequence number at the controller; unique.
+    pub sequence: u64,
 }
 
-impl Place {
-    /// Compares two places; the lesser is dispatched first.
+impl QueueKey {
+    /// Compares two keys; the lesser is dispatched first.
     ///
-    /// A total order at any one time, since the numbers differ.
-    pub fn compare(&self, other: &Self, order: Order, now: Instant) -> Ordering {
+    /// This is a total order at any given time, since sequence numbers are unique.
+    pub fn compare(&self, other: &Self, order: QueueOrder, now: Instant) -> Ordering {
         let first = match order {
-            Order::Arrival => Ordering::Equal,
-            Order::Class => {
-                let class = self.class(now).cmp(&other.class(now));
+            QueueOrder::Fifo => Ordering::Equal,
+            QueueOrder::Priority => {
+                let class = self.aged_class(now).cmp(&other.aged_class(now));
                 class.then(self.deadline.cmp(&other.deadline))
             }
-            Order::Deadline => {
+            QueueOrder::Deadline => {
                 let deadline = self.deadline.cmp(&other.deadline);
                 deadline.then(self.urgency.cmp(&other.urgency))
             }
         };
-        first.then(self.number.cmp(&other.number))
+        first.then(self.sequence.cmp(&other.sequence))
     }
 
-    /// The class with ageing: one up after half of the time.
-    fn class(&self, now: Instant) -> u8 {
-        let waited = now.saturating_duration_since(self.since);
-        let budget = self.deadline.saturating_duration_since(self.since);
-        let aged = u8::from(waited > budget / 2);
-        (self.urgency as u8).saturating_sub(aged)
+    /// The class with ageing: one level up after half of the time budget.
+    fn aged_class(&self, now: Instant) -> u8 {
+        let waited = now.saturating_duration_since(self.enqueued_at);
+        let budget = self.deadline.saturating_duration_since(self.enqueued_at);
+        let promotion = u8::from(waited > budget / 2);
+        (self.urgency as u8).saturating_sub(promotion)
     }
 }
--- a/crates/admit/src/shedding.rs
+++ b/crates/admit/src/shedding.rs
@@ -1,55 +1,55 @@
-//! Whose request goes when there is not room for all.
+//! Which request is refused under overload.
 //!
-//! Load pattern: overload, and a caller that sends far more than its share.
-//! Refusing whoever comes last keeps what came first, however long it is and
-//! whoever sent it. Here the least urgent goes first, then the request of the
-//! caller most over its share, then the longest. With equal urgency and fair
-//! callers this is Moore and Hodgson's rule (by deadline, drop the longest of
-//! those up to the first late one), which gives the most requests in time on one
-//! machine; the figures for several streams are in `docs/POLICY.md`.
+//! Load pattern: overload, and a caller that sends far more than its share. Refusing the
+//! newest request keeps whatever came first, however long it is and whoever sent it.
+//! Instead, the least urgent is refused first, then the request of the caller most over
+//! its share, then the longest. With equal urgency and fair callers this is the
+//! Moore-Hodgson rule (in deadline order, drop the longest of those up to the first late
+//! one), which maximises the requests in time on one machine; `docs/POLICY.md` has the
+//! figures for several streams.
 
 use std::cmp::Ordering;
 
 use chestnut_base::Urgency;
 
-/// How many times its share a caller may have before it is refused first.
+/// The share ratio above which a caller's requests are refused first.
 ///
-/// Below it, uneven arrivals alone make callers differ.
-pub const TOLERANCE: f64 = 1.5;
+/// Below it, callers differ through uneven arrivals alone.
+pub const SHARE_TOLERANCE: f64 = 1.5;
 
-/// How dear it is to keep a request; the dearest goes first.
+/// The sort key of a candidate for refusal; the greatest is refused first.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub struct Price {
-    /// How urgent it is.
+pub struct SheddingKey {
+    /// The priority class.
     pub urgency: Urgency,
-    /// How often its share the caller has had.
-    pub excess: f64,
-    /// Seconds of stream time that it takes.
+    /// The caller's usage relative to its fair share; 1 is fair.
+    pub share_ratio: f64,
+    /// Estimated seconds of stream time that the request takes.
     pub cost: f64,
-    /// Whether slow requests have had less than the part kept for them.
-    pub owed: bool,
+    /// Whether slow requests are below their guaranteed fraction of the stream time.
+    pub below_floor: bool,
 }
 
-impl Price {
-    /// Compares two prices; the greater goes first.
+impl SheddingKey {
+    /// Compares two keys; the greater is refused first.
     pub fn compare(&self, other: &Self) -> Ordering {
         let class = self.class().cmp(&other.class());
-        let share = self.over().cmp(&other.over());
+        let share = self.share_excess().cmp(&other.share_excess());
         class.then(share).then(self.cost.total_cmp(&other.cost))
     }
 
-    /// Whether the caller is so far over its share that this decides.
-    pub fn is_hot(&self) -> bool {
-        self.excess > TOLERANCE
+    /// Whether the caller's usage exceeds its share by more than the tolerance.
+    pub fn exceeds_share(&self) -> bool {
+        self.share_ratio > SHARE_TOLERANCE
     }
 
     fn class(&self) -> Urgency {
-        if self.owed { Urgency::Urgent } else { self.urgency }
+        if self.below_floor { Urgency::Urgent } else { self.urgency }
     }
 
-    /// The excess in steps of half a share, so that small differences leave the
-    /// choice to the cost.
-    fn over(&self) -> u32 {
-        if self.is_hot() { (self.excess * 2.0).min(1e6) as u32 } else { 0 }
+    /// The share ratio in steps of a half, so that small differences leave the choice to
+    /// the cost; 0 within the tolerance.
+    fn share_excess(&self) -> u32 {
+        if self.exceeds_share() { (self.share_ratio * 2.0).min(1e6) as u32 } else { 0 }
     }
 }
--- a/crates/admit/src/usage.rs
+++ b/crates/admit/src/usage.rs
@@ -1,10 +1,10 @@
-//! Who has had how much of a backend server lately.
+//! Recent usage of a backend server by caller and team.
 //!
-//! Load pattern: one caller or key sends far more than its share. Without this
-//! its requests fill the queue, and everyone else's miss their deadlines. Usage
-//! is measured in the backend server's stream time, not in requests, so that a
-//! caller can't hide long jobs among short ones; it halves every [`HALF`], a few
-//! times the length of a job, so that a caller that stops is soon in favour again.
+//! Load pattern: one caller or key sends far more than its share. Without accounting its
+//! requests fill the queue, and everyone else's miss their deadlines. Usage is measured
+//! in stream time, not in requests, so that a caller can't hide long jobs among short
+//! ones. It halves every [`HALF_LIFE`], a few times the length of a job, so that a caller
+//! that stops soon regains its full share.
 
 use std::hash::Hash;
 use std::time::{Duration, Instant};
@@ -12,17 +12,17 @@
 use chestnut_base::{CallerName, TeamName};
 use indexmap::IndexMap;
 
-/// The time after which usage counts a half.
-pub const HALF: Duration = Duration::from_secs(10);
+/// The time after which recorded usage has decayed to a half.
+pub const HALF_LIFE: Duration = Duration::from_secs(10);
 
-/// Usage in seconds below which an account is forgotten.
-const FORGET: f64 = 1e-3;
+/// Usage below which an account is removed, in seconds of stream time.
+const MIN_USAGE_S: f64 = 1e-3;
 
-/// The most accounts of each sort that are kept; others are not charged.
-const ACCOUNTS: usize = 1024;
+/// The most callers, and the most teams, that are tracked; others are not charged.
+const MAX_ACCOUNTS: usize = 1024;
 
-/// The age of the scale at which all values are brought back to it.
-const REBASE: Duration = Duration::from_secs(200);
+/// The age of the scale after which all values are rescaled, long before they overflow.
+const RESCALE_INTERVAL: Duration = Duration::from_secs(200);
 
 /// Usage and weight of one caller or team.
 #[derive(Debug, Clone, Copy, Default)]
@@ -32,76 +32,82 @@
     share: f64,
 }
 
-/// Accounts of one sort and their sums.
+/// The accounts of all callers or all teams, with their totals.
 #[derive(Debug, Clone)]
 struct Ledger<K> {
     accounts: IndexMap<K, Account>,
-    /// The sum of all accounts.
-    sum: Account,
+    total: Account,
 }
 
 impl<K: Clone + Eq + Hash> Ledger<K> {
     fn new() -> Self {
-        Self { accounts: IndexMap::new(), sum: Account::default() }
+        Self { accounts: IndexMap::new(), total: Account::default() }
     }
 
     fn charge(&mut self, key: &K, share: f64, cost: f64) {
         if !self.accounts.contains_key(key) {
-            if self.accounts.len() >= ACCOUNTS {
+            if self.accounts.len() >= MAX_ACCOUNTS {
                 return;
             }
             self.accounts.insert(key.clone(), Account::default());
         }
         let account = &mut self.accounts[key];
         let used = (account.used + cost).max(0.0);
-        self.sum.used += used - account.used;
-        self.sum.share += share - account.share;
+        self.total.used += used - account.used;
+        self.total.share += share - account.share;
         *account = Account { used, share };
     }
 
-    fn excess(&self, key: &K) -> f64 {
+    fn share_ratio(&self, key: &K) -> f64 {
         let Some(own) = self.accounts.get(key) else { return 0.0 };
-        if self.sum.used <= 0.0 {
+        if self.total.used <= 0.0 {
             return 0.0;
         }
-        own.used / own.share * self.sum.share / self.sum.used
+        own.used / own.share * self.total.share / self.total.used
     }
 
-    /// Divides all values by `scale`, forgets what has faded, and sums anew.
-    fn rebase(&mut self, scale: f64, forget: f64) {
-        self.sum = Account::default();
+    /// Divides all values by `scale`, removes accounts of at most `min_used`, and
+    /// recomputes the totals.
+    fn rescale(&mut self, scale: f64, min_used: f64) {
+        self.total = Account::default();
         self.accounts.retain(|_, account| {
             account.used /= scale;
-            account.used > forget
+            account.used > min_used
         });
         for account in self.accounts.values() {
-            self.sum.used += account.used;
-            self.sum.share += account.share;
+            self.total.used += account.used;
+            self.total.share += account.share;
         }
     }
 }
 
-/// Who has had how much lately.
+/// Exponentially decaying usage by caller and team.
 ///
-/// All usage fades at the same rate, so that instead of every account being
-/// scaled down as time passes, what is charged is scaled up; ratios, which are
-/// all that is asked for, then need no look at the time.
+/// All usage decays at the same rate. So instead of scaling every account down as time
+/// passes, new charges are scaled up; only ratios are ever read, and they are independent
+/// of the scale.
 #[derive(Debug, Clone)]
-pub struct Usage {
+pub struct UsageTracker {
     callers: Ledger<CallerName>,
     teams: Ledger<TeamName>,
-    slow: f64,
-    /// When the scale was 1.
-    base: Instant,
+    /// Scaled seconds of stream time of slow requests.
+    slow_used: f64,
+    /// The time at which the scale is 1.
+    scale_base: Instant,
 }
 
-impl Usage {
-    /// Starts empty.
+impl UsageTracker {
+    /// Starts without any usage.
     pub fn new(now: Instant) -> Self {
-        Self { callers: Ledger::new(), teams: Ledger::new(), slow: 0.0, base: now }
+        Self {
+            callers: Ledger::new(),
+            teams: Ledger::new(),
+            slow_used: 0.0,
+            scale_base: now,
+        }
     }
 
-    /// Charges seconds of stream time, or gives them back if `cost` is negative.
+    /// Charges `cost` seconds of stream time; a negative cost is a refund.
     pub fn charge(
         &mut self,
         caller: &CallerName,
@@ -115,46 +121,47 @@
         self.callers.charge(caller, f64::from(share.max(1)), cost);
         self.teams.charge(team, 1.0, cost);
         if slow {
-            self.slow = (self.slow + cost).max(0.0);
+            self.slow_used = (self.slow_used + cost).max(0.0);
         }
     }
 
-    /// How often its fair share a caller has had; 1 is fair.
+    /// The usage of a caller relative to its fair share; 1 is fair.
     ///
-    /// A team that is over its share makes each of its callers so: a team must
-    /// not get more by splitting itself into many callers. Callers and teams that
-    /// had nothing lately don't count as rivals.
-    pub fn excess(&self, caller: &CallerName, team: &TeamName) -> f64 {
-        self.callers.excess(caller).max(self.teams.excess(team))
+    /// The ratio of the team counts if it is greater, so that a team can't get more by
+    /// splitting itself into many callers. Callers and teams without recent usage don't
+    /// compete for shares.
+    pub fn share_ratio(&self, caller: &CallerName, team: &TeamName) -> f64 {
+        self.callers.share_ratio(caller).max(self.teams.share_ratio(team))
     }
 
-    /// The part of the stream time that slow requests have had lately.
-    pub fn slow_part(&self) -> f64 {
-        let all = self.callers.sum.used;
-        if all <= 0.0 { 0.0 } else { self.slow / all }
+    /// The fraction of recent stream time that slow requests used.
+    pub fn slow_fraction(&self) -> f64 {
+        let all = self.callers.total.used;
+        if all <= 0.0 { 0.0 } else { self.slow_used / all }
     }
 
-    /// Forgets accounts that have faded.
-    pub fn tidy(&mut self, now: Instant) {
+    /// Removes accounts whose usage has decayed, and rescales if it is due.
+    pub fn prune(&mut self, now: Instant) {
         let scale = self.scale(now);
-        if now.saturating_duration_since(self.base) < REBASE {
-            self.callers.rebase(1.0, FORGET * scale);
-            self.teams.rebase(1.0, FORGET * scale);
+        if now.saturating_duration_since(self.scale_base) < RESCALE_INTERVAL {
+            self.callers.rescale(1.0, MIN_USAGE_S * scale);
+            self.teams.rescale(1.0, MIN_USAGE_S * scale);
             return;
         }
-        self.callers.rebase(scale, FORGET);
-        self.teams.rebase(scale, FORGET);
-        self.slow /= scale;
-        self.base = now;
+        self.callers.rescale(scale, MIN_USAGE_S);
+        self.teams.rescale(scale, MIN_USAGE_S);
+        self.slow_used /= scale;
+        self.scale_base = now;
     }
 
-    /// The number of callers that are accounted for.
-    pub fn callers(&self) -> usize {
+    /// The number of callers that are tracked.
+    pub fn caller_count(&self) -> usize {
         self.callers.accounts.len()
     }
 
+    /// The factor by which new charges are multiplied.
     fn scale(&self, now: Instant) -> f64 {
-        let age = now.saturating_duration_since(self.base).as_secs_f64();
-        (age / HALF.as_secs_f64()).exp2()
+        let age = now.saturating_duration_since(self.scale_base).as_secs_f64();
+        (age / HALF_LIFE.as_secs_f64()).exp2()
     }
 }
--- a/crates/admit/tests/properties.rs
+++ b/crates/admit/tests/properties.rs
@@ -1,11 +1,12 @@
-//! What holds for every sequence of events at a lead.
+//! Properties of the admission controller for arbitrary event sequences.
 
 use std::cmp::Ordering;
 use std::time::{Duration, Instant};
 
-use chestnut_admit::queue::Place;
+use chestnut_admit::queue::QueueKey;
 use chestnut_admit::{
-    AdmissionController, AdmissionPolicy, AttemptEnd, Effect, Job, Limits, Order, Ticket,
+    AdmissionController, AdmissionPolicy, AttemptEnd, Effect, Job, Limits, QueueOrder,
+    Ticket,
 };
 use chestnut_base::{CallerName, TeamName, Urgency};
 use indexmap::{IndexMap, IndexSet};
@@ -19,102 +20,106 @@
 };
 
 #[derive(Debug, Clone)]
-enum Step {
-    Offer { caller: u8, class: u8, within: u64, prompt: u32, output: u32 },
-    Tokens { which: usize, count: u32 },
-    Finish { which: usize, done: bool },
-    Pass { millis: u64 },
+enum Event {
+    Offer { caller: u8, class: u8, budget_ms: u64, prompt: u32, output: u32 },
+    Tokens { index: usize, count: u32 },
+    Finish { index: usize, completed: bool },
+    Advance { millis: u64 },
 }
 
-fn step() -> impl Strategy<Value = Step> {
+fn event() -> impl Strategy<Value = Event> {
     prop_oneof![
         4 => (0..3u8, 0..3u8, 10..8000u64, 1..200u32, 1..200u32).prop_map(
-            |(caller, class, within, prompt, output)| {
-                Step::Offer { caller, class, within, prompt, output }
+            |(caller, class, budget_ms, prompt, output)| {
+                Event::Offer { caller, class, budget_ms, prompt, output }
             }
         ),
         3 => (any::<usize>(), 1..20u32)
-            .prop_map(|(which, count)| Step::Tokens { which, count }),
+            .prop_map(|(index, count)| Event::Tokens { index, count }),
         2 => (any::<usize>(), any::<bool>())
-            .prop_map(|(which, done)| Step::Finish { which, done }),
-        3 => (1..500u64).prop_map(|millis| Step::Pass { millis }),
+            .prop_map(|(index, completed)| Event::Finish { index, completed }),
+        3 => (1..500u64).prop_map(|millis| Event::Advance { millis }),
     ]
 }
 
-/// A lead and what the shell around it would know.
-struct Shell {
-    lead: AdmissionController,
+/// A controller with a reference model of its state.
+struct Harness {
+    controller: AdmissionController,
     now: Instant,
-    /// Offered, neither dispatched nor refused nor taken back.
+    /// Offered and not yet dispatched, refused or finished.
     waiting: IndexSet<Ticket>,
-    /// Dispatched and not ended, with the tokens that they occupy.
+    /// Dispatched and not finished, with the KV cache tokens that they occupy.
     running: IndexMap<Ticket, u64>,
-    tokens: IndexMap<Ticket, u64>,
+    /// The KV cache tokens of all requests ever offered.
+    cache_tokens: IndexMap<Ticket, u64>,
     refused: IndexSet<Ticket>,
 }
 
-impl Shell {
-    fn new(rule: AdmissionPolicy) -> Self {
+impl Harness {
+    fn new(policy: AdmissionPolicy) -> Self {
         let now = Instant::now();
         Self {
-            lead: AdmissionController::new(LIMITS, rule, now),
+            controller: AdmissionController::new(LIMITS, policy, now),
             now,
             waiting: IndexSet::new(),
             running: IndexMap::new(),
-            tokens: IndexMap::new(),
+            cache_tokens: IndexMap::new(),
             refused: IndexSet::new(),
         }
     }
 
-    fn apply(&mut self, step: &Step) {
-        match *step {
-            Step::Offer { caller, class, within, prompt, output } => {
-                let job = job(caller, class, self.now, within, prompt, output);
-                let tokens = job.cache_tokens();
-                let ticket = self.lead.offer(job, self.now);
+    fn apply(&mut self, event: &Event) {
+        match *event {
+            Event::Offer { caller, class, budget_ms, prompt, output } => {
+                let job = job(caller, class, self.now, budget_ms, prompt, output);
+                let cache_tokens = job.cache_tokens();
+                let ticket = self.controller.offer(job, self.now);
                 self.waiting.insert(ticket);
-                self.tokens.insert(ticket, tokens);
+                self.cache_tokens.insert(ticket, cache_tokens);
             }
-            Step::Tokens { which, count } => {
-                if let Some(ticket) = pick(self.running.keys(), which) {
-                    self.lead.record_tokens(ticket, count, self.now);
+            Event::Tokens { index, count } => {
+                if let Some(ticket) = pick(self.running.keys(), index) {
+                    self.controller.record_tokens(ticket, count, self.now);
                 }
             }
-            Step::Finish { which, done } => {
+            Event::Finish { index, completed } => {
                 let all = self.running.keys().chain(&self.waiting);
-                if let Some(ticket) = pick(all, which) {
-                    let how =
-                        if done { AttemptEnd::Completed } else { AttemptEnd::Cancelled };
-                    self.end(ticket, how);
+                if let Some(ticket) = pick(all, index) {
+                    let end = if completed {
+                        AttemptEnd::Completed
+                    } else {
+                        AttemptEnd::Cancelled
+                    };
+                    self.finish(ticket, end);
                 }
             }
-            Step::Pass { millis } => {
+            Event::Advance { millis } => {
                 self.now += Duration::from_millis(millis);
-                self.lead.tick(self.now);
+                self.controller.tick(self.now);
             }
         }
-        self.take_effects();
+        self.apply_effects();
     }
 
-    fn end(&mut self, ticket: Ticket, how: AttemptEnd) {
+    fn finish(&mut self, ticket: Ticket, end: AttemptEnd) {
         self.waiting.swap_remove(&ticket);
         self.running.swap_remove(&ticket);
-        self.lead.finish(ticket, how, self.now);
-        // The end of a request may be told twice; the second changes nothing.
-        self.lead.finish(ticket, how, self.now);
+        self.controller.finish(ticket, end, self.now);
+        // The end of a request may be reported twice; the second report has no effect.
+        self.controller.finish(ticket, end, self.now);
     }
 
-    fn take_effects(&mut self) {
-        for effect in self.lead.take_effects() {
+    fn apply_effects(&mut self) {
+        for effect in self.controller.take_effects() {
             match effect {
                 Effect::Dispatch(ticket) => {
                     // Each ticket is dispatched once, and never after a refusal.
                     assert!(self.waiting.swap_remove(&ticket));
                     assert!(!self.refused.contains(&ticket));
-                    self.running.insert(ticket, self.tokens[&ticket]);
+                    self.running.insert(ticket, self.cache_tokens[&ticket]);
                 }
                 Effect::Refuse(ticket, rejection) => {
-                    // Refused means not dispatched, and told at once.
+                    // A refused request was not dispatched and is refused only once.
                     assert!(self.waiting.swap_remove(&ticket));
                     assert!(self.refused.insert(ticket));
                     assert!(rejection.retry_after.is_none_or(|retry| !retry.is_zero()));
@@ -125,82 +130,86 @@
     }
 
     fn check(&self) {
-        let (running, tokens) = self.lead.in_flight();
+        let (running, cache_tokens) = self.controller.in_flight();
         assert_eq!(running, self.running.len());
-        assert_eq!(tokens, self.running.values().sum::<u64>());
-        assert_eq!(self.lead.queued(), self.waiting.len());
+        assert_eq!(cache_tokens, self.running.values().sum::<u64>());
+        assert_eq!(self.controller.queued(), self.waiting.len());
         assert!(running <= LIMITS.max_streams as usize);
-        assert!(tokens <= LIMITS.max_cache_tokens || running == 1);
-        assert!(self.lead.queued() <= LIMITS.max_queued);
+        assert!(cache_tokens <= LIMITS.max_cache_tokens || running == 1);
+        assert!(self.controller.queued() <= LIMITS.max_queued);
     }
 }
 
 proptest! {
-    /// Never more in flight than the limits, refused means not dispatched, and
-    /// what the lead counts is what the shell has, for the chosen rule and others.
+    /// Requests in flight stay within the limits, a refused request is never dispatched,
+    /// and the controller's counts match the model, for the default policy and others.
     #[test]
     fn counts_are_exact_and_within_limits(
-        steps in prop::collection::vec(step(), 1..120),
-        rule in prop_oneof![
+        events in prop::collection::vec(event(), 1..120),
+        policy in prop_oneof![
             Just(AdmissionPolicy::default()),
             Just(AdmissionPolicy::FIFO),
-            Just(AdmissionPolicy { reserve: 0.5, order: Order::Class, ..AdmissionPolicy::default() }),
+            Just(AdmissionPolicy {
+                urgent_reserve: 0.5,
+                queue_order: QueueOrder::Priority,
+                ..AdmissionPolicy::default()
+            }),
         ],
     ) {
-        let mut shell = Shell::new(rule);
-        for step in &steps {
-            shell.apply(step);
-            shell.check();
+        let mut harness = Harness::new(policy);
+        for event in &events {
+            harness.apply(event);
+            harness.check();
         }
     }
 
-    /// No starvation: while streams end, everything that waits is dispatched or
-    /// refused by its deadline; afterwards all counts are back at zero.
+    /// No starvation: as long as streams end, every waiting request is dispatched or
+    /// refused by its deadline, and all counts return to zero.
     #[test]
-    fn nothing_waits_beyond_its_deadline(
-        steps in prop::collection::vec(step(), 1..120),
+    fn no_request_waits_beyond_its_deadline(
+        events in prop::collection::vec(event(), 1..120),
     ) {
-        let mut shell = Shell::new(AdmissionPolicy::default());
-        for step in &steps {
-            shell.apply(step);
+        let mut harness = Harness::new(AdmissionPolicy::default());
+        for event in &events {
+            harness.apply(event);
         }
-        // No request has more than 8 s; streams are let run to their end.
+        // No time budget exceeds 8 s; all streams run to completion.
         for _ in 0..90 {
-            let running: Vec<_> = shell.running.keys().copied().collect();
+            let running: Vec<_> = harness.running.keys().copied().collect();
             for ticket in running {
-                shell.end(ticket, AttemptEnd::Completed);
-                shell.take_effects();
+                harness.finish(ticket, AttemptEnd::Completed);
+                harness.apply_effects();
             }
-            shell.apply(&Step::Pass { millis: 100 });
-            shell.check();
+            harness.apply(&Event::Advance { millis: 100 });
+            harness.check();
         }
-        prop_assert_eq!(shell.lead.in_flight(), (0, 0));
-        prop_assert_eq!(shell.lead.queued(), 0);
+        prop_assert_eq!(harness.controller.in_flight(), (0, 0));
+        prop_assert_eq!(harness.controller.queued(), 0);
     }
 
-    /// The order of the queue is total at any one time.
+    /// The order of the queue is total at any given time.
     #[test]
     fn queue_order_is_total(
         parts in prop::collection::vec((0..3u8, 0..50u64, 0..50u64), 3),
         order in prop_oneof![
-            Just(Order::Arrival), Just(Order::Class), Just(Order::Deadline)
+            Just(QueueOrder::Fifo), Just(QueueOrder::Priority), Just(QueueOrder::Deadline)
         ],
-        later in 0..60u64,
+        elapsed_ms in 0..60u64,
     ) {
         let start = Instant::now();
         let at = |millis| start + Duration::from_millis(millis);
-        let places: Vec<Place> = parts
+        let keys: Vec<QueueKey> = parts
             .iter()
             .enumerate()
-            .map(|(number, &(class, since, within))| Place {
+            .map(|(number, &(class, enqueued_at, budget_ms))| QueueKey {
                 urgency: urgency(class),
-                since: at(since),
-                deadline: at(since + within),
-                number: number as u64,
+                enqueued_at: at(enqueued_at),
+                deadline: at(enqueued_at + budget_ms),
+                sequence: number as u64,
             })
             .collect();
         let compare = |a: usize, b: usize| {
-            places[a].compare(&places[b], order, at(later))
+            keys[a].compare(&keys[b], order, at(elapsed_ms))
         };
         for a in 0..3 {
             for b in 0..3 {
@@ -216,9 +225,9 @@
     }
 }
 
-fn pick<'a>(all: impl Iterator<Item = &'a Ticket>, which: usize) -> Option<Ticket> {
-    let all: Vec<_> = all.copied().collect();
-    (!all.is_empty()).then(|| all[which % all.len()])
+fn pick<'a>(tickets: impl Iterator<Item = &'a Ticket>, index: usize) -> Option<Ticket> {
+    let all: Vec<_> = tickets.copied().collect();
+    (!all.is_empty()).then(|| all[index % all.len()])
 }
 
 fn urgency(class: u8) -> Urgency {
@@ -229,18 +238,18 @@
     caller: u8,
     class: u8,
     now: Instant,
-    within: u64,
-    prompt: u32,
-    output: u32,
+    budget_ms: u64,
+    prompt_tokens: u32,
+    max_output_tokens: u32,
 ) -> Job {
     Job {
         caller: CallerName::try_from(format!("caller-{caller}")).unwrap(),
         team: TeamName::try_from("team").unwrap(),
         share: 1,
         urgency: urgency(class),
-        deadline: now + Duration::from_millis(within),
-        prompt_tokens: prompt,
-        max_output_tokens: output,
+        deadline: now + Duration::from_millis(budget_ms),
+        prompt_tokens,
+        max_output_tokens,
         resumable: class == 2,
         resumed: false,
     }
