--- a/crates/route/src/health.rs
+++ b/crates/route/src/health.rs
@@ -1,62 +1,63 @@
-//! Which backend servers fail, and how they come back.
+//! Ejection of failing backend servers (a circuit breaker per server).
 //!
-//! Load pattern: a backend server answers errors at once and so looks idle;
-//! every entry sends it everything. After [`FAILURES`] failures in a row it gets
-//! nothing for a time that doubles from [`FIRST`] to [`LAST`]; then a part of the
-//! requests that grows over [`RETURN`], so that a server that has lost its cache
-//! is not flooded. A slow server fails nothing: its lead measures its steps and
-//! the estimate sends it less.
+//! Load pattern: a backend server responds with errors at once, so it looks idle and every
+//! entry sends it everything. After [`FAILURE_THRESHOLD`] consecutive failures it gets no
+//! requests for a time that doubles from [`MIN_EJECTION`] to [`MAX_EJECTION`], then a
+//! share of the requests that grows over [`RAMP_UP`], so that a server that lost its cache
+//! is not flooded. A slow server does not fail: its measured step time makes the
+//! estimate-based policy send it less.
 
 use std::time::{Duration, Instant};
 
-/// Failures in a row after which a server is left out.
-pub const FAILURES: u32 = 2;
+/// Consecutive failures after which a server is ejected.
+pub const FAILURE_THRESHOLD: u32 = 2;
 
-/// How long a server is left out the first time.
-pub const FIRST: Duration = Duration::from_millis(500);
+/// The length of the first ejection.
+pub const MIN_EJECTION: Duration = Duration::from_millis(500);
 
-/// The longest time that a server is left out.
-pub const LAST: Duration = Duration::from_secs(20);
+/// The length at which ejections stop doubling.
+pub const MAX_EJECTION: Duration = Duration::from_secs(20);
 
-/// The time over which a server comes back.
-pub const RETURN: Duration = Duration::from_secs(5);
+/// The time after an ejection over which a server's share of requests grows to normal.
+pub const RAMP_UP: Duration = Duration::from_secs(5);
 
-/// Whether a backend server may be used.
+/// The health of one backend server.
 #[derive(Debug, Clone, Copy, Default)]
 pub struct Health {
-    /// Failures since the last success.
+    /// Consecutive failures.
     failures: u32,
-    /// How often it was left out since it last came back whole.
-    rounds: u32,
-    /// When it may be tried again; present while it is left out or coming back.
-    back: Option<Instant>,
+    /// Ejections since the server was last fully readmitted.
+    ejections: u32,
+    /// The end of the ejection; `None` once the server is fully readmitted.
+    ejected_until: Option<Instant>,
 }
 
 impl Health {
-    /// Notes a failure of the server itself.
-    pub fn failed(&mut self, now: Instant) {
+    /// Records a failure of the server itself.
+    pub fn record_failure(&mut self, now: Instant) {
         self.failures += 1;
-        if self.failures >= FAILURES {
-            let factor = 1 << self.rounds.min(10);
-            self.back = Some(now + (FIRST * factor).min(LAST));
-            self.rounds += 1;
-            self.failures = FAILURES - 1;
+        if self.failures >= FAILURE_THRESHOLD {
+            let factor = 1 << self.ejections.min(10);
+            self.ejected_until = Some(now + (MIN_EJECTION * factor).min(MAX_EJECTION));
+            self.ejections += 1;
+            // One more failure ejects the server again.
+            self.failures = FAILURE_THRESHOLD - 1;
         }
     }
 
-    /// Notes an answer.
-    pub fn answered(&mut self, now: Instant) {
+    /// Records a response.
+    pub fn record_response(&mut self, now: Instant) {
         self.failures = 0;
-        if self.trust(now) >= 1.0 {
-            self.back = None;
-            self.rounds = 0;
+        if self.traffic_share(now) >= 1.0 {
+            self.ejected_until = None;
+            self.ejections = 0;
         }
     }
 
-    /// The part of the requests that the server may get, from 0 to 1.
-    pub fn trust(&self, now: Instant) -> f64 {
-        let Some(back) = self.back else { return 1.0 };
-        let Some(since) = now.checked_duration_since(back) else { return 0.0 };
-        (since.as_secs_f64() / RETURN.as_secs_f64()).clamp(0.05, 1.0)
+    /// The fraction of its normal requests that the server may get, from 0 to 1.
+    pub fn traffic_share(&self, now: Instant) -> f64 {
+        let Some(until) = self.ejected_until else { return 1.0 };
+        let Some(elapsed) = now.checked_duration_since(until) else { return 0.0 };
+        (elapsed.as_secs_f64() / RAMP_UP.as_secs_f64()).clamp(0.05, 1.0)
     }
 }
--- a/crates/route/src/lib.rs
+++ b/crates/route/src/lib.rs
@@ -1,16 +1,16 @@
-//! The choice of a backend server for an attempt, and retries.
+//! Load balancing and retries: which backend server gets the next attempt of a request.
 //!
-//! An entry knows which backend servers may serve a request, what it sent to
-//! each itself, and what their leads told it of their load with the last answer.
-//! The crate holds no connection and reads no clock. For an attempt:
+//! An entry knows which backend servers can serve a request, what it sent to each of them
+//! itself, and the load that their leads reported with their last response. The crate does
+//! no I/O and reads no clock. Steps of an attempt:
 //!
-//! 1. [`Router::choose`] takes the candidates, without those tried before,
-//! 2. [`health`] leaves out those that fail and lets them back little by little,
-//! 3. [`prefix`] tells where the start of the prompt is probably cached,
-//! 4. [`RoutingPolicy`] picks one; [`Router::begin_attempt`] counts it in flight until
-//!    [`Router::end_attempt`],
-//! 5. [`Router::record`] takes the lead's answer,
-//! 6. [`retry`] says whether another attempt is within the budget, and when.
+//! 1. [`Router::choose`] gets the candidates, without those already tried,
+//! 2. [`health`] excludes failing servers and gradually readmits them,
+//! 3. [`prefix`] estimates where the start of the prompt is cached,
+//! 4. [`RoutingPolicy`] picks a server; [`Router::begin_attempt`] counts the attempt as in
+//!    flight until [`Router::end_attempt`],
+//! 5. [`Router::record`] takes the outcome and the reported load,
+//! 6. [`retry`] decides whether the budget allows another attempt, and when.
 
 pub mod health;
 pub mod load;
--- a/crates/route/src/load.rs
+++ b/crates/route/src/load.rs
@@ -1,108 +1,111 @@
-//! What an entry knows of a backend server's load.
+//! An entry's estimate of a backend server's load.
 //!
-//! Load pattern: six entries share the backend servers, and each hears of the
-//! others' requests only through the leads. Taken as it is, an old report sends
-//! all entries to the server that was idle a moment ago. So a report is corrected
-//! by what this entry sent since, counts only half beside what this entry has in
-//! flight there, and after [`FADE`] it is no longer believed at all. The waits that
-//! leads told were tried as well and made it worse: they differ more with the one
-//! long stream at hand than with what a server can still take.
+//! Load pattern: six entries share the backend servers, and each learns of the others'
+//! requests only through the leads. Taken at face value, an old report sends all entries
+//! to the server that was idle a moment ago. So a report is corrected by the attempts that
+//! this entry started since, is averaged with a projection from this entry's own attempts
+//! in flight, and expires after [`REPORT_MAX_AGE`]. The waits that leads report are not
+//! used, since they make the choice worse: they depend more on the single long stream at
+//! hand than on what a server can still take.
 
 use std::time::{Duration, Instant};
 
-/// The age at which a report is no longer believed.
-pub const FADE: Duration = Duration::from_secs(5);
+/// The age at which a report no longer counts as load.
+pub const REPORT_MAX_AGE: Duration = Duration::from_secs(5);
 
-/// The age at which a reported step time is no longer believed.
+/// The age at which a reported step time no longer counts.
 ///
-/// A slow server gets next to nothing, so that no report tells when it is well
-/// again. Over this time it is taken for faster little by little, until a request
-/// is worth trying there and brings a report.
-pub const RETURN: Duration = Duration::from_secs(20);
+/// A slow server gets next to no requests, so no report tells when it has recovered. Over
+/// this time its assumed step time returns to the declared one, until a request is sent
+/// there again and brings a report.
+pub const STEP_TIME_MAX_AGE: Duration = Duration::from_secs(20);
 
-/// How loaded a backend server is, as its lead last said.
+/// The load of a backend server as reported by its lead.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct LoadReport {
     /// Requests that run.
     pub running: u32,
     /// Requests that wait.
     pub queued: u32,
-    /// The estimated wait of a request that came then.
+    /// The estimated wait of a request that arrived at that time.
     pub estimated_wait: Duration,
-    /// The measured time of an engine step; zero if not known.
+    /// The measured time of an engine step; zero if unknown.
     pub step_time: Duration,
 }
 
-/// What an entry knows of a backend server's load.
+/// The estimated load of one backend server.
 #[derive(Debug, Clone, Copy, Default)]
-pub struct Known {
+pub struct ServerLoad {
+    /// The last report and when it arrived.
     report: Option<(LoadReport, Instant)>,
-    /// Own attempts in flight; exact.
-    own: u32,
-    /// Own attempts begun less those ended since the report.
-    since: i64,
+    /// This entry's attempts in flight; exact.
+    in_flight: u32,
+    /// The change of `in_flight` since the report.
+    change_since_report: i64,
 }
 
-impl Known {
-    /// Counts an attempt in flight.
-    pub fn begin(&mut self) {
-        self.own += 1;
-        self.since += 1;
+impl ServerLoad {
+    /// Counts an attempt of this entry as in flight.
+    pub fn begin_attempt(&mut self) {
+        self.in_flight += 1;
+        self.change_since_report += 1;
     }
 
-    /// Ends an attempt in flight.
-    pub fn end(&mut self) {
-        self.own = self.own.saturating_sub(1);
-        self.since -= 1;
+    /// Ends an attempt of this entry.
+    pub fn end_attempt(&mut self) {
+        self.in_flight = self.in_flight.saturating_sub(1);
+        self.change_since_report -= 1;
     }
 
-    /// Takes a report.
-    pub fn set(&mut self, report: LoadReport, now: Instant) {
+    /// Replaces the report by a new one.
+    pub fn update(&mut self, report: LoadReport, now: Instant) {
         self.report = Some((report, now));
-        self.since = 0;
+        self.change_since_report = 0;
     }
 
-    /// Own attempts in flight.
-    pub fn own(&self) -> u32 {
-        self.own
+    /// This entry's attempts in flight.
+    pub fn in_flight(&self) -> u32 {
+        self.in_flight
     }
 
-    /// The report if it is still believed, and how much, from 0 to 1.
-    pub fn fresh(&self, now: Instant) -> Option<(LoadReport, f64)> {
-        self.believed(now, FADE)
+    /// The report and its weight, above 0 and at most 1; `None` if it has expired.
+    pub fn weighted_report(&self, now: Instant) -> Option<(LoadReport, f64)> {
+        self.weighted(now, REPORT_MAX_AGE)
     }
 
-    /// The time of a step, between the reported and the declared one.
-    pub fn step(&self, now: Instant, declared: f64) -> f64 {
-        match self.believed(now, RETURN) {
-            Some((report, belief)) if !report.step_time.is_zero() => {
-                belief * report.step_time.as_secs_f64() + (1.0 - belief) * declared
+    /// The step time in seconds, between the reported and the declared one by the age of
+    /// the report.
+    pub fn step_time(&self, now: Instant, declared: f64) -> f64 {
+        match self.weighted(now, STEP_TIME_MAX_AGE) {
+            Some((report, weight)) if !report.step_time.is_zero() => {
+                weight * report.step_time.as_secs_f64() + (1.0 - weight) * declared
             }
             _ => declared,
         }
     }
 
-    fn believed(&self, now: Instant, fade: Duration) -> Option<(LoadReport, f64)> {
+    /// The report with a weight that decreases linearly to 0 at `max_age`.
+    fn weighted(&self, now: Instant, max_age: Duration) -> Option<(LoadReport, f64)> {
         let (report, at) = self.report?;
         let age = now.saturating_duration_since(at).as_secs_f64();
-        let belief = 1.0 - age / fade.as_secs_f64();
-        (belief > 0.0).then_some((report, belief))
+        let weight = 1.0 - age / max_age.as_secs_f64();
+        (weight > 0.0).then_some((report, weight))
     }
 
-    /// Requests at the server, as far as can be told.
+    /// The estimated number of requests at the server.
     ///
-    /// The mean of what its lead told and of what this entry has there, taken for
-    /// all entries: the former is exact and old, the latter is new and a sample.
+    /// The mean of the corrected report and of this entry's attempts in flight, projected
+    /// to all entries: the former is complete and old, the latter is current and a sample.
     /// Together they beat either alone (`docs/POLICY.md`).
-    pub fn requests(&self, now: Instant, entries: f64) -> f64 {
-        let own = f64::from(self.own);
-        match self.fresh(now) {
+    pub fn estimated_requests(&self, now: Instant, entry_count: f64) -> f64 {
+        let own = f64::from(self.in_flight);
+        match self.weighted_report(now) {
             Some((report, _)) => {
-                let told = f64::from(report.running + report.queued);
-                let told = (told + self.since as f64).max(own);
-                0.5 * (told + own * entries)
+                let reported = f64::from(report.running + report.queued);
+                let reported = (reported + self.change_since_report as f64).max(own);
+                0.5 * (reported + own * entry_count)
             }
-            None => own * entries,
+            None => own * entry_count,
         }
     }
 }
--- a/crates/route/src/prefix.rs
+++ b/crates/route/src/prefix.rs
@@ -1,65 +1,65 @@
-//! How much of a prompt engines have probably cached, and where.
+//! Prefix affinity: which server probably has the start of a prompt cached, and how much.
 //!
-//! Load pattern: many requests share the start of their prompt, and an engine that
-//! has it cached skips that part; caches hold the starts of a few dozen prompts.
-//! Without affinity every server is sent every start, and each pushes the others
-//! out. If each entry remembers where it sent what, six entries choose different
-//! servers and all caches fill up again. So a start belongs to a server by
-//! rendezvous hashing, which all entries agree on without a word, and the saving
-//! counts in the estimate as what it is, so that a hot start spills to other
-//! servers as soon as the wait costs more. A server that is lost leaves its starts
-//! to the next in rank. Figures of the ways tried are in `docs/POLICY.md`.
+//! Load pattern: many requests share the start of their prompt, and an engine that has it
+//! cached skips its prefill; a KV cache holds the starts of a few dozen prompts. Without
+//! affinity every server gets every start, and they evict each other. If each entry
+//! remembers where it sent what, six entries choose different servers and again fill all
+//! caches. So a start is assigned to a server by rendezvous hashing, on which all entries
+//! agree without communication. The saved prefill time enters the estimate as it is, so a
+//! popular start spills over to other servers as soon as the wait costs more. The starts
+//! of an unreachable server go to the next in rank. `docs/POLICY.md` compares the
+//! alternatives.
 //!
-//! The engines' own cache events are not used: they come late and with gaps, and
-//! a wrong guess costs one prefill.
+//! The engines' own cache events are not used: they arrive late and with gaps, and a wrong
+//! guess costs only one prefill.
 
 use indexmap::IndexSet;
 
-/// Blocks that are remembered; about 24 bytes each, so 200 KB.
-pub const BLOCKS: usize = 8192;
+/// The most blocks that are remembered; at about 24 bytes each, 200 KB.
+pub const MAX_BLOCKS: usize = 8192;
 
-/// Blocks that were part of a prompt before.
+/// Blocks of recent prompts, by their hashes.
 #[derive(Debug, Clone, Default)]
-pub struct Seen {
+pub struct RecentBlocks {
     blocks: IndexSet<u64>,
-    /// The place that is given up next when all are taken.
-    hand: usize,
+    /// The position of the last eviction; positions are evicted in turn.
+    last_evicted: usize,
 }
 
-impl Seen {
-    /// Notes the blocks of a prompt.
-    pub fn note(&mut self, prefix: &[u64]) {
-        for &block in prefix {
-            if self.blocks.len() >= BLOCKS && !self.blocks.contains(&block) {
-                self.hand = (self.hand + 1) % BLOCKS;
-                self.blocks.swap_remove_index(self.hand);
+impl RecentBlocks {
+    /// Adds the blocks of a prompt, evicting others if the set is full.
+    pub fn insert(&mut self, prefix_blocks: &[u64]) {
+        for &block in prefix_blocks {
+            if self.blocks.len() >= MAX_BLOCKS && !self.blocks.contains(&block) {
+                self.last_evicted = (self.last_evicted + 1) % MAX_BLOCKS;
+                self.blocks.swap_remove_index(self.last_evicted);
             }
             self.blocks.insert(block);
         }
     }
 
-    /// How many blocks of a prompt's start were part of a prompt before.
-    pub fn depth(&self, prefix: &[u64]) -> usize {
-        prefix.iter().take_while(|&block| self.blocks.contains(block)).count()
+    /// The number of blocks at the start of a prompt that are in the set.
+    pub fn matching_blocks(&self, prefix_blocks: &[u64]) -> usize {
+        prefix_blocks.iter().take_while(|&block| self.blocks.contains(block)).count()
     }
 
-    /// The number of blocks that are remembered.
+    /// The number of blocks in the set; at most [`MAX_BLOCKS`].
     pub fn len(&self) -> usize {
         self.blocks.len()
     }
 
-    /// Whether no block is remembered.
+    /// Whether no blocks have been added yet.
     pub fn is_empty(&self) -> bool {
         self.blocks.is_empty()
     }
 }
 
-/// The rank of a server for a prompt's start; the greatest wins.
+/// The rendezvous weight of a server for the start of a prompt; the greatest wins.
 ///
-/// `server` is a hash of the server's name, so that all entries agree.
-pub fn rank(block: u64, server: u64) -> u64 {
+/// `server_hash` is a hash of the server's name, so that all entries agree.
+pub fn rendezvous_weight(block: u64, server_hash: u64) -> u64 {
     // The finaliser of SplitMix64, which spreads any difference over all bits.
-    let mut x = block ^ server;
+    let mut x = block ^ server_hash;
     x = (x ^ (x >> 30)).wrapping_mul(0xBF58_476D_1CE4_E5B9);
     x = (x ^ (x >> 27)).wrapping_mul(0x94D0_49BB_1331_11EB);
     x ^ (x >> 31)
--- a/crates/route/src/router.rs
+++ b/crates/route/src/router.rs
@@ -1,4 +1,4 @@
-//! The state from which an entry chooses.
+//! The state of an entry's load balancer.
 
 use std::time::{Duration, Instant};
 
@@ -10,58 +10,58 @@
 use slotmap::{SlotMap, new_key_type};
 
 use crate::health::Health;
-use crate::load::{Known, LoadReport};
-use crate::policy::{Prospect, RoutingPolicy};
-use crate::prefix::{Seen, rank};
+use crate::load::{LoadReport, ServerLoad};
+use crate::policy::{CandidateScore, RoutingPolicy};
+use crate::prefix::{RecentBlocks, rendezvous_weight};
 
 new_key_type! {
-    /// A backend server, as the router knows it.
+    /// Identifies a backend server within one router.
     pub struct ServerKey;
 }
 
-/// The candidates that are looked at in one choice at most.
+/// The most candidates that are drawn and scored in one choice.
 ///
-/// Of more, this many are drawn, beside the one that the prefix belongs to: the best of
-/// 48 drawn is within the best 5 in 100 nine times out of ten, and a choice among
-/// 1,200 costs no more than one among 48.
-pub const LOOK: usize = 48;
+/// If there are more, this many are drawn, and the server with prefix affinity is added:
+/// the best of 48 drawn is within the best 5 in 100 nine times out of ten, and a choice
+/// among 1,200 costs no more than one among 48.
+pub const MAX_SAMPLED: usize = 48;
 
-/// The time of a token of a prompt that is not cached, until it is measured.
-const PREFILL: Duration = Duration::from_micros(60);
+/// The assumed prefill time of one prompt token that is not cached.
+const PREFILL_TIME_PER_TOKEN: Duration = Duration::from_micros(60);
 
-/// Tokens of a block of prompt text.
+/// Tokens of a block of prompt text, at about 4 bytes each.
 const BLOCK_TOKENS: usize = chestnut_base::work::PREFIX_BLOCK / 4;
 
-/// A backend server that may serve a request.
+/// A backend server that can serve a request.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Candidate {
     /// The backend server.
     pub server: ServerKey,
-    /// What the way to it costs more than to the nearest.
+    /// The network latency beyond that to the nearest server.
     pub extra_latency: Duration,
-    /// Streams that it runs at the same time.
+    /// Streams that it runs concurrently.
     pub streams: u32,
-    /// The expected time of a step, until its lead tells.
+    /// The declared time of an engine step, used until its lead reports one.
     pub step_time: Duration,
 }
 
-/// What the choice depends on.
+/// The properties of a request that the choice depends on.
 #[derive(Debug, Clone, Copy)]
 pub struct RouteRequest<'a> {
     /// The length of the prompt, in tokens.
     pub prompt_tokens: u32,
-    /// The length of the answer, in tokens.
+    /// The maximum length of the response, in tokens.
     pub output_tokens: u32,
     /// Chained hashes of the prompt's blocks.
     pub prefix_blocks: &'a [u64],
 }
 
-/// What an entry learns from an attempt.
+/// What an attempt reveals about its backend server.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub enum Feedback {
-    /// The lead told its load.
+    /// The lead reported its load.
     Load(LoadReport),
-    /// The attempt was answered.
+    /// The server responded.
     Responded,
     /// The server itself failed.
     Failed,
@@ -69,139 +69,147 @@
 
 #[derive(Debug, Clone, Default)]
 struct Server {
-    /// A hash of the name.
-    hash: u64,
-    known: Known,
+    name_hash: u64,
+    load: ServerLoad,
     health: Health,
 }
 
-/// Where the start of a prompt belongs.
+/// The prefix affinity of a request.
 #[derive(Debug, Clone, Copy, Default)]
 struct Affinity {
+    /// The server to which the start of the prompt is assigned.
     home: Option<ServerKey>,
-    /// Blocks that are cached there if it had such a prompt lately.
-    blocks: usize,
+    /// Blocks that are probably cached there.
+    cached_blocks: usize,
 }
 
-/// The state from which an entry chooses.
+/// Chooses backend servers from one entry's view of their load and health.
 #[derive(Debug)]
 pub struct Router {
     policy: RoutingPolicy,
-    names: IndexMap<ServerName, ServerKey>,
+    keys: IndexMap<ServerName, ServerKey>,
     servers: SlotMap<ServerKey, Server>,
-    seen: Seen,
+    recent_blocks: RecentBlocks,
+    /// The number of choices so far.
     turn: usize,
-    /// Entries that send to the same servers, with this one; at least 1.
-    entries: f64,
+    /// Entries that send to the same servers, including this one; at least 1.
+    entry_count: f64,
     rng: SmallRng,
 }
 
 impl Router {
-    /// Starts knowing nothing; entries must have different seeds.
+    /// Creates a router without any servers. Entries must use different seeds, since equal
+    /// ones would make equal choices.
     pub fn new(policy: RoutingPolicy, seed: u64) -> Self {
         Self {
             policy,
-            names: IndexMap::new(),
+            keys: IndexMap::new(),
             servers: SlotMap::with_key(),
-            seen: Seen::default(),
+            recent_blocks: RecentBlocks::default(),
             turn: 0,
-            entries: 1.0,
+            entry_count: 1.0,
             rng: SmallRng::seed_from_u64(seed),
         }
     }
 
-    /// Says how many entries send to the same servers, with this one.
+    /// Sets how many entries send to the same servers, including this one.
     pub fn set_entry_count(&mut self, count: usize) {
-        self.entries = count.max(1) as f64;
+        self.entry_count = count.max(1) as f64;
     }
 
-    /// The key of a backend server, new if it is not known.
+    /// Returns the key of a backend server, and registers the server if it is new.
     pub fn server_key(&mut self, name: &ServerName) -> ServerKey {
-        if let Some(&key) = self.names.get(name) {
+        if let Some(&key) = self.keys.get(name) {
             return key;
         }
-        let hash = rendezvous("prefix", name.as_str());
-        let key = self.servers.insert(Server { hash, ..Server::default() });
-        self.names.insert(name.clone(), key);
+        let name_hash = rendezvous("prefix", name.as_str());
+        let key = self.servers.insert(Server { name_hash, ..Server::default() });
+        self.keys.insert(name.clone(), key);
         key
     }
 
-    /// Forgets backend servers that are gone and have nothing in flight.
+    /// Removes the servers that `keep` rejects, unless they have attempts in flight.
     pub fn retain(&mut self, keep: impl Fn(&ServerName) -> bool) {
-        let Self { names, servers, .. } = self;
-        names.retain(|name, &mut key| {
-            let stays = keep(name) || servers[key].known.own() > 0;
-            if !stays {
+        let Self { keys, servers, .. } = self;
+        keys.retain(|name, &mut key| {
+            let retained = keep(name) || servers[key].load.in_flight() > 0;
+            if !retained {
                 servers.remove(key);
             }
-            stays
+            retained
         });
     }
 
-    /// Chooses a backend server, or none if no candidate may be used.
+    /// Chooses a backend server, or `None` if no candidate may be used.
     pub fn choose(
         &mut self,
         candidates: &[Candidate],
-        ask: RouteRequest,
+        request: RouteRequest,
         now: Instant,
     ) -> Option<ServerKey> {
         self.turn += 1;
         let affinity = match self.policy {
-            RoutingPolicy::Estimate => self.affinity(candidates, ask),
+            RoutingPolicy::Estimate => self.affinity(candidates, request),
             _ => Affinity::default(),
         };
-        let looked = self.look(candidates, affinity, now);
-        let options: Vec<_> = looked
+        let sampled = self.sample(candidates, affinity, now);
+        let scores: Vec<_> = sampled
             .iter()
-            .map(|candidate| self.prospect(candidate, ask, affinity, now))
+            .map(|candidate| self.score(candidate, request, affinity, now))
             .collect();
-        let run = looked.first().map_or(0.0, |c| self.decode(c, ask, now));
-        let index = self.policy.choose(&options, self.turn, run, &mut self.rng)?;
-        Some(looked[index].server)
+        let run_time_s = sampled.first().map_or(0.0, |c| self.decode_s(c, request, now));
+        let index = self.policy.choose(&scores, self.turn, run_time_s, &mut self.rng)?;
+        Some(sampled[index].server)
     }
 
-    /// Counts an attempt in flight; [`Router::end_attempt`] must follow.
-    pub fn begin_attempt(&mut self, server: ServerKey, prefix: &[u64]) {
+    /// Counts an attempt as in flight; [`Router::end_attempt`] must follow.
+    pub fn begin_attempt(&mut self, server: ServerKey, prefix_blocks: &[u64]) {
         if let Some(server) = self.servers.get_mut(server) {
-            server.known.begin();
+            server.load.begin_attempt();
         }
         if self.policy == RoutingPolicy::Estimate {
-            self.seen.note(prefix);
+            self.recent_blocks.insert(prefix_blocks);
         }
     }
 
     /// Ends an attempt in flight.
     pub fn end_attempt(&mut self, server: ServerKey) {
         if let Some(server) = self.servers.get_mut(server) {
-            server.known.end();
+            server.load.end_attempt();
         }
     }
 
-    /// Takes what an attempt taught.
-    pub fn record(&mut self, key: ServerKey, note: Feedback, now: Instant) {
+    /// Records feedback from an attempt; ignored if the server has been removed.
+    pub fn record(&mut self, key: ServerKey, feedback: Feedback, now: Instant) {
         let Some(server) = self.servers.get_mut(key) else { return };
-        match note {
-            Feedback::Load(report) => server.known.set(report, now),
-            Feedback::Responded => server.health.answered(now),
-            Feedback::Failed => server.health.failed(now),
+        match feedback {
+            Feedback::Load(report) => server.load.update(report, now),
+            Feedback::Responded => server.health.record_response(now),
+            Feedback::Failed => server.health.record_failure(now),
         }
     }
 
-    /// Own attempts in flight at a backend server.
+    /// This entry's attempts in flight at a backend server.
     pub fn in_flight(&self, server: ServerKey) -> u32 {
-        self.servers.get(server).map_or(0, |server| server.known.own())
+        self.servers.get(server).map_or(0, |server| server.load.in_flight())
     }
 
-    /// Where the start of a prompt belongs, and how much of it is known.
-    fn affinity(&self, candidates: &[Candidate], ask: RouteRequest) -> Affinity {
-        let Some(&first) = ask.prefix_blocks.first() else { return Affinity::default() };
-        let rank = |c: &&Candidate| rank(first, self.servers[c.server].hash);
-        let home = candidates.iter().max_by_key(rank).map(|c| c.server);
-        Affinity { home, blocks: self.seen.depth(ask.prefix_blocks) }
+    /// The candidate to which the start of the prompt is assigned by rendezvous hashing.
+    fn affinity(&self, candidates: &[Candidate], request: RouteRequest) -> Affinity {
+        let Some(&first) = request.prefix_blocks.first() else {
+            return Affinity::default();
+        };
+        let weight =
+            |c: &&Candidate| rendezvous_weight(first, self.servers[c.server].name_hash);
+        let home = candidates.iter().max_by_key(weight).map(|c| c.server);
+        Affinity {
+            home,
+            cached_blocks: self.recent_blocks.matching_blocks(request.prefix_blocks),
+        }
     }
 
-    /// The candidates to look at: usable ones, drawn if there are many.
-    fn look(
+    /// The candidates to score: those not ejected, and a random sample if there are many.
+    fn sample(
         &mut self,
         candidates: &[Candidate],
         affinity: Affinity,
@@ -210,60 +218,70 @@
         let Self { servers, rng, policy, .. } = self;
         let usable = |candidate: &Candidate| {
             let server = servers.get(candidate.server);
-            server.is_some_and(|server| server.health.trust(now) > 0.0)
+            server.is_some_and(|server| server.health.traffic_share(now) > 0.0)
         };
-        if candidates.len() <= LOOK || *policy != RoutingPolicy::Estimate {
+        if candidates.len() <= MAX_SAMPLED || *policy != RoutingPolicy::Estimate {
             let mut all: Vec<_> = candidates.iter().copied().filter(usable).collect();
             if all.is_empty() {
-                // All have failed: one of them is still better than no answer.
+                // If all have failed, trying one is still better than no response.
                 all = candidates.to_vec();
             }
             return all;
         }
-        let mut drawn: Vec<Candidate> = Vec::with_capacity(LOOK + 1);
+        let mut sampled: Vec<Candidate> = Vec::with_capacity(MAX_SAMPLED + 1);
         let home = candidates.iter().find(|c| Some(c.server) == affinity.home);
-        drawn.extend(home.filter(|c| usable(c)));
-        for _ in 0..LOOK {
+        sampled.extend(home.filter(|c| usable(c)));
+        for _ in 0..MAX_SAMPLED {
             let candidate = candidates[rng.random_range(0..candidates.len())];
             if usable(&candidate) {
-                drawn.push(candidate);
+                sampled.push(candidate);
             }
         }
-        drawn
+        sampled
     }
 
-    fn prospect(
+    fn score(
         &self,
         candidate: &Candidate,
-        ask: RouteRequest,
+        request: RouteRequest,
         affinity: Affinity,
         now: Instant,
-    ) -> Prospect {
-        let home = affinity.home == Some(candidate.server);
-        let blocks = if home { affinity.blocks } else { 0 };
+    ) -> CandidateScore {
+        let is_home = affinity.home == Some(candidate.server);
+        let cached_blocks = if is_home { affinity.cached_blocks } else { 0 };
         let server = &self.servers[candidate.server];
-        let prefill = self.prefill(ask, blocks);
-        let decode = self.decode(candidate, ask, now);
+        let prefill_s = self.prefill_s(request, cached_blocks);
+        let decode_s = self.decode_s(candidate, request, now);
         let streams = f64::from(candidate.streams.max(1));
-        let requests = server.known.requests(now, self.entries);
-        // While an engine computes a prompt all its streams stand still, so that
-        // the prefill costs as often its time as there are streams.
-        let time = candidate.extra_latency.as_secs_f64()
-            + prefill * (1.0 + requests.min(streams))
-            + decode * (1.0 + requests / streams);
-        Prospect { own: server.known.own(), time, trust: server.health.trust(now) }
+        let requests = server.load.estimated_requests(now, self.entry_count);
+        // While an engine prefills a prompt all its streams stall, so the prefill costs
+        // its time once for each of them.
+        let estimated_s = candidate.extra_latency.as_secs_f64()
+            + prefill_s * (1.0 + requests.min(streams))
+            + decode_s * (1.0 + requests / streams);
+        CandidateScore {
+            in_flight: server.load.in_flight(),
+            estimated_s,
+            traffic_share: server.health.traffic_share(now),
+        }
     }
 
-    /// Seconds of the part of the prompt that is not cached.
-    fn prefill(&self, ask: RouteRequest, blocks: usize) -> f64 {
-        let cached = (blocks * BLOCK_TOKENS) as f64;
-        (f64::from(ask.prompt_tokens) - cached).max(0.0) * PREFILL.as_secs_f64()
+    /// Seconds to prefill the part of the prompt that is not cached.
+    fn prefill_s(&self, request: RouteRequest, cached_blocks: usize) -> f64 {
+        let cached_tokens = (cached_blocks * BLOCK_TOKENS) as f64;
+        (f64::from(request.prompt_tokens) - cached_tokens).max(0.0)
+            * PREFILL_TIME_PER_TOKEN.as_secs_f64()
     }
 
-    /// Seconds of the answer on a server that is otherwise idle.
-    fn decode(&self, candidate: &Candidate, ask: RouteRequest, now: Instant) -> f64 {
+    /// Seconds to generate the response on a server that is otherwise idle.
+    fn decode_s(
+        &self,
+        candidate: &Candidate,
+        request: RouteRequest,
+        now: Instant,
+    ) -> f64 {
         let declared = candidate.step_time.as_secs_f64();
-        let step = self.servers[candidate.server].known.step(now, declared);
-        f64::from(ask.output_tokens) * step
+        let step_time = self.servers[candidate.server].load.step_time(now, declared);
+        f64::from(request.output_tokens) * step_time
     }
 }
--- a/crates/route/tests/scenarios.rs
+++ b/crates/route/tests/scenarios.rs
@@ -1,15 +1,16 @@
-//! Runs the text cases in `cases/` against routers, leads and a small engine.
+//! Load scenarios from `cases/`, with real routers and admission controllers and simple
+//! simulated engines.
 //!
-//! A case's input has one statement a line:
+//! The input of a case has one statement per line:
 //!
 //! - `servers 3 streams 4 step 10ms`: the backend servers,
-//! - `slow 0 from 1s to 3s times 5`: a time in which one of them is slow,
+//! - `slow 0 from 1s to 3s times 5`: a period in which one of them is slower,
 //! - `send from 0s to 2s every 20ms caller desk class urgent within 800ms tokens 10`:
-//!   requests; `tokens` is the length of the answer,
-//! - `need desk 95%`: the part that a caller must have answered in time.
+//!   requests; `within` is the time budget, `tokens` the length of the response,
+//! - `need desk 95%`: the percentage of a caller's requests that must be in time.
 //!
-//! The output tells, for the daemon's policy and for the naive one (round robin,
-//! first come, first served), what each caller received.
+//! The output shows what each caller got, under the daemon's policies (`chosen`) and under
+//! the baseline (`naive`: round robin; first come, first served).
 
 use std::fmt::Write;
 use std::time::{Duration, Instant};
@@ -23,14 +24,14 @@
 };
 use indexmap::IndexMap;
 
-/// The unit in which virtual time passes.
+/// The step of virtual time.
 const TICK: Duration = Duration::from_millis(1);
 
-/// The pause of a caller that was not told when to come back.
-const UNTOLD: Duration = Duration::from_millis(50);
+/// The retry delay of a caller whose refusal names none.
+const DEFAULT_RETRY_DELAY: Duration = Duration::from_millis(50);
 
-/// The end of every case.
-const END: Duration = Duration::from_secs(30);
+/// The length of every case.
+const CASE_LENGTH: Duration = Duration::from_secs(30);
 
 #[test]
 fn cases() {
@@ -38,14 +39,20 @@
         file.run(|case| {
             assert_eq!(case.directive, "load", "the only directive is `load`");
             let script = Script::parse(&case.input);
-            let chosen =
-                Play::new(&script, RoutingPolicy::Estimate, AdmissionPolicy::default())
-                    .run();
-            let naive =
-                Play::new(&script, RoutingPolicy::RoundRobin, AdmissionPolicy::FIFO)
-                    .run();
-            let mut text = report("chosen", &script, &chosen);
-            text.push_str(&report("naive", &script, &naive));
+            let chosen = Simulation::new(
+                &script,
+                RoutingPolicy::Estimate,
+                AdmissionPolicy::default(),
+            )
+            .run();
+            let naive = Simulation::new(
+                &script,
+                RoutingPolicy::RoundRobin,
+                AdmissionPolicy::FIFO,
+            )
+            .run();
+            let mut text = summarize("chosen", &script, &chosen);
+            text.push_str(&summarize("naive", &script, &naive));
             text
         });
     });
@@ -55,20 +62,20 @@
 struct Script {
     servers: usize,
     streams: u32,
-    step: Duration,
-    /// Server, from, to, how many times as slow.
-    slow: Vec<(usize, Duration, Duration, u32)>,
+    step_time: Duration,
+    /// Slow periods: server, start, end, factor on the step time.
+    slow_periods: Vec<(usize, Duration, Duration, u32)>,
     requests: Vec<Request>,
-    /// Callers and the percentage that must be in time.
-    needs: Vec<(String, usize)>,
+    /// Callers and the percentage of their requests that must be in time.
+    required: Vec<(String, usize)>,
 }
 
 #[derive(Debug, Clone)]
 struct Request {
-    at: Duration,
+    send_at: Duration,
     caller: String,
     urgency: Urgency,
-    within: Duration,
+    budget: Duration,
     tokens: u32,
 }
 
@@ -81,12 +88,17 @@
                 ["servers", servers, "streams", streams, "step", step] => {
                     script.servers = servers.parse().unwrap();
                     script.streams = streams.parse().unwrap();
-                    script.step = time(step);
+                    script.step_time = duration(step);
                 }
                 ["slow", server, "from", from, "to", to, "times", times] => {
                     let server = server.parse().unwrap();
                     let times = times.parse().unwrap();
-                    script.slow.push((server, time(from), time(to), times));
+                    script.slow_periods.push((
+                        server,
+                        duration(from),
+                        duration(to),
+                        times,
+                    ));
                 }
                 [
                     "send",
@@ -105,151 +117,163 @@
                     "tokens",
                     tokens,
                 ] => {
-                    let mut at = time(from);
-                    while at < time(to) {
+                    let mut send_at = duration(from);
+                    while send_at < duration(to) {
                         script.requests.push(Request {
-                            at,
+                            send_at,
                             caller: caller.to_owned(),
                             urgency: urgency(class),
-                            within: time(within),
+                            budget: duration(within),
                             tokens: tokens.parse().unwrap(),
                         });
-                        at += time(every);
+                        send_at += duration(every);
                     }
                 }
-                ["need", caller, part] => {
-                    let part = part.trim_end_matches('%').parse().unwrap();
-                    script.needs.push((caller.to_owned(), part));
+                ["need", caller, percentage] => {
+                    let percentage = percentage.trim_end_matches('%').parse().unwrap();
+                    script.required.push((caller.to_owned(), percentage));
                 }
                 _ => panic!("unknown statement: {line}"),
             }
         }
-        script.requests.sort_by_key(|request| request.at);
+        script.requests.sort_by_key(|request| request.send_at);
         script
     }
 }
 
-/// What became of a request.
+/// The result of a request.
 #[derive(Debug, Clone, Copy, Default)]
-struct Fate {
+struct RequestResult {
     in_time: bool,
-    refused: u32,
-    preempted: u32,
-    /// The longest time from a sending to the refusal.
-    told: Duration,
+    refusals: u32,
+    preemptions: u32,
+    /// The longest time from sending to refusal.
+    max_refusal_time: Duration,
 }
 
 struct Server {
-    lead: AdmissionController,
+    controller: AdmissionController,
     key: ServerKey,
+    /// The request of each ticket, as an index into the script.
     tickets: IndexMap<Ticket, usize>,
-    /// Running requests.
-    streams: Vec<usize>,
-    next: Duration,
+    /// Requests that run.
+    running: Vec<usize>,
+    next_step_at: Duration,
 }
 
-struct Play<'a> {
+struct Simulation<'a> {
     script: &'a Script,
-    policy: RoutingPolicy,
+    routing_policy: RoutingPolicy,
     router: Router,
     servers: Vec<Server>,
-    fates: Vec<Fate>,
-    /// Tokens that each caller has.
-    got: Vec<u32>,
-    /// When each request is sent next; nothing while it is served or over.
-    due: Vec<Option<Duration>>,
-    sent: Vec<Duration>,
-    tried: Vec<Vec<usize>>,
+    results: Vec<RequestResult>,
+    /// Tokens received so far, by request.
+    received_tokens: Vec<u32>,
+    /// When each request is sent next; `None` while it is in progress or once it has ended.
+    next_send_at: Vec<Option<Duration>>,
+    /// When each request was last sent.
+    sent_at: Vec<Duration>,
+    /// Servers tried for each request since it was last sent or preempted.
+    tried_servers: Vec<Vec<usize>>,
     now: Duration,
     start: Instant,
 }
 
-impl<'a> Play<'a> {
-    fn new(script: &'a Script, policy: RoutingPolicy, rule: AdmissionPolicy) -> Self {
+impl<'a> Simulation<'a> {
+    fn new(
+        script: &'a Script,
+        routing_policy: RoutingPolicy,
+        admission_policy: AdmissionPolicy,
+    ) -> Self {
         let start = Instant::now();
-        let mut router = Router::new(policy, 7);
+        let mut router = Router::new(routing_policy, 7);
         let limits = Limits {
             max_streams: script.streams,
             max_cache_tokens: 1 << 20,
             max_queued: 64,
-            step_time: script.step,
+            step_time: script.step_time,
         };
         let servers = (0..script.servers)
             .map(|index| {
                 let name = ServerName::try_from(format!("server-{index}")).unwrap();
                 Server {
-                    lead: AdmissionController::new(limits, rule, start),
+                    controller: AdmissionController::new(limits, admission_policy, start),
                     key: router.server_key(&name),
                     tickets: IndexMap::new(),
-                    streams: Vec::new(),
-                    next: Duration::ZERO,
+                    running: Vec::new(),
+                    next_step_at: Duration::ZERO,
                 }
             })
             .collect();
         let count = script.requests.len();
         Self {
             script,
-            policy,
+            routing_policy,
             router,
             servers,
-            fates: vec![Fate::default(); count],
-            got: vec![0; count],
-            due: script.requests.iter().map(|request| Some(request.at)).collect(),
-            sent: vec![Duration::ZERO; count],
-            tried: vec![Vec::new(); count],
+            results: vec![RequestResult::default(); count],
+            received_tokens: vec![0; count],
+            next_send_at: script
+                .requests
+                .iter()
+                .map(|request| Some(request.send_at))
+                .collect(),
+            sent_at: vec![Duration::ZERO; count],
+            tried_servers: vec![Vec::new(); count],
             now: Duration::ZERO,
             start,
         }
     }
 
-    fn run(mut self) -> Vec<Fate> {
-        while self.now < END {
-            for index in 0..self.due.len() {
-                if self.due[index].is_some_and(|due| due <= self.now) {
-                    self.due[index] = None;
-                    self.sent[index] = self.now;
-                    self.tried[index].clear();
-                    self.send(index);
+    fn run(mut self) -> Vec<RequestResult> {
+        while self.now < CASE_LENGTH {
+            for index in 0..self.next_send_at.len() {
+                if self.next_send_at[index].is_some_and(|at| at <= self.now) {
+                    self.next_send_at[index] = None;
+                    self.sent_at[index] = self.now;
+                    self.tried_servers[index].clear();
+                    self.offer(index);
                 }
             }
             for server in 0..self.servers.len() {
-                self.step(server);
+                self.step_engine(server);
                 if self.now.as_millis().is_multiple_of(100) {
                     let now = self.instant();
-                    self.servers[server].lead.tick(now);
-                    self.carry_out(server);
+                    self.servers[server].controller.tick(now);
+                    self.apply_effects(server);
                 }
             }
             self.now += TICK;
         }
-        self.fates
+        self.results
     }
 
-    fn send(&mut self, index: usize) {
+    fn offer(&mut self, index: usize) {
         let request = &self.script.requests[index];
-        let deadline = request.at + request.within;
+        let deadline = request.send_at + request.budget;
         if self.now >= deadline {
             return;
         }
         let candidates: Vec<Candidate> = (0..self.servers.len())
-            .filter(|server| !self.tried[index].contains(server))
+            .filter(|server| !self.tried_servers[index].contains(server))
             .map(|server| Candidate {
                 server: self.servers[server].key,
                 extra_latency: Duration::ZERO,
                 streams: self.script.streams,
-                step_time: self.script.step,
+                step_time: self.script.step_time,
             })
             .collect();
-        let ask = RouteRequest {
+        let route_request = RouteRequest {
             prompt_tokens: 10,
             output_tokens: request.tokens,
             prefix_blocks: &[],
         };
-        let Some(key) = self.router.choose(&candidates, ask, self.instant()) else {
+        let Some(key) = self.router.choose(&candidates, route_request, self.instant())
+        else {
             return;
         };
         let server = self.servers.iter().position(|server| server.key == key).unwrap();
-        self.tried[index].push(server);
+        self.tried_servers[index].push(server);
         self.router.begin_attempt(key, &[]);
         let job = Job {
             caller: CallerName::try_from(request.caller.as_str()).unwrap(),
@@ -258,91 +282,97 @@
             urgency: request.urgency,
             deadline: self.start + deadline,
             prompt_tokens: 10,
-            max_output_tokens: request.tokens - self.got[index],
+            max_output_tokens: request.tokens - self.received_tokens[index],
             resumable: true,
-            resumed: self.got[index] > 0,
+            resumed: self.received_tokens[index] > 0,
         };
         let now = self.instant();
-        let ticket = self.servers[server].lead.offer(job, now);
+        let ticket = self.servers[server].controller.offer(job, now);
         self.servers[server].tickets.insert(ticket, index);
-        self.carry_out(server);
+        self.apply_effects(server);
     }
 
-    fn carry_out(&mut self, server: usize) {
-        for effect in self.servers[server].lead.take_effects() {
+    fn apply_effects(&mut self, server: usize) {
+        for effect in self.servers[server].controller.take_effects() {
             match effect {
                 Effect::Dispatch(ticket) => {
                     let index = self.servers[server].tickets[&ticket];
-                    self.servers[server].streams.push(index);
+                    self.servers[server].running.push(index);
                 }
                 Effect::Refuse(ticket, rejection) => {
-                    let index = self.end(server, ticket);
-                    self.report(server);
-                    let fate = &mut self.fates[index];
-                    fate.refused += 1;
-                    fate.told = fate.told.max(self.now - self.sent[index]);
-                    self.due[index] =
-                        Some(self.now + rejection.retry_after.unwrap_or(UNTOLD));
+                    let index = self.end_attempt(server, ticket);
+                    self.report_load(server);
+                    let result = &mut self.results[index];
+                    result.refusals += 1;
+                    result.max_refusal_time =
+                        result.max_refusal_time.max(self.now - self.sent_at[index]);
+                    self.next_send_at[index] = Some(
+                        self.now + rejection.retry_after.unwrap_or(DEFAULT_RETRY_DELAY),
+                    );
                 }
                 Effect::Preempt(ticket) => {
-                    let index = self.end(server, ticket);
+                    let index = self.end_attempt(server, ticket);
                     let now = self.instant();
-                    self.servers[server].lead.finish(ticket, AttemptEnd::Cancelled, now);
-                    self.fates[index].preempted += 1;
-                    self.tried[index].clear();
-                    self.send(index);
-                    self.carry_out(server);
+                    self.servers[server].controller.finish(
+                        ticket,
+                        AttemptEnd::Cancelled,
+                        now,
+                    );
+                    self.results[index].preemptions += 1;
+                    self.tried_servers[index].clear();
+                    self.offer(index);
+                    self.apply_effects(server);
                 }
             }
         }
     }
 
-    fn end(&mut self, server: usize, ticket: Ticket) -> usize {
+    fn end_attempt(&mut self, server: usize, ticket: Ticket) -> usize {
         let server = &mut self.servers[server];
         let index = server.tickets.swap_remove(&ticket).unwrap();
-        server.streams.retain(|&other| other != index);
+        server.running.retain(|&other| other != index);
         self.router.end_attempt(server.key);
         index
     }
 
-    /// One step of an engine: each stream gets a token.
-    fn step(&mut self, server: usize) {
-        if self.now < self.servers[server].next {
+    /// Runs one engine step if it is due: each stream gets a token.
+    fn step_engine(&mut self, server: usize) {
+        if self.now < self.servers[server].next_step_at {
             return;
         }
-        let slow = self.script.slow.iter().find(|&&(slow, from, to, _)| {
+        let period = self.script.slow_periods.iter().find(|&&(slow, from, to, _)| {
             slow == server && from <= self.now && self.now < to
         });
-        let times = slow.map_or(1, |&(.., times)| times);
-        self.servers[server].next = self.now + self.script.step * times;
+        let factor = period.map_or(1, |&(.., factor)| factor);
+        self.servers[server].next_step_at = self.now + self.script.step_time * factor;
         let now = self.instant();
         for (ticket, index) in self.servers[server].tickets.clone() {
-            if !self.servers[server].streams.contains(&index) {
+            if !self.servers[server].running.contains(&index) {
                 continue;
             }
-            self.got[index] += 1;
-            self.servers[server].lead.record_tokens(ticket, 1, now);
+            self.received_tokens[index] += 1;
+            self.servers[server].controller.record_tokens(ticket, 1, now);
             let request = &self.script.requests[index];
-            let whole = self.got[index] == request.tokens;
-            let late = self.now > request.at + request.within;
-            if whole || late {
-                let how =
-                    if whole { AttemptEnd::Completed } else { AttemptEnd::Cancelled };
-                self.fates[index].in_time = whole && !late;
-                self.end(server, ticket);
-                self.servers[server].lead.finish(ticket, how, now);
-                self.report(server);
+            let complete = self.received_tokens[index] == request.tokens;
+            let late = self.now > request.send_at + request.budget;
+            if complete || late {
+                let end =
+                    if complete { AttemptEnd::Completed } else { AttemptEnd::Cancelled };
+                self.results[index].in_time = complete && !late;
+                self.end_attempt(server, ticket);
+                self.servers[server].controller.finish(ticket, end, now);
+                self.report_load(server);
             }
         }
-        self.carry_out(server);
+        self.apply_effects(server);
     }
 
-    fn report(&mut self, server: usize) {
-        if self.policy != RoutingPolicy::Estimate {
+    fn report_load(&mut self, server: usize) {
+        if self.routing_policy != RoutingPolicy::Estimate {
             return;
         }
         let now = self.instant();
-        let load = self.servers[server].lead.snapshot(now);
+        let load = self.servers[server].controller.snapshot(now);
         let report = LoadReport {
             running: load.running,
             queued: load.queued,
@@ -357,25 +387,26 @@
     }
 }
 
-fn report(name: &str, script: &Script, fates: &[Fate]) -> String {
-    let mut callers: IndexMap<&str, (usize, Fate, usize)> = IndexMap::new();
-    for (request, fate) in script.requests.iter().zip(fates) {
-        let (all, sum, met) = callers.entry(&request.caller).or_default();
-        *all += 1;
-        *met += usize::from(fate.in_time);
-        sum.refused += fate.refused;
-        sum.preempted += fate.preempted;
-        sum.told = sum.told.max(fate.told);
+fn summarize(name: &str, script: &Script, results: &[RequestResult]) -> String {
+    let mut callers: IndexMap<&str, (usize, RequestResult, usize)> = IndexMap::new();
+    for (request, result) in script.requests.iter().zip(results) {
+        let (total, sum, in_time) = callers.entry(&request.caller).or_default();
+        *total += 1;
+        *in_time += usize::from(result.in_time);
+        sum.refusals += result.refusals;
+        sum.preemptions += result.preemptions;
+        sum.max_refusal_time = sum.max_refusal_time.max(result.max_refusal_time);
     }
     let mut text = String::new();
     let mut served = true;
-    for (caller, (all, sum, met)) in &callers {
-        let need = script.needs.iter().find(|(name, _)| name == caller);
-        served &= need.is_none_or(|&(_, part)| met * 100 >= all * part);
+    for (caller, (total, sum, in_time)) in &callers {
+        let required = script.required.iter().find(|(name, _)| name == caller);
+        served &=
+            required.is_none_or(|&(_, percentage)| in_time * 100 >= total * percentage);
         writeln!(
             text,
-            "{name}: {caller} {met} of {all} in time, {} refusals, {} preempted",
-            sum.refused, sum.preempted
+            "{name}: {caller} {in_time} of {total} in time, {} refusals, {} preempted",
+            sum.refusals, sum.preemptions
         )
         .unwrap();
     }
@@ -383,7 +414,7 @@
     text
 }
 
-fn time(text: &str) -> Duration {
+fn duration(text: &str) -> Duration {
     match text.strip_suffix("ms") {
         Some(millis) => Duration::from_millis(millis.parse().unwrap()),
         None => Duration::from_secs(text.trim_end_matches('s').parse().unwrap()),
