--- a/crates/once/src/refusals.rs
+++ b/crates/once/src/refusals.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use chestnut_base::{Code, Outcome, Refusal};
+use chestnut_base::{Outcome, Refusal, RefusalCode};
 
 /// Retry delay while a slot moves to another daemon; the takeover of a released
 /// slot takes about this long.
@@ -17,22 +17,23 @@
 pub(crate) fn slot_moving() -> Refusal {
     let why = "another daemon takes over the request's slot; send it again with the \
                same key";
-    Refusal::in_doubt(Code::Unavailable, why).after(SLOT_MOVE_RETRY_DELAY)
+    Refusal::in_doubt(RefusalCode::Unavailable, why)
+        .with_retry_after(SLOT_MOVE_RETRY_DELAY)
 }
 
 pub(crate) fn key_reused() -> Refusal {
     let why = "the idempotency key was used with another body; use a new key";
-    Refusal::not_run(Code::IdReused, why)
+    Refusal::not_run(RefusalCode::IdReused, why)
 }
 
 pub(crate) fn in_doubt() -> Refusal {
     let why = "the request was started and its response is not known; it will not be \
                run again; query its outcome with GET /v1/requests/KEY";
-    Refusal::in_doubt(Code::Started, why).after(IN_DOUBT_RETRY_DELAY)
+    Refusal::in_doubt(RefusalCode::Started, why).with_retry_after(IN_DOUBT_RETRY_DELAY)
 }
 
 pub(crate) fn response_unreadable() -> Refusal {
     let why = "the request ran and its response can't be read now; query it with \
                GET /v1/requests/KEY";
-    Refusal::new(Outcome::Ran, Code::Started, why)
+    Refusal::new(Outcome::Ran, RefusalCode::Started, why)
 }
