--- a/crates/admit/src/controller.rs
+++ b/crates/admit/src/controller.rs
@@ -4,9 +4,9 @@
 //! whose deadlines are minutes away. Waiting for a stream to end costs an urgent request
 //! its deadline, and streams reserved for urgent requests are idle the rest of the day.
 //! So a slow stream is preempted if its remainder can still be in time. By the figures in
-//! `docs/POLICY.md`, bursts lose 4 to 15 in 100 without preemption, a reserve of a tenth
-//! of the streams does not make up for it, and letting requests of normal urgency
-//! preempt, or be preempted, gains nothing.
+//! `docs/POLICY.md`, without preemption 4 to 15 in 100 fewer requests of a burst are in
+//! time; a reserve of a tenth of the streams does not make up for that, and letting
+//! requests of normal urgency preempt, or be preempted, gains nothing.
 
 mod overload;
 
--- a/crates/admit/src/shedding.rs
+++ b/crates/admit/src/shedding.rs
@@ -26,7 +26,8 @@
     pub share_ratio: f64,
     /// Estimated seconds of stream time that the request takes.
     pub cost: f64,
-    /// Whether slow requests are below their guaranteed fraction of the stream time.
+    /// Whether the request is slow and slow requests have had less than their guaranteed
+    /// fraction of the stream time.
     pub below_floor: bool,
 }
 
--- a/crates/route/src/load.rs
+++ b/crates/route/src/load.rs
@@ -1,12 +1,12 @@
 //! An entry's estimate of a backend server's load.
 //!
 //! Load pattern: six entries share the backend servers, and each learns of the others'
-//! requests only through the leads. Taken at face value, an old report sends all entries
-//! to the server that was idle a moment ago. So a report is corrected by the attempts that
-//! this entry started since, is averaged with a projection from this entry's own attempts
-//! in flight, and expires after [`REPORT_MAX_AGE`]. The waits that leads report are not
-//! used, since they make the choice worse: they depend more on the single long stream at
-//! hand than on what a server can still take.
+//! requests only through the leads. Taken at face value, an old report sends all
+//! entries to the server that was idle a moment ago. So a report is corrected by the
+//! attempts that this entry started since, is averaged with a projection from this
+//! entry's own attempts in flight, and expires after [`REPORT_MAX_AGE`]. The waits that
+//! leads report are not used, since they make the choice worse: they depend more on the
+//! single long stream at hand than on what a server can still take.
 
 use std::time::{Duration, Instant};
 
@@ -94,9 +94,9 @@
 
     /// The estimated number of requests at the server.
     ///
-    /// The mean of the corrected report and of this entry's attempts in flight, projected
-    /// to all entries: the former is complete and old, the latter is current and a sample.
-    /// Together they beat either alone (`docs/POLICY.md`).
+    /// The mean of the corrected report and of this entry's attempts in flight,
+    /// projected to all entries: the former is complete and old, the latter is current
+    /// and a sample. Together they beat either alone (`docs/POLICY.md`).
     pub fn estimated_requests(&self, now: Instant, entry_count: f64) -> f64 {
         let own = f64::from(self.in_flight);
         match self.weighted_report(now) {
--- a/crates/route/src/policy.rs
+++ b/crates/route/src/policy.rs
@@ -43,8 +43,8 @@
 impl RoutingPolicy {
     /// The index of the chosen candidate, or `None` if there are no candidates.
     ///
-    /// `turn` is the number of choices so far, and `run_time_s` the time of the request on
-    /// an idle server in seconds.
+    /// `turn` is the number of choices so far, and `run_time_s` the time of the request
+    /// on an idle server in seconds.
     pub fn choose(
         self,
         scores: &[CandidateScore],
--- a/crates/route/src/prefix.rs
+++ b/crates/route/src/prefix.rs
@@ -10,8 +10,8 @@
 //! of an unreachable server go to the next in rank. `docs/POLICY.md` compares the
 //! alternatives.
 //!
-//! The engines' own cache events are not used: they arrive late and with gaps, and a wrong
-//! guess costs only one prefill.
+//! The engines' own cache events are not used: they arrive late and with gaps, and a
+//! wrong guess costs only one prefill.
 
 use indexmap::IndexSet;
 
--- a/crates/route/src/retry.rs
+++ b/crates/route/src/retry.rs
@@ -1,12 +1,12 @@
 //! Retry budget and backoff.
 //!
-//! Load pattern: a pool is down or full, every attempt fails at once, and retries multiply
-//! the load that keeps it down. So retries are limited to a share of the traffic: each
-//! request earns [`RETRY_RATIO`] of a retry, and at most [`MAX_SAVED_RETRIES`] are saved
-//! up. A short failure of one server is covered completely, while with a pool down the
-//! attempts stay below `1 + RETRY_RATIO` times the requests. An offer that a lead refused
-//! as not run costs one hop and no work; only the number of such offers per request is
-//! limited, by [`MAX_REJECTED_OFFERS`].
+//! Load pattern: a pool is down or full, every attempt fails at once, and retries
+//! multiply the load that keeps it down. So retries are limited to a share of the
+//! traffic: each request earns [`RETRY_RATIO`] of a retry, and at most
+//! [`MAX_SAVED_RETRIES`] are saved up. A short failure of one server is covered
+//! completely, while with a pool down the attempts stay below `1 + RETRY_RATIO` times
+//! the requests. An offer that a lead refused as not run costs one hop and no work;
+//! only the number of such offers per request is limited, by [`MAX_REJECTED_OFFERS`].
 //!
 //! Requests are not hedged: a second copy of a model's response doubles its tokens, and
 //! since a lead knows its queue exactly, slow responses are predicted instead.
--- a/crates/route/src/router.rs
+++ b/crates/route/src/router.rs
@@ -98,8 +98,8 @@
 }
 
 impl Router {
-    /// Creates a router without any servers. Entries must use different seeds, since equal
-    /// ones would make equal choices.
+    /// Creates a router without any servers. Entries must use different seeds, since
+    /// equal ones would make equal choices.
     pub fn new(policy: RoutingPolicy, seed: u64) -> Self {
         Self {
             policy,
--- a/crates/route/tests/properties.rs
+++ b/crates/route/tests/properties.rs
@@ -50,7 +50,8 @@
             if end_oldest {
                 router.end_attempt(in_flight.remove(0));
             }
-            let counted: u32 = candidates.iter().map(|c| router.in_flight(c.server)).sum();
+            let counted: u32 =
+                candidates.iter().map(|c| router.in_flight(c.server)).sum();
             prop_assert_eq!(counted as usize, in_flight.len());
         }
         in_flight.into_iter().for_each(|key| router.end_attempt(key));
--- a/crates/route/tests/scenarios.rs
+++ b/crates/route/tests/scenarios.rs
@@ -9,8 +9,8 @@
 //!   requests; `within` is the time budget, `tokens` the length of the response,
 //! - `need desk 95%`: the percentage of a caller's requests that must be in time.
 //!
-//! The output shows what each caller got, under the daemon's policies (`chosen`) and under
-//! the baseline (`naive`: round robin; first come, first served).
+//! The output shows what each caller got, under the daemon's policies (`chosen`) and
+//! under the baseline (`naive`: round robin; first come, first served).
 
 use std::fmt::Write;
 use std::time::{Duration, Instant};
@@ -169,7 +169,8 @@
     results: Vec<RequestResult>,
     /// Tokens received so far, by request.
     received_tokens: Vec<u32>,
-    /// When each request is sent next; `None` while it is in progress or once it has ended.
+    /// When each request is sent next; `None` while it is in progress or once it has
+    /// ended.
     next_send_at: Vec<Option<Duration>>,
     /// When each request was last sent.
     sent_at: Vec<Duration>,
