--- a/crates/admit/src/job.rs
+++ b/crates/admit/src/job.rs
@@ -33,8 +33,8 @@
     pub resumable: bool,
     /// Whether the caller already holds the first part of the response.
     ///
-    /// The controller never refuses such a request, since the caller would be left with
-    /// an incomplete response.
+    /// An open controller never refuses such a request, since the caller would be left
+    /// with an incomplete response; a closed one refuses it like any other.
     pub resumed: bool,
 }
 
--- a/crates/admit/src/limits.rs
+++ b/crates/admit/src/limits.rs
@@ -12,7 +12,7 @@
     /// A single request that needs more is dispatched alone, since the engine decides
     /// whether it fits.
     pub max_cache_tokens: u64,
-    /// Requests that may wait in the controller's queue.
+    /// Requests that may wait in the controller's queue; resumed ones may exceed it.
     pub max_queued: usize,
     /// The declared time of an engine step, used until steps are measured.
     ///
