--- a/crates/place/src/asset.rs
+++ b/crates/place/src/asset.rs
@@ -1,39 +1,39 @@
-//! What occupies a runner's memory.
+//! Models and adapters that a runner loads into its memory.
 
 use std::fmt::{self, Display, Formatter};
 
 use chestnut_base::{AdapterName, ModelName, VersionName};
 use serde::{Deserialize, Serialize};
 
-/// A thing that a runner loads.
+/// A version of a model, or an adapter on top of one.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Asset {
-    /// The model, or the model that the adapter adapts.
+    /// The model; for an adapter, its base model.
     pub model: ModelName,
-    /// The model's version.
+    /// Version of the model.
     pub version: VersionName,
-    /// The adapter, if it is one.
+    /// The adapter; `None` for a model.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub adapter: Option<AdapterName>,
 }
 
 impl Asset {
-    /// A version of a model.
+    /// Creates the asset of a model version without an adapter.
     pub fn model(model: ModelName, version: VersionName) -> Self {
         Self { model, version, adapter: None }
     }
 
-    /// An adapter on top of a version of a model.
+    /// Creates the asset of an adapter on top of a model version.
     pub fn adapter(model: ModelName, version: VersionName, adapter: AdapterName) -> Self {
         Self { model, version, adapter: Some(adapter) }
     }
 
-    /// The version of a model that has to be loaded first; itself for a model.
+    /// The model version that has to be loaded first; a model is its own base.
     pub fn base_model(&self) -> Self {
         Self::model(self.model.clone(), self.version.clone())
     }
 
-    /// Whether this is an adapter on top of `base`.
+    /// Whether this is an adapter on top of the model `base`; false if `base` is an adapter.
     pub fn is_adapter_on(&self, base: &Self) -> bool {
         self.adapter.is_some()
             && self.model == base.model
@@ -41,7 +41,7 @@
             && base.adapter.is_none()
     }
 
-    /// The name by which the engine knows the model, without the adapter.
+    /// The model's name at the engine, `MODEL@VERSION`, without the adapter.
     pub fn engine_model_name(&self) -> String {
         format!("{}@{}", self.model, self.version)
     }
--- a/crates/place/src/balance.rs
+++ b/crates/place/src/balance.rs
@@ -1,20 +1,20 @@
-//! How demand spreads over the runners that hold the models.
+//! Distribution of demand over the runners that hold the models.
 //!
-//! Leads send each request to the replica that can serve it soonest, which
-//! evens out the load of the runners that share models. The planner needs the
-//! result, not the way there.
+//! Holders send each request to the replica that can serve it soonest, which evens out
+//! the load of runners that share models. The planner needs only the resulting loads,
+//! so they are computed directly instead of simulating requests.
 
-/// Rounds of evening out; more change the loads by less than a percent for the
-/// pools in the experiments.
+/// Rounds of even distribution; further rounds change the loads by less than a percent
+/// for the pools in the experiments.
 const ROUNDS: usize = 12;
 
-/// How far a round goes towards the evened out share, to avoid swinging.
+/// Part of the way to the even distribution that a round covers, to avoid oscillation.
 const DAMPING: f64 = 0.5;
 
-/// The load of runners and the share of each replica, in tokens a second.
+/// The load of runners and the demand at each replica, in tokens per second.
 #[derive(Debug, Clone, Default, PartialEq)]
 pub struct LoadDistribution {
-    /// For each runner, the demand that is sent to it.
+    /// The demand that is sent to each runner, by runner index.
     pub loads: Vec<f64>,
     /// For each model, the demand that each of its replicas gets, in the order of
     /// the replicas.
@@ -22,6 +22,9 @@
 }
 
 /// Spreads each model's demand over the runners that hold it.
+///
+/// `demands` is in tokens per second and `placed` lists each model's runners, both by
+/// model index; `runners` is the number of runners.
 pub fn distribute_load(
     demands: &[f64],
     placed: &[Vec<usize>],
@@ -30,36 +33,36 @@
     let mut shares: Vec<Vec<f64>> = demands
         .iter()
         .zip(placed)
-        .map(|(demand, at)| vec![demand / at.len().max(1) as f64; at.len()])
+        .map(|(demand, hosts)| vec![demand / hosts.len().max(1) as f64; hosts.len()])
         .collect();
-    let mut loads = sum(&shares, placed, runners);
+    let mut loads = sum_by_runner(&shares, placed, runners);
     for _ in 0..ROUNDS {
-        for (model, at) in placed.iter().enumerate() {
-            if at.len() > 1 {
-                even_out(&mut shares[model], at, demands[model], &mut loads);
+        for (model, hosts) in placed.iter().enumerate() {
+            if hosts.len() > 1 {
+                equalize(&mut shares[model], hosts, demands[model], &mut loads);
             }
         }
     }
     LoadDistribution { loads, shares }
 }
 
-/// Moves a model's demand from its fuller runners to its emptier ones.
-fn even_out(shares: &mut [f64], at: &[usize], demand: f64, loads: &mut [f64]) {
-    for (share, runner) in shares.iter().zip(at) {
+/// Shifts a model's demand from its more loaded runners to its less loaded ones.
+fn equalize(shares: &mut [f64], hosts: &[usize], demand: f64, loads: &mut [f64]) {
+    for (share, runner) in shares.iter().zip(hosts) {
         loads[*runner] -= share;
     }
-    let level = water_level(at.iter().map(|runner| loads[*runner]).collect(), demand);
-    for (share, runner) in shares.iter_mut().zip(at) {
-        let wanted = (level - loads[*runner]).max(0.0);
-        *share += (wanted - *share) * DAMPING;
+    let level = water_level(hosts.iter().map(|runner| loads[*runner]).collect(), demand);
+    for (share, runner) in shares.iter_mut().zip(hosts) {
+        let target = (level - loads[*runner]).max(0.0);
+        *share += (target - *share) * DAMPING;
     }
-    // Damping keeps the sum, as both the old and the wanted shares sum to it.
-    for (share, runner) in shares.iter().zip(at) {
+    // Damping preserves the total, as the old and the target shares have the same sum.
+    for (share, runner) in shares.iter().zip(hosts) {
         loads[*runner] += share;
     }
 }
 
-/// The level to which `demand` fills up runners with these loads.
+/// The common load to which `demand` raises the least loaded runners (water-filling).
 fn water_level(mut loads: Vec<f64>, demand: f64) -> f64 {
     loads.sort_by(f64::total_cmp);
     let mut sum = demand;
@@ -74,10 +77,10 @@
     level
 }
 
-fn sum(shares: &[Vec<f64>], placed: &[Vec<usize>], runners: usize) -> Vec<f64> {
+fn sum_by_runner(shares: &[Vec<f64>], placed: &[Vec<usize>], runners: usize) -> Vec<f64> {
     let mut loads = vec![0.0; runners];
-    for (shares, at) in shares.iter().zip(placed) {
-        for (share, runner) in shares.iter().zip(at) {
+    for (shares, hosts) in shares.iter().zip(placed) {
+        for (share, runner) in shares.iter().zip(hosts) {
             loads[*runner] += share;
         }
     }
--- a/crates/place/src/demand.rs
+++ b/crates/place/src/demand.rs
@@ -1,32 +1,32 @@
-//! How much of each model callers ask for.
+//! Estimates of the demand for a model.
 //!
-//! Load pattern: a model's demand moves tenfold within an hour, in bursts whose
-//! length nobody knows. A single average either follows every burst, and the
-//! planner moves models back and forth, or misses the start of a long one. Two
-//! are kept: the fast one raises the estimate soon, the slow one keeps a model
-//! that has just gone quiet from being dropped at once.
+//! A model's demand changes tenfold within an hour, in bursts of unknown length. With a
+//! single moving average the planner either follows every burst and moves models back
+//! and forth, or misses the start of a long one. Two exponential moving averages are kept:
+//! the fast one raises the estimate soon, the slow one keeps a model whose requests have
+//! just stopped from being dropped at once.
 
 use std::time::Duration;
 
-/// The time in which the fast average forgets half.
+/// Half-life of the fast average.
 ///
-/// Half of a cold start of about a minute: a burst that is over before a load
-/// could end has half faded when it would have helped.
+/// Half of a cold start of about a minute: a burst that ends before a load could
+/// complete has decayed by half when the load would have helped.
 pub const FAST_HALF_LIFE: Duration = Duration::from_secs(30);
 
-/// The time in which the slow average forgets half.
+/// Half-life of the slow average.
 ///
-/// Callers' bursts come back within minutes; reloading costs up to a minute.
+/// Bursts recur within minutes, and reloading a model takes up to a minute.
 pub const SLOW_HALF_LIFE: Duration = Duration::from_secs(600);
 
-/// The averages of one model's demand, in tokens a second.
+/// Moving averages of one model's demand, in tokens per second.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct DemandEstimate {
     fast: f64,
     slow: f64,
-    started: bool,
-    fast_half: Duration,
-    slow_half: Duration,
+    has_sample: bool,
+    fast_half_life: Duration,
+    slow_half_life: Duration,
 }
 
 impl Default for DemandEstimate {
@@ -36,33 +36,33 @@
 }
 
 impl DemandEstimate {
-    /// Creates averages that forget half in these times.
-    pub fn with_half_lives(fast_half: Duration, slow_half: Duration) -> Self {
-        Self { fast: 0.0, slow: 0.0, started: false, fast_half, slow_half }
+    /// Creates an estimate of zero whose averages decay with these half-lives.
+    pub fn with_half_lives(fast_half_life: Duration, slow_half_life: Duration) -> Self {
+        Self { fast: 0.0, slow: 0.0, has_sample: false, fast_half_life, slow_half_life }
     }
 
-    /// Takes in the tokens that were asked for during `time`.
+    /// Records the tokens that were requested during the last `interval`.
     ///
-    /// The first call sets both averages.
-    pub fn record(&mut self, tokens: f64, time: Duration) {
-        if time.is_zero() {
+    /// The first sample sets both averages; an empty interval is ignored.
+    pub fn record(&mut self, tokens: f64, interval: Duration) {
+        if interval.is_zero() {
             return;
         }
-        let rate = tokens / time.as_secs_f64();
-        if !self.started {
-            (self.fast, self.slow, self.started) = (rate, rate, true);
+        let rate = tokens / interval.as_secs_f64();
+        if !self.has_sample {
+            (self.fast, self.slow, self.has_sample) = (rate, rate, true);
             return;
         }
-        self.fast += (rate - self.fast) * weight(time, self.fast_half);
-        self.slow += (rate - self.slow) * weight(time, self.slow_half);
+        self.fast += (rate - self.fast) * sample_weight(interval, self.fast_half_life);
+        self.slow += (rate - self.slow) * sample_weight(interval, self.slow_half_life);
     }
 
-    /// The demand to plan for, in tokens a second.
+    /// The demand to plan for: the greater of both averages, in tokens per second.
     pub fn estimate(&self) -> f64 {
         self.fast.max(self.slow)
     }
 }
 
-fn weight(time: Duration, half: Duration) -> f64 {
-    1.0 - 0.5_f64.powf(time.as_secs_f64() / half.as_secs_f64())
+fn sample_weight(interval: Duration, half_life: Duration) -> f64 {
+    1.0 - 0.5_f64.powf(interval.as_secs_f64() / half_life.as_secs_f64())
 }
--- a/crates/place/src/reconcile.rs
+++ b/crates/place/src/reconcile.rs
@@ -1,14 +1,14 @@
-//! The next steps of one runner towards what it is to hold.
+//! Reconciliation of one runner's ledger with the assets that the plan assigns to it.
 //!
-//! Load pattern: the wanted placement changes while requests run. Without the
-//! order kept here a swap would drop a model's last replica before its
-//! replacement is usable, and callers would find no runner.
+//! The desired placement changes while requests run. Without the order of steps below,
+//! a swap would drop a model's last replica before its replacement is usable, and
+//! callers would find no runner.
 //!
-//! What is wanted is loaded first if it fits. Something is dropped only to make
-//! room for what does not fit, or once everything wanted is usable; and only
-//! if the caller of [`reconcile`] names runners that hold the same, whose ledger
-//! rows the transaction then checks. One asset at a time is drained, so that
-//! two versions of a model can't each be dropped because of the other.
+//! Desired assets are loaded first if they fit. An asset is dropped only to make room
+//! for one that does not fit, or once all desired assets are usable; and only if the
+//! caller of [`reconcile`] names other runners that hold the same, whose ledger rows
+//! the transaction then checks. One asset is drained at a time, so that two versions of
+//! a model can't each be dropped because of the other.
 
 use chestnut_base::ServerName;
 use indexmap::IndexSet;
@@ -17,109 +17,109 @@
 use crate::asset::Asset;
 use crate::ledger::{InsufficientMemory, Ledger, ReservationState};
 
-/// An asset that a runner is to hold.
+/// An asset that a runner should hold.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct DesiredAsset {
-    /// The asset.
+    /// The model or adapter.
     pub asset: Asset,
     /// The memory that it needs, in bytes.
     pub bytes: u64,
 }
 
-/// What decides whether an asset may be dropped.
+/// Checks that decide whether an asset may be dropped.
 pub struct DropChecks<'a> {
-    /// The runners whose ledgers prove that the asset is not the last of its
-    /// kind; `None` if it is, an empty list if nobody needs it.
+    /// Returns the runners whose ledgers prove that the asset is not the last of its
+    /// kind; `None` if it is the last one, an empty list if nobody needs it.
     pub witnesses: &'a dyn Fn(&Ledger, &Asset) -> Option<Vec<ServerName>>,
-    /// Whether no request uses the asset any more.
+    /// Returns whether no request uses the asset any more.
     pub is_idle: &'a dyn Fn(&Asset) -> bool,
 }
 
-/// What [`reconcile`] found.
+/// Conditions and shortages that [`reconcile`] found.
 #[derive(Debug, Default, PartialEq, Eq)]
 pub struct ReconcileResult {
-    /// Runners whose ledger rows must not have changed when this is committed.
+    /// Runners whose ledger rows must be unchanged when the new ledger is committed.
     pub witnesses: IndexSet<ServerName>,
-    /// What is wanted and does not fit yet.
+    /// Desired assets that do not fit yet.
     pub insufficient_memory: Vec<InsufficientMemory>,
 }
 
-/// Changes the ledger by the steps that can be taken now.
+/// Applies to the ledger the steps that can be taken now.
 ///
-/// `wanted` lists models before the adapters on top of them, and what matters
-/// most first.
+/// `desired` lists models before the adapters on top of them, and otherwise the most
+/// important assets first.
 pub fn reconcile(
     ledger: &mut Ledger,
-    wanted: &[DesiredAsset],
-    situation: &DropChecks,
+    desired: &[DesiredAsset],
+    checks: &DropChecks,
 ) -> ReconcileResult {
-    let mut found = ReconcileResult::default();
-    let mut blocking = Vec::new();
-    for want in wanted {
-        if let Some(other) = namesake(ledger, &want.asset) {
-            blocking.push(other);
-        } else if let Err(full) = ledger.reserve(&want.asset, want.bytes) {
-            found.insufficient_memory.push(full);
+    let mut result = ReconcileResult::default();
+    let mut conflicting = Vec::new();
+    for item in desired {
+        if let Some(other) = same_adapter_elsewhere(ledger, &item.asset) {
+            conflicting.push(other);
+        } else if let Err(error) = ledger.reserve(&item.asset, item.bytes) {
+            result.insufficient_memory.push(error);
         }
     }
-    let settled = wanted.iter().all(|want| ledger.is_ready(&want.asset));
-    // An asset that is drained now is unloaded in a later step at the earliest:
-    // nobody knows yet that it must not be used.
-    unload_idle(ledger, situation);
-    if settled || !found.insufficient_memory.is_empty() {
-        let extra = unwanted(ledger, wanted);
-        drain_one(ledger, extra, situation, &mut found);
+    let all_ready = desired.iter().all(|item| ledger.is_ready(&item.asset));
+    // Unloading comes before draining: an asset that is drained in this call is unloaded
+    // in a later one at the earliest, since nobody has been told yet not to use it.
+    unload_idle(ledger, checks);
+    if all_ready || !result.insufficient_memory.is_empty() {
+        let undesired = undesired_assets(ledger, desired);
+        drain_one(ledger, undesired, checks, &mut result);
     } else {
-        drain_one(ledger, blocking, situation, &mut found);
+        drain_one(ledger, conflicting, checks, &mut result);
     }
-    found
+    result
 }
 
-/// The same adapter on another version, which has to go first: engines know
-/// adapters by their name alone.
-fn namesake(ledger: &Ledger, asset: &Asset) -> Option<Asset> {
+/// The same adapter on another model version, which has to be unloaded first: engines
+/// identify adapters by their name alone.
+fn same_adapter_elsewhere(ledger: &Ledger, asset: &Asset) -> Option<Asset> {
     asset.adapter.as_ref()?;
-    let other = ledger.reservations.iter().find(|item| {
-        item.asset != *asset
-            && item.asset.adapter == asset.adapter
-            && item.state != ReservationState::Expiring
+    let other = ledger.reservations.iter().find(|held| {
+        held.asset != *asset
+            && held.asset.adapter == asset.adapter
+            && held.state != ReservationState::Expiring
     });
-    other.map(|item| item.asset.clone())
+    other.map(|held| held.asset.clone())
 }
 
-/// What is usable and not wanted.
-fn unwanted(ledger: &Ledger, wanted: &[DesiredAsset]) -> Vec<Asset> {
-    let is_wanted = |asset: &Asset| wanted.iter().any(|want| want.asset == *asset);
-    let items =
-        ledger.reservations.iter().filter(|item| item.state == ReservationState::Ready);
-    items.map(|item| item.asset.clone()).filter(|asset| !is_wanted(asset)).collect()
+/// Assets that are usable and not desired.
+fn undesired_assets(ledger: &Ledger, desired: &[DesiredAsset]) -> Vec<Asset> {
+    let is_desired = |asset: &Asset| desired.iter().any(|item| item.asset == *asset);
+    let ready =
+        ledger.reservations.iter().filter(|held| held.state == ReservationState::Ready);
+    ready.map(|held| held.asset.clone()).filter(|asset| !is_desired(asset)).collect()
 }
 
-/// Drains the first of some assets that may be dropped.
+/// Drains the first candidate that may be dropped.
 fn drain_one(
     ledger: &mut Ledger,
     candidates: Vec<Asset>,
-    situation: &DropChecks,
-    found: &mut ReconcileResult,
+    checks: &DropChecks,
+    result: &mut ReconcileResult,
 ) {
     for asset in candidates.into_iter().filter(|asset| ledger.is_ready(asset)) {
-        if let Some(witnesses) = (situation.witnesses)(ledger, &asset) {
+        if let Some(witnesses) = (checks.witnesses)(ledger, &asset) {
             ledger.drain(&asset);
-            found.witnesses.extend(witnesses);
+            result.witnesses.extend(witnesses);
             return;
         }
     }
 }
 
-fn unload_idle(ledger: &mut Ledger, situation: &DropChecks) {
-    let drained: Vec<_> = ledger
+fn unload_idle(ledger: &mut Ledger, checks: &DropChecks) {
+    let draining: Vec<_> = ledger
         .reservations
         .iter()
-        .filter(|item| item.state == ReservationState::Draining)
-        .map(|item| item.asset.clone())
+        .filter(|held| held.state == ReservationState::Draining)
+        .map(|held| held.asset.clone())
         .collect();
-    for asset in drained {
-        if (situation.is_idle)(&asset) {
+    for asset in draining {
+        if (checks.is_idle)(&asset) {
             ledger.start_unload(&asset);
         }
     }
