--- a/crates/place/src/ledger.rs
+++ b/crates/place/src/ledger.rs
@@ -1,22 +1,21 @@
-//! The memory of one runner: what is held, reserved, or may still be taken.
+//! Accounting for the memory of one runner: what is in use, reserved, or may still be
+//! taken by a late order.
 //!
-//! Load pattern: models are loaded, swapped and moved while orders to engines
-//! are lost, arrive late or twice, engines restart and leads change. Without
-//! the ledger a lead would free the memory of an order that it gave up; when a
-//! late copy of it lands, the engine overcommits its accelerator and every
-//! request on it dies.
+//! Models are loaded, swapped and moved while orders to engines are lost, delayed or
+//! duplicated, engines restart and holders change. Without the ledger, a holder would
+//! free the memory of an order that timed out; when a late copy of it arrives, the engine
+//! overcommits its accelerator and every request on it dies.
 //!
-//! Every asset that may hold memory, now or after a late copy of an order
-//! lands, has one [`Reservation`], and the items' bytes together never exceed the
-//! capacity. An item is entered before its order is first sent, and removed
-//! only when a report shows its unload as done *and* no copy of a load order
-//! can be under way any more.
+//! Every asset that may hold memory, now or once a late copy of an order arrives, has one
+//! [`Reservation`], and together the reservations never exceed the capacity. A
+//! reservation is made before its order is first sent. It is removed only when a report
+//! shows the unload as done *and* no copy of a load order can be in transit any more.
 //!
-//! Three facts about engines are used: an order that a report lists is not
-//! carried out again in that incarnation; a restarted engine holds nothing,
-//! remembers no orders and has another incarnation; loading what is loaded
-//! takes no further memory. Fencing numbers are sent, but nothing here relies
-//! on them, so that engines which ignore them are as safe.
+//! The ledger relies on three properties of engines: an order that a report lists is not
+//! executed again in that incarnation; a restarted engine holds nothing, remembers no
+//! orders and has another incarnation; loading an asset that is already loaded takes no
+//! further memory. Fence numbers are sent, but the ledger does not rely on them, so that
+//! engines that ignore them are as safe.
 
 use std::fmt::{self, Display, Formatter};
 
@@ -26,114 +25,115 @@
 use crate::asset::Asset;
 use crate::report::{AssetState, OrderState, Report};
 
-/// How long a copy of an order may be under way, in milliseconds.
+/// The longest time that a copy of an order may be in transit, in milliseconds.
 ///
-/// The sender closes the connection when it gives up waiting, and operating
-/// systems stop resending what a peer does not acknowledge after about 924 s
-/// (Linux, `tcp_retries2` = 15). 1,000 s is above that.
+/// The sender closes the connection when its request times out, and operating systems
+/// stop retransmitting unacknowledged data after about 924 s (Linux, `tcp_retries2` = 15).
+/// 1,000 s is above that.
 pub const MAX_ORDER_DELAY_MS: u64 = 1_000_000;
 
-/// The table service's time while a report was read, in milliseconds.
+/// Bounds of the table service's time while a report was requested and evaluated, in
+/// milliseconds.
 ///
-/// Of a range, since daemons know that time only from answers. A late landing
-/// must not fall between a report and the time at which it is judged, and a
-/// time kept from before an outage must not make copies look old.
+/// A range, since daemons know that time only from responses. An order must not arrive
+/// unnoticed between a report and the time at which it is evaluated, and a time cached
+/// from before an outage must not make copies in transit look expired.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct TimeRange {
-    /// At most the time at which the report was asked for.
+    /// Lower bound of the time at which the report was requested.
     pub earliest: u64,
-    /// At least the time at which the report is judged.
+    /// Upper bound of the time at which the report is evaluated.
     pub latest: u64,
 }
 
-/// The ledger of one runner, as its row in the table holds it.
+/// The ledger of one runner, stored as its row in the table.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Ledger {
     /// The memory for models and adapters, in bytes.
     pub capacity: u64,
-    /// The engine's incarnation at the last report.
+    /// Incarnation of the engine in the last report.
     pub incarnation: u64,
-    /// The number of the last order; grows only.
+    /// Number of the last order that was created; never decreases.
     #[serde(rename = "last")]
     pub last_order: u64,
-    /// Whether the engine has not answered for some time.
+    /// Whether the engine is unresponsive.
     ///
-    /// What it holds is still accounted for, but nobody can use it.
+    /// Its memory stays accounted for, but requests can't use its assets.
     #[serde(default, skip_serializing_if = "std::ops::Not::not")]
     pub down: bool,
-    /// Everything that may hold memory.
+    /// Assets that hold memory or may come to hold it, at most one reservation each.
     ///
-    /// At most one item per asset. The sum of their bytes exceeds `capacity`
-    /// only if the engine reported assets that nobody ordered here.
+    /// Their sum exceeds `capacity` only if the engine reported assets that were not
+    /// loaded by an order of this ledger.
     #[serde(rename = "items")]
     pub reservations: Vec<Reservation>,
 }
 
-/// An asset that holds memory or may come to hold it.
+/// Memory that is accounted for one asset, in use or not yet.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Reservation {
-    /// The asset.
+    /// The asset that holds the memory or may come to hold it.
     pub asset: Asset,
     /// The memory that is reserved for it, in bytes.
     pub bytes: u64,
-    /// How far it is.
+    /// Progress of the load or unload.
     pub state: ReservationState,
-    /// Load orders of which copies may be under way; the last one counts.
+    /// Load orders of which copies may be in transit; only the last one is sent.
     #[serde(default, skip_serializing_if = "Vec::is_empty")]
     pub loads: Vec<LoadOrder>,
-    /// The unload order; present exactly while the state is `Unloading`.
+    /// The unload order; set exactly while the state is `Unloading`.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub unload: Option<OrderId>,
 }
 
-/// How far an item is.
+/// The state of a reservation.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum ReservationState {
-    /// The memory is reserved and the load order is sent until it is confirmed.
+    /// Memory is reserved, and the load order is sent repeatedly until a report confirms it.
     Loading,
-    /// A report has shown it as usable.
+    /// A report has shown the asset as usable.
     Ready,
-    /// It must not be used for new requests; earlier ones may still run.
+    /// New requests must not use the asset; earlier ones may still run.
     Draining,
-    /// The unload order is sent until it is confirmed.
+    /// The unload order is sent repeatedly until a report confirms it.
     Unloading,
-    /// It is not loaded, but a late copy of a load order may still land.
+    /// The asset is not loaded, but a late copy of a load order may still arrive.
     #[serde(rename = "spent")]
     Expiring,
 }
 
-/// A load order.
+/// A load order of which copies may be in transit.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct LoadOrder {
-    /// The order.
+    /// Number of the order, the same in each copy.
     pub order: OrderId,
-    /// Whether the present incarnation has listed it.
+    /// Whether the current incarnation has listed it in a report.
     #[serde(rename = "seen")]
     pub listed: bool,
-    /// Whether the engine has answered every copy that was sent.
+    /// Whether the engine has responded to every copy that was sent.
     #[serde(rename = "clear")]
     pub answered: bool,
-    /// When no copy can be under way any more, in the table service's time;
-    /// not set while copies are sent.
+    /// When no copy can be in transit any more, in milliseconds of the table service's
+    /// time; `None` while copies are sent.
     #[serde(rename = "until", default, skip_serializing_if = "Option::is_none")]
     pub expires_at: Option<u64>,
 }
 
-/// An order that is to be sent, again and again until a report confirms it.
+/// An order to an engine, sent repeatedly until a report confirms it.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Order {
-    /// The order; the same for each copy.
+    /// Number of the order, the same in each copy.
     pub id: OrderId,
-    /// What it is about.
+    /// The asset to load or unload.
     pub asset: Asset,
-    /// The asset's memory, in bytes.
+    /// The memory of the asset, in bytes.
     pub bytes: u64,
-    /// What is to be done.
+    /// Whether to load or unload.
     pub kind: OrderKind,
 }
 
-/// What an order tells an engine to do.
+/// The operation that an order requests.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum OrderKind {
     /// Load the asset.
@@ -142,14 +142,14 @@
     Unload,
 }
 
-/// An asset does not fit into what is free.
+/// An asset does not fit into the free memory of a runner.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct InsufficientMemory {
-    /// The asset.
+    /// The asset that was to be loaded.
     pub asset: Asset,
     /// The memory that it needs, in bytes.
     pub needed: u64,
-    /// The memory that is free, in bytes.
+    /// The memory that is not reserved, in bytes.
     pub free: u64,
 }
 
@@ -166,43 +166,46 @@
 impl std::error::Error for InsufficientMemory {}
 
 impl Ledger {
-    /// The memory that is held or may come to be held, in bytes.
+    /// The sum of all reservations, in bytes.
     pub fn reserved_bytes(&self) -> u64 {
-        self.reservations.iter().map(|item| item.bytes).sum()
+        self.reservations.iter().map(|reservation| reservation.bytes).sum()
     }
 
-    /// The memory that can be reserved, in bytes.
+    /// The memory that can still be reserved, in bytes.
     pub fn free_bytes(&self) -> u64 {
         self.capacity.saturating_sub(self.reserved_bytes())
     }
 
-    /// The item of an asset.
+    /// The reservation of an asset; `None` if it holds no memory and no order can load it
+    /// any more.
     pub fn reservation(&self, asset: &Asset) -> Option<&Reservation> {
-        self.reservations.iter().find(|item| item.asset == *asset)
+        self.reservations.iter().find(|reservation| reservation.asset == *asset)
     }
 
-    /// Whether an asset can be used.
+    /// Whether an asset is loaded and not being dropped.
     pub fn is_ready(&self, asset: &Asset) -> bool {
-        self.reservation(asset).is_some_and(|item| item.state == ReservationState::Ready)
+        self.reservation(asset)
+            .is_some_and(|reservation| reservation.state == ReservationState::Ready)
     }
 
-    /// Whether requests can use an asset: it, and the model below, are loaded and
-    /// the engine answers.
+    /// Whether requests can use an asset: it and its base model are loaded, and the engine
+    /// is responsive.
     pub fn is_usable(&self, asset: &Asset) -> bool {
         !self.down && self.is_ready(asset) && self.is_ready(&asset.base_model())
     }
 
     /// Reserves memory for an asset and creates its load order.
     ///
-    /// An asset that is to be dropped is kept instead. One whose unload order
-    /// exists is left alone until that is confirmed.
+    /// A draining asset becomes ready again. One that is being unloaded stays as it is
+    /// until the unload is confirmed.
     pub fn reserve(
         &mut self,
         asset: &Asset,
         bytes: u64,
     ) -> Result<(), InsufficientMemory> {
         let free = self.free_bytes();
-        let Some(at) = self.reservations.iter().position(|item| item.asset == *asset)
+        let Some(index) =
+            self.reservations.iter().position(|reservation| reservation.asset == *asset)
         else {
             if bytes > free {
                 return Err(InsufficientMemory {
@@ -211,7 +214,7 @@
                     free,
                 });
             }
-            let load = self.load();
+            let load = self.new_load_order();
             self.reservations.push(Reservation {
                 asset: asset.clone(),
                 bytes,
@@ -221,15 +224,15 @@
             });
             return Ok(());
         };
-        match self.reservations[at].state {
+        match self.reservations[index].state {
             ReservationState::Draining => {
-                self.reservations[at].state = ReservationState::Ready
+                self.reservations[index].state = ReservationState::Ready
             }
             ReservationState::Expiring => {
-                let load = self.load();
-                let item = &mut self.reservations[at];
-                item.loads.push(load);
-                item.state = ReservationState::Loading;
+                let load = self.new_load_order();
+                let reservation = &mut self.reservations[index];
+                reservation.loads.push(load);
+                reservation.state = ReservationState::Loading;
             }
             ReservationState::Loading
             | ReservationState::Ready
@@ -238,112 +241,121 @@
         Ok(())
     }
 
-    /// Whether a load or an unload is under way.
+    /// Whether an asset is being loaded, drained or unloaded.
     pub fn is_changing(&self) -> bool {
-        self.reservations.iter().any(|item| {
-            !matches!(item.state, ReservationState::Ready | ReservationState::Expiring)
+        self.reservations.iter().any(|reservation| {
+            !matches!(
+                reservation.state,
+                ReservationState::Ready | ReservationState::Expiring
+            )
         })
     }
 
-    /// Whether an order is entered here, so that a copy of it may be sent.
+    /// Whether the ledger contains an order, so that a copy of it may be sent.
     pub fn contains_order(&self, order: &Order) -> bool {
-        self.reservation(&order.asset).is_some_and(|item| match order.kind {
-            OrderKind::Load => item.loads.iter().any(|load| load.order == order.id),
-            OrderKind::Unload => item.unload == Some(order.id),
+        self.reservation(&order.asset).is_some_and(|reservation| match order.kind {
+            OrderKind::Load => {
+                reservation.loads.iter().any(|load| load.order == order.id)
+            }
+            OrderKind::Unload => reservation.unload == Some(order.id),
         })
     }
 
-    /// Marks an asset, and adapters on top of it, as not to be used any more.
+    /// Marks an asset, and adapters on top of it, as closed to new requests.
     pub fn drain(&mut self, asset: &Asset) {
-        for item in &mut self.reservations {
-            let part = item.asset == *asset || item.asset.is_adapter_on(asset);
-            if part && item.state == ReservationState::Ready {
-                item.state = ReservationState::Draining;
+        for reservation in &mut self.reservations {
+            let is_part =
+                reservation.asset == *asset || reservation.asset.is_adapter_on(asset);
+            if is_part && reservation.state == ReservationState::Ready {
+                reservation.state = ReservationState::Draining;
             }
         }
     }
 
-    /// Creates the unload order of an asset that is drained.
+    /// Creates the unload order of a draining asset and returns whether it did.
     ///
-    /// Returns whether it did; a model waits for the adapters on top of it.
+    /// A model is not unloaded before the adapters on top of it.
     pub fn start_unload(&mut self, asset: &Asset) -> bool {
-        let covered = self.reservations.iter().any(|item| {
-            item.asset.is_adapter_on(asset) && item.state != ReservationState::Expiring
+        let has_adapters = self.reservations.iter().any(|reservation| {
+            reservation.asset.is_adapter_on(asset)
+                && reservation.state != ReservationState::Expiring
         });
         let order = OrderId(self.last_order + 1);
-        let item = self.reservations.iter_mut().find(|item| item.asset == *asset);
-        let Some(item) = item.filter(|item| item.state == ReservationState::Draining)
+        let reservation =
+            self.reservations.iter_mut().find(|reservation| reservation.asset == *asset);
+        let Some(reservation) = reservation
+            .filter(|reservation| reservation.state == ReservationState::Draining)
         else {
             return false;
         };
-        if covered {
+        if has_adapters {
             return false;
         }
-        item.state = ReservationState::Unloading;
-        item.unload = Some(order);
+        reservation.state = ReservationState::Unloading;
+        reservation.unload = Some(order);
         self.last_order = order.0;
         true
     }
 
-    /// Notes that the engine has answered every copy of a load order that any
-    /// lead can have sent.
+    /// Records that the engine has responded to every copy of a load order that any
+    /// holder can have sent.
     pub fn mark_answered(&mut self, order: OrderId) {
-        for item in &mut self.reservations {
-            for load in item.loads.iter_mut().filter(|load| load.order == order) {
+        for reservation in &mut self.reservations {
+            for load in reservation.loads.iter_mut().filter(|load| load.order == order) {
                 load.answered = true;
             }
         }
     }
 
-    /// Takes in a report that was asked for after the ledger was read.
-    pub fn apply_report(&mut self, report: &Report, span: TimeRange) {
+    /// Updates the ledger with a report that was requested after the ledger was read.
+    pub fn apply_report(&mut self, report: &Report, time: TimeRange) {
         self.down = false;
         if self.incarnation != report.incarnation {
-            self.restart(span);
+            self.handle_restart(time);
             self.incarnation = report.incarnation;
         }
-        self.note_seen(report, span);
-        for at in 0..self.reservations.len() {
-            self.advance(at, report, span);
+        self.mark_listed(report, time);
+        for index in 0..self.reservations.len() {
+            self.update_state(index, report, time);
         }
         self.adopt(report);
-        self.forget(span);
+        self.prune(time);
     }
 
-    /// The orders to be sent until a later report confirms them.
+    /// The orders to send until a later report confirms them.
     pub fn pending_orders(&self) -> Vec<Order> {
-        let order = |item: &Reservation, id, kind| Order {
+        let new_order = |reservation: &Reservation, id, kind| Order {
             id,
-            asset: item.asset.clone(),
-            bytes: item.bytes,
+            asset: reservation.asset.clone(),
+            bytes: reservation.bytes,
             kind,
         };
         self.reservations
             .iter()
-            .filter_map(|item| match item.state {
+            .filter_map(|reservation| match reservation.state {
                 ReservationState::Loading => {
-                    let load = item.loads.last().filter(|load| !load.listed)?;
-                    Some(order(item, load.order, OrderKind::Load))
+                    let load = reservation.loads.last().filter(|load| !load.listed)?;
+                    Some(new_order(reservation, load.order, OrderKind::Load))
                 }
                 ReservationState::Unloading => {
-                    Some(order(item, item.unload?, OrderKind::Unload))
+                    Some(new_order(reservation, reservation.unload?, OrderKind::Unload))
                 }
                 ReservationState::Ready
                 | ReservationState::Draining
                 | ReservationState::Expiring => None,
             })
-            .filter(|order| self.is_based(order))
+            .filter(|order| self.has_base(order))
             .collect()
     }
 
-    /// Whether the model below an adapter is there to load it onto.
-    fn is_based(&self, order: &Order) -> bool {
+    /// Whether the base model that a load order needs is loaded.
+    fn has_base(&self, order: &Order) -> bool {
         order.kind == OrderKind::Unload
             || order.asset.adapter.is_none()
             || self.is_ready(&order.asset.base_model())
     }
 
-    fn load(&mut self) -> LoadOrder {
+    fn new_load_order(&mut self) -> LoadOrder {
         self.last_order += 1;
         LoadOrder {
             order: OrderId(self.last_order),
@@ -353,111 +365,116 @@
         }
     }
 
-    /// The engine has restarted: it holds nothing and has forgotten all orders.
+    /// Handles a restart of the engine: it holds nothing and has forgotten all orders.
     ///
-    /// Copies that were under way still are, and the new incarnation would
-    /// carry them out. What was wanted is ordered again with the same number,
-    /// so that a late copy of it is a duplicate; what was to be dropped keeps
-    /// its memory until no copy can land.
-    fn restart(&mut self, span: TimeRange) {
-        for item in &mut self.reservations {
-            let wanted =
-                matches!(item.state, ReservationState::Loading | ReservationState::Ready);
-            let last = item.loads.last().map(|load| load.order);
-            item.loads.retain(|load| {
-                !is_accounted(load, span) || (wanted && Some(load.order) == last)
+    /// Copies in transit remain, and the new incarnation would execute them. An asset
+    /// that is still needed is ordered again with the same number, so that a late copy is
+    /// a duplicate; one that was being dropped keeps its memory until no copy can arrive.
+    fn handle_restart(&mut self, time: TimeRange) {
+        for reservation in &mut self.reservations {
+            let is_needed = matches!(
+                reservation.state,
+                ReservationState::Loading | ReservationState::Ready
+            );
+            let last = reservation.loads.last().map(|load| load.order);
+            reservation.loads.retain(|load| {
+                !is_settled(load, time) || (is_needed && Some(load.order) == last)
             });
-            for load in &mut item.loads {
+            for load in &mut reservation.loads {
                 load.listed = false;
             }
-            item.unload = None;
-            if wanted {
-                item.state = ReservationState::Loading;
-                if let Some(load) = item.loads.last_mut() {
+            reservation.unload = None;
+            if is_needed {
+                reservation.state = ReservationState::Loading;
+                if let Some(load) = reservation.loads.last_mut() {
                     load.answered = false;
                     load.expires_at = None;
                 }
             } else {
-                item.state = ReservationState::Expiring;
-                stop_sending(item, span);
+                reservation.state = ReservationState::Expiring;
+                start_expiry(reservation, time);
             }
         }
     }
 
-    fn note_seen(&mut self, report: &Report, span: TimeRange) {
-        for load in self.reservations.iter_mut().flat_map(|item| &mut item.loads) {
+    fn mark_listed(&mut self, report: &Report, time: TimeRange) {
+        for load in
+            self.reservations.iter_mut().flat_map(|reservation| &mut reservation.loads)
+        {
             if !load.listed && report.order_state(load.order).is_some() {
                 load.listed = true;
-                load.expires_at = Some(span.latest + MAX_ORDER_DELAY_MS);
+                load.expires_at = Some(time.latest + MAX_ORDER_DELAY_MS);
             }
         }
     }
 
-    /// Moves one item on by what the report says of it.
-    fn advance(&mut self, at: usize, report: &Report, span: TimeRange) {
-        let item = &self.reservations[at];
-        let held = report.asset_state(&item.asset);
-        let ready = held == Some(AssetState::Ready);
-        match item.state {
-            ReservationState::Loading if ready => {
-                self.reservations[at].state = ReservationState::Ready
+    /// Updates the state of one reservation by what the report says of its asset.
+    fn update_state(&mut self, index: usize, report: &Report, time: TimeRange) {
+        let reservation = &self.reservations[index];
+        let reported = report.asset_state(&reservation.asset);
+        let is_ready = reported == Some(AssetState::Ready);
+        match reservation.state {
+            ReservationState::Loading if is_ready => {
+                self.reservations[index].state = ReservationState::Ready
             }
-            ReservationState::Loading if held.is_none() => {
-                // The order has come to nothing: it failed, or a late unload
-                // undid it. The engine ignores its number from now on.
-                let over = item.loads.last().is_none_or(|load| {
+            ReservationState::Loading if reported.is_none() => {
+                // The order failed, or a late unload undid it. The engine ignores its
+                // number from now on.
+                let is_over = reservation.loads.last().is_none_or(|load| {
                     match report.order_state(load.order) {
                         Some(OrderState::Running) => false,
                         Some(OrderState::Done | OrderState::Failed) => true,
                         None => load.listed,
                     }
                 });
-                if over {
-                    let load = self.load();
-                    self.reservations[at].loads.push(load);
+                if is_over {
+                    let load = self.new_load_order();
+                    self.reservations[index].loads.push(load);
                 }
             }
-            ReservationState::Ready if !ready => {
-                self.reservations[at].state = ReservationState::Loading
+            ReservationState::Ready if !is_ready => {
+                self.reservations[index].state = ReservationState::Loading
             }
-            ReservationState::Draining if held.is_none() => self.spend(at, span),
+            ReservationState::Draining if reported.is_none() => self.expire(index, time),
             ReservationState::Unloading => {
-                let order = item.unload.and_then(|id| report.order_state(id));
-                match (order, held) {
-                    (Some(OrderState::Done), None) => self.spend(at, span),
-                    // It failed, or a late copy of the load landed after it.
-                    (Some(OrderState::Done | OrderState::Failed), Some(_)) if ready => {
-                        self.reservations[at].state = ReservationState::Draining;
-                        self.reservations[at].unload = None;
+                let order = reservation.unload.and_then(|id| report.order_state(id));
+                match (order, reported) {
+                    (Some(OrderState::Done), None) => self.expire(index, time),
+                    // The unload failed, or a late copy of the load arrived after it.
+                    (Some(OrderState::Done | OrderState::Failed), Some(_))
+                        if is_ready =>
+                    {
+                        self.reservations[index].state = ReservationState::Draining;
+                        self.reservations[index].unload = None;
                     }
-                    (Some(OrderState::Failed), None) => self.spend(at, span),
+                    (Some(OrderState::Failed), None) => self.expire(index, time),
                     _ => {}
                 }
             }
             ReservationState::Expiring => {
-                if let Some(held) = held {
-                    self.reservations[at].state = found(held);
+                if let Some(reported) = reported {
+                    self.reservations[index].state = unexpected_state(reported);
                 }
             }
             _ => {}
         }
     }
 
-    fn spend(&mut self, at: usize, span: TimeRange) {
-        let item = &mut self.reservations[at];
-        item.state = ReservationState::Expiring;
-        item.unload = None;
-        stop_sending(item, span);
+    fn expire(&mut self, index: usize, time: TimeRange) {
+        let reservation = &mut self.reservations[index];
+        reservation.state = ReservationState::Expiring;
+        reservation.unload = None;
+        start_expiry(reservation, time);
     }
 
-    /// Enters what the engine holds though nobody ordered it here, such as a
-    /// model that operators loaded by hand.
+    /// Adds reservations for assets that the engine holds without an order of this
+    /// ledger, such as a model that an operator loaded by hand.
     fn adopt(&mut self, report: &Report) {
         for (asset, bytes, state) in report.assets() {
             if self.reservation(&asset).is_some() {
                 continue;
             }
-            let state = found(state);
+            let state = unexpected_state(state);
             self.reservations.push(Reservation {
                 asset,
                 bytes,
@@ -468,31 +485,33 @@
         }
     }
 
-    /// Removes what can't come to hold memory any more.
-    fn forget(&mut self, span: TimeRange) {
-        for item in &mut self.reservations {
-            // The last order of what is held stays known, so that it can be
-            // sent again after a restart even while the table is down.
-            let held = item.state != ReservationState::Expiring;
-            let last = item.loads.last().map(|load| load.order);
-            item.loads.retain(|load| {
-                !is_accounted(load, span) || (held && Some(load.order) == last)
+    /// Removes load orders that can take no memory any more, and expiring reservations
+    /// without load orders.
+    fn prune(&mut self, time: TimeRange) {
+        for reservation in &mut self.reservations {
+            // The last order of a loaded asset is retained, so that it can be sent again
+            // after a restart even while the table service is down.
+            let is_active = reservation.state != ReservationState::Expiring;
+            let last = reservation.loads.last().map(|load| load.order);
+            reservation.loads.retain(|load| {
+                !is_settled(load, time) || (is_active && Some(load.order) == last)
             });
         }
-        self.reservations.retain(|item| {
-            item.state != ReservationState::Expiring || !item.loads.is_empty()
+        self.reservations.retain(|reservation| {
+            reservation.state != ReservationState::Expiring
+                || !reservation.loads.is_empty()
         });
     }
 }
 
-/// Whether no copy of a load order can land any more as anything but a duplicate.
-fn is_accounted(load: &LoadOrder, span: TimeRange) -> bool {
+/// Whether no copy of a load order can arrive any more except as a duplicate.
+fn is_settled(load: &LoadOrder, time: TimeRange) -> bool {
     (load.listed && load.answered)
-        || load.expires_at.is_some_and(|until| until <= span.earliest)
+        || load.expires_at.is_some_and(|expires_at| expires_at <= time.earliest)
 }
 
-/// The state of an asset that is found at the engine without being expected.
-fn found(state: AssetState) -> ReservationState {
+/// The state of a reservation for an asset that the engine holds unexpectedly.
+fn unexpected_state(state: AssetState) -> ReservationState {
     match state {
         AssetState::Loading => ReservationState::Loading,
         AssetState::Ready => ReservationState::Ready,
@@ -500,8 +519,8 @@
     }
 }
 
-fn stop_sending(item: &mut Reservation, span: TimeRange) {
-    for load in &mut item.loads {
-        load.expires_at.get_or_insert(span.latest + MAX_ORDER_DELAY_MS);
+fn start_expiry(reservation: &mut Reservation, time: TimeRange) {
+    for load in &mut reservation.loads {
+        load.expires_at.get_or_insert(time.latest + MAX_ORDER_DELAY_MS);
     }
 }
--- a/crates/place/src/lib.rs
+++ b/crates/place/src/lib.rs
@@ -1,13 +1,14 @@
-//! Which model is resident on which runner.
+//! Placement of models on runners.
 //!
-//! Stages of a placement, none of which needs a network:
+//! A placement passes through these stages, none of which needs a network:
 //!
-//! 1. [`planner`] says what each runner of a [`pool`] is to hold, by [`demand`],
-//! 2. [`reconcile`] decides the next steps of one runner towards that,
-//! 3. [`witness`] keeps the last replica of everything declared,
-//! 4. [`ledger`] reserves the memory before an order is sent and frees it only
-//!    when the engine's [`report`] proves that nothing can hold it any more,
-//! 5. [`residency`] is what entries learn of the result.
+//! 1. [`planner`] decides which models each runner of a [`pool`] should hold, by their
+//!    [`demand`] and the resulting [load](balance),
+//! 2. [`reconcile`](mod@reconcile) decides the next steps of one runner towards that,
+//! 3. [`witness`] protects the last replica of everything declared,
+//! 4. [`ledger`] reserves memory before an order is sent and frees it only when the
+//!    engine's [`report`] proves that nothing can hold it any more,
+//! 5. [`residency`] gives entries an index of the result.
 
 pub mod asset;
 pub mod balance;
--- a/crates/place/src/pool.rs
+++ b/crates/place/src/pool.rs
@@ -1,39 +1,39 @@
-//! What the planner goes by, and what it says.
+//! Input and output of the planner.
 
 use std::time::Duration;
 
-/// What is known of a pool.
+/// The state of a pool that a plan starts from.
 #[derive(Debug, Clone, Default, PartialEq)]
 pub struct PoolState {
-    /// Runners.
+    /// Runners of the pool; others refer to them by index.
     pub runners: Vec<RunnerState>,
-    /// Declared models.
+    /// Declared models; others refer to them by index.
     pub models: Vec<ModelState>,
-    /// What a runner can serve, in tokens a second.
+    /// The throughput of a runner, in tokens per second.
     pub runner_throughput: f64,
-    /// Loads that may be under way at the same time.
+    /// The number of loads that may be in progress at the same time.
     pub parallel_loads: usize,
-    /// Whether replicas stay where they are, so that only room that is free is used.
+    /// Whether existing replicas stay where they are, so that only free memory is used.
     pub frozen: bool,
-    /// What one percent of a runner's throughput is worth.
+    /// The value of one percent of a runner's throughput.
     pub attainment_weight: f64,
-    /// What one move costs.
+    /// The cost of one move.
     pub move_weight: f64,
     /// How long a change of demand is expected to last.
     pub demand_horizon: Duration,
 }
 
-/// A runner.
+/// A runner as the planner sees it.
 #[derive(Debug, Clone, PartialEq)]
 pub struct RunnerState {
-    /// Its failure domain, as a number.
+    /// Index of its failure domain.
     pub domain: usize,
     /// The memory for models and adapters, in bytes.
     pub capacity: u64,
-    /// Memory that is taken by what no model in its declared version accounts
-    /// for and that can't be freed now, in bytes.
+    /// Memory that no model in its declared version accounts for and that can't be freed
+    /// now, in bytes.
     pub other_bytes: u64,
-    /// Whether it may be given models; not if it is leaving.
+    /// Whether it may get models; false if it is leaving.
     pub accepts_models: bool,
     /// Whether nothing can be loaded or dropped there for now.
     pub locked: bool,
@@ -48,23 +48,23 @@
     pub replicas: usize,
     /// How long a load takes.
     pub load_time: Duration,
-    /// The demand to plan for, in tokens a second.
+    /// The demand to plan for, in tokens per second.
     pub demand: f64,
-    /// The runners that hold it or are to hold it.
+    /// The runners that hold it or are planned to hold it.
     pub placed: Vec<usize>,
-    /// How many of them are still loading it.
+    /// The number of runners in `placed` that are still loading it.
     pub loading: usize,
     /// Runners that have a copy of the weights, so that a load there does not need
     /// the weight store.
     pub cached_on: Vec<usize>,
 }
 
-/// A plan.
+/// The planned placement of a pool's models.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct Placement {
-    /// For each model, the runners that are to hold it.
+    /// For each model, the runners that should hold it.
     pub placed: Vec<Vec<usize>>,
-    /// Models for which there is no room, with the number of missing replicas.
+    /// Models that do not fit, with the number of missing replicas.
     pub unplaced: Vec<(usize, usize)>,
     /// Replicas that this plan adds, as model and runner, the most urgent first.
     pub added: Vec<(usize, usize)>,
@@ -74,8 +74,8 @@
     /// The memory of a runner that no model takes, in bytes.
     pub fn free_bytes(&self, runner: usize) -> u64 {
         let state = &self.runners[runner];
-        let here = self.models.iter().filter(|model| model.placed.contains(&runner));
-        let taken: u64 = here.map(|model| model.bytes).sum();
-        state.capacity.saturating_sub(state.other_bytes).saturating_sub(taken)
+        let held = self.models.iter().filter(|model| model.placed.contains(&runner));
+        let used: u64 = held.map(|model| model.bytes).sum();
+        state.capacity.saturating_sub(state.other_bytes).saturating_sub(used)
     }
 }
--- a/crates/place/src/report.rs
+++ b/crates/place/src/report.rs
@@ -1,18 +1,18 @@
-//! What an engine says it holds.
+//! Reports of an engine on its memory, assets and orders.
 
 use chestnut_base::{AdapterName, ModelName, OrderId, VersionName};
 use serde::{Deserialize, Serialize};
 
 use crate::asset::Asset;
 
-/// The answer of an engine to `GET /v1/report`.
+/// The response of an engine to `GET /v1/report`.
 ///
-/// Residents and orders are exact at the time of the answer; the load lags.
+/// Assets and orders are exact at the time of the response; `running` and `waiting` lag.
 #[derive(Debug, Clone, Default, PartialEq, Serialize, Deserialize)]
 pub struct Report {
-    /// The start of the engine; a restarted engine has another one.
+    /// Identifies this start of the engine; a restarted engine has another value.
     pub incarnation: u64,
-    /// Grows with each change within an incarnation.
+    /// Sequence number of the report; grows with each change within an incarnation.
     #[serde(default)]
     pub seq: u64,
     /// The memory for models and adapters, in bytes.
@@ -20,21 +20,21 @@
     /// The memory in use, in bytes.
     #[serde(default)]
     pub used: u64,
-    /// Models.
+    /// Models that hold memory.
     #[serde(default)]
     pub models: Vec<ModelEntry>,
-    /// Adapters.
+    /// Adapters that hold memory.
     #[serde(default)]
     pub adapters: Vec<AdapterEntry>,
-    /// Orders that this incarnation has taken up.
+    /// Orders that this incarnation has received.
     ///
-    /// A listed order is not carried out again in this incarnation.
+    /// A listed order is not executed again in this incarnation.
     #[serde(default)]
     pub orders: Vec<OrderEntry>,
-    /// Requests that run.
+    /// Number of running requests.
     #[serde(default)]
     pub running: u32,
-    /// Requests that wait.
+    /// Number of requests waiting at the engine.
     #[serde(default)]
     pub waiting: u32,
 }
@@ -42,76 +42,76 @@
 /// A model in a report.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ModelEntry {
-    /// The model.
+    /// Name without the version.
     pub model: ModelName,
-    /// The version.
+    /// Version of the model.
     pub version: VersionName,
-    /// The memory, in bytes.
+    /// The memory that it holds, in bytes.
     pub bytes: u64,
-    /// How far it is.
+    /// Progress of the load or unload.
     pub state: AssetState,
 }
 
 /// An adapter in a report.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct AdapterEntry {
-    /// The adapter.
+    /// Name of the adapter.
     pub adapter: AdapterName,
-    /// The engine's name of the model below, `MODEL@VERSION`.
+    /// The engine's name of the base model, `MODEL@VERSION`.
     pub model: String,
-    /// The memory, in bytes.
+    /// The memory that it holds, in bytes.
     pub bytes: u64,
-    /// How far it is.
+    /// Progress of the load or unload.
     pub state: AssetState,
 }
 
-/// How far a model or an adapter is.
+/// The state of a model or an adapter at an engine.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum AssetState {
-    /// It holds memory and can't be used yet.
+    /// Holds memory and can't be used yet.
     Loading,
-    /// It can be used.
+    /// Can be used.
     Ready,
-    /// It still holds memory and can't be used any more.
+    /// Still holds memory and can't be used any more.
     Unloading,
 }
 
 /// An order in a report.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct OrderEntry {
-    /// The order.
+    /// Number of the order.
     pub order: OrderId,
-    /// What became of it.
+    /// Outcome so far.
     pub state: OrderState,
 }
 
-/// What became of an order.
+/// The state of an order at an engine.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum OrderState {
-    /// The engine works on it.
+    /// The engine is executing it.
     Running,
-    /// The engine has carried it out.
+    /// The engine has executed it.
     Done,
-    /// The engine has given it up.
+    /// The engine could not execute it.
     Failed,
 }
 
 impl Report {
-    /// The state of an asset, if the engine holds any of it.
+    /// The state of an asset; `None` if it holds no memory.
     pub fn asset_state(&self, asset: &Asset) -> Option<AssetState> {
-        self.assets().find(|(held, ..)| held == asset).map(|(_, _, state)| state)
+        self.assets().find(|(other, ..)| other == asset).map(|(_, _, state)| state)
     }
 
-    /// What became of an order, if this incarnation knows it.
+    /// The state of an order; `None` if this incarnation has not received it.
     pub fn order_state(&self, id: OrderId) -> Option<OrderState> {
         self.orders.iter().find(|entry| entry.order == id).map(|entry| entry.state)
     }
 
-    /// All models and adapters with their memory and state.
+    /// All models and adapters with their memory in bytes and their state.
     ///
-    /// Adapters on a model whose name can't be read are left out.
+    /// Adapters whose base model name is malformed are left out.
     pub fn assets(&self) -> impl Iterator<Item = (Asset, u64, AssetState)> {
         let models = self.models.iter().map(|entry| {
             let asset = Asset::model(entry.model.clone(), entry.version.clone());
--- a/crates/place/src/residency.rs
+++ b/crates/place/src/residency.rs
@@ -1,4 +1,4 @@
-//! What is resident where, as entries know it.
+//! Models and adapters that each runner can serve, as entries see them.
 
 use std::sync::Arc;
 
@@ -8,42 +8,45 @@
 
 use crate::ledger::Ledger;
 
-/// What is resident on each runner.
+/// The assets that each runner can serve.
 ///
-/// It lags behind the ledger, so that the runner's lead checks it again.
+/// It lags behind the ledgers, so the runner's holder checks each request again.
 #[derive(Debug, Clone, Default, PartialEq)]
 pub struct Residency {
-    /// Runners and what they hold; shared with earlier and later states, since a
-    /// move changes one of thousands.
+    /// Assets by runner; shared with earlier and later states, since a move changes one
+    /// runner of thousands.
     runners: IndexMap<ServerName, Arc<ResidentAssets>>,
-    /// The positions in `runners` of those that hold each model in any version.
+    /// Indices into `runners` of those that hold each model in any version.
     ///
-    /// Every request looks for the runners of its model; without this it would
-    /// look through all of them.
-    models: IndexMap<ModelName, Vec<usize>>,
+    /// Every request looks up the runners of its model; without this index it would scan
+    /// all runners.
+    runners_by_model: IndexMap<ModelName, Vec<usize>>,
 }
 
-/// What a runner holds and may be asked for.
+/// The assets of a runner that requests may use.
 #[derive(Debug, Clone, Default, PartialEq, Serialize, Deserialize)]
 pub struct ResidentAssets {
-    /// Models with their versions, loaded and not to be dropped.
+    /// Models with their versions that are loaded and not being dropped.
     pub models: IndexSet<(ModelName, VersionName)>,
-    /// Adapters, loaded and not to be dropped.
+    /// Adapters that are loaded and not being dropped.
     pub adapters: IndexSet<AdapterName>,
-    /// The models with their versions on which the adapters were loaded.
+    /// For each adapter, the model and version on which it was loaded.
     #[serde(default)]
     pub bases: IndexMap<AdapterName, (ModelName, VersionName)>,
 }
 
 impl ResidentAssets {
-    /// What may be used of what a runner's ledger holds.
+    /// The assets in a runner's ledger that requests may use.
     pub fn from_ledger(ledger: &Ledger) -> Self {
         let mut resident = Self::default();
-        for item in
-            ledger.reservations.iter().filter(|item| ledger.is_usable(&item.asset))
+        for reservation in ledger
+            .reservations
+            .iter()
+            .filter(|reservation| ledger.is_usable(&reservation.asset))
         {
-            let base = (item.asset.model.clone(), item.asset.version.clone());
-            match &item.asset.adapter {
+            let base =
+                (reservation.asset.model.clone(), reservation.asset.version.clone());
+            match &reservation.asset.adapter {
                 None => {
                     resident.models.insert(base);
                 }
@@ -56,7 +59,7 @@
         resident
     }
 
-    /// Whether the runner can serve a model with an adapter on top.
+    /// Whether the runner can serve a model version, with the adapter on top if any.
     pub fn serves(
         &self,
         model: &ModelName,
@@ -70,28 +73,28 @@
 }
 
 impl Residency {
-    /// Creates the state from what each runner holds.
+    /// Creates the index from the assets of each runner.
     pub fn new(runners: IndexMap<ServerName, Arc<ResidentAssets>>) -> Self {
-        let mut models: IndexMap<ModelName, Vec<usize>> = IndexMap::new();
-        for (at, held) in runners.values().enumerate() {
-            for (model, _) in &held.models {
-                match models.get_mut(model) {
+        let mut runners_by_model: IndexMap<ModelName, Vec<usize>> = IndexMap::new();
+        for (index, resident) in runners.values().enumerate() {
+            for (model, _) in &resident.models {
+                match runners_by_model.get_mut(model) {
                     // A runner may hold two versions of a model.
-                    Some(list) if list.last() == Some(&at) => {}
-                    Some(list) => list.push(at),
-                    None => drop(models.insert(model.clone(), vec![at])),
+                    Some(indices) if indices.last() == Some(&index) => {}
+                    Some(indices) => indices.push(index),
+                    None => drop(runners_by_model.insert(model.clone(), vec![index])),
                 }
             }
         }
-        Self { runners, models }
+        Self { runners, runners_by_model }
     }
 
-    /// Runners and what they hold.
+    /// The assets of each runner.
     pub fn runners(&self) -> &IndexMap<ServerName, Arc<ResidentAssets>> {
         &self.runners
     }
 
-    /// Whether a runner can serve a model with an adapter on top.
+    /// Whether a runner can serve a model version, with the adapter on top if any.
     pub fn serves(
         &self,
         runner: &ServerName,
@@ -99,55 +102,57 @@
         version: &VersionName,
         adapter: Option<&AdapterName>,
     ) -> bool {
-        let held = self.runners.get(runner);
-        held.is_some_and(|held| held.serves(model, version, adapter))
+        let resident = self.runners.get(runner);
+        resident.is_some_and(|resident| resident.serves(model, version, adapter))
     }
 
-    /// The runners that hold a model in any version, and what they hold.
-    fn holding(
+    /// The runners that hold a model in any version, with their assets.
+    fn runners_holding(
         &self,
         model: &ModelName,
     ) -> impl Iterator<Item = (&ServerName, &ResidentAssets)> + use<'_> {
-        let list = self.models.get(model).map_or(&[][..], Vec::as_slice);
-        list.iter().filter_map(|&at| {
-            let (name, held) = self.runners.get_index(at)?;
-            Some((name, &**held))
+        let indices = self.runners_by_model.get(model).map_or(&[][..], Vec::as_slice);
+        indices.iter().filter_map(|&index| {
+            let (name, resident) = self.runners.get_index(index)?;
+            Some((name, &**resident))
         })
     }
 
-    /// The runners that can serve a model with an adapter on top.
+    /// The runners that can serve a model version, with the adapter on top if any.
     pub fn serving(
         &self,
         model: &ModelName,
         version: &VersionName,
         adapter: Option<&AdapterName>,
     ) -> impl Iterator<Item = &ServerName> {
-        let runners = self.holding(model);
+        let runners = self.runners_holding(model);
         let (model, version) = (model.clone(), version.clone());
         let adapter = adapter.cloned();
         runners
-            .filter(move |(_, held)| held.serves(&model, &version, adapter.as_ref()))
+            .filter(move |(_, resident)| {
+                resident.serves(&model, &version, adapter.as_ref())
+            })
             .map(|(name, _)| name)
     }
 
-    /// The version of a model that a request gets: the wanted one if any runner
-    /// can serve it, else one that can be served meanwhile.
+    /// The version of a model that a request uses: `declared` if any runner can serve it,
+    /// else the greatest one that can be served.
     ///
-    /// While a new version is being loaded, requests go on with the old one.
+    /// While a new version is being loaded, requests continue to use the old one.
     pub fn servable_version(
         &self,
         model: &ModelName,
-        wanted: &VersionName,
+        declared: &VersionName,
         adapter: Option<&AdapterName>,
     ) -> VersionName {
-        if self.serving(model, wanted, adapter).next().is_some() {
-            return wanted.clone();
+        if self.serving(model, declared, adapter).next().is_some() {
+            return declared.clone();
         }
-        let held = self.holding(model).flat_map(|(_, held)| {
-            held.models.iter().filter(move |(name, version)| {
-                name == model && held.serves(model, version, adapter)
+        let resident = self.runners_holding(model).flat_map(|(_, resident)| {
+            resident.models.iter().filter(move |(name, version)| {
+                name == model && resident.serves(model, version, adapter)
             })
         });
-        held.map(|(_, version)| version).max().unwrap_or(wanted).clone()
+        resident.map(|(_, version)| version).max().unwrap_or(declared).clone()
     }
 }
