--- a/crates/place/src/residency.rs
+++ b/crates/place/src/residency.rs
@@ -136,7 +136,7 @@
     }
 
     /// The version of a model that a request uses: `declared` if any runner can serve it,
-    /// else the greatest one that can be served.
+    /// else the greatest one that can be served, else `declared`.
     ///
     /// While a new version is being loaded, requests continue to use the old one.
     pub fn servable_version(
