--- a/crates/member/src/assignment.rs
+++ b/crates/member/src/assignment.rs
@@ -1,18 +1,18 @@
-//! Which claims a daemon takes, hands over or gives up.
+//! Assignment of claims to daemons.
 //!
-//! Load pattern: a member joins, leaves or dies every 25 seconds at full size,
-//! and at a rolling restart one after the other. All daemons rank the members
-//! for each claim by rendezvous hashing, so that they agree without talking and
-//! one member's change moves only that member's share. A claim that has a holder
-//! stays with it until the holder leaves or dies, or until the member that it
-//! falls to has been there for [`STABLE_AFTER`]: without the pause a daemon that dies
-//! again and again soon after its start would each time take its share of the
-//! backend servers down with it until its lease lapses.
+//! A member joins, leaves or fails every 25 seconds at full scale, and during a rolling
+//! restart one after the other. All daemons rank the members for each claim by rendezvous
+//! hashing, so that they agree without communicating and a change of one member moves
+//! only its share of the claims. A claim stays with its holder until the holder leaves or
+//! fails, or until the member with the highest rank has been present for
+//! [`STABLE_AFTER`]. Without this delay, a daemon that keeps crashing soon after its
+//! start would each time make its share of the backend servers unavailable until its
+//! lease expires.
 //!
-//! VMs differ fourfold in their processors. A claim of a backend server falls to one in
-//! proportion; that of a whole service, whose holder hears of every request, to one of
-//! the largest. Shared evenly, the queue of a plain service stood on an eighth of a core
-//! and left half of the questions unanswered under full load.
+//! VMs differ fourfold in CPU. The claim of a backend server is assigned in proportion to
+//! CPU. The claim of a whole service, whose holder is involved in every request, goes to
+//! one of the largest VMs: with equal shares, the queue of a plain service ran on an
+//! eighth of a core and left half of the queries unanswered under full load.
 
 use std::time::{Duration, Instant};
 
@@ -23,97 +23,100 @@
 use crate::rows::{ClaimRow, MemberRow, MembershipRows};
 use crate::view::ClaimKey;
 
-/// How long a member must have been known before claims are handed to it.
+/// How long a member must have been present before claims are handed over to it.
 ///
-/// Longer than a lease, so that one that died right after its start is noticed.
+/// Longer than a lease, so that a failure right after the start is noticed before.
 pub const STABLE_AFTER: Duration = Duration::from_secs(10);
 
-/// The greatest number of claims that a holder hands over at a tick.
+/// The maximum number of claims that a holder hands over in one plan for rebalancing.
 ///
-/// Each interrupts the queue of a backend server for some milliseconds; a few at
-/// a time leave the others undisturbed.
-const BALANCE_STEPS: usize = 4;
+/// Each handover interrupts the queue of a backend server for some milliseconds; a few at
+/// a time leave the other queues undisturbed.
+const MAX_HANDOVERS: usize = 4;
 
-/// What to do about the claims.
+/// The changes of claims that a daemon should commit.
 #[derive(Debug, Clone, Default, PartialEq)]
 pub struct ClaimPlan {
-    /// The steps, each of which is a transaction of its own or part of one.
+    /// Each change is a transaction of its own or part of one.
     pub changes: Vec<ClaimChange>,
 }
 
-/// What to do about a claim.
+/// A change of the holder of a claim.
 ///
-/// The check of the row's version is all that a transaction needs: two daemons
-/// that take the same claim can't both find the version, and a former holder
-/// that comes back finds that its own transactions fail on it.
+/// A transaction needs to check only the row's version: of two daemons that take the same
+/// claim only one finds it unchanged, and the transactions of a former holder that
+/// resumes fail on it.
 #[derive(Debug, Clone, PartialEq)]
 pub struct ClaimChange {
-    /// The claim.
+    /// The claim whose holder changes.
     pub key: ClaimKey,
-    /// The version that the claim's row must still have; 0 if it must not exist.
+    /// The version that the claim's row must have; 0 if it must not exist.
     pub expected_version: u64,
-    /// The new row.
+    /// The row to write.
     pub row: ClaimRow,
 }
 
-/// Decides what a daemon does about the claims on `keys`.
+/// Decides which of the claims `keys` the daemon `me` on `vm` takes, hands over or
+/// releases.
+///
+/// The plan is empty if the daemon is not a member.
 pub fn plan_claims(
-    known: &MembershipRows,
+    rows: &MembershipRows,
     vm: &VmName,
     me: MemberId,
     keys: &[ClaimKey],
     now: Instant,
 ) -> ClaimPlan {
-    let Some((own, _)) = known.own_row(vm, me) else {
+    let Some((own_row, _)) = rows.own_row(vm, me) else {
         return ClaimPlan::default();
     };
-    let able: Vec<(&VmName, &MemberRow)> = known
+    let eligible: Vec<(&VmName, &MemberRow)> = rows
         .members
         .iter()
-        .filter(|(_, (row, _))| known.accepts_claims(row))
+        .filter(|(_, (row, _))| rows.accepts_claims(row))
         .map(|(vm, (row, _))| (vm, row))
         .collect();
     let alive: IndexMap<MemberId, ()> =
-        known.members.values().map(|(row, _)| (row.member, ())).collect();
-    let stable = |member: &MemberId| known.is_stable(*member, now, STABLE_AFTER);
-    let mut spare = BALANCE_STEPS;
-    let leaving = !known.accepts_claims(own);
+        rows.members.values().map(|(row, _)| (row.member, ())).collect();
+    let is_stable = |member: &MemberId| rows.is_stable(*member, now, STABLE_AFTER);
+    let mut handovers_left = MAX_HANDOVERS;
+    let is_leaving = !rows.accepts_claims(own_row);
 
-    let mut steps = Vec::new();
+    let mut changes = Vec::new();
     for key in keys {
-        let current = known.claims.get(key);
+        let current = rows.claims.get(key);
         let version = current.map_or(0, |(_, version)| *version);
-        let last = current.map_or(0, |(row, _)| row.fence.0);
+        let last_fence = current.map_or(0, |(row, _)| row.fence.0);
         let holder = current.and_then(|(row, _)| row.holder);
-        // Ranking all members is the expensive part: it is left out for the many
-        // claims that are in living hands other than the own.
+        // Ranking all members is expensive: it is skipped for the many claims that
+        // another live member holds.
         if holder.is_some_and(|holder| holder != me && alive.contains_key(&holder)) {
             continue;
         }
-        let winner = winner(key, &able);
-        let next = if holder == Some(me) {
-            let away = winner.filter(|&winner| winner != me);
-            if leaving {
-                away
-            } else if spare > 0 && away.as_ref().is_some_and(stable) {
-                spare -= 1;
-                away
+        let assignee = assignee(key, &eligible);
+        let new_holder = if holder == Some(me) {
+            let other = assignee.filter(|&assignee| assignee != me);
+            if is_leaving {
+                other
+            } else if handovers_left > 0 && other.as_ref().is_some_and(is_stable) {
+                handovers_left -= 1;
+                other
             } else {
                 continue;
             }
-        } else if winner == Some(me) {
-            winner
+        } else if assignee == Some(me) {
+            assignee
         } else {
             continue;
         };
-        let row = ClaimRow { holder: next, fence: Fence(last + 1) };
-        steps.push(ClaimChange { key: key.clone(), expected_version: version, row });
+        let row = ClaimRow { holder: new_holder, fence: Fence(last_fence + 1) };
+        changes.push(ClaimChange { key: key.clone(), expected_version: version, row });
     }
-    ClaimPlan { changes: steps }
+    ClaimPlan { changes }
 }
 
-/// The member that a claim falls to if it has no holder.
-fn winner(key: &ClaimKey, able: &[(&VmName, &MemberRow)]) -> Option<MemberId> {
+/// The member of the highest rank for a claim; `None` if no member takes claims.
+fn assignee(key: &ClaimKey, eligible: &[(&VmName, &MemberRow)]) -> Option<MemberId> {
     let name = key.to_string();
     let rank = |vm: &VmName, row: &MemberRow| match key {
         ClaimKey::Pool(_) => (row.weight, rendezvous(&name, vm.as_str()) as f64),
@@ -121,10 +124,10 @@
             (0, weighted_rendezvous(&name, vm.as_str(), row.weight))
         }
     };
-    let ranked = able.iter().map(|(vm, row)| (rank(vm, row), *vm, row.member));
-    let best = ranked.max_by(|((weight, score), vm, _), (other, other_vm, _)| {
+    let ranked = eligible.iter().map(|(vm, row)| (rank(vm, row), *vm, row.member));
+    let highest = ranked.max_by(|((weight, score), vm, _), (other, other_vm, _)| {
         let (other_weight, other_score) = other;
         weight.cmp(other_weight).then(score.total_cmp(other_score)).then(vm.cmp(other_vm))
     });
-    best.map(|(_, _, member)| member)
+    highest.map(|(_, _, member)| member)
 }
--- a/crates/member/src/lease.rs
+++ b/crates/member/src/lease.rs
@@ -1,11 +1,10 @@
-//! Leases: who is alive, as far as anyone may rely on it.
+//! Leases, by which daemons decide which members are alive.
 //!
-//! Load pattern: 110 VMs fail and 3,600 are replaced in a day among thousands.
-//! Renewing one row per daemon and period costs `members / period` writes a
-//! second; reading all renewals would cost each daemon that many rows a second,
-//! so each daemon watches only [`WATCHED_VMS`] others, chosen by rendezvous hashing,
-//! and removes the member row of one whose lease lapsed. The removal is the only
-//! thing that all daemons read.
+//! Of thousands of VMs, 110 fail and 3,600 are replaced per day. Renewing one row per
+//! daemon and period costs `members / period` writes per second; if every daemon read all
+//! renewals, each would read that many rows per second. Therefore each daemon watches
+//! only [`WATCHED_VMS`] others, chosen by rendezvous hashing, and removes the member row
+//! of one whose lease has expired. All daemons read only the removal.
 
 use std::time::{Duration, Instant};
 
@@ -15,28 +14,28 @@
 
 use crate::rows::{LeaseRow, MembershipRows};
 
-/// How many others a daemon watches.
+/// The number of other daemons that a daemon watches.
 ///
-/// A lapsed daemon is found late only if all its watchers failed with it; with
-/// eight of 2,100 a lost rack of 40 takes all with a chance below 1 in 10^13,
-/// and a lost failure domain (1 in 20) leaves one of 10^10 daemons unwatched.
-/// Up to nine daemons everyone watches everyone.
+/// An expired lease is found late only if all watchers failed together with the daemon.
+/// With eight watchers among 2,100 daemons, the loss of a rack of 40 takes all of them
+/// with a probability below 1 in 10^13, and the loss of a failure domain (1 in 20) leaves
+/// one of 10^10 daemons unwatched. Up to nine daemons, each watches all others.
 pub const WATCHED_VMS: usize = 8;
 
-/// Added to a lease before others take it for lapsed.
+/// Added to the term of a lease before other daemons consider it expired.
 ///
-/// The holder counts from before its renewal was sent, the table's clock from
-/// when it committed, so that the holder stops first in any case; the margin is
-/// for clocks that run at different rates.
+/// The daemon counts the term from before it sent the renewal, others count it from the
+/// commit by the table's clock, so that the daemon stops first in any case. The margin
+/// allows for clocks that run at different rates.
 pub const EXPIRY_MARGIN: Duration = Duration::from_millis(250);
 
-/// The own lease.
+/// The lease of this daemon.
 #[derive(Debug, Clone, Copy)]
 pub struct Lease {
-    /// How long a renewal holds.
+    /// How long a renewal is valid.
     term: Duration,
-    /// Until when the lease holds; counted from before the renewal was sent,
-    /// since the table may have committed it at any time after.
+    /// Counted from before the renewal was sent, since the table may have committed it at
+    /// any time after; `None` while there is no lease.
     expires_at: Option<Instant>,
 }
 
@@ -46,48 +45,51 @@
         Self { term, expires_at: None }
     }
 
-    /// Takes note of a renewal that was committed after it was sent at `sent`.
-    pub fn record_renewal(&mut self, sent: Instant) {
-        let until = sent + self.term;
-        self.expires_at = Some(self.expires_at.map_or(until, |old| old.max(until)));
+    /// Records a committed renewal that was sent at `sent_at`.
+    ///
+    /// It never shortens the lease.
+    pub fn record_renewal(&mut self, sent_at: Instant) {
+        let expires_at = sent_at + self.term;
+        self.expires_at =
+            Some(self.expires_at.map_or(expires_at, |old| old.max(expires_at)));
     }
 
-    /// Takes note that the lease was found removed.
+    /// Ends the lease, after its row was found removed.
     pub fn revoke(&mut self) {
         self.expires_at = None;
     }
 
-    /// Whether the lease holds.
+    /// Whether the lease is valid at `now`.
     ///
-    /// A process that was frozen finds it lapsed when it wakes, and must not
-    /// start anything that rests on a claim.
+    /// A process that resumes after a suspension finds it expired, and must not start
+    /// anything that relies on a claim.
     pub fn is_valid(&self, now: Instant) -> bool {
-        self.expires_at.is_some_and(|until| now < until)
+        self.expires_at.is_some_and(|expires_at| now < expires_at)
     }
 
-    /// Until when the lease holds.
+    /// When the lease expires; `None` if it was never granted or was revoked.
     pub fn expires_at(&self) -> Option<Instant> {
         self.expires_at
     }
 }
 
 /// The VMs whose leases this daemon watches.
-pub fn watched_vms(known: &MembershipRows, me: &VmName) -> Vec<VmName> {
-    let others = known.members.keys().filter(|vm| *vm != me);
-    first(others, |vm| rendezvous(vm.as_str(), me.as_str()))
+pub fn watched_vms(rows: &MembershipRows, me: &VmName) -> Vec<VmName> {
+    let others = rows.members.keys().filter(|vm| *vm != me);
+    highest_ranked(others, |vm| rendezvous(vm.as_str(), me.as_str()))
 }
 
-/// The VMs whose daemons watch this one's lease.
+/// The VMs whose daemons watch this daemon's lease.
 ///
-/// Each of the others watches [`WATCHED_VMS`]; those are found by ranking for each of
-/// them, so that the result is kept until members change.
-pub fn watchers(known: &MembershipRows, me: &VmName) -> Vec<VmName> {
-    let others = known.members.keys().filter(|vm| *vm != me);
-    others.filter(|vm| watched_vms(known, vm).contains(me)).cloned().collect()
+/// This ranks the [`WATCHED_VMS`] of every other daemon, so callers cache the result
+/// until members change.
+pub fn watchers(rows: &MembershipRows, me: &VmName) -> Vec<VmName> {
+    let others = rows.members.keys().filter(|vm| *vm != me);
+    others.filter(|vm| watched_vms(rows, vm).contains(me)).cloned().collect()
 }
 
-/// The [`WATCHED_VMS`] VMs with the greatest rank.
-fn first<'a>(
+/// The [`WATCHED_VMS`] VMs of the highest rank.
+fn highest_ranked<'a>(
     vms: impl Iterator<Item = &'a VmName>,
     rank: impl Fn(&VmName) -> u64,
 ) -> Vec<VmName> {
@@ -97,22 +99,24 @@
     ranked.into_iter().map(|(_, vm)| vm.clone()).collect()
 }
 
-/// The watched VMs whose lease lapsed, by the table's clock at `now` (in ms).
+/// The VMs among `leases` whose lease expired, by the table's clock at `now` in
+/// milliseconds.
 ///
-/// The removal itself is checked again in the table's transaction.
+/// The transaction that removes the member checks the expiry again.
 pub fn expired(
-    known: &MembershipRows,
+    rows: &MembershipRows,
     leases: &IndexMap<VmName, LeaseRow>,
     now: u64,
     term: Duration,
 ) -> Vec<VmName> {
-    let limit = (term + EXPIRY_MARGIN).as_millis() as u64;
-    let old = |vm: &&VmName| {
+    let max_age = (term + EXPIRY_MARGIN).as_millis() as u64;
+    let is_expired = |vm: &&VmName| {
         let Some(lease) = leases.get(*vm) else {
-            // Joined so recently that its lease was not read yet, or removed.
+            // The member joined so recently that its lease was not read yet, or the lease
+            // was removed.
             return false;
         };
-        now.saturating_sub(lease.modified) > limit
+        now.saturating_sub(lease.modified) > max_age
     };
-    known.members.keys().filter(old).cloned().collect()
+    rows.members.keys().filter(is_expired).cloned().collect()
 }
--- a/crates/member/src/lib.rs
+++ b/crates/member/src/lib.rs
@@ -1,14 +1,14 @@
-//! Who is a member, and who leads what.
+//! Membership of daemons and assignment of claims to them.
 //!
-//! The crate decides and needs no network. A daemon runs these stages at each
+//! The crate makes decisions and needs no network. A daemon runs these stages at each
 //! poll of the platform's table:
 //!
-//! 1. [`rows`] takes in the rows that changed,
-//! 2. [`lease`] tells whose lease lapsed and whether the own one holds,
-//! 3. [`assignment`] tells which claims to take, hand over or give up,
-//! 4. [`view`] is what the rest of the daemon reads.
+//! 1. [`rows`] holds the rows as the daemon has read them,
+//! 2. [`lease`] finds expired leases and checks whether the daemon's own lease is valid,
+//! 3. [`assignment`] decides which claims to take, hand over or release,
+//! 4. [`view`] is the result that the rest of the daemon reads.
 //!
-//! [`suspension`] tells what a daemon may still do after its VM has stood still.
+//! [`suspension`] limits what a daemon may do after its VM was suspended.
 
 pub mod assignment;
 pub mod lease;
--- a/crates/member/src/rows.rs
+++ b/crates/member/src/rows.rs
@@ -1,4 +1,4 @@
-//! The rows of the platform's table as this daemon has read them.
+//! Rows of the platform's table as this daemon has read them.
 
 use std::net::SocketAddr;
 use std::time::{Duration, Instant};
@@ -9,71 +9,74 @@
 
 use crate::view::{Claim, ClaimKey, Member, Server, View};
 
-/// A daemon's row, written when it joins and when it leaves.
+/// A daemon's row, written when the daemon joins and when it starts to leave.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct MemberRow {
-    /// This start of the daemon.
+    /// Identifies this start of the daemon.
     pub member: MemberId,
-    /// The failure domain.
+    /// The failure domain of its VM.
     pub domain: DomainName,
-    /// Where callers connect.
+    /// The address for callers.
     pub caller_addr: SocketAddr,
-    /// Where other daemons connect.
+    /// The address for other daemons.
     pub peer_addr: SocketAddr,
-    /// Where operators connect.
+    /// The address for operators.
     pub ops_addr: SocketAddr,
-    /// Whether the daemon is leaving.
+    /// Whether the daemon is leaving and takes no new claims.
     pub leaving: bool,
-    /// The processor time that the daemon has, in hundredths of a core.
+    /// The CPU time that the daemon can use, in hundredths of a core.
     #[serde(default = "whole_core")]
     pub weight: u32,
 }
 
-/// The weight of a daemon that has a core, or whose row does not say.
+/// The weight of a daemon that has one core, or whose row lacks a weight.
 pub const ONE_CORE_WEIGHT: u32 = 100;
 
 fn whole_core() -> u32 {
     ONE_CORE_WEIGHT
 }
 
-/// A daemon's lease, rewritten at each renewal.
+/// A daemon's lease, written at each renewal.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct LeaseRow {
-    /// This start of the daemon.
+    /// Identifies this start of the daemon.
     pub member: MemberId,
-    /// The revision in force at the daemon.
+    /// The configuration revision in force at the daemon.
     pub revision: Revision,
-    /// The time of the renewal by the table's clock, in milliseconds.
+    /// The time of the renewal by the table's clock, in milliseconds; not stored in the
+    /// row.
     #[serde(skip)]
     pub modified: u64,
 }
 
-/// A claim's row.
+/// The row of a claim.
 #[derive(Debug, Clone, Copy, PartialEq, Serialize, Deserialize)]
 pub struct ClaimRow {
-    /// The holder, or none if it was given up.
+    /// The holder; `None` if the claim was released.
     pub holder: Option<MemberId>,
     /// The number of changes of the holder so far.
     pub fence: Fence,
 }
 
 /// The rows of the platform's table as this daemon has read them.
+///
+/// They lag behind the table.
 #[derive(Debug, Clone, Default)]
 pub struct MembershipRows {
-    /// Daemons and the versions of their rows.
+    /// Rows of daemons with their versions.
     pub members: IndexMap<VmName, (MemberRow, u64)>,
-    /// Claims and the versions of their rows.
+    /// Rows of claims with their versions.
     pub claims: IndexMap<ClaimKey, (ClaimRow, u64)>,
-    /// Backend servers.
+    /// Backend servers on the platform's list.
     pub servers: IndexMap<ServerName, Server>,
-    /// Daemons that said themselves that they are leaving, ahead of the table.
+    /// Daemons that announced that they are leaving before their rows show it.
     pub leaving: IndexSet<MemberId>,
-    /// When each member was first seen.
+    /// When each member was first observed by this daemon.
     first_seen: IndexMap<MemberId, Instant>,
 }
 
 impl MembershipRows {
-    /// Takes note of who is there, to be called after each read.
+    /// Records when members were first observed; to be called after each read.
     pub fn record_first_seen(&mut self, now: Instant) {
         let present: IndexSet<MemberId> =
             self.members.values().map(|(row, _)| row.member).collect();
@@ -83,30 +86,31 @@
         }
     }
 
-    /// Whether the member has been there for `least`.
-    pub fn is_stable(&self, member: MemberId, now: Instant, least: Duration) -> bool {
-        let seen = self.first_seen.get(&member);
-        seen.is_some_and(|&seen| now.saturating_duration_since(seen) >= least)
+    /// Whether the member was first observed at least `min_age` ago.
+    pub fn is_stable(&self, member: MemberId, now: Instant, min_age: Duration) -> bool {
+        let first_seen = self.first_seen.get(&member);
+        first_seen.is_some_and(|&at| now.saturating_duration_since(at) >= min_age)
     }
 
-    /// The row of this start of the daemon and its version, if it stands.
+    /// The row of this daemon and its version; `None` if it was removed or written by
+    /// another start.
     pub fn own_row(&self, vm: &VmName, me: MemberId) -> Option<(&MemberRow, u64)> {
         let (row, version) = self.members.get(vm)?;
         (row.member == me).then_some((row, *version))
     }
 
-    /// The row of a start of a daemon, if it stands.
+    /// The row of a member; `None` if it was removed.
     pub fn member_row(&self, member: MemberId) -> Option<&MemberRow> {
         let mut rows = self.members.values().map(|(row, _)| row);
         rows.find(|row| row.member == member)
     }
 
-    /// Whether the member stands and takes claims.
+    /// Whether the member may take claims, which it may not while it is leaving.
     pub fn accepts_claims(&self, row: &MemberRow) -> bool {
         !row.leaving && !self.leaving.contains(&row.member)
     }
 
-    /// What the rest of the daemon reads.
+    /// Creates the view that the rest of the daemon reads.
     pub fn view(&self) -> View {
         let members = self.members.iter().map(|(vm, (row, _))| {
             let member = Member {
--- a/crates/member/src/suspension.rs
+++ b/crates/member/src/suspension.rs
@@ -1,76 +1,81 @@
-//! What a daemon may do after it has stood still.
+//! Limits on what a daemon may do after it was suspended.
 //!
-//! # Load pattern
+//! A hypervisor suspends a VM for seconds, a process is stopped, or a VM loses its
+//! connections to the store and the other daemons but not to its runners. Meanwhile other
+//! daemons take over its claims. After it resumes, heartbeats that waited in the socket
+//! look new. While a VM is suspended even the monotonic clock stands still, so that
+//! cached state does not look old either.
 //!
-//! A hypervisor stops a VM for seconds, a process is stopped, or a VM loses its links to
-//! the store and the other daemons but not to its runners. Others take its claims over
-//! meanwhile. Beats that waited in the socket look new when it goes on; of a VM that
-//! stood still even the monotonic clock counts nothing, so that nothing looks old.
-//!
-//! # Decision
-//!
-//! The daemon looks at its clocks some times a second. If they show a gap, all news is
-//! old for [`SETTLING_TIME`], and the claims are read again before the next order. Where
-//! runners do not check fences, an order is given only if the claims were confirmed
-//! within [`MAX_CONFIRMATION_AGE`]: whoever took the runner over waits for longer than that.
+//! The daemon compares its clocks several times per second. If they show a gap, state
+//! received from others counts as stale for [`SETTLING_TIME`], and the claims are read
+//! again before the next order. To a runner that does not check fences, an order is sent
+//! only if the store confirmed the claims within [`MAX_CONFIRMATION_AGE`]: a daemon that
+//! takes over the runner waits for longer than that.
 
 use std::time::{Duration, Instant};
 
-/// The longest time between two looks at the clocks in a daemon that goes on.
+/// The longest time between two checks in a daemon that was not stopped.
 ///
-/// It looks four times a second; a VM with a seventh of its processor is late by half
-/// a second.
-const STALL: Duration = Duration::from_millis(1000);
+/// It checks four times per second; on a VM that gets a seventh of its CPU, a check is
+/// late by half a second.
+const MAX_CHECK_INTERVAL: Duration = Duration::from_millis(1000);
 
-/// The least gap between the clocks that counts.
+/// The shortest suspension of the VM that is detected.
 ///
-/// Clocks are read one after the other; thread switches between stay below this.
-const LEAST: Duration = Duration::from_millis(100);
+/// The clocks are read one after the other; thread switches in between take less.
+const MIN_SUSPENSION: Duration = Duration::from_millis(100);
 
-/// How long after a gap other daemons' news may be from before it.
+/// How long after a gap messages of other daemons may be from before it.
 ///
-/// What waited in the socket is read within some milliseconds; a busy VM takes longer.
+/// Messages that waited in the socket are read within some milliseconds; a busy VM takes
+/// longer.
 pub const SETTLING_TIME: Duration = Duration::from_millis(500);
 
-/// How old the store's word on the claims may be for an order that no fence stops.
+/// The maximum age of the store's confirmation of the claims for an order to a runner
+/// that does not check fences.
 ///
-/// A claim is taken over 1.5 s after the last beat at the earliest, and its new holder
-/// waits for a turn of some seconds then.
+/// A claim is taken over 1.5 s after the last heartbeat at the earliest, and the new
+/// holder then waits some seconds for admission.
 pub const MAX_CONFIRMATION_AGE: Duration = Duration::from_millis(2000);
 
-/// Whether the daemon has stood still lately.
+/// Detects from the clocks that the VM or the process was suspended.
 #[derive(Debug, Default)]
 pub struct SuspensionDetector {
-    /// The last look: when it was, and how long the VM had stood still since its start.
-    seen: Option<(Instant, Duration)>,
-    /// Until when news may be from before the last gap.
-    until: Option<Instant>,
+    /// Time of the last check and the total suspension of the VM at that time.
+    last_check: Option<(Instant, Duration)>,
+    /// Until when messages may be from before the last gap.
+    settling_until: Option<Instant>,
 }
 
 impl SuspensionDetector {
-    /// Looks at the clocks; returns the gap if the daemon has stood still since last time.
-    pub fn check(&mut self, still: Duration, now: Instant) -> Option<Duration> {
-        let (then, before) = self.seen.replace((now, still))?;
-        let suspended = still.checked_sub(before).filter(|gap| *gap >= LEAST);
-        let stalled =
-            Some(now.saturating_duration_since(then)).filter(|gap| *gap > STALL);
-        let gap = suspended.max(stalled)?;
-        self.until = Some(now + SETTLING_TIME);
+    /// Compares the clocks and returns the gap if the daemon was suspended since the last
+    /// check.
+    ///
+    /// `total_suspended` is how long the VM has been suspended since its start.
+    pub fn check(&mut self, total_suspended: Duration, now: Instant) -> Option<Duration> {
+        let (last, suspended_before) = self.last_check.replace((now, total_suspended))?;
+        let suspended = total_suspended
+            .checked_sub(suspended_before)
+            .filter(|gap| *gap >= MIN_SUSPENSION);
+        let stopped = Some(now.saturating_duration_since(last))
+            .filter(|gap| *gap > MAX_CHECK_INTERVAL);
+        let gap = suspended.max(stopped)?;
+        self.settling_until = Some(now + SETTLING_TIME);
         Some(gap)
     }
 
-    /// Whether news may be from before the last gap.
+    /// Whether messages of other daemons may be from before the last gap.
     pub fn is_settling(&self, now: Instant) -> bool {
-        self.until.is_some_and(|until| now < until)
+        self.settling_until.is_some_and(|until| now < until)
     }
 }
 
-/// Whether a runner that this daemon holds may be given an order.
+/// Whether an order may be sent to a runner that this daemon holds.
 ///
-/// `age` is the age of the store's word on the claims, nothing if there is none since
-/// the VM stood still.
-pub fn may_send_order(fenced: bool, age: Option<Duration>) -> bool {
-    match age {
+/// `fenced` tells whether the runner checks fences. `age` is the age of the store's
+/// confirmation of the claims; `None` if there is none since the last suspension.
+pub fn may_send_order(fenced: bool, confirmation_age: Option<Duration>) -> bool {
+    match confirmation_age {
         None => false,
         Some(age) => fenced || age < MAX_CONFIRMATION_AGE,
     }
--- a/crates/member/src/view.rs
+++ b/crates/member/src/view.rs
@@ -1,4 +1,4 @@
-//! What a daemon knows of members, backend servers and claims.
+//! A daemon's view of members, backend servers and claims.
 
 use std::fmt::{self, Display, Formatter};
 use std::net::SocketAddr;
@@ -10,22 +10,22 @@
 use indexmap::IndexMap;
 use serde::{Deserialize, Serialize};
 
-/// What a daemon knows of members, backend servers and claims.
+/// A daemon's view of members, backend servers and claims.
 ///
-/// It lags behind the platform's table, so that nothing is decided by it alone:
-/// whoever receives a request under a claim checks that it still holds it.
+/// It lags behind the platform's table, so no decision relies on it alone: a daemon that
+/// receives a request under a claim checks that it still holds the claim.
 #[derive(Debug, Clone, Default, PartialEq, Serialize, Deserialize)]
 pub struct View {
-    /// Daemons whose lease holds.
+    /// Daemons whose lease has not been found expired.
     pub members: IndexMap<MemberId, Member>,
     /// Backend servers on the platform's list.
     pub servers: IndexMap<ServerName, Server>,
-    /// Who leads what.
+    /// Claims that have a holder.
     pub claims: IndexMap<ClaimKey, Claim>,
 }
 
 impl View {
-    /// The member that holds a claim, if its lease is known to hold.
+    /// The claim and the member that holds it; `None` if no member does.
     pub fn holder(&self, key: &ClaimKey) -> Option<(Claim, &Member)> {
         let claim = self.claims.get(key)?;
         let member = self.members.get(&claim.holder)?;
@@ -40,11 +40,11 @@
     pub vm: VmName,
     /// The VM's failure domain.
     pub domain: DomainName,
-    /// Where callers connect.
+    /// The address for callers.
     pub caller_addr: SocketAddr,
-    /// Where other daemons connect.
+    /// The address for other daemons.
     pub peer_addr: SocketAddr,
-    /// Where operators connect.
+    /// The address for operators.
     pub ops_addr: SocketAddr,
     /// Whether the daemon is leaving and takes no new work.
     pub leaving: bool,
@@ -53,42 +53,42 @@
 /// A backend server on the platform's list.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Server {
-    /// Where it listens.
+    /// The address on which it listens.
     pub address: SocketAddr,
-    /// Its failure domain.
+    /// The failure domain of its machine.
     pub domain: DomainName,
     /// Whether it is leaving and takes no new work.
     pub leaving: bool,
-    /// What it serves.
+    /// Whether it is a runner of a pool or serves a plain service.
     pub role: ServerRole,
 }
 
-/// What a backend server serves.
+/// The role of a backend server.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub enum ServerRole {
-    /// Models of a pool.
+    /// Runs models of a pool.
     Runner(PoolName),
-    /// A plain service.
+    /// Serves a plain service.
     Service(ServiceName),
 }
 
-/// What a claim is about.
+/// The resource that a claim covers.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub enum ClaimKey {
-    /// A backend server: its queue, its count in flight, its orders.
+    /// A backend server: its queue, its number of requests in flight and its orders.
     Server(ServerName),
     /// A slot of the journal of non-idempotent requests.
     Slot(SlotId),
     /// The planner of a pool.
     Pool(PoolName),
-    /// The reader of the platform's list of VMs, who writes it into the table.
+    /// The platform's list of VMs, which the holder reads and writes into the table.
     Vms,
 }
 
-/// A claim as its row says.
+/// A claim that has a holder.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Claim {
-    /// The daemon that holds it while the daemon's lease holds.
+    /// The daemon that holds it as long as the daemon's lease is valid.
     pub holder: MemberId,
     /// The number of changes of the holder so far.
     pub fence: Fence,
@@ -107,7 +107,7 @@
     }
 }
 
-/// A key of the claims' table that names no claim.
+/// A row key in the claims table that is not a valid [`ClaimKey`].
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct ClaimKeyError(String);
 
--- a/crates/place/src/asset.rs
+++ b/crates/place/src/asset.rs
@@ -33,7 +33,8 @@
         Self::model(self.model.clone(), self.version.clone())
     }
 
-    /// Whether this is an adapter on top of the model `base`; false if `base` is an adapter.
+    /// Whether this is an adapter on top of the model `base`; false if `base` is an
+    /// adapter.
     pub fn is_adapter_on(&self, base: &Self) -> bool {
         self.adapter.is_some()
             && self.model == base.model
--- a/crates/place/src/ledger.rs
+++ b/crates/place/src/ledger.rs
@@ -28,8 +28,8 @@
 /// The longest time that a copy of an order may be in transit, in milliseconds.
 ///
 /// The sender closes the connection when its request times out, and operating systems
-/// stop retransmitting unacknowledged data after about 924 s (Linux, `tcp_retries2` = 15).
-/// 1,000 s is above that.
+/// stop retransmitting unacknowledged data after about 924 s (Linux, `tcp_retries2` =
+/// 15). 1,000 s is above that.
 pub const MAX_ORDER_DELAY_MS: u64 = 1_000_000;
 
 /// Bounds of the table service's time while a report was requested and evaluated, in
@@ -90,7 +90,8 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum ReservationState {
-    /// Memory is reserved, and the load order is sent repeatedly until a report confirms it.
+    /// Memory is reserved, and the load order is sent repeatedly until a report confirms
+    /// it.
     Loading,
     /// A report has shown the asset as usable.
     Ready,
@@ -188,8 +189,8 @@
             .is_some_and(|reservation| reservation.state == ReservationState::Ready)
     }
 
-    /// Whether requests can use an asset: it and its base model are loaded, and the engine
-    /// is responsive.
+    /// Whether requests can use an asset: it and its base model are loaded, and the
+    /// engine is responsive.
     pub fn is_usable(&self, asset: &Asset) -> bool {
         !self.down && self.is_ready(asset) && self.is_ready(&asset.base_model())
     }
--- a/crates/place/src/planner.rs
+++ b/crates/place/src/planner.rs
@@ -1,9 +1,9 @@
 //! Planning which models each runner of a pool should hold.
 //!
-//! Hundreds of models share runners that can't hold all of them, and demand changes tenfold
-//! within an hour. A fixed placement leaves some runners idle and others overloaded; one
-//! that follows demand greedily moves models all the time, and each move loads the
-//! weight store and stalls a runner.
+//! Hundreds of models share runners that can't hold all of them, and demand changes
+//! tenfold within an hour. A fixed placement leaves some runners idle and others
+//! overloaded; one that follows demand greedily moves models all the time, and each move
+//! loads the weight store and stalls a runner.
 //!
 //! Stages of a plan:
 //!
@@ -15,8 +15,8 @@
 //!    in progress when many runners are lost at once, so models without demand wait.
 //!
 //! A plan starts from the current placement and changes it in few steps: it allows as
-//! many concurrent loads as the weight store serves at full speed, and drops replicas only
-//! to make room.
+//! many concurrent loads as the weight store serves at full speed, and drops replicas
+//! only to make room.
 //!
 //! The benefit of a move is the attainment that it gains, in percent of one runner's
 //! throughput, times the pool's attainment weight. Its cost is the number of loads times
@@ -148,8 +148,8 @@
         }
     }
 
-    /// Models in descending order of size: small ones still fit into the memory that large
-    /// ones leave.
+    /// Models in descending order of size: small ones still fit into the memory that
+    /// large ones leave.
     fn by_descending_size(&self) -> Vec<usize> {
         let mut order: Vec<usize> = (0..self.pool.models.len()).collect();
         order.sort_by_key(|model| Reverse(self.pool.models[*model].bytes));
