--- a/crates/member/tests/claims.rs
+++ b/crates/member/tests/claims.rs
@@ -1,8 +1,9 @@
-//! Claims and leases under any order of polls, freezes, deaths and departures.
+//! Claims and leases under random sequences of polls, suspensions, crashes and
+//! departures.
 //!
-//! A frozen daemon wakes up and still takes itself for the holder: what it
-//! decides then must not take effect, since others may have taken over. A dead
-//! one's claims must find a holder. A live one must never be removed.
+//! A daemon that resumes after a suspension still considers itself the holder of its
+//! claims. Its decisions must not take effect, since others may have taken over. The
+//! claims of a crashed daemon must get a new holder. A live daemon must never be removed.
 
 use std::time::{Duration, Instant};
 
@@ -15,10 +16,10 @@
 use proptest::prelude::*;
 
 const DAEMONS: usize = 5;
-const TERM: Duration = Duration::from_secs(6);
-const RENEWAL: Duration = Duration::from_secs(2);
+const LEASE_TERM: Duration = Duration::from_secs(6);
+const RENEWAL_INTERVAL: Duration = Duration::from_secs(2);
 
-/// The platform's table, with just the transactions that daemons send.
+/// The platform's table, limited to the transactions that daemons send.
 #[derive(Default)]
 struct Table {
     version: u64,
@@ -28,23 +29,23 @@
     claims: IndexMap<ClaimKey, (ClaimRow, u64)>,
 }
 
-/// A daemon's own state between polls.
+/// The state of a daemon between polls.
 struct Daemon {
     vm: VmName,
     me: MemberId,
     lease: Lease,
     leaving: bool,
     alive: bool,
-    known: MembershipRows,
+    rows: MembershipRows,
 }
 
 #[derive(Debug, Clone)]
 enum Event {
     Poll(usize),
-    /// Decides by rows that were read before and commits only now.
+    /// Decides by rows that were read earlier, as after a suspension.
     LatePoll(usize),
     Wait(u64),
-    Kill(usize),
+    Crash(usize),
     Restart(usize),
     Leave(usize),
 }
@@ -54,7 +55,7 @@
         8 => (0..DAEMONS).prop_map(Event::Poll),
         2 => (0..DAEMONS).prop_map(Event::LatePoll),
         4 => (100u64..4000).prop_map(Event::Wait),
-        1 => (0..DAEMONS).prop_map(Event::Kill),
+        1 => (0..DAEMONS).prop_map(Event::Crash),
         1 => (0..DAEMONS).prop_map(Event::Restart),
         1 => (0..DAEMONS).prop_map(Event::Leave),
     ]
@@ -64,7 +65,7 @@
     start: Instant,
     table: Table,
     daemons: Vec<Daemon>,
-    starts: u64,
+    last_member: u64,
     keys: Vec<ClaimKey>,
 }
 
@@ -81,25 +82,25 @@
             start: Instant::now(),
             table: Table::default(),
             daemons: Vec::new(),
-            starts: 0,
+            last_member: 0,
             keys,
         };
         for n in 0..DAEMONS {
-            let daemon = world.daemon(n);
+            let daemon = world.start_daemon(n);
             world.daemons.push(daemon);
         }
         world
     }
 
-    fn daemon(&mut self, n: usize) -> Daemon {
-        self.starts += 1;
+    fn start_daemon(&mut self, n: usize) -> Daemon {
+        self.last_member += 1;
         Daemon {
             vm: VmName::try_from(format!("vm-{n}")).expect("a valid name"),
-            me: MemberId(self.starts),
-            lease: Lease::new(TERM),
+            me: MemberId(self.last_member),
+            lease: Lease::new(LEASE_TERM),
             leaving: false,
             alive: true,
-            known: MembershipRows::default(),
+            rows: MembershipRows::default(),
         }
     }
 
@@ -111,17 +112,18 @@
         match *event {
             Event::Poll(n) => {
                 self.renew(n);
-                self.read(n);
-                self.act(n);
+                self.read_rows(n);
+                self.commit_claims(n);
             }
-            Event::LatePoll(n) => self.act(n),
+            Event::LatePoll(n) => self.commit_claims(n),
             Event::Wait(millis) => self.table.now += Duration::from_millis(millis),
-            Event::Kill(n) => self.daemons[n].alive = false,
-            Event::Restart(n) => self.daemons[n] = self.daemon(n),
+            Event::Crash(n) => self.daemons[n].alive = false,
+            Event::Restart(n) => self.daemons[n] = self.start_daemon(n),
             Event::Leave(n) => self.daemons[n].leaving = true,
         }
     }
 
+    /// Renews the lease, and writes the member row if it is missing or outdated.
     fn renew(&mut self, n: usize) {
         let now = self.now();
         let millis = self.table.now.as_millis() as u64;
@@ -140,22 +142,22 @@
             leaving: daemon.leaving,
             weight: ONE_CORE_WEIGHT,
         };
-        let known =
-            daemon.known.own_row(&daemon.vm, daemon.me).map(|(_, version)| version);
+        let read_version =
+            daemon.rows.own_row(&daemon.vm, daemon.me).map(|(_, version)| version);
         let current =
             self.table.members.get(&daemon.vm).map(|(row, version)| (row, *version));
-        let fits = match (known, current) {
-            (Some(known), Some((old, version))) => {
-                known == version && old.leaving == daemon.leaving
+        let is_current = match (read_version, current) {
+            (Some(read_version), Some((old, version))) => {
+                read_version == version && old.leaving == daemon.leaving
             }
             (Some(_), None) => {
-                daemon.known.members.swap_remove(&daemon.vm);
+                daemon.rows.members.swap_remove(&daemon.vm);
                 daemon.lease.revoke();
                 return;
             }
             (None, _) => false,
         };
-        if !fits {
+        if !is_current {
             self.table.version += 1;
             self.table.members.insert(daemon.vm.clone(), (row, self.table.version));
         }
@@ -165,69 +167,75 @@
         daemon.lease.record_renewal(now);
     }
 
-    fn read(&mut self, n: usize) {
+    fn read_rows(&mut self, n: usize) {
         let now = self.now();
         let daemon = &mut self.daemons[n];
         if daemon.alive {
-            daemon.known.members = self.table.members.clone();
-            daemon.known.claims = self.table.claims.clone();
-            daemon.known.record_first_seen(now);
+            daemon.rows.members = self.table.members.clone();
+            daemon.rows.claims = self.table.claims.clone();
+            daemon.rows.record_first_seen(now);
         }
     }
 
-    fn act(&mut self, n: usize) {
+    /// Removes members with expired leases and commits the planned changes of claims.
+    fn commit_claims(&mut self, n: usize) {
         let now = self.now();
         let millis = self.table.now.as_millis() as u64;
         if !self.daemons[n].alive {
             return;
         }
-        let known = self.daemons[n].known.clone();
+        let rows = self.daemons[n].rows.clone();
         let vm = self.daemons[n].vm.clone();
-        let others = known.members.keys().filter(|name| **name != vm).count();
-        assert_eq!(watched_vms(&known, &vm).len(), others, "all of so few are watched");
-        for gone in expired(&known, &self.table.leases.clone(), millis, TERM) {
-            self.remove(&gone, known.members[&gone].1, now);
+        let others = rows.members.keys().filter(|name| **name != vm).count();
+        assert_eq!(
+            watched_vms(&rows, &vm).len(),
+            others,
+            "few daemons all watch each other"
+        );
+        for vm_name in expired(&rows, &self.table.leases.clone(), millis, LEASE_TERM) {
+            self.remove(&vm_name, rows.members[&vm_name].1, now);
         }
         if !self.daemons[n].lease.is_valid(now) {
             return;
         }
-        for step in plan_claims(&known, &vm, self.daemons[n].me, &self.keys, now).changes
+        for change in plan_claims(&rows, &vm, self.daemons[n].me, &self.keys, now).changes
         {
-            let current = self.table.claims.get(&step.key);
-            if current.map_or(0, |(_, version)| *version) != step.expected_version {
+            let current = self.table.claims.get(&change.key);
+            if current.map_or(0, |(_, version)| *version) != change.expected_version {
                 continue;
             }
-            let last = current.map_or(Fence(0), |(row, _)| row.fence);
-            assert!(step.row.fence > last, "a fence must grow");
+            let last_fence = current.map_or(Fence(0), |(row, _)| row.fence);
+            assert!(change.row.fence > last_fence, "a fence must increase");
             self.table.version += 1;
-            self.table.claims.insert(step.key, (step.row, self.table.version));
+            self.table.claims.insert(change.key, (change.row, self.table.version));
         }
     }
 
+    /// Removes a member as the transaction does, which checks the lease and the row.
     fn remove(&mut self, vm: &VmName, version: u64, now: Instant) {
-        let idle = self.table.leases.get(vm).is_none_or(|lease| {
+        let is_expired = self.table.leases.get(vm).is_none_or(|lease| {
             let age = self.table.now.as_millis() as u64 - lease.modified;
-            age >= (TERM + chestnut_member::lease::EXPIRY_MARGIN).as_millis() as u64
+            age >= (LEASE_TERM + chestnut_member::lease::EXPIRY_MARGIN).as_millis() as u64
         });
-        let same = self.table.members.get(vm).is_some_and(|(_, v)| *v == version);
-        if !idle || !same {
+        let is_unchanged = self.table.members.get(vm).is_some_and(|(_, v)| *v == version);
+        if !is_expired || !is_unchanged {
             return;
         }
         let removed = self.table.members[vm].0.member;
         for daemon in self.daemons.iter().filter(|daemon| daemon.me == removed) {
             assert!(
                 !daemon.lease.is_valid(now),
-                "a daemon was removed whose lease holds"
+                "a daemon with a valid lease was removed"
             );
         }
         self.table.members.swap_remove(vm);
         self.table.leases.swap_remove(vm);
     }
 
-    /// Lets all living daemons poll until nothing changes any more.
+    /// Lets all live daemons poll often enough for the claims to become stable.
     fn settle(&mut self) {
         for _ in 0..16 {
-            self.table.now += RENEWAL;
+            self.table.now += RENEWAL_INTERVAL;
             for n in 0..DAEMONS {
                 self.run(&Event::Poll(n));
             }
@@ -239,7 +247,7 @@
     #![proptest_config(ProptestConfig::with_cases(300))]
 
     #[test]
-    fn every_claim_finds_one_living_holder(
+    fn every_claim_gets_a_live_holder(
         events in proptest::collection::vec(event(), 1..120),
     ) {
         let mut world = World::new();
@@ -247,53 +255,56 @@
             world.run(event);
         }
         world.settle();
-        let able: Vec<MemberId> = world
+        let eligible: Vec<MemberId> = world
             .daemons
             .iter()
             .filter(|daemon| daemon.alive && !daemon.leaving)
             .map(|daemon| daemon.me)
             .collect();
-        if able.is_empty() {
+        if eligible.is_empty() {
             return Ok(());
         }
         for key in &world.keys {
             let holder = world.table.claims.get(key).and_then(|(row, _)| row.holder);
             prop_assert!(
-                holder.is_some_and(|holder| able.contains(&holder)),
-                "{key} is held by {holder:?}, able are {able:?}",
+                holder.is_some_and(|holder| eligible.contains(&holder)),
+                "{key} is held by {holder:?}, eligible are {eligible:?}",
             );
         }
     }
 }
 
 #[test]
-fn one_departure_moves_only_its_own_claims() {
-    for gone in 0..DAEMONS {
+fn a_departure_moves_only_its_own_claims() {
+    for leaving in 0..DAEMONS {
         let mut world = World::new();
         world.settle();
         let before = world.table.claims.clone();
-        let left = world.daemons[gone].me;
-        world.run(&Event::Leave(gone));
+        let departed = world.daemons[leaving].me;
+        world.run(&Event::Leave(leaving));
         world.settle();
         for (key, (row, _)) in &world.table.claims {
             let old = before[key].0;
-            assert!(old.holder == Some(left) || old == *row, "{key} moved for nothing");
+            assert!(
+                old.holder == Some(departed) || old == *row,
+                "{key} moved although its holder stayed"
+            );
         }
     }
 }
 
 #[test]
 fn a_lease_counts_from_before_its_renewal_was_sent() {
-    let sent = Instant::now();
-    let mut lease = Lease::new(TERM);
-    assert!(!lease.is_valid(sent));
-    lease.record_renewal(sent);
-    assert!(lease.is_valid(sent + TERM - Duration::from_millis(1)));
-    assert!(!lease.is_valid(sent + TERM));
-    // An answer that arrives late must not prolong a newer renewal's lease.
-    lease.record_renewal(sent + RENEWAL);
-    lease.record_renewal(sent);
-    assert!(lease.is_valid(sent + TERM));
+    let sent_at = Instant::now();
+    let mut lease = Lease::new(LEASE_TERM);
+    assert!(!lease.is_valid(sent_at));
+    lease.record_renewal(sent_at);
+    assert!(lease.is_valid(sent_at + LEASE_TERM - Duration::from_millis(1)));
+    assert!(!lease.is_valid(sent_at + LEASE_TERM));
+    // A response that arrives late must not shorten the lease of a newer renewal.
+    lease.record_renewal(sent_at + RENEWAL_INTERVAL);
+    lease.record_renewal(sent_at);
+    assert!(lease.is_valid(sent_at + LEASE_TERM));
     lease.revoke();
-    assert!(!lease.is_valid(sent));
+    assert!(!lease.is_valid(sent_at));
 }
--- a/crates/member/tests/weights.rs
+++ b/crates/member/tests/weights.rs
@@ -1,4 +1,4 @@
-//! Which VMs claims fall to where some have more processor than others.
+//! Assignment of claims to VMs that differ in CPU.
 
 use std::time::Instant;
 
@@ -9,9 +9,9 @@
 const SMALL: u32 = 12;
 const LARGE: u32 = 48;
 
-/// Ten small VMs and two large ones.
-fn known() -> MembershipRows {
-    let mut known = MembershipRows::default();
+/// Rows of ten small VMs and two large ones.
+fn rows() -> MembershipRows {
+    let mut rows = MembershipRows::default();
     for number in 0..12u64 {
         let addr = "127.0.0.1:1".parse().expect("an address");
         let row = MemberRow {
@@ -23,48 +23,49 @@
             leaving: false,
             weight: if number < 10 { SMALL } else { LARGE },
         };
-        known.members.insert(vm(number), (row, 1));
+        rows.members.insert(vm(number), (row, 1));
     }
-    known.record_first_seen(Instant::now());
-    known
+    rows.record_first_seen(Instant::now());
+    rows
 }
 
 fn vm(number: u64) -> VmName {
     VmName::try_from(format!("vm{number}")).expect("a valid name")
 }
 
-/// How many of the claims each VM takes.
-fn shares(keys: &[ClaimKey]) -> IndexMap<u64, usize> {
-    let known = known();
+/// The number of claims that each VM takes.
+fn claim_counts(keys: &[ClaimKey]) -> IndexMap<u64, usize> {
+    let rows = rows();
     let now = Instant::now();
     let taken = |number: u64| {
-        plan_claims(&known, &vm(number), MemberId(number), keys, now).changes.len()
+        plan_claims(&rows, &vm(number), MemberId(number), keys, now).changes.len()
     };
     (0..12).map(|number| (number, taken(number))).collect()
 }
 
 #[test]
-fn servers_fall_to_vms_in_proportion() {
-    // Two VMs have four times the processor of the other ten. Of 1,200 servers each of
-    // them takes some 270 and each other one some 67; every server is taken by one.
+fn servers_are_assigned_in_proportion_to_cpu() {
+    // Two VMs have four times the CPU of the other ten. Of 1,200 servers, each of the two
+    // takes about 270 and each of the others about 67. Every server is taken by exactly
+    // one VM.
     let server =
         |number| ServerName::try_from(format!("s{number}")).expect("a valid name");
     let keys: Vec<ClaimKey> = (0..1200).map(|n| ClaimKey::Server(server(n))).collect();
-    let shares = shares(&keys);
-    assert_eq!(shares.values().sum::<usize>(), 1200);
-    for (number, count) in shares {
+    let counts = claim_counts(&keys);
+    assert_eq!(counts.values().sum::<usize>(), 1200);
+    for (number, count) in counts {
         let expected = if number < 10 { 40..100 } else { 210..330 };
         assert!(expected.contains(&count), "vm{number} takes {count}");
     }
 }
 
 #[test]
-fn services_fall_to_the_largest_vms() {
-    // The holder of a service's queue hears of every request. It is one of the two large
-    // VMs, whatever the service is called, and each of these has some.
+fn services_are_assigned_to_the_largest_vms() {
+    // The holder of a service's queue is involved in every request. It is one of the two
+    // large VMs, whatever the name of the service, and each of these gets some services.
     let pool = |number| PoolName::try_from(format!("p{number}")).expect("a valid name");
     let keys: Vec<ClaimKey> = (0..40).map(|n| ClaimKey::Pool(pool(n))).collect();
-    let shares = shares(&keys);
-    assert_eq!(shares[&10] + shares[&11], 40, "{shares:?}");
-    assert!(shares[&10] > 8 && shares[&11] > 8, "{shares:?}");
+    let counts = claim_counts(&keys);
+    assert_eq!(counts[&10] + counts[&11], 40, "{counts:?}");
+    assert!(counts[&10] > 8 && counts[&11] > 8, "{counts:?}");
 }
--- a/crates/place/tests/floor.rs
+++ b/crates/place/tests/last_replica.rs
@@ -1,4 +1,5 @@
-//! No model loses its last replica, whatever is wanted and whoever races.
+//! No model loses its last replica, whatever the desired placement and whichever
+//! transactions race.
 
 use chestnut_base::{ModelName, ServerName, TeamName, VersionName};
 use chestnut_config::{Catalog, Model};
@@ -16,19 +17,21 @@
 const BYTES: u64 = 10;
 const CAPACITY: u64 = 30;
 
+/// The ledgers of the runners with the versions of their rows.
 type Rows = IndexMap<ServerName, (Ledger, u64)>;
 
-/// Runners whose engines carry out orders at once, and leads that see each
-/// other's rows as they were some time ago.
+/// Runners whose engines execute orders at once, and holders that act on outdated rows of
+/// the other runners.
 struct World {
     catalog: Catalog,
     rows: Rows,
-    seen: Vec<Rows>,
+    /// For each holder, the rows that it last read.
+    cached_rows: Vec<Rows>,
     engines: Vec<Report>,
-    wanted: Vec<Vec<DesiredAsset>>,
-    changes: u64,
+    desired: Vec<Vec<DesiredAsset>>,
+    last_version: u64,
     /// Whether transactions check the rows of the witnesses.
-    checked: bool,
+    check_witnesses: bool,
 }
 
 fn runner(at: usize) -> ServerName {
@@ -43,12 +46,15 @@
     VersionName::try_from(format!("v{at}")).expect("a valid name")
 }
 
-fn want(at: usize, of: usize) -> DesiredAsset {
-    DesiredAsset { asset: Asset::model(model(at), version(of)), bytes: BYTES }
+fn desired_asset(model_index: usize, version_index: usize) -> DesiredAsset {
+    DesiredAsset {
+        asset: Asset::model(model(model_index), version(version_index)),
+        bytes: BYTES,
+    }
 }
 
 impl World {
-    fn new(checked: bool) -> Self {
+    fn new(check_witnesses: bool) -> Self {
         let declared = Model {
             team: TeamName::try_from("letters").expect("a valid name"),
             pool: chestnut_base::PoolName::try_from("drafting").expect("a valid name"),
@@ -67,41 +73,47 @@
             (0..RUNNERS).map(|at| (runner(at), (empty.clone(), 1))).collect();
         Self {
             catalog,
-            seen: vec![rows.clone(); RUNNERS],
+            cached_rows: vec![rows.clone(); RUNNERS],
             rows,
             engines: vec![report; RUNNERS],
-            wanted: vec![Vec::new(); RUNNERS],
-            changes: 1,
-            checked,
+            desired: vec![Vec::new(); RUNNERS],
+            last_version: 1,
+            check_witnesses,
         }
     }
 
-    fn lead_step(&mut self, at: usize) {
+    /// One poll of the holder of a runner.
+    fn holder_step(&mut self, at: usize) {
         let name = runner(at);
-        let (held, _) = self.rows[&name].clone();
-        let mut next = held.clone();
+        let (current, _) = self.rows[&name].clone();
+        let mut next = current.clone();
         next.apply_report(&self.engines[at], TimeRange { earliest: 1, latest: 1 });
-        let ids: Vec<_> = next.reservations.iter().flat_map(|item| &item.loads).collect();
-        let seen: Vec<_> = ids.iter().filter(|l| l.listed).map(|l| l.order).collect();
-        seen.into_iter().for_each(|order| next.mark_answered(order));
-        let others = self.seen[at].iter().filter(|(other, _)| **other != name);
+        let loads: Vec<_> =
+            next.reservations.iter().flat_map(|item| &item.loads).collect();
+        let listed: Vec<_> =
+            loads.iter().filter(|load| load.listed).map(|load| load.order).collect();
+        listed.into_iter().for_each(|order| next.mark_answered(order));
+        let others = self.cached_rows[at].iter().filter(|(other, _)| **other != name);
         let others = others.map(|(other, (ledger, _))| (other, ledger));
-        let spare = |ledger: &Ledger, asset: &Asset| {
+        let find_witnesses = |ledger: &Ledger, asset: &Asset| {
             witnesses(&self.catalog, others.clone(), ledger, asset)
         };
-        let idle = |_: &Asset| true;
-        let situation = DropChecks { witnesses: &spare, is_idle: &idle };
-        let found = reconcile(&mut next, &self.wanted[at], &situation);
-        let unchanged = |other: &ServerName| self.rows[other].1 == self.seen[at][other].1;
-        let allowed = !self.checked || found.witnesses.iter().all(unchanged);
-        if next != held && allowed {
-            self.changes += 1;
-            self.rows.insert(name, (next.clone(), self.changes));
-            self.carry_out(at, &next);
+        let is_idle = |_: &Asset| true;
+        let checks = DropChecks { witnesses: &find_witnesses, is_idle: &is_idle };
+        let result = reconcile(&mut next, &self.desired[at], &checks);
+        let is_unchanged =
+            |other: &ServerName| self.rows[other].1 == self.cached_rows[at][other].1;
+        let is_allowed =
+            !self.check_witnesses || result.witnesses.iter().all(is_unchanged);
+        if next != current && is_allowed {
+            self.last_version += 1;
+            self.rows.insert(name, (next.clone(), self.last_version));
+            self.execute_orders(at, &next);
         }
     }
 
-    fn carry_out(&mut self, at: usize, ledger: &Ledger) {
+    /// Lets the engine execute all pending orders at once.
+    fn execute_orders(&mut self, at: usize, ledger: &Ledger) {
         let engine = &mut self.engines[at];
         for order in ledger.pending_orders() {
             let asset = &order.asset;
@@ -120,31 +132,32 @@
         }
     }
 
-    /// The models of which some runner holds a usable version.
-    fn usable(&self) -> Vec<usize> {
-        let holds = |at: &usize| {
-            self.rows
-                .values()
-                .any(|(ledger, _)| (0..3).any(|of| ledger.is_ready(&want(*at, of).asset)))
+    /// The models of which a runner holds a usable version.
+    fn usable_models(&self) -> Vec<usize> {
+        let is_usable = |model: &usize| {
+            self.rows.values().any(|(ledger, _)| {
+                (0..3)
+                    .any(|version| ledger.is_ready(&desired_asset(*model, version).asset))
+            })
         };
-        (0..MODELS).filter(holds).collect()
+        (0..MODELS).filter(is_usable).collect()
     }
 }
 
 impl World {
-    /// One step of the world, chosen by random bytes.
+    /// Executes one step that random bytes choose.
     fn step(&mut self, kind: u8, first: u8, second: u8) {
         let at = usize::from(first) % RUNNERS;
         match kind {
-            0..=159 => self.lead_step(at),
-            160..=209 => self.seen[at] = self.rows.clone(),
+            0..=159 => self.holder_step(at),
+            160..=209 => self.cached_rows[at] = self.rows.clone(),
             210..=249 => {
-                let mut list: Vec<_> = (0..MODELS)
+                let mut desired: Vec<_> = (0..MODELS)
                     .filter(|model| second >> model & 1 == 1)
-                    .map(|model| want(model, usize::from(second >> 4) % 3))
+                    .map(|model| desired_asset(model, usize::from(second >> 4) % 3))
                     .collect();
-                list.truncate((CAPACITY / BYTES) as usize);
-                self.wanted[at] = list;
+                desired.truncate((CAPACITY / BYTES) as usize);
+                self.desired[at] = desired;
             }
             250..=255 => {
                 let declared = &mut self.catalog.models[usize::from(second) % MODELS];
@@ -154,17 +167,20 @@
     }
 }
 
-/// Takes the steps and returns the first model that lost its last replica.
-fn lost(checked: bool, steps: impl IntoIterator<Item = (u8, u8, u8)>) -> Option<usize> {
-    let mut world = World::new(checked);
-    let mut usable = Vec::new();
+/// Executes the steps and returns the first model that lost its last replica.
+fn first_lost_model(
+    check_witnesses: bool,
+    steps: impl IntoIterator<Item = (u8, u8, u8)>,
+) -> Option<usize> {
+    let mut world = World::new(check_witnesses);
+    let mut usable_before = Vec::new();
     for (kind, first, second) in steps {
         world.step(kind, first, second);
-        let now = world.usable();
-        if let Some(model) = usable.iter().find(|model| !now.contains(model)) {
+        let usable = world.usable_models();
+        if let Some(model) = usable_before.iter().find(|model| !usable.contains(model)) {
             return Some(*model);
         }
-        usable = now;
+        usable_before = usable;
     }
     None
 }
@@ -172,20 +188,20 @@
 proptest! {
     #![proptest_config(Config { cases: 300, failure_persistence: None, ..Config::default() })]
 
-    // Callers of a model get "not resident" once its last replica is dropped.
-    // Leads act on rows that others have changed meanwhile, the wanted
-    // placement and the declared version change at any time; what was usable
-    // once must stay usable in some version.
+    // Callers of a model get "not resident" once its last replica is dropped. Holders act
+    // on rows that others have changed meanwhile, and the desired placement and the
+    // declared version change at any time. A model that was usable once must stay usable
+    // in some version.
     #[test]
     fn last_replica_stays(
         steps in prop::collection::vec(any::<(u8, u8, u8)>(), 1..300),
     ) {
-        prop_assert_eq!(lost(true, steps), None);
+        prop_assert_eq!(first_lost_model(true, steps), None);
     }
 }
 
-// If transactions did not check the witnesses' rows, two leads would drop the
-// last two replicas because of each other; the steps above must show that.
+// Unless transactions check the rows of the witnesses, two holders can drop the last two
+// replicas because of each other. The random steps must be able to find that.
 #[test]
 fn witness_check_is_needed() {
     let mut rng = TestRng::from_seed(RngAlgorithm::ChaCha, &[1; 32]);
@@ -193,5 +209,5 @@
         let [kind, first, second, _] = rng.next_u32().to_le_bytes();
         (kind, first, second)
     });
-    assert!(lost(false, steps).is_some());
+    assert!(first_lost_model(false, steps).is_some());
 }
