--- a/crates/place/tests/last_replica.rs
+++ b/crates/place/tests/last_replica.rs
@@ -34,16 +34,16 @@
     check_witnesses: bool,
 }
 
-fn runner(at: usize) -> ServerName {
-    ServerName::try_from(format!("r{at}")).expect("a valid name")
+fn runner(index: usize) -> ServerName {
+    ServerName::try_from(format!("r{index}")).expect("a valid name")
 }
 
-fn model(at: usize) -> ModelName {
-    ModelName::try_from(format!("m{at}")).expect("a valid name")
+fn model(index: usize) -> ModelName {
+    ModelName::try_from(format!("m{index}")).expect("a valid name")
 }
 
-fn version(at: usize) -> VersionName {
-    VersionName::try_from(format!("v{at}")).expect("a valid name")
+fn version(index: usize) -> VersionName {
+    VersionName::try_from(format!("v{index}")).expect("a valid name")
 }
 
 fn desired_asset(model_index: usize, version_index: usize) -> DesiredAsset {
@@ -64,13 +64,13 @@
             replicas: 1,
         };
         let mut catalog = Catalog::default();
-        for at in 0..MODELS {
-            catalog.models.insert(model(at), declared.clone());
+        for index in 0..MODELS {
+            catalog.models.insert(model(index), declared.clone());
         }
         let report = Report { incarnation: 1, capacity: CAPACITY, ..Report::default() };
         let empty = Ledger { capacity: CAPACITY, ..Ledger::default() };
         let rows: Rows =
-            (0..RUNNERS).map(|at| (runner(at), (empty.clone(), 1))).collect();
+            (0..RUNNERS).map(|index| (runner(index), (empty.clone(), 1))).collect();
         Self {
             catalog,
             cached_rows: vec![rows.clone(); RUNNERS],
@@ -83,38 +83,39 @@
     }
 
     /// One poll of the holder of a runner.
-    fn holder_step(&mut self, at: usize) {
-        let name = runner(at);
+    fn holder_step(&mut self, index: usize) {
+        let name = runner(index);
         let (current, _) = self.rows[&name].clone();
         let mut next = current.clone();
-        next.apply_report(&self.engines[at], TimeRange { earliest: 1, latest: 1 });
+        next.apply_report(&self.engines[index], TimeRange { earliest: 1, latest: 1 });
         let loads: Vec<_> =
-            next.reservations.iter().flat_map(|item| &item.loads).collect();
+            next.reservations.iter().flat_map(|reservation| &reservation.loads).collect();
         let listed: Vec<_> =
             loads.iter().filter(|load| load.listed).map(|load| load.order).collect();
         listed.into_iter().for_each(|order| next.mark_answered(order));
-        let others = self.cached_rows[at].iter().filter(|(other, _)| **other != name);
-        let others = others.map(|(other, (ledger, _))| (other, ledger));
+        let other_rows =
+            self.cached_rows[index].iter().filter(|(other, _)| **other != name);
+        let other_ledgers = other_rows.map(|(other, (ledger, _))| (other, ledger));
         let find_witnesses = |ledger: &Ledger, asset: &Asset| {
-            witnesses(&self.catalog, others.clone(), ledger, asset)
+            witnesses(&self.catalog, other_ledgers.clone(), ledger, asset)
         };
         let is_idle = |_: &Asset| true;
         let checks = DropChecks { witnesses: &find_witnesses, is_idle: &is_idle };
-        let result = reconcile(&mut next, &self.desired[at], &checks);
+        let result = reconcile(&mut next, &self.desired[index], &checks);
         let is_unchanged =
-            |other: &ServerName| self.rows[other].1 == self.cached_rows[at][other].1;
+            |other: &ServerName| self.rows[other].1 == self.cached_rows[index][other].1;
         let is_allowed =
             !self.check_witnesses || result.witnesses.iter().all(is_unchanged);
         if next != current && is_allowed {
             self.last_version += 1;
             self.rows.insert(name, (next.clone(), self.last_version));
-            self.execute_orders(at, &next);
+            self.execute_orders(index, &next);
         }
     }
 
     /// Lets the engine execute all pending orders at once.
-    fn execute_orders(&mut self, at: usize, ledger: &Ledger) {
-        let engine = &mut self.engines[at];
+    fn execute_orders(&mut self, index: usize, ledger: &Ledger) {
+        let engine = &mut self.engines[index];
         for order in ledger.pending_orders() {
             let asset = &order.asset;
             engine
@@ -147,17 +148,17 @@
 impl World {
     /// Executes one step that random bytes choose.
     fn step(&mut self, kind: u8, first: u8, second: u8) {
-        let at = usize::from(first) % RUNNERS;
+        let index = usize::from(first) % RUNNERS;
         match kind {
-            0..=159 => self.holder_step(at),
-            160..=209 => self.cached_rows[at] = self.rows.clone(),
+            0..=159 => self.holder_step(index),
+            160..=209 => self.cached_rows[index] = self.rows.clone(),
             210..=249 => {
                 let mut desired: Vec<_> = (0..MODELS)
                     .filter(|model| second >> model & 1 == 1)
                     .map(|model| desired_asset(model, usize::from(second >> 4) % 3))
                     .collect();
                 desired.truncate((CAPACITY / BYTES) as usize);
-                self.desired[at] = desired;
+                self.desired[index] = desired;
             }
             250..=255 => {
                 let declared = &mut self.catalog.models[usize::from(second) % MODELS];
@@ -193,7 +194,7 @@
     // declared version change at any time. A model that was usable once must stay usable
     // in some version.
     #[test]
-    fn last_replica_stays(
+    fn no_model_loses_its_last_replica(
         steps in prop::collection::vec(any::<(u8, u8, u8)>(), 1..300),
     ) {
         prop_assert_eq!(first_lost_model(true, steps), None);
--- a/crates/place/tests/ledger/engine.rs
+++ b/crates/place/tests/ledger/engine.rs
@@ -1,4 +1,4 @@
-//! An engine that carries out each order once and counts its memory.
+//! Simulation of an engine that executes each order once and counts its memory.
 
 use std::collections::BTreeMap;
 
@@ -6,13 +6,15 @@
 use chestnut_place::report::{ModelEntry, OrderEntry};
 use chestnut_place::{Asset, AssetState, Order, OrderKind, OrderState, Report};
 
-/// An engine that trusts its orders: it never refuses for lack of memory.
+/// An engine that never refuses an order for lack of memory.
 pub struct Engine {
     pub incarnation: u64,
-    /// Whether orders with an old fencing number are refused.
+    /// Whether orders with an outdated fence are rejected.
     fenced: bool,
     seq: u64,
     capacity: u64,
+    /// For each asset, its bytes, its state and the order that it executes or executed
+    /// last.
     held: BTreeMap<Asset, (u64, AssetState, OrderId)>,
     orders: BTreeMap<OrderId, OrderState>,
     fence: Fence,
@@ -31,7 +33,7 @@
         }
     }
 
-    /// The memory that is really in use.
+    /// The memory in use, in bytes.
     pub fn used(&self) -> u64 {
         self.held.values().map(|(bytes, ..)| bytes).sum()
     }
@@ -44,8 +46,8 @@
         self.held.keys()
     }
 
-    /// Takes a copy of an order.
-    pub fn take(&mut self, order: &Order, fence: Fence) {
+    /// Receives a copy of an order.
+    pub fn receive(&mut self, order: &Order, fence: Fence) {
         if self.fenced && fence < self.fence {
             return;
         }
@@ -60,9 +62,11 @@
                 self.held.insert(order.asset.clone(), held);
                 self.orders.insert(order.id, OrderState::Running);
             }
-            (OrderKind::Unload, Some((_, state, by))) if *state == AssetState::Ready => {
+            (OrderKind::Unload, Some((_, state, current_order)))
+                if *state == AssetState::Ready =>
+            {
                 *state = AssetState::Unloading;
-                *by = order.id;
+                *current_order = order.id;
                 self.orders.insert(order.id, OrderState::Running);
             }
             (OrderKind::Load, Some(_)) | (OrderKind::Unload, None) => {
@@ -74,29 +78,32 @@
         }
     }
 
-    /// Ends the work on the asset that is in work at `pick`; it may fail.
+    /// Completes a load or unload that `pick` chooses, successfully or not.
     pub fn progress(&mut self, pick: u8, fails: bool) {
-        let busy: Vec<_> = self
+        let in_progress: Vec<_> = self
             .held
             .iter()
             .filter(|(_, (_, state, _))| *state != AssetState::Ready)
             .map(|(asset, _)| asset.clone())
             .collect();
-        let Some(asset) = busy.get(usize::from(pick) % busy.len().max(1)) else { return };
+        let Some(asset) = in_progress.get(usize::from(pick) % in_progress.len().max(1))
+        else {
+            return;
+        };
         self.seq += 1;
-        let (_, state, by) = &self.held[asset];
-        let (state, by) = (*state, *by);
-        let gone = (state == AssetState::Loading) == fails;
-        let order = if fails { OrderState::Failed } else { OrderState::Done };
-        self.orders.insert(by, order);
-        if gone {
+        let (_, state, current_order) = &self.held[asset];
+        let (state, current_order) = (*state, *current_order);
+        let is_removed = (state == AssetState::Loading) == fails;
+        let order_state = if fails { OrderState::Failed } else { OrderState::Done };
+        self.orders.insert(current_order, order_state);
+        if is_removed {
             self.held.remove(asset);
         } else if let Some((_, state, _)) = self.held.get_mut(asset) {
             *state = AssetState::Ready;
         }
     }
 
-    /// Loses everything and starts anew.
+    /// Restarts as another incarnation without assets, orders and fence.
     pub fn crash(&mut self) {
         self.incarnation += 1;
         self.seq = 0;
--- a/crates/place/tests/ledger/main.rs
+++ b/crates/place/tests/ledger/main.rs
@@ -1,4 +1,4 @@
-//! The ledger against an engine that counts real bytes at every step.
+//! Random tests of the ledger against a simulated engine that counts its memory.
 
 mod engine;
 mod world;
@@ -6,9 +6,9 @@
 use proptest::prelude::*;
 use proptest::test_runner::{Config, RngAlgorithm, TestRng};
 
-use world::{Guard, Setup, World};
+use world::{Safeguards, Setup, World};
 
-/// Steps of a long run.
+/// The number of steps of a long run.
 const STEPS: usize = 100_000;
 
 /// Seeds of the long runs.
@@ -19,17 +19,17 @@
         fenced,
         assets,
         room,
-        guard: Guard::On,
+        safeguards: Safeguards::All,
     })
 }
 
 proptest! {
     #![proptest_config(Config { cases: 400, failure_persistence: None, ..Config::default() })]
 
-    // The caller sees all requests on a runner die when the engine takes more
-    // memory than the accelerator has. Orders are lost, late and doubled, the
-    // engine restarts, leads are paused and replaced, in any order. The ledger
-    // must reserve whatever can still land, so that no order lands on too little.
+    // All requests on a runner fail when the engine needs more memory than the
+    // accelerator has. Orders are lost, delayed and duplicated, the engine restarts,
+    // holders are suspended and replaced, in any order. The ledger must reserve memory
+    // for every order that can still arrive.
     #[test]
     fn memory_is_never_overcommitted(
         setup in setups(),
@@ -38,15 +38,15 @@
         let mut world = World::new(setup);
         for (kind, first, second) in steps {
             world.step(kind, first, second);
-            prop_assert_eq!(world.fault(), None);
+            prop_assert_eq!(world.violation(), None);
         }
     }
 
-    // After any such history the faults end. Without progress a model that was
-    // being moved would stay unreachable for ever; the ledger must come to hold
-    // what is wanted and nothing else.
+    // Once the faults end after any such history, the engine must come to hold the
+    // desired models and nothing else. Without progress, a model that was being moved
+    // would stay unreachable forever.
     #[test]
-    fn wanted_models_are_resident_in_the_end(
+    fn desired_models_are_resident_in_the_end(
         setup in setups(),
         steps in prop::collection::vec(any::<(u8, u8, u8)>(), 1..200),
     ) {
@@ -55,46 +55,48 @@
             world.step(kind, first, second);
         }
         world.settle();
-        prop_assert_eq!(world.fault(), None);
-        prop_assert_eq!(world.missing(), None);
+        prop_assert_eq!(world.violation(), None);
+        prop_assert_eq!(world.difference(), None);
     }
 }
 
-fn long_run(seed: u8, fenced: bool, guard: Guard) -> Option<(usize, String)> {
+fn long_run(seed: u8, fenced: bool, safeguards: Safeguards) -> Option<(usize, String)> {
     let mut rng = TestRng::from_seed(RngAlgorithm::ChaCha, &[seed; 32]);
-    let mut world = World::new(Setup { fenced, assets: 6, room: 3, guard });
+    let mut world = World::new(Setup { fenced, assets: 6, room: 3, safeguards });
     for step in 0..STEPS {
         let [kind, first, second, _] = rng.next_u32().to_le_bytes();
         world.step(kind, first, second);
-        if let Some(fault) = world.fault() {
-            return Some((step, fault));
+        if let Some(violation) = world.violation() {
+            return Some((step, violation));
         }
     }
-    world.check_busy(STEPS);
+    world.assert_progress(STEPS);
     None
 }
 
 #[test]
 fn long_runs_hold_with_engines_that_check_fences() {
     for seed in SEEDS {
-        assert_eq!(long_run(seed, true, Guard::On), None, "seed {seed}");
+        assert_eq!(long_run(seed, true, Safeguards::All), None, "seed {seed}");
     }
 }
 
 #[test]
 fn long_runs_hold_with_engines_that_ignore_fences() {
     for seed in SEEDS {
-        assert_eq!(long_run(seed, false, Guard::On), None, "seed {seed}");
+        assert_eq!(long_run(seed, false, Safeguards::All), None, "seed {seed}");
     }
 }
 
-// Each safeguard is switched off in turn; the run must then find the engine
-// overcommitted, else it would prove nothing.
+// Each safeguard is disabled in turn. The run must then find the engine overcommitted,
+// otherwise it could not detect a missing safeguard.
 #[test]
 fn each_safeguard_is_needed() {
-    for guard in [Guard::NoCommit, Guard::NoConfirm, Guard::NoLate] {
-        let fault = long_run(SEEDS[0], false, guard);
-        assert!(fault.is_some(), "{guard:?} makes no difference");
-        println!("{guard:?}: {fault:?}");
+    for safeguards in
+        [Safeguards::NoCommitFirst, Safeguards::NoUnloadReport, Safeguards::NoExpiryWait]
+    {
+        let violation = long_run(SEEDS[0], false, safeguards);
+        assert!(violation.is_some(), "{safeguards:?} makes no difference");
+        println!("{safeguards:?}: {violation:?}");
     }
 }
