--- a/crates/member/src/assignment.rs
+++ b/crates/member/src/assignment.rs
@@ -12,7 +12,7 @@
 //! VMs differ fourfold in CPU. The claim of a backend server is assigned in proportion to
 //! CPU. The claim of a whole service, whose holder is involved in every request, goes to
 //! one of the largest VMs: with equal shares, the queue of a plain service ran on an
-//! eighth of a core and left half of the queries unanswered under full load.
+//! eighth of a core and left half of its queries unanswered under full load.
 
 use std::time::{Duration, Instant};
 
@@ -25,7 +25,7 @@
 
 /// How long a member must have been present before claims are handed over to it.
 ///
-/// Longer than a lease, so that a failure right after the start is noticed before.
+/// Longer than a lease, so that a crash right after the start is noticed first.
 pub const STABLE_AFTER: Duration = Duration::from_secs(10);
 
 /// The maximum number of claims that a holder hands over in one plan for rebalancing.
--- a/crates/member/src/suspension.rs
+++ b/crates/member/src/suspension.rs
@@ -25,7 +25,7 @@
 /// The clocks are read one after the other; thread switches in between take less.
 const MIN_SUSPENSION: Duration = Duration::from_millis(100);
 
-/// How long after a gap messages of other daemons may be from before it.
+/// How long after a gap received messages may have been sent before it.
 ///
 /// Messages that waited in the socket are read within some milliseconds; a busy VM takes
 /// longer.
@@ -43,7 +43,7 @@
 pub struct SuspensionDetector {
     /// Time of the last check and the total suspension of the VM at that time.
     last_check: Option<(Instant, Duration)>,
-    /// Until when messages may be from before the last gap.
+    /// Until when received messages may have been sent before the last gap.
     settling_until: Option<Instant>,
 }
 
@@ -64,7 +64,7 @@
         Some(gap)
     }
 
-    /// Whether messages of other daemons may be from before the last gap.
+    /// Whether received messages may have been sent before the last gap.
     pub fn is_settling(&self, now: Instant) -> bool {
         self.settling_until.is_some_and(|until| now < until)
     }
@@ -72,8 +72,9 @@
 
 /// Whether an order may be sent to a runner that this daemon holds.
 ///
-/// `fenced` tells whether the runner checks fences. `age` is the age of the store's
-/// confirmation of the claims; `None` if there is none since the last suspension.
+/// `fenced` tells whether the runner checks fences. `confirmation_age` is the age of
+/// the store's confirmation of the claims; `None` if there is none since the last
+/// suspension.
 pub fn may_send_order(fenced: bool, confirmation_age: Option<Duration>) -> bool {
     match confirmation_age {
         None => false,
--- a/crates/member/src/view.rs
+++ b/crates/member/src/view.rs
@@ -79,7 +79,7 @@
     Server(ServerName),
     /// A slot of the journal of non-idempotent requests.
     Slot(SlotId),
-    /// The planner of a pool.
+    /// The planner of a pool, or the queue of a plain service of that name.
     Pool(PoolName),
     /// The platform's list of VMs, which the holder reads and writes into the table.
     Vms,
@@ -113,7 +113,11 @@
 
 impl Display for ClaimKeyError {
     fn fmt(&self, f: &mut Formatter<'_>) -> fmt::Result {
-        write!(f, "{:?} names no claim; remove the row or run the same version", self.0)
+        write!(
+            f,
+            "{:?} is not a claim key; remove the row or run the version that wrote it",
+            self.0
+        )
     }
 }
 
