--- a/crates/plat/src/error.rs
+++ b/crates/plat/src/error.rs
@@ -1,32 +1,39 @@
-//! Why a call to the platform failed.
+//! Errors of calls to the platform.
 
 use std::fmt::{self, Display, Formatter};
 
-/// A failed call to the platform.
+/// Why a call to the platform failed, and whether it may have taken effect.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum PlatformError {
-    /// The service refused the call or could not be reached; nothing was done.
+    /// The service rejected the call or was unreachable; the call had no effect.
     Unavailable(String),
-    /// The answer was lost, so that a write may or may not have taken effect.
+    /// The response was lost, so that a write may or may not have taken effect.
     ///
-    /// Whoever gets this for a write reads back before it decides anything.
+    /// After a write, read the current state before relying on either outcome.
     OutcomeUnknown(String),
-    /// The service does not understand the call or its answer can't be read.
+    /// The service rejected the call as invalid, or a message can't be encoded or
+    /// decoded.
     Protocol(String),
 }
 
 impl Display for PlatformError {
     fn fmt(&self, f: &mut Formatter<'_>) -> fmt::Result {
         match self {
-            Self::Unavailable(why) => {
-                write!(f, "the platform did nothing ({why}); try again later")
+            Self::Unavailable(reason) => {
+                write!(
+                    f,
+                    "the platform is unavailable and did nothing ({reason}); try again later"
+                )
             }
-            Self::OutcomeUnknown(why) => {
-                write!(f, "the platform's answer was lost ({why}); read back what holds")
+            Self::OutcomeUnknown(reason) => {
+                write!(
+                    f,
+                    "the platform's response was lost ({reason}); check whether the call took effect"
+                )
             }
-            Self::Protocol(why) => write!(
+            Self::Protocol(reason) => write!(
                 f,
-                "the platform's answer can't be read ({why}); check the service's address"
+                "the platform's response is invalid ({reason}); check the service's address"
             ),
         }
     }
@@ -36,12 +43,12 @@
 
 impl From<reqwest::Error> for PlatformError {
     fn from(error: reqwest::Error) -> Self {
-        let text = error.to_string();
-        // Nothing was sent over a connection that never stood.
+        let reason = error.to_string();
+        // Without a connection, nothing was sent.
         if error.is_connect() || error.is_builder() {
-            Self::Unavailable(text)
+            Self::Unavailable(reason)
         } else {
-            Self::OutcomeUnknown(text)
+            Self::OutcomeUnknown(reason)
         }
     }
 }
--- a/crates/plat/src/lib.rs
+++ b/crates/plat/src/lib.rs
@@ -1,9 +1,9 @@
 //! Clients of the platform's services.
 //!
-//! What must last lives in the platform: rows in the transactional table
-//! service ([`table`]), larger values in the object store ([`object`]), and the
-//! list of VMs ([`vms`]), which lags. Each client says of a failed call whether
-//! it may still have taken effect ([`PlatformError`]).
+//! The platform stores all durable state: rows in the transactional table service
+//! ([`table`]) and larger values in the object store ([`object`]). It also provides the
+//! list of VMs ([`vms`]), which is eventually consistent. The error of a failed call
+//! tells whether the call may have taken effect ([`PlatformError`]).
 
 pub mod error;
 pub mod object;
--- a/crates/plat/src/object.rs
+++ b/crates/plat/src/object.rs
@@ -8,71 +8,71 @@
 use crate::error::PlatformError;
 use crate::table::{check_status, read_json, response_lost};
 
-/// The client of the object store: whole values under keys.
+/// A client of the object store, which reads and writes complete values by key.
 #[derive(Debug, Clone)]
 pub struct ObjectStore {
-    base: String,
+    base_url: String,
     http: Client,
 }
 
 impl ObjectStore {
-    /// Creates a client of the store at `base`, such as `http://10.0.0.5:7000`.
+    /// Creates a client of the store at `base_url`, such as `http://10.0.0.5:7000`.
     ///
     /// Calls that take longer than `timeout` fail.
     pub fn new(
-        base: impl Into<String>,
+        base_url: impl Into<String>,
         timeout: Duration,
     ) -> Result<Self, PlatformError> {
         let http = Client::builder().timeout(timeout).no_proxy().build()?;
-        Ok(Self { base: base.into(), http })
+        Ok(Self { base_url: base_url.into(), http })
     }
 
-    /// Stores a value; with `fresh` only if the key does not exist.
+    /// Stores a value; if `create_only`, does not replace an existing one.
     ///
     /// Returns whether the value was stored.
     pub async fn put(
         &self,
         key: &str,
         value: Bytes,
-        fresh: bool,
+        create_only: bool,
     ) -> Result<bool, PlatformError> {
-        let mut call = self.http.put(self.url(key)).body(value);
-        if fresh {
-            call = call.header("if-none-match", "*");
+        let mut request = self.http.put(self.url(key)).body(value);
+        if create_only {
+            request = request.header("if-none-match", "*");
         }
-        let answer = call.send().await?;
-        if answer.status() == StatusCode::PRECONDITION_FAILED {
+        let response = request.send().await?;
+        if response.status() == StatusCode::PRECONDITION_FAILED {
             return Ok(false);
         }
-        check_status(answer.status())?;
+        check_status(response.status())?;
         Ok(true)
     }
 
-    /// Reads a value.
+    /// Reads a value; `None` if the key does not exist.
     pub async fn get(&self, key: &str) -> Result<Option<Bytes>, PlatformError> {
-        let answer = self.http.get(self.url(key)).send().await?;
-        if answer.status() == StatusCode::NOT_FOUND {
+        let response = self.http.get(self.url(key)).send().await?;
+        if response.status() == StatusCode::NOT_FOUND {
             return Ok(None);
         }
-        check_status(answer.status())?;
-        Ok(Some(answer.bytes().await.map_err(response_lost)?))
+        check_status(response.status())?;
+        Ok(Some(response.bytes().await.map_err(response_lost)?))
     }
 
-    /// Removes a value if it exists.
+    /// Deletes a value if it exists.
     pub async fn delete(&self, key: &str) -> Result<(), PlatformError> {
-        let answer = self.http.delete(self.url(key)).send().await?;
-        check_status(answer.status())
+        let response = self.http.delete(self.url(key)).send().await?;
+        check_status(response.status())
     }
 
-    /// Lists the keys that start with `prefix`, in order.
+    /// Lists the keys that start with `prefix`, in ascending order.
     pub async fn list(&self, prefix: &str) -> Result<Vec<String>, PlatformError> {
-        let url = format!("{}/v1/objects", self.base);
-        let answer = self.http.get(url).query(&[("prefix", prefix)]).send().await?;
-        check_status(answer.status())?;
-        read_json(answer).await
+        let url = format!("{}/v1/objects", self.base_url);
+        let response = self.http.get(url).query(&[("prefix", prefix)]).send().await?;
+        check_status(response.status())?;
+        read_json(response).await
     }
 
     fn url(&self, key: &str) -> String {
-        format!("{}/v1/objects/{key}", self.base)
+        format!("{}/v1/objects/{key}", self.base_url)
     }
 }
--- a/crates/plat/src/table.rs
+++ b/crates/plat/src/table.rs
@@ -1,8 +1,8 @@
 //! The client of the transactional table service.
 //!
-//! A row is a JSON value under a table's name and a key. A transaction checks
-//! rows and then writes rows, all or nothing. The service stamps each row with
-//! a version that grows over the whole service and with its own clock's time.
+//! A row is a JSON value, identified by its table and key. A transaction atomically
+//! checks preconditions and writes rows. The service stamps each written row with a
+//! version, which increases over all tables, and with the time of its own clock.
 
 use std::sync::Arc;
 use std::sync::atomic::{AtomicU64, Ordering};
@@ -14,25 +14,25 @@
 
 use crate::error::PlatformError;
 
-/// The path of transactions; all other calls only read.
-const COMMIT: &str = "/v1/table/commit";
+/// The path of transactions; all other calls are read-only.
+const COMMIT_PATH: &str = "/v1/table/commit";
 
-/// A row as the service keeps it.
+/// A row as stored by the service.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Row {
     /// The table's name.
     pub table: String,
     /// The row's key within the table.
     pub key: String,
-    /// The content.
+    /// The content, any JSON value.
     pub value: Value,
-    /// The version of the service at the row's last write.
+    /// The version that the row's last write was stamped with.
     pub version: u64,
     /// The time of the last write by the service's clock, in milliseconds.
     pub modified: u64,
 }
 
-/// A condition on a row, checked when the transaction commits.
+/// A condition on a row, checked at commit.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case", tag = "check")]
 pub enum Precondition {
@@ -43,27 +43,28 @@
         /// The row's key.
         key: String,
     },
-    /// The row exists with just this version.
+    /// The row exists and has exactly this version.
     Version {
         /// The table's name.
         table: String,
         /// The row's key.
         key: String,
-        /// The version the row must have.
+        /// The required version.
         version: u64,
     },
-    /// The row is absent or was not written for some time by the service's clock.
+    /// The row does not exist, or was last written at least this long ago by the
+    /// service's clock.
     Idle {
         /// The table's name.
         table: String,
         /// The row's key.
         key: String,
-        /// The least age of the row, in milliseconds.
+        /// The minimum time since the last write, in milliseconds.
         millis: u64,
     },
 }
 
-/// A change of a row.
+/// A write to a row.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case", tag = "write")]
 pub enum Write {
@@ -76,7 +77,7 @@
         /// The new content.
         value: Value,
     },
-    /// Removes the row if it exists.
+    /// Deletes the row if it exists.
     Delete {
         /// The table's name.
         table: String,
@@ -85,12 +86,12 @@
     },
 }
 
-/// Checks and writes that take effect together or not at all.
+/// A transaction: preconditions and writes that take effect atomically.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Txn {
-    /// What must hold.
+    /// All of these must hold at commit.
     pub checks: Vec<Precondition>,
-    /// What is written if all checks hold.
+    /// Applied together if the preconditions hold.
     pub writes: Vec<Write>,
 }
 
@@ -106,7 +107,7 @@
         self
     }
 
-    /// Requires that the row has just this version.
+    /// Requires that the row has exactly this version.
     pub fn version(mut self, table: &str, key: impl Into<String>, version: u64) -> Self {
         self.checks.push(Precondition::Version {
             table: table.into(),
@@ -116,7 +117,7 @@
         self
     }
 
-    /// Requires that the row is absent or was not written for `age`.
+    /// Requires that the row does not exist or was not written for at least `age`.
     pub fn idle(mut self, table: &str, key: impl Into<String>, age: Duration) -> Self {
         let millis = age.as_millis() as u64;
         self.checks.push(Precondition::Idle {
@@ -133,44 +134,44 @@
         self
     }
 
-    /// Removes a row.
+    /// Deletes a row if it exists.
     pub fn delete(mut self, table: &str, key: impl Into<String>) -> Self {
         self.writes.push(Write::Delete { table: table.into(), key: key.into() });
         self
     }
 }
 
-/// What became of a transaction.
+/// The response to a transaction.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case", tag = "answer")]
 pub enum TxnResponse {
-    /// All checks held and all writes took effect.
+    /// The transaction was committed.
     Committed {
-        /// The version of the rows that were written.
+        /// The new version of the written rows.
         version: u64,
         /// The service's clock, in milliseconds.
         now: u64,
     },
-    /// A check failed and nothing was written.
+    /// A precondition did not hold; nothing was written.
     Conflict {
-        /// The index of the first check that failed.
+        /// The index of the first precondition that did not hold.
         check: usize,
-        /// The row as it is, if it exists.
+        /// The current row; `None` if it does not exist.
         row: Option<Row>,
     },
 }
 
-/// The rows of a table that changed after a version.
+/// The changes of a table after a version.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Delta {
-    /// The rows that exist and were written after the version.
+    /// The existing rows that were written after the version.
     pub rows: Vec<Row>,
-    /// The keys of rows that were removed after the version.
+    /// The keys of the rows that were deleted after the version.
     #[serde(rename = "gone")]
     pub deleted: Vec<String>,
-    /// The version up to which this is complete; ask from here next.
+    /// The changes are complete up to this version; the next request continues here.
     pub version: u64,
-    /// Whether there are changes after that version.
+    /// Whether there are more changes after that version.
     #[serde(default)]
     pub more: bool,
     /// The service's clock, in milliseconds.
@@ -184,54 +185,54 @@
     }
 }
 
-/// What a read asks for.
+/// A request for the changes of one table.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub struct ScanQuery {
     /// The table's name.
     pub table: String,
-    /// Only keys that start with this.
+    /// Selects keys that start with this; empty for all keys.
     #[serde(default)]
     pub prefix: String,
-    /// Only changes after this version; 0 reads all rows.
+    /// Selects changes after this version; 0 reads all rows.
     #[serde(default)]
     pub since: u64,
-    /// About how many changes are wanted at once; those of one transaction stay
-    /// together. All of them if absent.
+    /// The approximate maximum number of changes to return; changes of one transaction
+    /// are not split. `None` for no limit.
     #[serde(default)]
     pub limit: Option<usize>,
 }
 
-/// What a read of several tables at once asks for.
+/// A request for the changes of several tables and for single rows.
 #[derive(Debug, Clone, Default, Serialize, Deserialize)]
 pub struct ChangesQuery {
-    /// The tables' names.
+    /// The names of the tables whose changes to return.
     pub tables: Vec<String>,
-    /// Only changes after this version.
+    /// Selects changes after this version.
     pub since: u64,
-    /// Rows that are wanted whether they changed or not.
+    /// Rows to return in addition, whether they changed or not.
     #[serde(default)]
     #[serde(rename = "rows")]
     pub row_keys: Vec<RowKey>,
 }
 
-/// What changed in several tables after a version.
+/// The response to a [`ChangesQuery`].
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ChangesResponse {
-    /// The rows that exist and were written after the version.
+    /// The existing rows that were written after the version.
     pub rows: Vec<Row>,
-    /// The tables and keys of rows that were removed after the version.
+    /// The tables and keys of the rows that were deleted after the version.
     #[serde(rename = "gone")]
     pub deleted: Vec<(String, String)>,
-    /// The rows that were wanted besides and exist.
+    /// Those of [`ChangesQuery::row_keys`] that exist.
     #[serde(rename = "wanted")]
     pub requested: Vec<Row>,
-    /// The version up to which this is complete; ask from here next.
+    /// The changes are complete up to this version; the next request continues here.
     pub version: u64,
     /// The service's clock, in milliseconds.
     pub now: u64,
 }
 
-/// Which row a read asks for.
+/// The table and key of a row.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub struct RowKey {
     /// The table's name.
@@ -241,44 +242,45 @@
 }
 
 #[derive(Deserialize)]
-struct Found {
+struct GetResponse {
     row: Option<Row>,
 }
 
-/// The client of the transactional table service.
+/// A client of the transactional table service; clones share their traffic counters.
 #[derive(Debug, Clone)]
 pub struct TableClient {
-    base: String,
+    base_url: String,
     http: Client,
     traffic: Arc<TrafficCounters>,
 }
 
-/// How much a client has asked of the table service, bodies only.
+/// Counts a client's traffic with the table service; bytes are those of bodies, without
+/// headers.
 #[derive(Debug, Default)]
 pub struct TrafficCounters {
     /// Transactions that were sent.
     pub commits: AtomicU64,
     /// Reads that were sent.
     pub reads: AtomicU64,
-    /// Bytes of bodies that were sent.
+    /// Bytes of request bodies.
     pub sent: AtomicU64,
-    /// Bytes of bodies that were received.
+    /// Bytes of response bodies.
     pub received: AtomicU64,
 }
 
 impl TableClient {
-    /// Creates a client of the service at `base`, such as `http://10.0.0.5:7000`.
+    /// Creates a client of the service at `base_url`, such as `http://10.0.0.5:7000`.
     ///
     /// Calls that take longer than `timeout` fail.
     pub fn new(
-        base: impl Into<String>,
+        base_url: impl Into<String>,
         timeout: Duration,
     ) -> Result<Self, PlatformError> {
         let http = Client::builder().timeout(timeout).no_proxy().build()?;
-        Ok(Self { base: base.into(), http, traffic: Arc::default() })
+        Ok(Self { base_url: base_url.into(), http, traffic: Arc::default() })
     }
 
-    /// How much this client and its clones have asked of the service.
+    /// The traffic of this client and its clones.
     pub fn traffic(&self) -> &TrafficCounters {
         &self.traffic
     }
@@ -286,25 +288,25 @@
     /// Commits a transaction.
     pub async fn commit(&self, txn: &Txn) -> Result<TxnResponse, PlatformError> {
         self.traffic.commits.fetch_add(1, Ordering::Relaxed);
-        self.call(COMMIT, txn).await
+        self.call(COMMIT_PATH, txn).await
     }
 
-    /// Reads the rows that changed after a version.
+    /// Reads all rows with a key prefix that changed after a version.
     pub async fn scan(
         &self,
         table: &str,
         prefix: &str,
         since: u64,
     ) -> Result<Delta, PlatformError> {
-        let scan =
+        let query =
             ScanQuery { table: table.into(), prefix: prefix.into(), since, limit: None };
-        self.call("/v1/table/scan", &scan).await
+        self.call("/v1/table/scan", &query).await
     }
 
-    /// Reads the first of the rows that changed after a version.
+    /// Reads one page of the rows that changed after a version.
     ///
-    /// A table of thousands of rows, read at once, takes tens of megabytes that the
-    /// process never gives back.
+    /// Reading a table of thousands of rows at once allocates tens of megabytes, which the
+    /// process never returns to the operating system.
     pub async fn scan_page(
         &self,
         table: &str,
@@ -312,71 +314,73 @@
         limit: usize,
     ) -> Result<Delta, PlatformError> {
         let (table, prefix, limit) = (table.into(), String::new(), Some(limit));
-        let scan = ScanQuery { table, prefix, since, limit };
-        self.call("/v1/table/scan", &scan).await
+        let query = ScanQuery { table, prefix, since, limit };
+        self.call("/v1/table/scan", &query).await
     }
 
-    /// Reads what changed in several tables after a version.
+    /// Reads the changes of several tables after a version.
     pub async fn changes(
         &self,
-        changes: &ChangesQuery,
+        query: &ChangesQuery,
     ) -> Result<ChangesResponse, PlatformError> {
-        self.call("/v1/table/changes", changes).await
+        self.call("/v1/table/changes", query).await
     }
 
-    /// Reads one row.
+    /// Reads one row; `None` if it does not exist.
     pub async fn get(
         &self,
         table: &str,
         key: &str,
     ) -> Result<Option<Row>, PlatformError> {
-        let lookup = RowKey { table: table.into(), key: key.into() };
-        let found: Found = self.call("/v1/table/get", &lookup).await?;
-        Ok(found.row)
+        let row_key = RowKey { table: table.into(), key: key.into() };
+        let response: GetResponse = self.call("/v1/table/get", &row_key).await?;
+        Ok(response.row)
     }
 
-    async fn call<Q: Serialize, A: for<'de> Deserialize<'de>>(
+    async fn call<Q: Serialize, R: for<'de> Deserialize<'de>>(
         &self,
         path: &str,
-        question: &Q,
-    ) -> Result<A, PlatformError> {
-        let url = format!("{}{path}", self.base);
-        let body = serde_json::to_vec(question)
+        query: &Q,
+    ) -> Result<R, PlatformError> {
+        let url = format!("{}{path}", self.base_url);
+        let body = serde_json::to_vec(query)
             .map_err(|error| PlatformError::Protocol(error.to_string()))?;
-        if path != COMMIT {
+        if path != COMMIT_PATH {
             self.traffic.reads.fetch_add(1, Ordering::Relaxed);
         }
         self.traffic.sent.fetch_add(body.len() as u64, Ordering::Relaxed);
-        let call = self.http.post(url).header("content-type", "application/json");
-        let answer = call.body(body).send().await?;
-        check_status(answer.status())?;
-        let bytes = answer.bytes().await.map_err(response_lost)?;
+        let request = self.http.post(url).header("content-type", "application/json");
+        let response = request.body(body).send().await?;
+        check_status(response.status())?;
+        let bytes = response.bytes().await.map_err(response_lost)?;
         self.traffic.received.fetch_add(bytes.len() as u64, Ordering::Relaxed);
         parse_json(&bytes)
     }
 }
 
-/// Reads an answer that says the call took effect.
+/// Decodes the body of a response with a success status.
 ///
-/// An answer that broke off or can't be read does not undo the call, so that
-/// both count as lost; to take them for a refusal would run a write twice.
-pub(crate) async fn read_json<A: for<'de> Deserialize<'de>>(
-    answer: reqwest::Response,
-) -> Result<A, PlatformError> {
-    parse_json(&answer.bytes().await.map_err(response_lost)?)
+/// The call has taken effect even if the body was cut off or can't be decoded, so that
+/// both count as a lost response. If they were reported as a rejection, a write would be
+/// repeated.
+pub(crate) async fn read_json<R: for<'de> Deserialize<'de>>(
+    response: reqwest::Response,
+) -> Result<R, PlatformError> {
+    parse_json(&response.bytes().await.map_err(response_lost)?)
 }
 
-fn parse_json<A: for<'de> Deserialize<'de>>(bytes: &[u8]) -> Result<A, PlatformError> {
+fn parse_json<R: for<'de> Deserialize<'de>>(bytes: &[u8]) -> Result<R, PlatformError> {
     serde_json::from_slice(bytes)
         .map_err(|error| PlatformError::OutcomeUnknown(error.to_string()))
 }
 
-/// An answer that broke off after its status.
+/// The error for a response that was cut off after its status.
 pub(crate) fn response_lost(error: reqwest::Error) -> PlatformError {
     PlatformError::OutcomeUnknown(error.to_string())
 }
 
-/// Turns a status into an error; the services answer 503 before they do anything.
+/// Maps a status to an error. 429 and 503 count as rejections without effect: the
+/// services return 503 before they do anything.
 pub(crate) fn check_status(status: StatusCode) -> Result<(), PlatformError> {
     if status.is_success() {
         Ok(())
--- a/crates/plat/src/vms.rs
+++ b/crates/plat/src/vms.rs
@@ -1,4 +1,4 @@
-//! The client of the platform's list of VMs, which lags.
+//! The client of the platform's list of VMs, which is eventually consistent.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -10,73 +10,75 @@
 use crate::error::PlatformError;
 use crate::table::{check_status, read_json};
 
-/// What a VM is for.
+/// The process that a VM runs.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case", tag = "role")]
 pub enum VmRole {
-    /// Runs this system's daemon.
+    /// This system's daemon.
     Entry,
-    /// Runs a model engine.
+    /// A model engine.
     Runner {
-        /// The pool the runner belongs to.
+        /// The pool that the runner belongs to.
         pool: PoolName,
     },
-    /// Runs a server of a plain service.
+    /// A server of a plain service.
     Service {
-        /// The plain service.
+        /// The service that the server belongs to.
         service: ServiceName,
     },
 }
 
-/// Whether a VM stays.
+/// The lifecycle state of a VM.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum VmState {
-    /// The VM is to stay.
+    /// The VM keeps running.
     Live,
-    /// The VM will be stopped and must get no new work.
+    /// The VM is about to be stopped and must not get new work.
     #[serde(rename = "leaving")]
     Draining,
 }
 
-/// An entry of the list.
+/// A VM in the list.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct VmRow {
-    /// The VM's name; for a backend server also the server's name.
+    /// The VM's name, which is also the name of a backend server that runs on it.
     pub vm: VmName,
     /// The failure domain.
     pub domain: DomainName,
-    /// Where the VM's server listens; on an entry VM, where its daemon takes other
-    /// daemons' connections.
+    /// The address that the VM's server listens on; on an entry VM, the address for
+    /// connections from other daemons.
     pub address: SocketAddr,
-    /// Whether the VM stays.
+    /// The lifecycle state.
     pub state: VmState,
-    /// What the VM is for.
+    /// The process that the VM runs.
     #[serde(flatten)]
     pub role: VmRole,
 }
 
-/// The client of the list of VMs.
+/// A client of the list of VMs.
 #[derive(Debug, Clone)]
 pub struct VmList {
-    base: String,
+    base_url: String,
     http: Client,
 }
 
 impl VmList {
-    /// Creates a client of the list at `base`, such as `http://10.0.0.5:7000`.
+    /// Creates a client of the list at `base_url`, such as `http://10.0.0.5:7000`.
+    ///
+    /// Calls that take longer than `timeout` fail.
     pub fn new(
-        base: impl Into<String>,
+        base_url: impl Into<String>,
         timeout: Duration,
     ) -> Result<Self, PlatformError> {
         let http = Client::builder().timeout(timeout).no_proxy().build()?;
-        Ok(Self { base: base.into(), http })
+        Ok(Self { base_url: base_url.into(), http })
     }
 
-    /// Reads the whole list as the platform knows it, some time ago.
+    /// Reads the complete list, which may be out of date.
     pub async fn read(&self) -> Result<Vec<VmRow>, PlatformError> {
-        let answer = self.http.get(format!("{}/v1/vms", self.base)).send().await?;
-        check_status(answer.status())?;
-        read_json(answer).await
+        let response = self.http.get(format!("{}/v1/vms", self.base_url)).send().await?;
+        check_status(response.status())?;
+        read_json(response).await
     }
 }
