--- a/crates/edge/src/dialect.rs
+++ b/crates/edge/src/dialect.rs
@@ -100,7 +100,7 @@
 /// The protocol between the daemon and the platform's store.
 pub trait StoreProtocol: Send + Sync {
     /// Builds the request that commits a transaction.
-    fn write_commit(&self, commit: &Transaction) -> Request<Bytes>;
+    fn write_commit(&self, transaction: &Transaction) -> Request<Bytes>;
 
     /// Decodes the response to a transaction; after an error it is unknown whether the
     /// transaction was committed.
