--- a/crates/pool/src/attempts.rs
+++ b/crates/pool/src/attempts.rs
@@ -1,33 +1,34 @@
-//! What may follow each attempt of a request, and what may be said of it in the end.
+//! Decides what may follow each attempt of a request, and whether it may have run.
 //!
-//! An attempt is the request sent to one server. One whose answer is lost may have run,
-//! may be running, or may run later: a server that stood still reads what was sent to it
-//! when it goes on. So a request that must run once at most is sent again only while no
-//! byte was sent or a server itself said that it did not run it, and only then its caller
-//! is told that it has not run.
+//! An attempt is the request sent to one server. If its response is lost, the request may
+//! have run, may be running, or may run later: a server that was suspended processes what
+//! was sent to it when it resumes. A request that must run at most once is therefore sent
+//! again only if no byte was sent or the server itself reported that it did not run it,
+//! and only in these cases is its caller told that it has not run.
 //!
-//! What may run again is bounded: a request that breaks servers would otherwise go round
-//! all of them, and each repeat adds to the load that made the last attempt fail.
+//! The number of servers on which a request may run is bounded: a request that crashes
+//! servers would otherwise reach all of them, and each retry adds to the load that made
+//! the last attempt fail.
 
 use chestnut_base::ServerName;
 use chestnut_edge::RouteKind;
 
-/// How an attempt ended.
+/// How an attempt without a complete response ended.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum AttemptOutcome {
     /// No byte was sent.
     NotSent,
-    /// The server said that it did not run the request and never will.
+    /// The server reported that it did not run the request and never will.
     Rejected,
-    /// It was sent, and what became of it is not known.
+    /// It was sent, and whether it ran is unknown.
     ResponseLost,
-    /// It was sent, and its server was silent for longer than it should be.
+    /// It was sent, and the server exceeded its response timeout.
     Unresponsive,
-    /// It was sent, and the time ran out.
+    /// It was sent, and the request's deadline passed.
     TimedOut,
-    /// The server ran it and says that it failed.
+    /// The server ran it and reported a failure.
     Failed,
-    /// The answer broke off when the caller had a part of it.
+    /// The response broke off after the caller had received a part of it.
     Interrupted,
 }
 
@@ -36,18 +37,18 @@
 pub enum RetryDecision {
     /// Another attempt.
     Retry,
-    /// Another attempt, if the service's budget has a repeat left.
+    /// Another attempt, if the service's retry budget grants one.
     RetryWithinBudget,
-    /// None.
+    /// No further attempt.
     GiveUp,
 }
 
-/// A run of a server, from its start to its end.
+/// One incarnation of a server, from its start to its end.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Incarnation {
-    /// The server.
+    /// The name, which later incarnations share.
     pub server: ServerName,
-    /// Its start, in Unix milliseconds; the next run under its name has another.
+    /// Start time in Unix milliseconds, which tells incarnations apart.
     pub started_at: Option<u64>,
 }
 
@@ -56,20 +57,24 @@
 pub struct Attempts {
     kind: RouteKind,
     /// On how many servers it may run.
-    most: u32,
-    /// Where it may have run without bringing a whole answer, in order.
-    runs: Vec<Incarnation>,
+    max_runs: u32,
+    /// Where it may have run without a complete response, oldest first.
+    possible_runs: Vec<Incarnation>,
 }
 
 impl Attempts {
-    /// No attempt yet of a request that may run on so many servers.
-    pub fn new(kind: RouteKind, most: u32) -> Self {
-        Self { kind, most, runs: Vec::new() }
+    /// Starts without attempts, for a request that may run on `max_runs` servers.
+    pub fn new(kind: RouteKind, max_runs: u32) -> Self {
+        Self { kind, max_runs, possible_runs: Vec::new() }
     }
 
-    /// Takes in how an attempt ended, and says what may follow.
-    pub fn record(&mut self, run: Incarnation, ended: AttemptOutcome) -> RetryDecision {
-        match ended {
+    /// Records how an attempt ended, and decides what may follow.
+    pub fn record(
+        &mut self,
+        incarnation: Incarnation,
+        outcome: AttemptOutcome,
+    ) -> RetryDecision {
+        match outcome {
             AttemptOutcome::NotSent => return RetryDecision::Retry,
             AttemptOutcome::Rejected => return RetryDecision::RetryWithinBudget,
             AttemptOutcome::ResponseLost
@@ -77,21 +82,21 @@
             | AttemptOutcome::TimedOut
             | AttemptOutcome::Failed
             | AttemptOutcome::Interrupted => {
-                self.runs.push(run);
+                self.possible_runs.push(incarnation);
             }
         }
-        match ended {
-            AttemptOutcome::Unresponsive if self.may_run() => RetryDecision::Retry,
-            AttemptOutcome::ResponseLost if self.may_run() => {
+        match outcome {
+            AttemptOutcome::Unresponsive if self.may_run_again() => RetryDecision::Retry,
+            AttemptOutcome::ResponseLost if self.may_run_again() => {
                 RetryDecision::RetryWithinBudget
             }
-            // A stream's own failure is an answer, which its caller may act on.
+            // The failure of a stream is a response that its caller may act on.
             AttemptOutcome::Failed
-                if self.kind == RouteKind::Idempotent && self.may_run() =>
+                if self.kind == RouteKind::Idempotent && self.may_run_again() =>
             {
                 RetryDecision::RetryWithinBudget
             }
-            // Where it goes on is bounded by [`Self::only_on`].
+            // [`Self::restricted_to`] bounds where it continues.
             AttemptOutcome::Interrupted if self.kind.is_repeatable() => {
                 RetryDecision::RetryWithinBudget
             }
@@ -99,36 +104,37 @@
         }
     }
 
-    /// Whether an attempt may be given up as silent, with another one to follow.
+    /// Whether the current attempt may be abandoned as unresponsive and followed by another.
     pub fn may_abandon(&self) -> bool {
-        self.kind == RouteKind::Idempotent && self.runs.len() as u32 + 1 < self.most
+        self.kind == RouteKind::Idempotent
+            && self.possible_runs.len() as u32 + 1 < self.max_runs
     }
 
-    /// Whether a server may have run it without bringing an answer.
+    /// Whether a server may have run it without a complete response.
     pub fn may_have_run(&self) -> bool {
-        !self.runs.is_empty()
+        !self.possible_runs.is_empty()
     }
 
-    /// Where alone it may still run; nothing if it may run anywhere.
+    /// The only incarnations on which it may still run; `None` if it may run anywhere.
     ///
-    /// A stream that breaks off again and again goes on at the servers that had it before,
-    /// once it was on as many as its route allows; otherwise one that breaks servers would
-    /// reach all of them. Servers that have ended since, by `is_up`, do not count.
+    /// Once a stream that is interrupted repeatedly was on as many servers as its route
+    /// allows, it continues only on these; a stream that crashes servers would otherwise
+    /// reach all of them. Incarnations that have ended, by `is_up`, do not count.
     pub fn restricted_to(
         &self,
         is_up: impl Fn(&Incarnation) -> bool,
     ) -> Option<&[Incarnation]> {
-        if self.runs.len() < self.most as usize {
+        if self.possible_runs.len() < self.max_runs as usize {
             return None;
         }
         let mut up: Vec<&Incarnation> =
-            self.runs.iter().filter(|one| is_up(one)).collect();
+            self.possible_runs.iter().filter(|run| is_up(run)).collect();
         up.sort_by(|a, b| a.server.cmp(&b.server));
         up.dedup();
-        (up.len() >= self.most as usize).then_some(&self.runs)
+        (up.len() >= self.max_runs as usize).then_some(&self.possible_runs)
     }
 
-    fn may_run(&self) -> bool {
-        self.kind.is_repeatable() && (self.runs.len() as u32) < self.most
+    fn may_run_again(&self) -> bool {
+        self.kind.is_repeatable() && (self.possible_runs.len() as u32) < self.max_runs
     }
 }
--- a/crates/pool/src/choose.rs
+++ b/crates/pool/src/choose.rs
@@ -1,19 +1,19 @@
-//! Which server gets a request.
+//! Decides which server gets a request.
 //!
-//! Load pattern: bursts of generations whose prompts differ a hundredfold, over
-//! runners that many daemons send to. A daemon that goes by its own counts sends
-//! into queues that it does not see; the busiest runner then has twice the mean.
-//! Each runner's holder therefore estimates, from the sums of all daemons, when a
-//! request's first event would come, and the daemon takes the least estimate.
+//! Load pattern: bursts of generations whose prompts differ a hundredfold, over runners
+//! that many daemons send to. A daemon that uses only its own counts adds to queues that
+//! it does not see, and the busiest runner gets twice the mean load. Each runner's holder
+//! therefore estimates, from the usage reports of all daemons, when the first event of a
+//! request would come, and the daemon takes the lowest estimate.
 //!
-//! A prompt may be so long that its reading alone pauses all streams on its runner for too
-//! long. Spread evenly, a few such prompts a second make streams late on every runner. They
-//! go where fewest run, and other requests avoid runners that get them, so that one replica
-//! of a model takes most.
+//! A prompt may be so long that its prefill alone exceeds the event gap limit of all
+//! streams on its runner. Spread evenly, a few such prompts a second make streams late on
+//! every runner. They therefore go where the fewest requests run, and other requests avoid
+//! runners that get them, so that one replica of a model takes most of them.
 //!
-//! A runner whose places or whose KV cache is taken has room again as its streams end.
-//! An estimate that leaves this out is a tenth of the wait at a runner that is full, and
-//! requests stay in line there while others of the model have room.
+//! A runner whose slots or KV cache are full has room again as its streams end. An
+//! estimate without this wait is a tenth of the real one at a full runner, and requests
+//! queue there while other replicas of the model have room.
 
 use std::time::{Duration, Instant};
 
@@ -28,168 +28,179 @@
 use crate::timing::EngineTimings;
 use crate::usage::Usage;
 
-/// What a generation needs.
+/// A generation that is to be sent to a runner.
 #[serde_as]
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct GenerationRequest {
-    /// The model.
+    /// The model, with an adapter if one is wanted.
     pub target: TargetModel,
-    /// The size of the generation.
+    /// Tokens of the prompt and, at most, of the output.
     pub size: Size,
-    /// The parts of the prompt.
+    /// Parts of the prompt, in order; a runner may have a common prefix cached.
     pub parts: Vec<PromptPart>,
-    /// How urgent it is; 0 goes first.
+    /// 0 is the most urgent and goes first.
     pub urgency: u8,
-    /// The time that is left to a first event that is on time.
+    /// Time left until the first event is late; zero if it already is.
     #[serde_as(as = "DurationMilliSeconds<u64>")]
     pub target_time: Duration,
-    /// How much longer the caller waits for a first event.
+    /// How much longer the caller waits for the first event.
     #[serde_as(as = "DurationMilliSeconds<u64>")]
     #[serde(rename = "patience")]
     pub wait_limit: Duration,
 }
 
-/// An estimate of how soon a server would answer.
+/// A holder's estimate for sending a request to its runner.
 #[derive(Debug, Clone, Copy, PartialEq, Serialize, Deserialize)]
 pub struct Bid {
-    /// The time to the first event, in milliseconds.
+    /// Estimated time to the first event, in milliseconds.
     #[serde(rename = "wait")]
     pub wait_ms: f64,
-    /// That time, with what the request costs itself and others besides; the least is
-    /// chosen.
+    /// `wait_ms` plus penalties for the effect on other requests; the lowest is chosen.
     #[serde(rename = "cost")]
     pub cost_ms: f64,
-    /// Requests in flight there, from all daemons.
+    /// Requests in flight at the runner, from all daemons.
     pub requests: u32,
 }
 
 /// A server that could take a request.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Candidate {
-    /// The server.
+    /// The server's key in this daemon's fleet.
     pub key: ServerKey,
-    /// What its holder estimates.
+    /// The estimate of its holder, or of this daemon where there is none.
     pub bid: Bid,
 }
 
-/// How much later the events of an answer are for each request that runs, in
-/// milliseconds of a first event's wait.
-const RUN_COST: f64 = 2.0;
+/// Cost of each request that runs at a server: it delays all events of a response.
+const RUNNING_REQUEST_COST_MS: f64 = 2.0;
 
-/// What an earlier failure costs, in milliseconds.
-const FAILURE_COST: f64 = 400.0;
+/// Cost of each recent failure of a server.
+const FAILURE_COST_MS: f64 = 400.0;
 
-/// What a way to another failure domain costs, in milliseconds.
+/// Cost of sending to another failure domain.
 ///
-/// More than the two milliseconds that it takes: what goes between failure domains is
-/// paid for.
-pub(crate) const DOMAIN_COST: f64 = 8.0;
+/// More than the two milliseconds that it takes, since traffic between failure domains is
+/// charged.
+pub(crate) const REMOTE_DOMAIN_COST_MS: f64 = 8.0;
 
-/// What the load of an adapter costs, in milliseconds: the load and two orders.
-const ADAPTER_COST: f64 = 25.0;
+/// Cost of loading an adapter: the load and two orders.
+const ADAPTER_LOAD_COST_MS: f64 = 25.0;
 
-/// What it costs to take the place of another adapter, in milliseconds; it may be
-/// asked for again.
-const EVICTION_COST: f64 = 40.0;
+/// Cost of evicting another adapter, which may be requested again.
+const ADAPTER_EVICTION_COST_MS: f64 = 40.0;
 
-/// What it costs to wait for a place among adapters in use, in milliseconds.
-const FULL_COST: f64 = 2000.0;
+/// Cost of waiting until an adapter slot is no longer in use.
+const ADAPTER_SLOT_WAIT_MS: f64 = 2000.0;
 
-/// What it costs to pause one stream of another caller for too long, and all on a runner
-/// at most, in milliseconds.
-const PAUSED_STREAM: f64 = 20.0;
-const PAUSED_MOST: f64 = 500.0;
+/// Cost of making the event gap of another caller's stream too long, for each stream on the
+/// runner and for all of them at most.
+const LATE_STREAM_COST_MS: f64 = 20.0;
+const MAX_LATE_STREAMS_COST_MS: f64 = 500.0;
 
-/// What it costs a request to be paused for too long itself, in milliseconds.
-const PAUSED_COST: f64 = 250.0;
+/// Cost to a request whose own event gap becomes too long.
+const OWN_LATE_GAP_COST_MS: f64 = 250.0;
 
-/// What a server costs whose holder did not answer, in milliseconds.
+/// Penalty, in milliseconds, of a server whose holder did not respond.
 pub const UNRESPONSIVE_HOLDER_COST_MS: f64 = 60.0;
 
-/// Estimates a server's answer from what is in flight there, if a token is read in `token`.
-pub fn estimate_wait_ms(usage: Usage, size: Size, token: Duration) -> f64 {
-    let unread = usage.pending_prompt_tokens as f64 + f64::from(size.prompt);
-    unread * millis(token) + f64::from(usage.requests) * RUN_COST
+/// Estimates the time to a request's first event from what is in flight at a server.
+///
+/// `token_time` is the prefill time of one token.
+pub fn estimate_wait_ms(usage: Usage, size: Size, token_time: Duration) -> f64 {
+    let pending = usage.pending_prompt_tokens as f64 + f64::from(size.prompt);
+    pending * millis(token_time) + f64::from(usage.requests) * RUNNING_REQUEST_COST_MS
 }
 
-/// The estimate of a runner's holder.
+/// Computes a holder's estimate for its runner.
+///
+/// It is infinite while the runner unloads the model.
 pub fn bid(
     runner: &RunnerView,
-    want: &GenerationRequest,
-    speeds: &EngineTimings,
+    request: &GenerationRequest,
+    timings: &EngineTimings,
     engine: &Engine,
     now: Instant,
 ) -> Bid {
     let requests = runner.total_usage(now).requests;
-    if runner.is_unloading(&want.target.model) {
+    if runner.is_unloading(&request.target.model) {
         return Bid { wait_ms: f64::INFINITY, cost_ms: f64::INFINITY, requests };
     }
     // The runner takes one order at a time.
-    let busy = millis(runner.order_time_left(now));
-    let prepare = match runner.adapter_state(&want.target, engine.adapter_slots, now) {
-        AdapterState::Ready => 0.0,
-        AdapterState::Loading(left) => millis(left),
-        AdapterState::SlotFree => busy + ADAPTER_COST,
-        AdapterState::NeedsEviction => busy + ADAPTER_COST + EVICTION_COST,
-        AdapterState::SlotsInUse => busy + FULL_COST,
-    };
-    let ahead =
-        runner.prefill_queue.backlog_ahead(want.urgency, want.target_time.is_zero(), now);
-    let room = room_wait(
+    let order_wait = millis(runner.order_time_left(now));
+    let adapter_wait =
+        match runner.adapter_state(&request.target, engine.adapter_slots, now) {
+            AdapterState::Ready => 0.0,
+            AdapterState::Loading(left) => millis(left),
+            AdapterState::SlotFree => order_wait + ADAPTER_LOAD_COST_MS,
+            AdapterState::NeedsEviction => {
+                order_wait + ADAPTER_LOAD_COST_MS + ADAPTER_EVICTION_COST_MS
+            }
+            AdapterState::SlotsInUse => order_wait + ADAPTER_SLOT_WAIT_MS,
+        };
+    let ahead = runner.prefill_queue.backlog_ahead(
+        request.urgency,
+        request.target_time.is_zero(),
+        now,
+    );
+    let capacity_wait = capacity_wait_ms(
         runner.total_usage(now),
         ahead,
-        want.size,
+        request.size,
         engine,
-        speeds.service_time(),
+        timings.service_time(),
     );
-    let wait = millis(ahead.prefill_time).max(prepare).max(room);
-    let reading = runner.prefill_time(want, speeds);
-    let pauses = pause_cost(runner, reading, requests, speeds.service_time(), now);
-    let wait = wait + millis(reading) + f64::from(requests) * RUN_COST;
-    Bid { wait_ms: wait, cost_ms: wait + pauses, requests }
+    let wait = millis(ahead.prefill_time).max(adapter_wait).max(capacity_wait);
+    let prefill_time = runner.prefill_time(request, timings);
+    let late_events =
+        late_event_cost_ms(runner, prefill_time, requests, timings.service_time(), now);
+    let wait =
+        wait + millis(prefill_time) + f64::from(requests) * RUNNING_REQUEST_COST_MS;
+    Bid { wait_ms: wait, cost_ms: wait + late_events, requests }
 }
 
-/// What streams that are paused for too long cost, in milliseconds: those that run, if
-/// this prompt is long, and otherwise the request itself, by the long prompts that come.
-fn pause_cost(
+/// Cost of event gaps that become too long: those of running streams if this prompt is
+/// long, otherwise the request's own ones, caused by long prompts that follow.
+fn late_event_cost_ms(
     runner: &RunnerView,
-    reading: Duration,
+    prefill_time: Duration,
     requests: u32,
-    stay: Duration,
+    service_time: Duration,
     now: Instant,
 ) -> f64 {
-    if runner.prefill_queue.exceeds_event_gap(reading) {
-        return (f64::from(requests) * PAUSED_STREAM).min(PAUSED_MOST);
+    if runner.prefill_queue.exceeds_event_gap(prefill_time) {
+        return (f64::from(requests) * LATE_STREAM_COST_MS).min(MAX_LATE_STREAMS_COST_MS);
     }
-    let met = runner.prefill_queue.long_prompt_rate(now) * stay.as_secs_f64();
-    met.min(1.0) * PAUSED_COST
+    let expected_long =
+        runner.prefill_queue.long_prompt_rate(now) * service_time.as_secs_f64();
+    expected_long.min(1.0) * OWN_LATE_GAP_COST_MS
 }
 
-/// The wait for a place and for room in the KV cache, in milliseconds.
-///
-/// Requests stay for `stay` in the mean.
-fn room_wait(
+/// Estimated wait for a slot and for room in the KV cache.
+fn capacity_wait_ms(
     usage: Usage,
     ahead: Backlog,
     size: Size,
     engine: &Engine,
-    stay: Duration,
+    service_time: Duration,
 ) -> f64 {
     let requests = f64::from(usage.requests + ahead.requests + 1);
     let tokens = (usage.kv_tokens + ahead.kv_tokens + size.tokens()) as f64;
-    // As streams end one by one, a share of the room is free after that share of a stay.
-    let short = |need: f64, room: f64| ((need - room) / room.max(1.0)).max(0.0);
-    let places = short(requests, f64::from(engine.slots));
-    places.max(short(tokens, engine.usable_tokens() as f64)) * millis(stay)
+    // Streams end evenly over a service time, so a share of the capacity is free after
+    // that share of it.
+    let shortage =
+        |needed: f64, capacity: f64| ((needed - capacity) / capacity.max(1.0)).max(0.0);
+    let slots = shortage(requests, f64::from(engine.slots));
+    slots.max(shortage(tokens, engine.usable_tokens() as f64)) * millis(service_time)
 }
 
-/// What a daemon itself adds to a server's cost, in milliseconds.
+/// The part of a server's cost that depends on the daemon: its failure domain, and the
+/// failures that it observed.
 pub fn local_cost_ms(server: &Server, domain: &DomainName, now: Instant) -> f64 {
-    let away = if server.entry.domain == *domain { 0.0 } else { DOMAIN_COST };
-    server.health.penalty(now) * FAILURE_COST + away
+    let remote = if server.entry.domain == *domain { 0.0 } else { REMOTE_DOMAIN_COST_MS };
+    server.health.penalty(now) * FAILURE_COST_MS + remote
 }
 
-/// Picks a server for a plain request by this daemon's own counts.
+/// Picks a server for a plain request by this daemon's own counts alone.
 pub fn choose<'a>(
     servers: impl Iterator<Item = (ServerKey, &'a Server)>,
     domain: &DomainName,
@@ -197,7 +208,8 @@
 ) -> Option<Candidate> {
     let candidate = |(key, server): (ServerKey, &Server)| {
         let requests = f64::from(server.own_usage.requests);
-        let cost = requests * RUN_COST + local_cost_ms(server, domain, now);
+        let cost =
+            requests * RUNNING_REQUEST_COST_MS + local_cost_ms(server, domain, now);
         let bid =
             Bid { wait_ms: cost, cost_ms: cost, requests: server.own_usage.requests };
         Candidate { key, bid }
--- a/crates/pool/src/prefill_queue.rs
+++ b/crates/pool/src/prefill_queue.rs
@@ -1,331 +1,355 @@
-//! When a runner gets its next prompt.
+//! Decides when a runner gets its next prompt.
 //!
-//! Load pattern: bursts of prompts of very different length at a runner on which
-//! twenty streams run. An engine reads waiting prompts between the tokens of those
-//! streams, several at a time; each prompt that it reads makes all of them pause. Sent
-//! as they come, three long prompts at once make every stream on the runner late,
-//! though the runner has time to spare a moment later. The lane therefore sends
-//! prompts one after another, as fast as the engine reads them, with a pause after
+//! Load pattern: bursts of prompts of very different length at a runner with twenty
+//! running streams. An engine prefills waiting prompts between the tokens of those
+//! streams, several at a time, and each prefill delays the next event of all of them. If
+//! prompts are sent as they arrive, three long ones at once make every stream on the
+//! runner late, though the runner has spare time a moment later. The queue therefore
+//! sends prompts one after another, at the engine's prefill rate, and leaves a gap after
 //! long ones.
 //!
-//! When prompts come faster than the engine reads, those that can still be on time
-//! go first, by urgency; one that is late anyway loses little more by waiting.
+//! When prompts arrive faster than the engine can prefill them, those that can still meet
+//! their target go first, by urgency; a prompt that is already late loses little more by
+//! waiting.
 
 use std::collections::VecDeque;
 use std::time::{Duration, Instant};
 
-/// What is left of the longest pause for estimates that are off.
+/// Part of the event gap limit that stays unused, to absorb estimation errors.
 ///
-/// Reading times are known to a tenth, and a prompt arrives anywhere within a step; over
-/// three steps of a pause of 250 to 300 ms that makes 30 ms and 10. With 15 ms left an
-/// eighth of all streams paused too long under full load, with 45 a twelfth; with 80
-/// long prompts wait for nothing.
-const MARGIN: Duration = Duration::from_millis(45);
+/// Prefill times are accurate to a tenth, and a prompt arrives anywhere within a step; for
+/// a gap limit of 250 to 300 ms over three steps this amounts to 30 ms and 10 ms. With
+/// 15 ms an eighth of all streams exceed the limit under full load, with 45 ms a twelfth;
+/// with 80 ms long prompts wait without benefit.
+const GAP_MARGIN: Duration = Duration::from_millis(45);
 
-/// The longest pause between events where none is declared.
-const PAUSE: Duration = Duration::from_millis(250);
+/// Limit on the gap between events where none is declared.
+const DEFAULT_MAX_EVENT_GAP: Duration = Duration::from_millis(250);
 
-/// How long a first event is waited for to correct what is assumed of the engine.
-const OPEN_TIME: Duration = Duration::from_secs(2);
+/// How long a sent prompt is tracked if its first event does not arrive.
+const FIRST_EVENT_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// How far back long prompts are remembered.
-const LONG_MEMORY: Duration = Duration::from_secs(5);
+/// Time constant of the decaying rate of long prompts.
+const LONG_RATE_DECAY: Duration = Duration::from_secs(5);
 
-/// Names a prompt that waits in a lane.
+/// Identifies a prompt in a prefill queue.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 pub struct Ticket(pub u64);
 
-/// A prompt that waits.
+/// A prompt that waits to be sent.
 #[derive(Debug, Clone, PartialEq)]
 pub struct QueuedPrompt {
-    /// Its name.
+    /// Unique within the queue.
     pub ticket: Ticket,
-    /// How long the engine takes to read it.
+    /// Estimated time that the engine takes to prefill it.
     pub prefill_time: Duration,
-    /// The tokens that it takes in the KV cache with its answer.
+    /// KV cache tokens that the request needs, including its output.
     pub kv_tokens: u64,
-    /// How urgent it is; 0 goes first.
+    /// 0 is the most urgent and goes first.
     pub urgency: u8,
-    /// When its first event has to come to be on time.
+    /// Time by which the first event has to arrive to be on time.
     pub target: Instant,
-    /// When its caller gives up.
+    /// Time at which the caller stops waiting.
     pub deadline: Instant,
-    /// When its adapter is there; nothing while that is not known.
+    /// Time at which its adapter is loaded; `None` while that is unknown.
     pub adapter_ready_at: Option<Instant>,
 }
 
-/// What a runner has room for.
+/// Free capacity of a runner, and its timing limits.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct RunnerCapacity {
-    /// Further requests.
+    /// Further requests that it accepts.
     pub requests: u32,
-    /// Further tokens in the KV cache.
+    /// Free tokens in the KV cache.
     pub kv_tokens: u64,
-    /// The longest pause between events for which its streams are on time.
+    /// Longest gap between events for which its streams count as on time.
     pub max_event_gap: Option<Duration>,
-    /// The time of a step beside what is read in it.
+    /// Duration of a step without prefill.
     pub step_time: Duration,
-    /// The steps that one event of a stream takes.
+    /// Steps between two events of a stream.
     pub steps_per_event: u32,
 }
 
-/// What goes before a prompt.
+/// Work that is served before a prompt.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct Backlog {
-    /// Requests.
+    /// Number of queued requests.
     pub requests: u32,
-    /// Their tokens in the KV cache.
+    /// KV cache tokens that these requests need.
     pub kv_tokens: u64,
-    /// How long the engine takes to read them.
+    /// Prefill time of these requests and of the prompts that were already sent.
     pub prefill_time: Duration,
 }
 
-/// What a lane does next.
+/// What to do next with a prefill queue.
 #[derive(Debug, Clone, PartialEq)]
 pub enum PrefillAction {
-    /// The prompt may be sent now.
+    /// Send this prompt now.
     Send(QueuedPrompt),
-    /// The prompt's caller has given up.
+    /// Drop this prompt; its deadline has passed.
     Expired(QueuedPrompt),
     /// Nothing can be sent before this time.
     WaitUntil(Instant),
-    /// Nothing can be sent until something changes.
+    /// Nothing can be sent until the queue or the runner changes.
     Idle,
 }
 
-/// Prompts on their way to a runner.
+/// Prompts queued for one runner, and a model of its engine's prefill progress.
 #[derive(Debug, Default)]
 pub struct PrefillQueue {
-    waiting: Vec<QueuedPrompt>,
-    /// The last prompts that were sent, as far as one event of a stream can span them.
-    recent: VecDeque<Sent>,
-    /// Prompts that were sent and have no first event yet, in order.
-    open: VecDeque<Open>,
-    /// Until when the engine read the last prompt that had its first event.
-    read: Option<Instant>,
-    /// The time of a step beside what is read in it, as last known.
-    step: Duration,
-    /// The longest reading that pauses streams for no longer than they may; nothing until
-    /// that is known.
-    limit: Option<Duration>,
-    /// How many prompts take longer than that, in a second.
+    queued: Vec<QueuedPrompt>,
+    /// The last prompts that were sent, at most as many as one event has steps.
+    recent: VecDeque<RecentPrefill>,
+    /// Prompts that were sent and have no first event yet, oldest first.
+    unanswered: VecDeque<UnansweredPrompt>,
+    /// End of the last prefill that was confirmed by a first event.
+    confirmed_until: Option<Instant>,
+    /// Last known duration of a step without prefill.
+    step_time: Duration,
+    /// Longest prefill that keeps the event gap within its limit; `None` until the runner's
+    /// limits are known.
+    max_prefill: Option<Duration>,
+    /// Decaying rate of longer prompts, per second, as of `last_long`.
     long_rate: f64,
     /// When the last of them was sent.
-    long_at: Option<Instant>,
+    last_long: Option<Instant>,
 }
 
 /// A prompt that was sent and has no first event yet.
 #[derive(Debug, Clone, Copy)]
-struct Open {
+struct UnansweredPrompt {
     ticket: Ticket,
-    work: Duration,
-    at: Instant,
+    prefill_time: Duration,
+    sent_at: Instant,
 }
 
-/// A prompt that was sent.
+/// A prompt that was sent and may share an event gap with the next one.
 #[derive(Debug, Clone, Copy)]
-struct Sent {
-    /// How long the engine takes to read it.
-    work: Duration,
-    /// When it has read it.
+struct RecentPrefill {
+    prefill_time: Duration,
+    /// Estimated end of its prefill.
     end: Instant,
-    /// The steps between the prompt before it and this one in which nothing was read.
-    idle: u32,
+    /// Steps without prefill between the previous prompt and this one.
+    idle_steps: u32,
 }
 
 impl PrefillQueue {
     /// Adds a prompt.
-    pub fn push(&mut self, waiting: QueuedPrompt) {
-        self.waiting.push(waiting);
+    pub fn push(&mut self, prompt: QueuedPrompt) {
+        self.queued.push(prompt);
     }
 
-    /// Takes a prompt out; returns whether it waited.
+    /// Removes a prompt; returns whether it was queued.
     pub fn remove(&mut self, ticket: Ticket) -> bool {
-        let before = self.waiting.len();
-        self.waiting.retain(|waiting| waiting.ticket != ticket);
-        self.waiting.len() < before
+        let before = self.queued.len();
+        self.queued.retain(|prompt| prompt.ticket != ticket);
+        self.queued.len() < before
     }
 
-    /// Takes note of when a prompt's adapter is there.
+    /// Records when a prompt's adapter is loaded.
     pub fn set_adapter_ready(&mut self, ticket: Ticket, at: Instant) {
-        let mut waiting = self.waiting.iter_mut();
-        if let Some(one) = waiting.find(|waiting| waiting.ticket == ticket) {
-            one.adapter_ready_at = Some(at);
+        let mut queued = self.queued.iter_mut();
+        if let Some(prompt) = queued.find(|prompt| prompt.ticket == ticket) {
+            prompt.adapter_ready_at = Some(at);
         }
     }
 
-    /// The number of prompts that wait.
+    /// Number of queued prompts.
     pub fn len(&self) -> usize {
-        self.waiting.len()
+        self.queued.len()
     }
 
-    /// Whether no prompt waits.
+    /// Whether no prompt is queued.
     pub fn is_empty(&self) -> bool {
-        self.waiting.is_empty()
+        self.queued.is_empty()
     }
 
-    /// What would go before a prompt that came now; before one that is late already,
-    /// all that wait.
+    /// The work that would be served before a prompt that arrives now.
+    ///
+    /// A prompt that is already `late` waits for all queued prompts.
     pub fn backlog_ahead(&self, urgency: u8, late: bool, now: Instant) -> Backlog {
         let last = self.recent.back();
-        let reading = last.map(|sent| sent.end.saturating_duration_since(now));
-        let before = |waiting: &&QueuedPrompt| {
-            late || waiting.urgency <= urgency && !is_late(waiting, now)
+        let in_progress = last.map(|sent| sent.end.saturating_duration_since(now));
+        let goes_first = |prompt: &&QueuedPrompt| {
+            late || prompt.urgency <= urgency && !is_late(prompt, now)
+        };
+        let mut ahead = Backlog {
+            prefill_time: in_progress.unwrap_or_default(),
+            ..Backlog::default()
         };
-        let mut ahead =
-            Backlog { prefill_time: reading.unwrap_or_default(), ..Backlog::default() };
-        for waiting in self.waiting.iter().filter(before) {
+        for prompt in self.queued.iter().filter(goes_first) {
             ahead.requests += 1;
-            ahead.kv_tokens += waiting.kv_tokens;
-            ahead.prefill_time += waiting.prefill_time;
+            ahead.kv_tokens += prompt.kv_tokens;
+            ahead.prefill_time += prompt.prefill_time;
         }
         ahead
     }
 
-    /// Whether reading a prompt alone pauses the streams that run for too long.
-    pub fn exceeds_event_gap(&self, work: Duration) -> bool {
-        self.limit.is_some_and(|limit| work > limit)
+    /// Whether this prefill alone makes the event gap of running streams too long.
+    pub fn exceeds_event_gap(&self, prefill_time: Duration) -> bool {
+        self.max_prefill.is_some_and(|limit| prefill_time > limit)
     }
 
-    /// How many such prompts were sent lately, in a second.
+    /// Recent rate of prompts for which [`Self::exceeds_event_gap`] holds, per second.
     pub fn long_prompt_rate(&self, now: Instant) -> f64 {
-        let gone = self.long_at.map(|at| now.saturating_duration_since(at));
-        let gone = gone.unwrap_or_default().as_secs_f64();
-        self.long_rate * (-gone / LONG_MEMORY.as_secs_f64()).exp()
+        let age = self.last_long.map(|at| now.saturating_duration_since(at));
+        let age = age.unwrap_or_default().as_secs_f64();
+        self.long_rate * (-age / LONG_RATE_DECAY.as_secs_f64()).exp()
     }
 
-    /// Decides what to do now, with the runner's room.
-    pub fn next_action(&mut self, room: RunnerCapacity, now: Instant) -> PrefillAction {
-        self.step = room.step_time;
-        let event = room.step_time * room.steps_per_event;
-        self.limit = Some(room.max_event_gap.unwrap_or(PAUSE).saturating_sub(event));
-        if let Some(at) = self.waiting.iter().position(|one| now >= one.deadline) {
-            return PrefillAction::Expired(self.waiting.swap_remove(at));
+    /// Decides what to do now, given the runner's free capacity.
+    pub fn next_action(
+        &mut self,
+        capacity: RunnerCapacity,
+        now: Instant,
+    ) -> PrefillAction {
+        self.step_time = capacity.step_time;
+        let event = capacity.step_time * capacity.steps_per_event;
+        self.max_prefill = Some(
+            capacity.max_event_gap.unwrap_or(DEFAULT_MAX_EVENT_GAP).saturating_sub(event),
+        );
+        if let Some(index) = self.queued.iter().position(|prompt| now >= prompt.deadline)
+        {
+            return PrefillAction::Expired(self.queued.swap_remove(index));
         }
-        let Some(at) = self.best(room, now) else { return self.sleep(now) };
-        if let Some(start) = self.start(self.waiting[at].prefill_time, room, now)
+        let Some(index) = self.best(capacity, now) else { return self.idle_until(now) };
+        if let Some(start) =
+            self.earliest_start(self.queued[index].prefill_time, capacity, now)
             && start > now
         {
             return PrefillAction::WaitUntil(start);
         }
-        let waiting = self.waiting.swap_remove(at);
-        self.note_sent(&waiting, room.steps_per_event, now);
-        PrefillAction::Send(waiting)
+        let prompt = self.queued.swap_remove(index);
+        self.record_sent(&prompt, capacity.steps_per_event, now);
+        PrefillAction::Send(prompt)
     }
 
-    /// Takes in that a prompt had its first event, and `base` of the time since its
-    /// sending was not spent on reading; returns whether the engine was free for it.
+    /// Records that a prompt had its first event `after` it was sent, `overhead` of which
+    /// was not prefill. Returns whether the engine was idle when the prompt was sent.
     ///
-    /// The engine may be behind, or ahead of, what was assumed; what was sent after
-    /// this prompt is read from now on. Only the time of a prompt that the engine was
-    /// free for tells how fast it reads.
+    /// Corrects the estimate of the engine's progress: prompts that were sent after this
+    /// one are prefilled from now on. Only the time of a prompt that found the engine idle
+    /// is a sample of its prefill rate.
     pub fn record_first_event(
         &mut self,
         ticket: Ticket,
         after: Duration,
-        base: Duration,
+        overhead: Duration,
     ) -> bool {
-        let Some(place) = self.open.iter().position(|open| open.ticket == ticket) else {
+        let Some(index) = self.unanswered.iter().position(|sent| sent.ticket == ticket)
+        else {
             return false;
         };
-        let begun = self.open[place];
-        self.open.drain(..=place);
-        let free = place == 0 && self.read.is_none_or(|read| read <= begun.at);
-        let reading = after.saturating_sub(base);
-        self.read = self.read.max(Some(begun.at + reading));
-        let Some(last) = self.recent.back_mut() else { return free };
-        let mut end = begun.at + reading.max(begun.work);
-        for open in &self.open {
-            end = end.max(open.at) + open.work + self.step;
+        let answered = self.unanswered[index];
+        self.unanswered.drain(..=index);
+        let was_idle =
+            index == 0 && self.confirmed_until.is_none_or(|end| end <= answered.sent_at);
+        let prefill = after.saturating_sub(overhead);
+        self.confirmed_until = self.confirmed_until.max(Some(answered.sent_at + prefill));
+        let Some(last) = self.recent.back_mut() else { return was_idle };
+        let mut end = answered.sent_at + prefill.max(answered.prefill_time);
+        for sent in &self.unanswered {
+            end = end.max(sent.sent_at) + sent.prefill_time + self.step_time;
         }
         last.end = end;
-        free
+        was_idle
     }
 
-    fn note_sent(&mut self, waiting: &QueuedPrompt, event_steps: u32, now: Instant) {
-        let work = waiting.prefill_time;
-        let old = |open: &Open| now.saturating_duration_since(open.at) > OPEN_TIME;
-        while self.open.front().is_some_and(old) {
-            self.open.pop_front();
+    fn record_sent(&mut self, prompt: &QueuedPrompt, steps_per_event: u32, now: Instant) {
+        let prefill_time = prompt.prefill_time;
+        let timed_out = |sent: &UnansweredPrompt| {
+            now.saturating_duration_since(sent.sent_at) > FIRST_EVENT_TIMEOUT
+        };
+        while self.unanswered.front().is_some_and(timed_out) {
+            self.unanswered.pop_front();
         }
-        self.open.push_back(Open { ticket: waiting.ticket, work, at: now });
-        if self.exceeds_event_gap(work) {
-            self.long_rate = self.long_prompt_rate(now) + 1.0 / LONG_MEMORY.as_secs_f64();
-            self.long_at = Some(now);
+        self.unanswered.push_back(UnansweredPrompt {
+            ticket: prompt.ticket,
+            prefill_time,
+            sent_at: now,
+        });
+        if self.exceeds_event_gap(prefill_time) {
+            self.long_rate =
+                self.long_prompt_rate(now) + 1.0 / LONG_RATE_DECAY.as_secs_f64();
+            self.last_long = Some(now);
         }
-        let idle = self.idle_steps(now);
-        self.recent.push_back(Sent { work, end: now + work + self.step, idle });
-        while self.recent.len() > event_steps.max(1) as usize {
+        let idle_steps = self.idle_steps(now);
+        self.recent.push_back(RecentPrefill {
+            prefill_time,
+            end: now + prefill_time + self.step_time,
+            idle_steps,
+        });
+        while self.recent.len() > steps_per_event.max(1) as usize {
             self.recent.pop_front();
         }
     }
 
-    /// The steps since the last prompt was read.
+    /// Steps since the last prefill ended.
     fn idle_steps(&self, now: Instant) -> u32 {
         let last = self.recent.back();
         let idle = last.map(|sent| now.saturating_duration_since(sent.end));
-        let step = self.step.max(Duration::from_micros(1));
+        let step = self.step_time.max(Duration::from_micros(1));
         idle.map_or(0, |idle| idle.div_duration_f64(step) as u32)
     }
 
-    /// The prompt to send first among those that can be sent.
-    fn best(&self, room: RunnerCapacity, now: Instant) -> Option<usize> {
-        let fits = |waiting: &QueuedPrompt| {
-            room.requests > 0 && waiting.kv_tokens <= room.kv_tokens
+    /// Index of the prompt to send first among those that the runner can take.
+    fn best(&self, capacity: RunnerCapacity, now: Instant) -> Option<usize> {
+        let fits = |prompt: &QueuedPrompt| {
+            capacity.requests > 0 && prompt.kv_tokens <= capacity.kv_tokens
         };
         let ready =
-            |waiting: &QueuedPrompt| waiting.adapter_ready_at.is_some_and(|at| at <= now);
-        let able =
-            |(_, waiting): &(usize, &QueuedPrompt)| ready(waiting) && fits(waiting);
-        let rank = |waiting: &QueuedPrompt| {
-            (is_late(waiting, now), waiting.urgency, waiting.target)
-        };
-        let able = self.waiting.iter().enumerate().filter(able);
-        able.min_by_key(|(_, waiting)| rank(waiting)).map(|(index, _)| index)
+            |prompt: &QueuedPrompt| prompt.adapter_ready_at.is_some_and(|at| at <= now);
+        let eligible =
+            |(_, prompt): &(usize, &QueuedPrompt)| ready(prompt) && fits(prompt);
+        let rank =
+            |prompt: &QueuedPrompt| (is_late(prompt, now), prompt.urgency, prompt.target);
+        let eligible = self.queued.iter().enumerate().filter(eligible);
+        eligible.min_by_key(|(_, prompt)| rank(prompt)).map(|(index, _)| index)
     }
 
-    /// When a prompt of `work` may be sent at the earliest.
+    /// Earliest time at which a prompt with this prefill time may be sent.
     ///
-    /// What is read in the steps of one event has to fit into the longest pause: prompts
-    /// that went shortly before count as long as an event can span their steps and the new
-    /// one's. Where they are too much, as many steps without a prompt go between as bring
-    /// the first of them out of reach.
-    fn start(
+    /// All prefills within the steps of one event have to fit into the event gap limit,
+    /// so recent prompts count as long as one event can span their steps and the new
+    /// prompt's. If they exceed the limit together, enough steps without prefill are left
+    /// in between to move the oldest of them out of the event.
+    fn earliest_start(
         &self,
-        work: Duration,
-        room: RunnerCapacity,
+        prefill_time: Duration,
+        capacity: RunnerCapacity,
         now: Instant,
     ) -> Option<Instant> {
         let last = self.recent.back()?;
-        let pause = room.max_event_gap.unwrap_or(PAUSE);
-        let limit = pause.saturating_sub(room.step_time * room.steps_per_event + MARGIN);
-        let (mut behind, mut sum) = (self.idle_steps(now), work);
+        let max_gap = capacity.max_event_gap.unwrap_or(DEFAULT_MAX_EVENT_GAP);
+        let limit = max_gap
+            .saturating_sub(capacity.step_time * capacity.steps_per_event + GAP_MARGIN);
+        let (mut steps_back, mut total) = (self.idle_steps(now), prefill_time);
         for sent in self.recent.iter().rev() {
             // An event that ends with the new prompt's step began at most this many steps
             // before it.
-            let span = room.steps_per_event.saturating_sub(1);
-            if behind >= span {
+            let span = capacity.steps_per_event.saturating_sub(1);
+            if steps_back >= span {
                 break;
             }
-            sum += sent.work;
-            if sum > limit {
-                return Some(last.end + room.step_time * (span - behind));
+            total += sent.prefill_time;
+            if total > limit {
+                return Some(last.end + capacity.step_time * (span - steps_back));
             }
-            behind = behind.saturating_add(1).saturating_add(sent.idle);
+            steps_back = steps_back.saturating_add(1).saturating_add(sent.idle_steps);
         }
         Some(last.end)
     }
 
-    /// Until when nothing can be sent, as far as time alone decides.
-    fn sleep(&self, now: Instant) -> PrefillAction {
-        let ready = self.waiting.iter().filter_map(|waiting| waiting.adapter_ready_at);
-        let deadlines = self.waiting.iter().map(|waiting| waiting.deadline);
+    /// The next time at which an adapter becomes ready or a deadline passes.
+    fn idle_until(&self, now: Instant) -> PrefillAction {
+        let ready = self.queued.iter().filter_map(|prompt| prompt.adapter_ready_at);
+        let deadlines = self.queued.iter().map(|prompt| prompt.deadline);
         let times = ready.filter(|at| *at > now).chain(deadlines);
         times.min().map_or(PrefillAction::Idle, PrefillAction::WaitUntil)
     }
 }
 
-/// Whether a prompt's first event would be late if it were sent now.
-fn is_late(waiting: &QueuedPrompt, now: Instant) -> bool {
-    now + waiting.prefill_time > waiting.target
+/// Whether a prompt's first event would miss its target if it were sent now.
+fn is_late(prompt: &QueuedPrompt, now: Instant) -> bool {
+    now + prompt.prefill_time > prompt.target
 }
--- a/crates/pool/src/queue.rs
+++ b/crates/pool/src/queue.rs
@@ -17,7 +17,7 @@
 use serde::{Deserialize, Serialize};
 use serde_with::{DurationMilliSeconds, serde_as};
 
-use crate::choose::DOMAIN_COST;
+use crate::choose::REMOTE_DOMAIN_COST_MS;
 use crate::unreachable::UnreachableReports;
 
 /// Names a request: the daemon that asks, and its number there.
@@ -48,7 +48,7 @@
 /// What it costs to wait for a place beside the wait itself, in milliseconds.
 ///
 /// A free place in another failure domain is better than a wait.
-const BUSY_COST: f64 = 2.0 * DOMAIN_COST;
+const BUSY_COST: f64 = 2.0 * REMOTE_DOMAIN_COST_MS;
 
 /// Requests that a server is sent beyond its places.
 ///
@@ -396,8 +396,11 @@
                 true => busy + (busy - 1.0).max(0.0) * self.time,
                 false => waits,
             };
-            let away =
-                if server.listed.domain == want.domain { 0.0 } else { DOMAIN_COST };
+            let away = if server.listed.domain == want.domain {
+                0.0
+            } else {
+                REMOTE_DOMAIN_COST_MS
+            };
             let faults = (server.faults(now) - least - FAULT_SLACK).max(0.0);
             (wait + away + faults * FAULT_COST, free)
         };
