--- a/crates/pool/src/moves.rs
+++ b/crates/pool/src/moves.rs
@@ -1,11 +1,12 @@
-//! Changes of what runners hold, and how long they are under way.
+//! Moves of models between runners, and their progress.
 //!
-//! A model that makes room goes only when its runs have ended, and a load takes seconds
-//! after that. Meanwhile the registry lists what was; a planner that goes by it alone
-//! would decide the same again elsewhere, or drop a model's last replica.
+//! A model is dropped only after the requests that run on it have finished, and the load
+//! takes seconds after that. The registry lists the old state meanwhile; a planner that
+//! relied on it alone would plan the same move again elsewhere, or drop the last replica
+//! of a model.
 //!
-//! Room that was made is not bound to the model for which it was made: the runs take
-//! seconds to end, and demand may have turned by then.
+//! Freed room is not reserved for the model for which it was freed: requests take seconds
+//! to finish, and demand may have shifted by then.
 
 use std::time::{Duration, Instant};
 
@@ -13,55 +14,56 @@
 use chestnut_edge::ServerEntry;
 use serde::{Deserialize, Serialize};
 
-/// How long a move that was asked for counts as under way, beyond its load.
-const MOVE_SLACK: Duration = Duration::from_millis(1500);
+/// How long a load counts as in progress beyond its expected time.
+const LOAD_SLACK: Duration = Duration::from_millis(1500);
 
-/// How long a model that makes room may be listed before its drop counts as failed.
+/// How long a dropped model may stay listed before the drop counts as failed.
 ///
-/// Its runs end first, which takes as long as the longest streams; forgotten before, the
-/// replica would count as one that stays, and the last one be dropped elsewhere.
-const DROP_TIME: Duration = Duration::from_secs(12);
+/// The requests that run on it finish first, which takes as long as the longest streams. If
+/// the drop were forgotten earlier, the replica would count as one that stays, and the
+/// last one could be dropped elsewhere.
+const DROP_TIMEOUT: Duration = Duration::from_secs(12);
 
-/// A change of what a runner holds.
+/// A change of the models that a runner holds.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Move {
-    /// The runner.
+    /// The runner that carries it out.
     pub server: ServerName,
-    /// Models that make room; each has other replicas.
+    /// Models to drop; each has other replicas.
     pub drop: Vec<ModelName>,
-    /// The model to load, if it is not only room that is wanted.
+    /// The model to load; `None` if the move only frees room.
     pub load: Option<ModelName>,
 }
 
-/// How far a move is.
+/// Progress of a move, with the deadline of its current step.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum Stage {
-    /// What is dropped may be listed until then.
+    /// The dropped models may be listed until then.
     Draining(Instant),
-    /// What is loaded may not be listed until then.
+    /// The loaded model may not be listed until then.
     Loading(Instant),
 }
 
-/// A move under way.
+/// A move in progress.
 #[derive(Debug)]
 pub struct ActiveMove {
-    /// The move.
+    /// The whole move, of which [`Self::current_step`] is a part.
     pub planned: Move,
     stage: Stage,
 }
 
 impl ActiveMove {
-    /// Starts to make room.
-    pub fn start_drain(change: Move, now: Instant) -> Self {
-        Self { planned: change, stage: Stage::Draining(now + DROP_TIME) }
+    /// Starts to free room.
+    pub fn start_drain(planned: Move, now: Instant) -> Self {
+        Self { planned, stage: Stage::Draining(now + DROP_TIMEOUT) }
     }
 
-    /// Starts a load that takes `load`, into room that is there.
-    pub fn start_load(change: Move, load: Duration, now: Instant) -> Self {
-        Self { planned: change, stage: Stage::Loading(now + load + MOVE_SLACK) }
+    /// Starts a load into free room, which is expected to take `load_time`.
+    pub fn start_load(planned: Move, load_time: Duration, now: Instant) -> Self {
+        Self { planned, stage: Stage::Loading(now + load_time + LOAD_SLACK) }
     }
 
-    /// What the runner is to do now.
+    /// What the runner is to do now: drop or load, never both.
     pub fn current_step(&self) -> Move {
         let server = self.planned.server.clone();
         match self.stage {
@@ -72,12 +74,12 @@
         }
     }
 
-    /// The model that the runner is to hold in the end.
+    /// The model that the runner holds at the end of the move.
     pub fn target_model(&self) -> Option<&ModelName> {
         self.planned.load.as_ref()
     }
 
-    /// The model that room is made for.
+    /// The model for which room is being freed.
     pub fn awaiting_room(&self) -> Option<&ModelName> {
         match self.stage {
             Stage::Draining(_) => self.planned.load.as_ref(),
@@ -85,7 +87,7 @@
         }
     }
 
-    /// The model that is being loaded, for which there was room.
+    /// The model that is being loaded into free room.
     pub fn loading(&self) -> Option<&ModelName> {
         match self.stage {
             Stage::Draining(_) => None,
@@ -93,12 +95,12 @@
         }
     }
 
-    /// Whether what it drops is gone, as far as the registry tells.
+    /// Whether the runner's registry entry no longer lists the dropped models.
     pub fn is_drained(&self, runner: &ServerEntry) -> bool {
         !self.planned.drop.iter().any(|model| runner.holds(model))
     }
 
-    /// Whether the move is under way still, as far as the registry tells.
+    /// Whether the move is neither finished, by the runner's registry entry, nor timed out.
     pub fn is_active(&self, runner: &ServerEntry, now: Instant) -> bool {
         match self.stage {
             Stage::Draining(until) => now < until && !self.is_drained(runner),
--- a/crates/pool/src/placement.rs
+++ b/crates/pool/src/placement.rs
@@ -1,14 +1,13 @@
-//! Which runner is to load or drop which model.
+//! Plans which runner loads or drops which model.
 //!
-//! Load pattern: callers ask for a few of many models, and within seconds for
-//! others. The weight store allows a load or two a second, a load takes about a
-//! second, and dropping a model waits for the runs on it. Without this module the
-//! models that everybody asks for stand on one or two runners while most are idle.
+//! Load pattern: callers use a few of many models, and within seconds turn to others. The
+//! weight store allows a load or two a second, a load takes about a second, and a model is
+//! dropped only after the requests that run on it have finished. Without planning, the
+//! models in demand are held by one or two runners while most runners are idle.
 //!
-//! Replicas that nobody asks for go before their room is needed, since that room can't
-//! be had at once when it is; the last replica of a model stays. Room that is free goes
-//! to whatever needs it by then. Where replicas go is decided by the planner of
-//! `chestnut-place`.
+//! Replicas without demand are dropped before their room is needed, since it can't be
+//! freed at once when it is; the last replica of a model stays. Free room goes to whatever
+//! model needs it by then. The planner of `chestnut-place` decides where replicas go.
 
 use std::time::{Duration, Instant};
 
@@ -23,272 +22,273 @@
 use crate::timing::EngineTimings;
 use crate::unreachable::UnreachableReports;
 
-/// What one runner serves in time, in runners.
-const THROUGHPUT: f64 = 1.0;
+/// Throughput of one runner; demand is counted in the same unit.
+const RUNNER_THROUGHPUT: f64 = 1.0;
 
-/// The share of their throughput that runners of an evenly loaded pool have in use,
-/// at most.
-const FULL: f64 = 0.8;
+/// Highest share of their throughput that runners of an evenly loaded pool use.
+const MAX_UTILIZATION: f64 = 0.8;
 
-/// How long a change of demand is expected to last, against the time of a load.
+/// How long a change of demand is expected to last, compared with the time of a load.
 const HORIZON: Duration = Duration::from_secs(20);
 
-/// What a move costs against a percent of a runner's throughput.
+/// Cost of a move, in percent of a runner's throughput.
 const MOVE_WEIGHT: f64 = 2.0;
 
-/// How long a runner is left alone after a move failed there.
+/// How long a runner gets no further move after one failed.
 ///
-/// An order that was not answered may act for seconds, and the next one fails as
-/// often; another runner serves sooner.
-const FAILED_TIME: Duration = Duration::from_secs(2);
+/// An unanswered order may take effect for seconds, and the next one fails as often;
+/// another runner serves the model sooner.
+const MOVE_FAILURE_BACKOFF: Duration = Duration::from_secs(2);
 
-/// How long before its load may begin a runner starts to make room.
+/// How long before its load may begin a runner starts to free room.
 ///
-/// The runs on what is dropped end first, within a few seconds.
+/// The requests that run on a dropped model finish first, within a few seconds.
 const DRAIN_AHEAD: Duration = Duration::from_secs(2);
 
-/// The share of a runner's throughput up to which the replicas that stay may be asked
-/// for when one is dropped.
+/// Highest demand for each remaining replica, as a share of a runner's throughput, at which
+/// a replica is dropped.
 ///
-/// Half of where a further one would be loaded, so that none is loaded and dropped in
-/// turns.
-const WORTH_KEEPING: f64 = 0.35;
+/// Half of the demand at which another one would be loaded, so that a replica is not
+/// loaded and dropped in turns.
+const MAX_DEMAND_AFTER_DROP: f64 = 0.35;
 
-/// Bytes in a megabyte, as sizes are declared.
-const MB: f64 = 1e6;
+/// Bytes in a megabyte, the unit of declared sizes.
+const BYTES_PER_MB: f64 = 1e6;
 
-/// What is known of a service's placement.
+/// Plans the placement of one service's models.
 #[derive(Debug)]
 pub struct PlacementPlanner {
     demands: DemandEstimator,
-    pace: LoadPacer,
-    lost: UnreachableReports,
-    /// Moves under way.
-    moving: IndexMap<ServerName, ActiveMove>,
-    /// Runners where a move failed, and until when they are left alone.
-    failed: IndexMap<ServerName, Instant>,
+    pacer: LoadPacer,
+    unreachable: UnreachableReports,
+    /// Moves in progress.
+    active: IndexMap<ServerName, ActiveMove>,
+    /// Runners on which a move failed, and the end of their backoff.
+    backoff_until: IndexMap<ServerName, Instant>,
 }
 
-/// A service's runners as the registry lists them, and what it declares.
+/// The state of a service that a plan is based on.
 pub struct PlacementInput<'a> {
-    /// Runners that take new requests.
+    /// Runners that accept new requests, as listed in the registry.
     pub runners: &'a [ServerEntry],
-    /// Runners that nobody can give orders to now.
+    /// Runners to which no daemon can give orders now.
     pub fixed: &'a [ServerName],
-    /// What is declared of them.
+    /// The declaration of their engine and models.
     pub engine: &'a Engine,
-    /// What operators allow of loads from the weight store.
+    /// The operators' bound on loads from the weight store.
     pub load_bound: LoadBound,
-    /// How fast they read prompts.
+    /// Prefill and service times, learned from responses.
     pub timings: &'a EngineTimings,
 }
 
 impl PlacementPlanner {
-    /// Starts to plan, with no load saved up.
+    /// Starts without demand, and without credit for loads.
     pub fn new(now: Instant) -> Self {
         Self {
             demands: DemandEstimator::new(now),
-            pace: LoadPacer::new(now),
-            lost: UnreachableReports::default(),
-            moving: IndexMap::new(),
-            failed: IndexMap::new(),
+            pacer: LoadPacer::new(now),
+            unreachable: UnreachableReports::default(),
+            active: IndexMap::new(),
+            backoff_until: IndexMap::new(),
         }
     }
 
-    /// Takes in a part of what callers have asked of a daemon since its start.
+    /// Updates one part of a daemon's demand counters, which run since its start.
     pub fn update_demand(
         &mut self,
         from: MemberId,
         part: usize,
-        asked: Vec<(ModelName, DemandCounts)>,
+        counts: Vec<(ModelName, DemandCounts)>,
     ) {
-        self.demands.update(from, part, asked);
+        self.demands.update(from, part, counts);
     }
 
-    /// Takes in which servers a daemon can't connect to.
+    /// Records which servers a daemon can't connect to.
     pub fn record_unreachable(
         &mut self,
         from: MemberId,
         servers: Vec<ServerName>,
         now: Instant,
     ) {
-        self.lost.record(from, servers, now);
+        self.unreachable.record(from, servers, now);
     }
 
-    /// Whether daemons can't connect to a server; `daemons` is their number.
+    /// Whether enough of the service's `daemons` can't connect to a server.
     pub fn is_unreachable(
         &self,
         server: &ServerName,
         daemons: usize,
         now: Instant,
     ) -> bool {
-        self.lost.is_unreachable(server, daemons, now)
+        self.unreachable.is_unreachable(server, daemons, now)
     }
 
-    /// Takes in that a runner's holder could not make a move.
-    pub fn record_failure(&mut self, change: &Move, now: Instant) {
+    /// Records that a runner's holder could not carry out a move.
+    pub fn record_failure(&mut self, failed: &Move, now: Instant) {
         if self
-            .moving
-            .get(&change.server)
-            .is_some_and(|known| known.current_step() == *change)
+            .active
+            .get(&failed.server)
+            .is_some_and(|active| active.current_step() == *failed)
         {
-            self.moving.swap_remove(&change.server);
-            self.failed.insert(change.server.clone(), now + FAILED_TIME);
+            self.active.swap_remove(&failed.server);
+            self.backoff_until.insert(failed.server.clone(), now + MOVE_FAILURE_BACKOFF);
         }
     }
 
-    /// The demand for a model, in runners.
+    /// Demand for a model, in runners.
     pub fn demand(&self, model: &ModelName) -> f64 {
         self.demands.estimate(model)
     }
 
-    /// Decides what to move; returns the moves that are new.
-    pub fn plan(&mut self, scene: &PlacementInput, now: Instant) -> Vec<Move> {
-        self.demands.advance(scene.engine, scene.timings, now);
-        self.forget_done(scene, now);
-        let mut fresh = self.loads(scene, now);
-        fresh.extend(self.drains(scene, now));
-        fresh.extend(self.drops(scene, now));
-        fresh
+    /// Plans moves; returns those that are new.
+    pub fn plan(&mut self, input: &PlacementInput, now: Instant) -> Vec<Move> {
+        self.demands.advance(input.engine, input.timings, now);
+        self.remove_finished(input, now);
+        let mut planned = self.plan_loads(input, now);
+        planned.extend(self.plan_drains(input, now));
+        planned.extend(self.plan_drops(input, now));
+        planned
     }
 
-    /// What runners are to do for the moves under way.
+    /// The current step of each move in progress.
     pub fn steps(&self) -> impl Iterator<Item = Move> {
-        self.moving.values().map(ActiveMove::current_step)
+        self.active.values().map(ActiveMove::current_step)
     }
 
-    fn forget_done(&mut self, scene: &PlacementInput, now: Instant) {
-        self.failed.retain(|_, until| now < *until);
-        self.moving.retain(|server, moving| {
-            let runner = scene.runners.iter().find(|runner| runner.name == *server);
-            runner.is_some_and(|runner| moving.is_active(runner, now))
+    fn remove_finished(&mut self, input: &PlacementInput, now: Instant) {
+        self.backoff_until.retain(|_, until| now < *until);
+        self.active.retain(|server, active| {
+            let runner = input.runners.iter().find(|runner| runner.name == *server);
+            runner.is_some_and(|runner| active.is_active(runner, now))
         });
     }
 
-    /// Models that no runner holds or is loading.
-    fn missing(&self, scene: &PlacementInput) -> Vec<ModelName> {
-        let held = scene.runners.iter().flat_map(|runner| &runner.models);
+    /// Models that no runner holds or loads.
+    fn missing_models(&self, input: &PlacementInput) -> Vec<ModelName> {
+        let held = input.runners.iter().flat_map(|runner| &runner.models);
         let held = held.map(|held| &held.model);
-        let loading = self.moving.values().filter_map(ActiveMove::loading);
-        let there: IndexSet<&ModelName> = held.chain(loading).collect();
-        let models = scene.engine.models.keys();
-        models.filter(|model| !there.contains(model)).cloned().collect()
+        let loading = self.active.values().filter_map(ActiveMove::loading);
+        let present: IndexSet<&ModelName> = held.chain(loading).collect();
+        let models = input.engine.models.keys();
+        models.filter(|model| !present.contains(model)).cloned().collect()
     }
 
-    /// Whether a load may begin now, which it then does.
-    fn may_load(
+    /// Whether a load may begin now; takes it out of the pacer's credit if so.
+    fn try_start_load(
         &mut self,
-        scene: &PlacementInput,
+        input: &PlacementInput,
         runner: &ServerEntry,
         model: &ModelName,
         now: Instant,
     ) -> bool {
-        if is_near(runner, model) {
+        if has_local_copy(runner, model) {
             return true;
         }
-        let free = self.pace.available(scene.load_bound, now) > 0;
-        if free {
-            self.pace.take();
+        let allowed = self.pacer.available(input.load_bound, now) > 0;
+        if allowed {
+            self.pacer.take();
         }
-        free
+        allowed
     }
 
-    /// Begins loads into room that is free, whatever it was made for.
-    fn loads(&mut self, scene: &PlacementInput, now: Instant) -> Vec<Move> {
-        let parallel = self.pace.available(scene.load_bound, now)
-            + self.count_moves(ActiveMove::loading);
-        let mut pool = self.pool_state(scene, ActiveMove::loading);
+    /// Starts loads into free room, whatever model it was freed for.
+    fn plan_loads(&mut self, input: &PlacementInput, now: Instant) -> Vec<Move> {
+        let parallel = self.pacer.available(input.load_bound, now)
+            + self.count_active(ActiveMove::loading);
+        let mut pool = self.pool_state(input, ActiveMove::loading);
         (pool.parallel, pool.frozen) = (parallel, true);
-        for (state, runner) in pool.runners.iter_mut().zip(scene.runners) {
-            state.fixed |= self.moving.contains_key(&runner.name);
+        for (state, runner) in pool.runners.iter_mut().zip(input.runners) {
+            state.fixed |= self.active.contains_key(&runner.name);
         }
-        let mut fresh = Vec::new();
-        for change in moves(scene, &pool, &plan(&pool)) {
+        let mut planned = Vec::new();
+        for change in moves(input, &pool, &plan(&pool)) {
             let Some(model) = change.load.clone() else { continue };
-            let mut runners = scene.runners.iter();
+            let mut runners = input.runners.iter();
             let runner = runners.find(|runner| runner.name == change.server);
             let Some(runner) = runner else { continue };
-            if !self.moving.contains_key(&runner.name)
-                && self.may_load(scene, runner, &model, now)
+            if !self.active.contains_key(&runner.name)
+                && self.try_start_load(input, runner, &model, now)
             {
-                let time = runner.load_time(&model, &scene.engine.models[&model]);
-                let moving = ActiveMove::start_load(change, time, now);
-                fresh.push(moving.current_step());
-                self.moving.insert(runner.name.clone(), moving);
+                let load_time = runner.load_time(&model, &input.engine.models[&model]);
+                let active = ActiveMove::start_load(change, load_time, now);
+                planned.push(active.current_step());
+                self.active.insert(runner.name.clone(), active);
             }
         }
-        fresh
+        planned
     }
 
-    /// Has runners make room for loads that can begin by then.
-    fn drains(&mut self, scene: &PlacementInput, now: Instant) -> Vec<Move> {
+    /// Starts to free room for loads that will be allowed once it is free.
+    fn plan_drains(&mut self, input: &PlacementInput, now: Instant) -> Vec<Move> {
         let parallel =
-            self.loads_ahead(scene, now) + self.count_moves(ActiveMove::target_model);
-        let mut pool = self.pool_state(scene, ActiveMove::target_model);
+            self.loads_ahead(input, now) + self.count_active(ActiveMove::target_model);
+        let mut pool = self.pool_state(input, ActiveMove::target_model);
         pool.parallel = parallel;
-        let mut fresh = Vec::new();
-        for change in moves(scene, &pool, &plan(&pool)) {
-            if change.drop.is_empty() || self.moving.contains_key(&change.server) {
+        let mut planned = Vec::new();
+        for change in moves(input, &pool, &plan(&pool)) {
+            if change.drop.is_empty() || self.active.contains_key(&change.server) {
                 continue;
             }
-            let moving = ActiveMove::start_drain(change, now);
-            fresh.push(moving.current_step());
-            self.moving.insert(moving.planned.server.clone(), moving);
+            let active = ActiveMove::start_drain(change, now);
+            planned.push(active.current_step());
+            self.active.insert(active.planned.server.clone(), active);
         }
-        fresh
+        planned
     }
 
-    fn count_moves(&self, which: impl Fn(&ActiveMove) -> Option<&ModelName>) -> usize {
-        self.moving.values().filter(|moving| which(moving).is_some()).count()
+    /// Number of moves in progress for which `model` returns one.
+    fn count_active(&self, model: impl Fn(&ActiveMove) -> Option<&ModelName>) -> usize {
+        self.active.values().filter(|active| model(active).is_some()).count()
     }
 
-    /// The loads from the weight store that may be planned now: they can begin once a
-    /// runner has made room, beside those for which runners make room already. Models that
-    /// nobody holds don't wait for those.
-    fn loads_ahead(&mut self, scene: &PlacementInput, now: Instant) -> usize {
-        let soon = (scene.load_bound.rate * DRAIN_AHEAD.as_secs_f64()) as usize;
-        let waits = |runner: &ServerEntry| {
-            let moving = self.moving.get(&runner.name);
-            let model = moving.and_then(ActiveMove::awaiting_room);
-            model.is_some_and(|model| !is_near(runner, model))
+    /// Number of loads from the weight store for which runners may start to free room.
+    ///
+    /// These are the loads that will be allowed once the room is free, less those for which
+    /// runners free room already. Models without a replica don't wait for the latter.
+    fn loads_ahead(&mut self, input: &PlacementInput, now: Instant) -> usize {
+        let soon = (input.load_bound.rate * DRAIN_AHEAD.as_secs_f64()) as usize;
+        let awaits_store = |runner: &ServerEntry| {
+            let active = self.active.get(&runner.name);
+            let model = active.and_then(ActiveMove::awaiting_room);
+            model.is_some_and(|model| !has_local_copy(runner, model))
         };
-        let waiting = scene.runners.iter().filter(|runner| waits(runner)).count();
+        let waiting = input.runners.iter().filter(|runner| awaits_store(runner)).count();
         let ahead =
-            (self.pace.available(scene.load_bound, now) + soon).saturating_sub(waiting);
-        ahead.max(self.missing(scene).len())
+            (self.pacer.available(input.load_bound, now) + soon).saturating_sub(waiting);
+        ahead.max(self.missing_models(input).len())
     }
 
-    /// Drops replicas that are not asked for where no room is left for a load.
-    fn drops(&mut self, scene: &PlacementInput, now: Instant) -> Vec<Move> {
+    /// Drops replicas without demand on runners that have no room for a load.
+    fn plan_drops(&mut self, input: &PlacementInput, now: Instant) -> Vec<Move> {
         let mut replicas: IndexMap<&ModelName, usize> = IndexMap::new();
-        for model in scene.runners.iter().flat_map(|runner| &runner.models) {
+        for model in input.runners.iter().flat_map(|runner| &runner.models) {
             *replicas.entry(&model.model).or_default() += 1;
         }
-        for model in self.moving.values().flat_map(|moving| &moving.planned.drop) {
+        for model in self.active.values().flat_map(|active| &active.planned.drop) {
             if let Some(count) = replicas.get_mut(model) {
                 *count = count.saturating_sub(1);
             }
         }
-        let mut fresh = Vec::new();
+        let mut planned = Vec::new();
         if !self.demands.is_established() {
-            return fresh;
+            return planned;
         }
-        for runner in scene.runners {
-            let declared =
-                |held: &HeldModel| scene.engine.models.contains_key(&held.model);
-            let held = runner.models.iter().all(declared);
-            let fixed = self.is_fixed(scene, runner);
-            let moving = self.moving.contains_key(&runner.name);
-            if !held || fixed || moving || has_room(scene.engine, runner) {
+        for runner in input.runners {
+            let is_declared =
+                |held: &HeldModel| input.engine.models.contains_key(&held.model);
+            let all_declared = runner.models.iter().all(is_declared);
+            let fixed = self.is_fixed(input, runner);
+            let active = self.active.contains_key(&runner.name);
+            if !all_declared || fixed || active || has_room(input.engine, runner) {
                 continue;
             }
-            let idle = |model: &&ModelName| {
+            let is_droppable = |model: &&ModelName| {
                 let count = replicas.get(model).copied().unwrap_or_default();
-                count > 1 && Self::is_idle(self.demand(model), count)
+                count > 1 && Self::has_spare_replica(self.demand(model), count)
             };
             let models = runner.models.iter().map(|held| &held.model);
             let Some(model) = models
-                .filter(idle)
+                .filter(is_droppable)
                 .min_by(|a, b| self.demand(a).total_cmp(&self.demand(b)))
             else {
                 continue;
@@ -298,46 +298,47 @@
             }
             let drop = vec![model.clone()];
             let change = Move { server: runner.name.clone(), drop, load: None };
-            let moving = ActiveMove::start_drain(change, now);
-            fresh.push(moving.current_step());
-            self.moving.insert(runner.name.clone(), moving);
+            let active = ActiveMove::start_drain(change, now);
+            planned.push(active.current_step());
+            self.active.insert(runner.name.clone(), active);
         }
-        fresh
+        planned
     }
 
-    /// Whether one replica less would still serve a model with ease.
-    fn is_idle(demand: f64, replicas: usize) -> bool {
+    /// Whether one replica less would still serve a model with low utilization.
+    fn has_spare_replica(demand: f64, replicas: usize) -> bool {
         let each = demand / (replicas - 1) as f64;
-        each < WORTH_KEEPING * THROUGHPUT
+        each < MAX_DEMAND_AFTER_DROP * RUNNER_THROUGHPUT
     }
 
-    /// The pool as it is once what `coming` tells of moves has been loaded.
+    /// The pool as it will be when the models that `coming` returns for active moves have
+    /// been loaded.
     fn pool_state(
         &self,
-        scene: &PlacementInput,
+        input: &PlacementInput,
         coming: impl Fn(&ActiveMove) -> Option<&ModelName> + Copy,
     ) -> PoolState {
-        let runners = scene.runners;
+        let runners = input.runners;
         let domains: IndexSet<&DomainName> =
             runners.iter().map(|runner| &runner.domain).collect();
         let runner_state = |runner: &ServerEntry| RunnerState {
             domain: domains.get_index_of(&runner.domain).unwrap_or_default(),
-            capacity: (scene.engine.memory_mb * MB) as u64,
-            other: (scene.engine.adapter_reserve() * MB) as u64,
+            capacity: (input.engine.memory_mb * BYTES_PER_MB) as u64,
+            other: (input.engine.adapter_reserve() * BYTES_PER_MB) as u64,
             stays: true,
-            fixed: self.is_fixed(scene, runner),
+            fixed: self.is_fixed(input, runner),
         };
-        let names = scene.engine.models.keys();
+        let names = input.engine.models.keys();
         let models: Vec<ModelState> =
-            names.map(|name| self.model_state(scene, name, coming)).collect();
-        let asked: f64 = models.iter().map(|model| model.demand).sum();
-        // When more is asked for than the pool can serve, every runner is overloaded
-        // and no move seems to gain; what counts then is the balance.
-        let even = asked / (runners.len().max(1) as f64 * FULL);
+            names.map(|name| self.model_state(input, name, coming)).collect();
+        let total_demand: f64 = models.iter().map(|model| model.demand).sum();
+        // When demand exceeds what the pool can serve, every runner is overloaded and no
+        // move seems to help. Raising the throughput lets the plan balance the load.
+        let balanced = total_demand / (runners.len().max(1) as f64 * MAX_UTILIZATION);
         PoolState {
             runners: runners.iter().map(runner_state).collect(),
             models,
-            throughput: THROUGHPUT.max(even),
+            throughput: RUNNER_THROUGHPUT.max(balanced),
             parallel: 0,
             frozen: false,
             attainment_weight: 1.0,
@@ -346,47 +347,47 @@
         }
     }
 
-    fn is_fixed(&self, scene: &PlacementInput, runner: &ServerEntry) -> bool {
-        let failed = self.failed.contains_key(&runner.name);
-        failed || scene.fixed.contains(&runner.name)
+    fn is_fixed(&self, input: &PlacementInput, runner: &ServerEntry) -> bool {
+        let backing_off = self.backoff_until.contains_key(&runner.name);
+        backing_off || input.fixed.contains(&runner.name)
     }
 
     fn model_state(
         &self,
-        scene: &PlacementInput,
+        input: &PlacementInput,
         name: &ModelName,
         coming: impl Fn(&ActiveMove) -> Option<&ModelName>,
     ) -> ModelState {
-        let declared = &scene.engine.models[name];
-        let moving = |runner: &ServerEntry| self.moving.get(&runner.name);
-        let loads = |runner: &ServerEntry| moving(runner).and_then(&coming) == Some(name);
+        let declared = &input.engine.models[name];
+        let active = |runner: &ServerEntry| self.active.get(&runner.name);
+        let loads = |runner: &ServerEntry| active(runner).and_then(&coming) == Some(name);
         let drops = |runner: &ServerEntry| {
-            moving(runner).is_some_and(|moving| moving.planned.drop.contains(name))
+            active(runner).is_some_and(|active| active.planned.drop.contains(name))
         };
-        let there =
+        let is_placed =
             |runner: &ServerEntry| loads(runner) || runner.holds(name) && !drops(runner);
         let indices = |which: &dyn Fn(&ServerEntry) -> bool| {
-            let runners = scene.runners.iter().enumerate();
+            let runners = input.runners.iter().enumerate();
             runners.filter(|(_, runner)| which(runner)).map(|(index, _)| index).collect()
         };
         ModelState {
-            bytes: (declared.weights_mb * MB) as u64,
+            bytes: (declared.weights_mb * BYTES_PER_MB) as u64,
             replicas: 1,
             cold: declared.load,
             demand: self.demand(name),
-            placed: indices(&there),
-            loading: scene.runners.iter().filter(|runner| loads(runner)).count(),
-            copies: indices(&|runner| is_near(runner, name)),
+            placed: indices(&is_placed),
+            loading: input.runners.iter().filter(|runner| loads(runner)).count(),
+            copies: indices(&|runner| has_local_copy(runner, name)),
         }
     }
 }
 
-/// Whether the runner has a copy of the weights, so that the store isn't needed.
-fn is_near(runner: &ServerEntry, model: &ModelName) -> bool {
+/// Whether the runner can load the model without the weight store.
+fn has_local_copy(runner: &ServerEntry, model: &ModelName) -> bool {
     runner.warm.contains(model) || runner.on_disk.contains(model)
 }
 
-/// Whether the largest model fits beside what the runner holds.
+/// Whether the largest declared model fits beside those that the runner holds.
 fn has_room(engine: &Engine, runner: &ServerEntry) -> bool {
     let size = |name: &ModelName| engine.models.get(name).map_or(0.0, |m| m.weights_mb);
     let held: f64 = runner.models.iter().map(|held| size(&held.model)).sum();
@@ -394,24 +395,23 @@
     held + largest + engine.adapter_reserve() <= engine.memory_mb
 }
 
-/// The changes that lead from what runners hold to a placement, in its order; a runner
-/// carries out one at a time.
-fn moves(scene: &PlacementInput, pool: &PoolState, placement: &Placement) -> Vec<Move> {
-    let models: Vec<&ModelName> = scene.engine.models.keys().collect();
+/// The moves that lead to a placement, in its order; at most one for each runner.
+fn moves(input: &PlacementInput, pool: &PoolState, placement: &Placement) -> Vec<Move> {
+    let models: Vec<&ModelName> = input.engine.models.keys().collect();
     let mut moves: IndexMap<usize, Move> = IndexMap::new();
     for (load, runner) in placement.added.iter().copied() {
-        let wanted = |model: &usize| placement.placed[*model].contains(&runner);
-        let before = |model: &usize| pool.models[*model].placed.contains(&runner);
-        // What the plan itself has added and evicted again.
-        if !wanted(&load) {
+        let is_wanted = |model: &usize| placement.placed[*model].contains(&runner);
+        let is_held = |model: &usize| pool.models[*model].placed.contains(&runner);
+        // The plan itself may have evicted a replica that it added.
+        if !is_wanted(&load) {
             continue;
         }
-        // What goes for a second load of the plan stays for now.
+        // A model that makes room for a second load on the same runner stays for now.
         let fits = pool.room(runner) >= pool.models[load].bytes;
-        let goes = |model: &usize| before(model) && !wanted(model) && !fits;
-        let drop = (0..models.len()).filter(goes);
+        let is_dropped = |model: &usize| is_held(model) && !is_wanted(model) && !fits;
+        let drop = (0..models.len()).filter(is_dropped);
         moves.entry(runner).or_insert_with(|| Move {
-            server: scene.runners[runner].name.clone(),
+            server: input.runners[runner].name.clone(),
             drop: drop.map(|model| models[model].clone()).collect(),
             load: Some(models[load].clone()),
         });
--- a/crates/pool/src/queue.rs
+++ b/crates/pool/src/queue.rs
@@ -1,14 +1,15 @@
-//! Which server of a plain service runs which request, and when.
+//! Decides which server of a plain service runs which request, and when.
 //!
-//! Load pattern: two or three servers with six places each, and requests of 30 ms that
-//! come in clumps from many daemons. A daemon that goes by its own counts has one or none
-//! in flight and picks at random; servers whose places are taken reject what others had
-//! room for, and callers come back half a second later. With one queue for all servers a
-//! request waits only while every place is taken, and goes to the first that is free.
+//! Load pattern: two or three servers with six slots each, and requests of 30 ms that
+//! arrive in bursts from many daemons. A daemon that uses only its own counts has one
+//! request in flight or none and picks at random; full servers reject requests for which
+//! others have room, and callers retry half a second later. With one queue for all
+//! servers, a request waits only while every slot is taken, and goes to the first that is
+//! free. A permit allows a request to be sent to one server now.
 //!
-//! Refused is what would wait for longer than its caller does, at once and with the time
-//! after which there is room. The places of a daemon that dies are free again when its
-//! callers' time is over.
+//! A request that would wait for longer than its caller is refused at once, with the time
+//! after which there is room. Permits of a daemon that dies are free again when the wait
+//! limits of its callers have passed.
 
 use std::time::{Duration, Instant};
 
@@ -20,389 +21,394 @@
 use crate::choose::REMOTE_DOMAIN_COST_MS;
 use crate::unreachable::UnreachableReports;
 
-/// Names a request: the daemon that asks, and its number there.
+/// Identifies a request: the daemon that sends it, and its number there.
 pub type RequestKey = (MemberId, u64);
 
-/// The time that a request takes, as long as none has ended.
-const FIRST_TIME: Duration = Duration::from_millis(30);
+/// Mean service time that is assumed before any request has finished.
+const INITIAL_SERVICE_TIME: Duration = Duration::from_millis(30);
 
-/// How much of the mean time one request makes up.
-const TIME_WEIGHT: f64 = 0.02;
+/// Weight of one request in the moving average of the service time.
+const SERVICE_TIME_WEIGHT: f64 = 0.02;
 
-/// How much of a server's share of failures one request makes up.
+/// Weight of one request in the moving average of a server's failure rate.
 ///
-/// A server answers some sixty requests a second; ten of them tell a failing one.
-const FAULT_WEIGHT: f64 = 0.1;
+/// A server handles some sixty requests a second, so ten are enough to detect a failing
+/// one.
+const FAILURE_WEIGHT: f64 = 0.1;
 
-/// The time in which a share of failures halves where nothing is sent.
-const FAULT_HALF_LIFE: Duration = Duration::from_secs(2);
+/// Half-life of the failure rate of a server that gets no requests.
+const FAILURE_HALF_LIFE: Duration = Duration::from_secs(2);
 
-/// How much more often than the best server one may fail at no cost.
+/// Difference to the lowest failure rate of all servers that costs nothing.
 ///
-/// Where every seventh request fails by itself, shares of ten requests differ by as much.
-const FAULT_SLACK: f64 = 0.2;
+/// Where every seventh request fails on its own, rates over ten requests differ by as much.
+const FAILURE_SLACK: f64 = 0.2;
 
-/// What it costs to send to a server that fails everything, in milliseconds.
-const FAULT_COST: f64 = 400.0;
+/// Cost of sending to a server that fails all requests.
+const FAILURE_COST_MS: f64 = 400.0;
 
-/// What it costs to wait for a place beside the wait itself, in milliseconds.
+/// Cost of waiting for a free slot, in addition to the wait itself.
 ///
-/// A free place in another failure domain is better than a wait.
-const BUSY_COST: f64 = 2.0 * REMOTE_DOMAIN_COST_MS;
+/// A free slot in another failure domain is better than a wait.
+const WAIT_COST_MS: f64 = 2.0 * REMOTE_DOMAIN_COST_MS;
 
-/// Requests that a server is sent beyond its places.
+/// Permits that a server gets beyond its slots.
 ///
-/// Between the end of one and the start of the next lie four ways between VMs and the
-/// time of a busy daemon, a third of the time of a request; those that wait at the server
-/// fill that gap. With one ahead a server of six places ran 152 requests a second, with
-/// two or four 160, which is all that it can; with four fewer were refused where two servers
-/// were almost enough.
-const AHEAD: u32 = 4;
-
-/// How many mean times before it would be late a request has to be sent.
+/// Between the end of one request and the start of the next lie four network transfers
+/// between VMs and the delay of a busy daemon, a third of the service time; requests that
+/// wait at the server fill that gap. With one, a server of six slots ran 152 requests a
+/// second, with two or four 160, which is its capacity; with four, fewer requests were
+/// refused where two servers were almost enough.
+const EXTRA_PERMITS: u32 = 4;
+
+/// How many mean service times before its target a request has to be sent.
 ///
-/// Half of all take longer than the mean, and few more than twice that.
-const START_TIMES: f64 = 2.0;
+/// Half of all requests take longer than the mean, and few longer than twice the mean.
+const START_AHEAD: f64 = 2.0;
 
-/// How long requests wait without a break before servers count as too few.
+/// How long requests have to be queued without a break before the service counts as
+/// overloaded.
 ///
-/// A clump is served within a tenth of a second. Where more is asked for than servers can
-/// do, everybody would wait for as long as callers are patient, and nobody be on time;
-/// those that would be late are refused then, when they come, and the others are not.
-const CROWDED_TIME: Duration = Duration::from_millis(300);
+/// A burst is served within a tenth of a second. Under overload every caller would wait
+/// for its whole wait limit and every response would be late; new requests that would be
+/// late are refused instead, and the others are on time.
+const OVERLOAD_AFTER: Duration = Duration::from_millis(300);
 
-/// How often the pause of a server that rejects doubles.
-const DOUBLINGS: u32 = 3;
+/// How often the backoff of a server that rejects requests doubles.
+const MAX_BACKOFF_DOUBLINGS: u32 = 3;
 
-/// What a plain request needs.
+/// A plain request that asks for a permit.
 #[serde_as]
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct PlainRequest {
-    /// How urgent it is; 0 goes first.
+    /// 0 is the most urgent and goes first.
     pub urgency: u8,
-    /// The time that is left to an answer that is on time.
+    /// Time left until the response is late; zero if it already is.
     #[serde_as(as = "DurationMilliSeconds<u64>")]
     pub target_time: Duration,
-    /// How much longer its caller waits.
+    /// How much longer the caller waits.
     #[serde_as(as = "DurationMilliSeconds<u64>")]
     #[serde(rename = "patience")]
     pub wait_limit: Duration,
-    /// The failure domain that it is sent from.
+    /// Failure domain of the daemon that sends it.
     pub domain: DomainName,
-    /// Servers that did not serve it, or that its daemon can't reach.
+    /// Servers that have not served it, or that its daemon can't reach.
     pub avoid: Vec<ServerName>,
 }
 
-/// What came of a place.
+/// How a permit was used.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub enum PermitOutcome {
-    /// The server answered.
+    /// The server responded.
     Answered,
-    /// The server failed, broke off or was silent.
+    /// The server failed, broke off the response or did not respond.
     Failed,
-    /// The server did not take the request.
+    /// The server rejected the request.
     Rejected,
-    /// The server could not be connected to.
+    /// No connection to the server could be opened.
     Unreachable,
-    /// The request was not sent, or its caller left.
+    /// The request was not sent, or its caller disconnected.
     #[serde(rename = "Left")]
     Unused,
 }
 
-/// What becomes of a request.
+/// A decision about one request.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum QueueDecision {
-    /// It is to be sent to this server now.
+    /// It gets a permit for this server.
     Grant(RequestKey, ServerName),
-    /// It would wait for longer than its caller; there is room in this time.
+    /// It would wait for longer than its caller; there is room after this time.
     Full(RequestKey, Duration),
-    /// No server takes requests.
+    /// No server accepts requests.
     NoServer(RequestKey),
 }
 
-/// A server as the registry lists it.
+/// A server of the service, as listed in the registry.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct ListedServer {
-    /// Its name.
+    /// Unique within the service.
     pub name: ServerName,
     /// Requests that it runs at the same time.
     pub slots: u32,
-    /// Its failure domain.
+    /// The failure domain that it runs in.
     pub domain: DomainName,
 }
 
-/// The queue of a plain service and the places at its servers.
+/// The queue of a plain service, and the permits for its servers.
 #[derive(Debug)]
 pub struct PermitQueue {
     servers: IndexMap<ServerName, Server>,
-    waiting: Vec<Waiting>,
-    taken: IndexMap<RequestKey, Taken>,
-    /// No place is free by its caller's time before this.
-    expiry: Option<Instant>,
-    lost: UnreachableReports,
-    /// Since when requests wait without a break.
-    since: Option<Instant>,
-    /// The mean time of a request, in milliseconds.
-    time: f64,
+    queued: Vec<QueuedRequest>,
+    permits: IndexMap<RequestKey, Permit>,
+    /// No permit expires before this time.
+    next_expiry: Option<Instant>,
+    unreachable: UnreachableReports,
+    /// Since when the queue has not been empty.
+    queued_since: Option<Instant>,
+    /// Moving average of the service time.
+    mean_service_ms: f64,
 }
 
 #[derive(Debug)]
 struct Server {
     listed: ListedServer,
-    /// How many entries of `taken` name it.
-    busy: u32,
-    /// The share of requests that failed lately, as of `at`.
-    faults: f64,
-    at: Instant,
+    /// Number of permits for it.
+    in_use: u32,
+    /// Moving average of the failure rate, as of `updated_at`.
+    failure_rate: f64,
+    updated_at: Instant,
     /// Requests that it rejected in a row.
-    rejected: u32,
-    /// Until when it is left alone after it rejected one.
-    full: Option<Instant>,
+    rejections: u32,
+    /// End of the backoff after a rejection.
+    backoff_until: Option<Instant>,
 }
 
 #[derive(Debug)]
-struct Waiting {
-    asker: RequestKey,
-    want: PlainRequest,
-    /// When an answer would be late.
+struct QueuedRequest {
+    key: RequestKey,
+    request: PlainRequest,
+    /// Time after which the response is late.
     target: Instant,
-    /// When its caller gives up.
+    /// When its caller stops waiting.
     deadline: Instant,
-    /// Whether it was not looked at yet.
-    fresh: bool,
+    /// Whether it has not been considered for refusal yet.
+    is_new: bool,
 }
 
 #[derive(Debug)]
-struct Taken {
+struct Permit {
     server: ServerName,
-    at: Instant,
-    /// When its caller gives up.
-    until: Instant,
+    granted_at: Instant,
+    /// When its caller stops waiting.
+    expires_at: Instant,
 }
 
 impl Default for PermitQueue {
     fn default() -> Self {
         Self {
             servers: IndexMap::new(),
-            waiting: Vec::new(),
-            taken: IndexMap::new(),
-            expiry: None,
-            lost: UnreachableReports::default(),
-            since: None,
-            time: millis(FIRST_TIME),
+            queued: Vec::new(),
+            permits: IndexMap::new(),
+            next_expiry: None,
+            unreachable: UnreachableReports::default(),
+            queued_since: None,
+            mean_service_ms: millis(INITIAL_SERVICE_TIME),
         }
     }
 }
 
 impl PermitQueue {
-    /// Takes in which servers take new requests.
+    /// Replaces the list of servers that accept new requests.
     pub fn update_servers(&mut self, listed: Vec<ListedServer>, now: Instant) {
-        self.servers.retain(|name, _| listed.iter().any(|one| one.name == *name));
-        for one in listed {
-            let here = |taken: &&Taken| taken.server == one.name;
+        self.servers.retain(|name, _| listed.iter().any(|entry| entry.name == *name));
+        for entry in listed {
+            let is_here = |permit: &&Permit| permit.server == entry.name;
             let new = || Server {
-                listed: one.clone(),
-                busy: self.taken.values().filter(here).count() as u32,
-                faults: 0.0,
-                at: now,
-                rejected: 0,
-                full: None,
+                listed: entry.clone(),
+                in_use: self.permits.values().filter(is_here).count() as u32,
+                failure_rate: 0.0,
+                updated_at: now,
+                rejections: 0,
+                backoff_until: None,
             };
-            let known = self.servers.entry(one.name.clone()).or_insert_with(new);
-            known.listed = one;
+            let server = self.servers.entry(entry.name.clone()).or_insert_with(new);
+            server.listed = entry;
         }
     }
 
-    /// Takes in a request; one that has a place already is told the same again.
-    pub fn push(&mut self, asker: RequestKey, want: PlainRequest, now: Instant) {
-        let known = |waiting: &Waiting| waiting.asker == asker;
-        if self.waiting.iter().any(known) || self.taken.contains_key(&asker) {
+    /// Adds a request, unless it is queued or has a permit already.
+    pub fn push(&mut self, key: RequestKey, request: PlainRequest, now: Instant) {
+        let is_same = |queued: &QueuedRequest| queued.key == key;
+        if self.queued.iter().any(is_same) || self.permits.contains_key(&key) {
             return;
         }
-        let (target, deadline) = (now + want.target_time, now + want.wait_limit);
-        self.waiting.push(Waiting { asker, want, target, deadline, fresh: true });
+        let (target, deadline) = (now + request.target_time, now + request.wait_limit);
+        self.queued.push(QueuedRequest { key, request, target, deadline, is_new: true });
     }
 
-    /// The server at which a request has a place.
-    pub fn permit(&self, asker: RequestKey) -> Option<&ServerName> {
-        self.taken.get(&asker).map(|taken| &taken.server)
+    /// The server for which a request has a permit.
+    pub fn permit(&self, key: RequestKey) -> Option<&ServerName> {
+        self.permits.get(&key).map(|permit| &permit.server)
     }
 
-    /// Takes in that a request needs its place no more, or does not wait any longer.
-    pub fn release(&mut self, asker: RequestKey, outcome: PermitOutcome, now: Instant) {
-        self.waiting.retain(|waiting| waiting.asker != asker);
-        let Some(taken) = self.taken.swap_remove(&asker) else { return };
-        let time = millis(now.saturating_duration_since(taken.at));
-        let mean = self.time;
+    /// Removes a request from the queue, or returns its permit.
+    pub fn release(&mut self, key: RequestKey, outcome: PermitOutcome, now: Instant) {
+        self.queued.retain(|queued| queued.key != key);
+        let Some(permit) = self.permits.swap_remove(&key) else { return };
+        let service_ms = millis(now.saturating_duration_since(permit.granted_at));
+        let mean = self.mean_service_ms;
         if outcome == PermitOutcome::Unreachable {
-            self.lost.record(asker.0, vec![taken.server.clone()], now);
+            self.unreachable.record(key.0, vec![permit.server.clone()], now);
         }
-        let Some(server) = self.servers.get_mut(&taken.server) else { return };
-        server.busy -= 1;
+        let Some(server) = self.servers.get_mut(&permit.server) else { return };
+        server.in_use -= 1;
         match outcome {
             PermitOutcome::Answered => {
-                self.time += (time - self.time) * TIME_WEIGHT;
-                server.learn(0.0, now);
-                server.rejected = 0;
+                self.mean_service_ms +=
+                    (service_ms - self.mean_service_ms) * SERVICE_TIME_WEIGHT;
+                server.record(0.0, now);
+                server.rejections = 0;
             }
-            PermitOutcome::Failed => server.learn(1.0, now),
-            PermitOutcome::Rejected => server.reject(mean, now),
+            PermitOutcome::Failed => server.record(1.0, now),
+            PermitOutcome::Rejected => server.back_off(mean, now),
             PermitOutcome::Unreachable | PermitOutcome::Unused => {}
         }
     }
 
-    /// Decides about the next request; nothing while all that wait have to.
+    /// Decides about the next request; `None` while all queued requests have to wait.
     ///
-    /// Called for each message of all daemons, so that what is done while every place is
-    /// taken costs no more than a look at each request that waits.
+    /// Called for each message of all daemons, so that while every slot is taken it costs
+    /// no more than one pass over the queue.
     pub fn next_decision(&mut self, now: Instant) -> Option<QueueDecision> {
         self.expire(now);
-        let on_time = Duration::from_secs_f64(self.time * START_TIMES / 1000.0);
-        if let Some(index) = self.hopeless(on_time, now) {
-            let asker = self.waiting.swap_remove(index).asker;
-            return Some(QueueDecision::Full(asker, self.wait(0)));
+        let lead_time =
+            Duration::from_secs_f64(self.mean_service_ms * START_AHEAD / 1000.0);
+        if let Some(index) = self.hopeless(lead_time, now) {
+            let key = self.queued.swap_remove(index).key;
+            return Some(QueueDecision::Full(key, self.wait_behind(0)));
         }
         if self.servers.is_empty() {
-            return self
-                .waiting
-                .pop()
-                .map(|waiting| QueueDecision::NoServer(waiting.asker));
+            return self.queued.pop().map(|queued| QueueDecision::NoServer(queued.key));
         }
         if !self.servers.values().any(|server| self.is_free(server, now)) {
-            return self.refuse_new(on_time, now);
+            return self.refuse_new(lead_time, now);
         }
-        let mut order: Vec<usize> = (0..self.waiting.len()).collect();
-        order.sort_by_key(|index| self.waiting[*index].rank(now, on_time));
+        let mut order: Vec<usize> = (0..self.queued.len()).collect();
+        order.sort_by_key(|index| self.queued[*index].rank(now, lead_time));
         for (before, index) in order.into_iter().enumerate() {
-            match self.best(&self.waiting[index].want, before, now) {
+            match self.best(&self.queued[index].request, before, now) {
                 None => {
-                    let asker = self.waiting.swap_remove(index).asker;
-                    return Some(QueueDecision::NoServer(asker));
+                    let key = self.queued.swap_remove(index).key;
+                    return Some(QueueDecision::NoServer(key));
                 }
-                Some((server, true)) => return Some(self.send(index, server, now)),
+                Some((server, true)) => return Some(self.grant(index, server, now)),
                 Some((_, false)) => {}
             }
         }
         None
     }
 
-    /// Frees places whose callers' time is over.
+    /// Frees permits whose callers no longer wait.
     fn expire(&mut self, now: Instant) {
-        if self.expiry.is_none_or(|at| now < at) {
+        if self.next_expiry.is_none_or(|at| now < at) {
             return;
         }
-        let Self { taken, servers, .. } = self;
-        for (_, over) in taken.extract_if(.., |_, taken| now >= taken.until) {
-            if let Some(server) = servers.get_mut(&over.server) {
-                server.busy -= 1;
+        let Self { permits, servers, .. } = self;
+        for (_, expired) in permits.extract_if(.., |_, permit| now >= permit.expires_at) {
+            if let Some(server) = servers.get_mut(&expired.server) {
+                server.in_use -= 1;
             }
         }
-        self.expiry = self.taken.values().map(|taken| taken.until).min();
+        self.next_expiry = self.permits.values().map(|permit| permit.expires_at).min();
     }
 
-    /// A request whose caller has given up, or that is late while others can be on time.
-    fn hopeless(&mut self, on_time: Duration, now: Instant) -> Option<usize> {
-        let crowded = self.is_crowded(now);
-        let gone = |one: &Waiting| {
-            now >= one.deadline || crowded && !one.fresh && one.is_late(now, on_time)
+    /// A request whose caller no longer waits, or that is late under overload.
+    fn hopeless(&mut self, lead_time: Duration, now: Instant) -> Option<usize> {
+        let overloaded = self.is_overloaded(now);
+        let is_hopeless = |queued: &QueuedRequest| {
+            now >= queued.deadline
+                || overloaded && !queued.is_new && queued.is_late(now, lead_time)
         };
-        self.waiting.iter().position(gone)
+        self.queued.iter().position(is_hopeless)
     }
 
-    /// Refuses a request that has just come and would wait for longer than its caller does,
-    /// or for so long that it is late, where servers can't keep up.
-    fn refuse_new(&mut self, on_time: Duration, now: Instant) -> Option<QueueDecision> {
-        let crowded = self.is_crowded(now);
-        for index in 0..self.waiting.len() {
-            if !std::mem::replace(&mut self.waiting[index].fresh, false) {
+    /// Refuses a new request that would wait for longer than its caller or, under overload,
+    /// for so long that it is late.
+    fn refuse_new(&mut self, lead_time: Duration, now: Instant) -> Option<QueueDecision> {
+        let overloaded = self.is_overloaded(now);
+        for index in 0..self.queued.len() {
+            if !std::mem::replace(&mut self.queued[index].is_new, false) {
                 continue;
             }
-            let rank = (self.waiting[index].rank(now, on_time), index);
-            let all = self.waiting.iter().enumerate();
-            let first = all.filter(|(at, one)| (one.rank(now, on_time), *at) < rank);
-            let wait = self.wait(first.count());
-            let one = &self.waiting[index];
-            let late = crowded && one.is_late(now + wait, on_time);
-            if late || now + wait > one.deadline {
-                let asker = self.waiting.swap_remove(index).asker;
-                return Some(QueueDecision::Full(asker, wait));
+            let rank = (self.queued[index].rank(now, lead_time), index);
+            let all = self.queued.iter().enumerate();
+            let first =
+                all.filter(|(at, queued)| (queued.rank(now, lead_time), *at) < rank);
+            let wait = self.wait_behind(first.count());
+            let queued = &self.queued[index];
+            let late = overloaded && queued.is_late(now + wait, lead_time);
+            if late || now + wait > queued.deadline {
+                let key = self.queued.swap_remove(index).key;
+                return Some(QueueDecision::Full(key, wait));
             }
         }
         None
     }
 
-    /// Whether requests have waited for so long that the servers can't keep up.
-    fn is_crowded(&mut self, now: Instant) -> bool {
-        if self.waiting.is_empty() {
-            self.since = None;
+    /// Whether requests have been queued for so long that the servers can't keep up.
+    fn is_overloaded(&mut self, now: Instant) -> bool {
+        if self.queued.is_empty() {
+            self.queued_since = None;
             return false;
         }
-        let since = *self.since.get_or_insert(now);
-        now.saturating_duration_since(since) >= CROWDED_TIME
+        let since = *self.queued_since.get_or_insert(now);
+        now.saturating_duration_since(since) >= OVERLOAD_AFTER
     }
 
-    /// When to look again, if nothing happens before.
+    /// When to call [`Self::next_decision`] again if nothing changes before.
     pub fn next_wake(&self, now: Instant) -> Option<Instant> {
-        let deadlines = self.waiting.iter().map(|waiting| waiting.deadline);
-        let pauses = self.servers.values().filter_map(|server| server.full);
-        let times = deadlines.chain(self.expiry).chain(pauses).filter(|at| *at > now);
-        if self.waiting.is_empty() { None } else { times.min() }
+        let deadlines = self.queued.iter().map(|queued| queued.deadline);
+        let backoffs = self.servers.values().filter_map(|server| server.backoff_until);
+        let times =
+            deadlines.chain(self.next_expiry).chain(backoffs).filter(|at| *at > now);
+        if self.queued.is_empty() { None } else { times.min() }
     }
 
-    /// The number of requests that wait.
+    /// Number of queued requests.
     pub fn len(&self) -> usize {
-        self.waiting.len()
+        self.queued.len()
     }
 
-    /// Whether no request waits.
+    /// Whether no request is queued.
     pub fn is_empty(&self) -> bool {
-        self.waiting.is_empty()
+        self.queued.is_empty()
     }
 
-    fn send(&mut self, index: usize, server: ServerName, now: Instant) -> QueueDecision {
-        let Waiting { asker, deadline, .. } = self.waiting.swap_remove(index);
+    fn grant(&mut self, index: usize, server: ServerName, now: Instant) -> QueueDecision {
+        let QueuedRequest { key, deadline, .. } = self.queued.swap_remove(index);
         if let Some(server) = self.servers.get_mut(&server) {
-            server.busy += 1;
+            server.in_use += 1;
         }
-        self.expiry = Some(self.expiry.map_or(deadline, |at| at.min(deadline)));
-        let taken = Taken { server: server.clone(), at: now, until: deadline };
-        self.taken.insert(asker, taken);
-        QueueDecision::Grant(asker, server)
+        self.next_expiry = Some(self.next_expiry.map_or(deadline, |at| at.min(deadline)));
+        let permit =
+            Permit { server: server.clone(), granted_at: now, expires_at: deadline };
+        self.permits.insert(key, permit);
+        QueueDecision::Grant(key, server)
     }
 
-    /// The server that would serve a request best, and whether it has a place free.
-    ///
-    /// So many requests go before it.
+    /// The best server for a request that has `before` others ahead of it, and whether a
+    /// permit for it is free.
     fn best(
         &self,
-        want: &PlainRequest,
+        request: &PlainRequest,
         before: usize,
         now: Instant,
     ) -> Option<(ServerName, bool)> {
-        let open = |server: &&Server| {
-            !self.lost.is_unreachable(&server.listed.name, usize::MAX, now)
+        let is_reachable = |server: &&Server| {
+            !self.unreachable.is_unreachable(&server.listed.name, usize::MAX, now)
         };
-        let fresh = |server: &&Server| !want.avoid.contains(&server.listed.name);
-        let servers: Vec<&Server> = self.servers.values().filter(open).collect();
-        let fresh: Vec<&Server> = servers.iter().copied().filter(fresh).collect();
-        // Where all have failed it, one may have recovered.
-        let servers = if fresh.is_empty() { servers } else { fresh };
-        let least = servers.iter().map(|server| server.faults(now)).fold(1.0, f64::min);
-        let waits = BUSY_COST + millis(self.wait(before));
+        let is_untried = |server: &&Server| !request.avoid.contains(&server.listed.name);
+        let servers: Vec<&Server> = self.servers.values().filter(is_reachable).collect();
+        let untried: Vec<&Server> = servers.iter().copied().filter(is_untried).collect();
+        // If it has failed on all servers, one may have recovered.
+        let servers = if untried.is_empty() { servers } else { untried };
+        let least =
+            servers.iter().map(|server| server.failure_rate(now)).fold(1.0, f64::min);
+        let queue_wait = WAIT_COST_MS + millis(self.wait_behind(before));
         let cost = |server: &Server| {
             let free = self.is_free(server, now);
-            let busy = f64::from(server.busy) / f64::from(server.slots());
+            let load = f64::from(server.in_use) / f64::from(server.slots());
             let wait = match free {
-                true => busy + (busy - 1.0).max(0.0) * self.time,
-                false => waits,
+                true => load + (load - 1.0).max(0.0) * self.mean_service_ms,
+                false => queue_wait,
             };
-            let away = if server.listed.domain == want.domain {
+            let remote = if server.listed.domain == request.domain {
                 0.0
             } else {
                 REMOTE_DOMAIN_COST_MS
             };
-            let faults = (server.faults(now) - least - FAULT_SLACK).max(0.0);
-            (wait + away + faults * FAULT_COST, free)
+            let failures = (server.failure_rate(now) - least - FAILURE_SLACK).max(0.0);
+            (wait + remote + failures * FAILURE_COST_MS, free)
         };
         let costs = servers.into_iter().map(|server| (cost(server), server));
         let best = costs.min_by(|((a, _), _), ((b, _), _)| a.total_cmp(b));
@@ -410,29 +416,27 @@
     }
 
     fn is_free(&self, server: &Server, now: Instant) -> bool {
-        let rests = server.full.is_some_and(|until| now < until);
-        !rests && server.busy < server.slots() + AHEAD
+        let backing_off = server.backoff_until.is_some_and(|until| now < until);
+        !backing_off && server.in_use < server.slots() + EXTRA_PERMITS
     }
 
-    /// The wait behind so many requests.
-    fn wait(&self, before: usize) -> Duration {
-        let places: u32 = self.servers.values().map(Server::slots).sum();
-        let each = self.time / f64::from(places.max(1));
+    /// Estimated wait of a request with `before` others ahead of it.
+    fn wait_behind(&self, before: usize) -> Duration {
+        let slots: u32 = self.servers.values().map(Server::slots).sum();
+        let each = self.mean_service_ms / f64::from(slots.max(1));
         Duration::from_secs_f64((before + 1) as f64 * each / 1000.0)
     }
 }
 
-impl Waiting {
-    /// What goes first: requests that can still be on time, by urgency and time.
-    ///
-    /// `time` is how long one takes.
-    fn rank(&self, now: Instant, time: Duration) -> (bool, u8, Instant) {
-        (self.is_late(now, time), self.want.urgency, self.target)
+impl QueuedRequest {
+    /// Sort key: requests that can still be on time come first, by urgency and target.
+    fn rank(&self, now: Instant, lead_time: Duration) -> (bool, u8, Instant) {
+        (self.is_late(now, lead_time), self.request.urgency, self.target)
     }
 
-    /// Whether an answer that takes `time` would be late.
-    fn is_late(&self, now: Instant, time: Duration) -> bool {
-        now + time > self.target
+    /// Whether a response after `lead_time` would miss the target.
+    fn is_late(&self, now: Instant, lead_time: Duration) -> bool {
+        now + lead_time > self.target
     }
 }
 
@@ -441,26 +445,28 @@
         self.listed.slots.max(1)
     }
 
-    /// The share of requests that failed lately.
-    fn faults(&self, now: Instant) -> f64 {
-        let age = now.saturating_duration_since(self.at).as_secs_f64();
-        self.faults * 0.5f64.powf(age / FAULT_HALF_LIFE.as_secs_f64())
+    /// Share of requests that failed recently.
+    fn failure_rate(&self, now: Instant) -> f64 {
+        let age = now.saturating_duration_since(self.updated_at).as_secs_f64();
+        self.failure_rate * 0.5f64.powf(age / FAILURE_HALF_LIFE.as_secs_f64())
     }
 
-    fn learn(&mut self, failed: f64, now: Instant) {
-        let before = self.faults(now);
-        self.faults = before + (failed - before) * FAULT_WEIGHT;
-        self.at = now;
+    /// Records a request; `failed` is 1 for a failure and 0 for a success.
+    fn record(&mut self, failed: f64, now: Instant) {
+        let before = self.failure_rate(now);
+        self.failure_rate = before + (failed - before) * FAILURE_WEIGHT;
+        self.updated_at = now;
     }
 
-    /// Leaves the server alone until one of its places may be free.
+    /// Sends nothing to the server until one of its slots may be free.
     ///
-    /// Others' requests have its places: those of daemons that did not ask, or that
-    /// were sent before this queue was set up.
-    fn reject(&mut self, mean: f64, now: Instant) {
-        let pause = mean / f64::from(self.slots()) * f64::from(1 << self.rejected);
-        self.rejected = (self.rejected + 1).min(DOUBLINGS);
-        self.full = Some(now + Duration::from_secs_f64(pause / 1000.0));
+    /// Its slots are taken by requests that this queue did not grant: those of daemons
+    /// that did not ask, or from before this queue was set up.
+    fn back_off(&mut self, mean_service_ms: f64, now: Instant) {
+        let backoff =
+            mean_service_ms / f64::from(self.slots()) * f64::from(1 << self.rejections);
+        self.rejections = (self.rejections + 1).min(MAX_BACKOFF_DOUBLINGS);
+        self.backoff_until = Some(now + Duration::from_secs_f64(backoff / 1000.0));
     }
 }
 
