--- a/crates/pool/src/demand.rs
+++ b/crates/pool/src/demand.rs
@@ -1,15 +1,15 @@
-//! How much callers ask for of each model of a service.
+//! Estimates the demand for each model of a service.
 //!
-//! Load pattern: within five seconds callers turn from one model to another. A long
-//! average is late by seconds; a short one lets go of a model in each lull, and it is
-//! dropped and loaded in turns. The greater of both rises soon and falls late.
+//! Load pattern: within five seconds callers turn from one model to another. A long moving
+//! average lags by seconds; a short one drops to zero in each lull, so that the model is
+//! dropped and loaded in turns. The greater of both rises fast and falls slowly.
 //!
-//! Every daemon counts what its own callers ask for and tells its sum since its
-//! start, so that a lost message only delays what it says.
+//! Every daemon counts the requests of its own callers and sends its counters, which run
+//! since its start, so that a lost message only delays an update.
 //!
-//! Demand is counted in runners: the part of a runner's time that a request takes. It
-//! takes the engine while its prompt is read, and one place and some of the KV cache for as
-//! long as it stays; whatever is scarcest on the engines at hand decides.
+//! Demand is counted in runners: the share of a runner's time that requests take. A request
+//! occupies the engine during prefill, and one slot and some of the KV cache during its
+//! service time; the scarcest of these on the declared engine decides.
 
 use std::ops::AddAssign;
 use std::time::{Duration, Instant};
@@ -21,55 +21,55 @@
 
 use crate::timing::EngineTimings;
 
-/// How far back the two averages look.
-const FAST: Duration = Duration::from_millis(500);
-const SLOW: Duration = Duration::from_millis(1500);
+/// Time constants of the two moving averages.
+const FAST_AVERAGE: Duration = Duration::from_millis(500);
+const SLOW_AVERAGE: Duration = Duration::from_millis(1500);
 
-/// How long requests have to be seen before a model counts as not asked for.
-const KNOWN: Duration = Duration::from_millis(2500);
+/// How long requests have to be observed before a model counts as having no demand.
+const MIN_OBSERVATION: Duration = Duration::from_millis(2500);
 
-/// The share of an engine's time that reading prompts may take.
+/// Share of an engine's time that prefill may take.
 ///
-/// Streams get their events in time from the rest.
-const READ_SHARE: f64 = 0.5;
+/// The rest lets streams get their events in time.
+const PREFILL_SHARE: f64 = 0.5;
 
-/// How long a request is assumed to stay until some have ended, and for how many ended
-/// ones that counts.
-const FIRST_STAY: Duration = Duration::from_secs(2);
-const FIRST_WEIGHT: f64 = 3.0;
+/// Service time that is assumed at first, and the number of finished requests that the
+/// assumption counts for.
+const INITIAL_SERVICE_TIME: Duration = Duration::from_secs(2);
+const INITIAL_WEIGHT: f64 = 3.0;
 
-/// How far back the mean of stays looks.
-const STAY_MEMORY: Duration = Duration::from_secs(20);
+/// Time constant of the mean service time.
+const SERVICE_TIME_AVERAGE: Duration = Duration::from_secs(20);
 
-/// What callers have asked of a model at one daemon since its start.
+/// Counters of the requests for a model at one daemon since its start.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Serialize, Deserialize)]
 pub struct DemandCounts {
-    /// Requests.
+    /// Requests that arrived.
     pub requests: f64,
     /// Tokens of their prompts.
     #[serde(rename = "prompt")]
     pub prompt_tokens: f64,
-    /// Tokens that they take in the KV cache, answers included.
+    /// Tokens that they take in the KV cache, output included.
     #[serde(rename = "tokens")]
     pub kv_tokens: f64,
-    /// Requests that have ended after a runner began to answer them.
+    /// Requests that ended after a runner began to respond.
     #[serde(rename = "ended")]
     pub finished: f64,
-    /// How long these were at their runners, in seconds.
+    /// Sum of the service times of the latter, in seconds.
     #[serde(rename = "stay")]
     pub service_s: f64,
 }
 
 impl DemandCounts {
-    /// What was asked since an earlier sum of the same daemon.
+    /// The increase since earlier counters of the same daemon.
     fn since(self, before: Self) -> Self {
-        let more = |now: f64, before: f64| (now - before).max(0.0);
+        let increase = |now: f64, before: f64| (now - before).max(0.0);
         Self {
-            requests: more(self.requests, before.requests),
-            prompt_tokens: more(self.prompt_tokens, before.prompt_tokens),
-            kv_tokens: more(self.kv_tokens, before.kv_tokens),
-            finished: more(self.finished, before.finished),
-            service_s: more(self.service_s, before.service_s),
+            requests: increase(self.requests, before.requests),
+            prompt_tokens: increase(self.prompt_tokens, before.prompt_tokens),
+            kv_tokens: increase(self.kv_tokens, before.kv_tokens),
+            finished: increase(self.finished, before.finished),
+            service_s: increase(self.service_s, before.service_s),
         }
     }
 }
@@ -84,32 +84,35 @@
     }
 }
 
-/// How long requests for a model stay at a runner, in the mean.
+/// Decaying mean of the service time of a model's requests.
 #[derive(Debug, Clone, Copy)]
-struct Stay {
-    ended: f64,
+struct MeanServiceTime {
+    finished: f64,
     seconds: f64,
 }
 
-impl Default for Stay {
+impl Default for MeanServiceTime {
     fn default() -> Self {
-        Self { ended: FIRST_WEIGHT, seconds: FIRST_WEIGHT * FIRST_STAY.as_secs_f64() }
+        Self {
+            finished: INITIAL_WEIGHT,
+            seconds: INITIAL_WEIGHT * INITIAL_SERVICE_TIME.as_secs_f64(),
+        }
     }
 }
 
-impl Stay {
-    fn learn(&mut self, asked: DemandCounts, time: Duration) {
-        let kept = (-time.as_secs_f64() / STAY_MEMORY.as_secs_f64()).exp();
-        self.ended = self.ended * kept + asked.finished;
-        self.seconds = self.seconds * kept + asked.service_s;
+impl MeanServiceTime {
+    fn add(&mut self, counts: DemandCounts, elapsed: Duration) {
+        let decay = (-elapsed.as_secs_f64() / SERVICE_TIME_AVERAGE.as_secs_f64()).exp();
+        self.finished = self.finished * decay + counts.finished;
+        self.seconds = self.seconds * decay + counts.service_s;
     }
 
-    fn mean(self) -> f64 {
-        self.seconds / self.ended.max(f64::MIN_POSITIVE)
+    fn seconds(self) -> f64 {
+        self.seconds / self.finished.max(f64::MIN_POSITIVE)
     }
 }
 
-/// The averages of one model's demand, in runners.
+/// Moving averages of one model's demand, in runners.
 #[derive(Debug, Clone, Copy, Default)]
 struct Averages {
     fast: f64,
@@ -117,89 +120,94 @@
 }
 
 impl Averages {
-    fn add(&mut self, work: f64, time: Duration) {
-        if time.is_zero() {
+    fn add(&mut self, runner_seconds: f64, elapsed: Duration) {
+        if elapsed.is_zero() {
             return;
         }
-        let rate = work / time.as_secs_f64();
+        let rate = runner_seconds / elapsed.as_secs_f64();
         let weight =
-            |span: Duration| 1.0 - (-time.as_secs_f64() / span.as_secs_f64()).exp();
-        self.fast += (rate - self.fast) * weight(FAST);
-        self.slow += (rate - self.slow) * weight(SLOW);
+            |span: Duration| 1.0 - (-elapsed.as_secs_f64() / span.as_secs_f64()).exp();
+        self.fast += (rate - self.fast) * weight(FAST_AVERAGE);
+        self.slow += (rate - self.slow) * weight(SLOW_AVERAGE);
     }
 
-    /// The demand to plan for.
     fn estimate(&self) -> f64 {
         self.fast.max(self.slow)
     }
 }
 
-/// How much callers ask for of each model.
+/// Estimates the demand for each model of a service from the counters of all daemons.
 #[derive(Debug)]
 pub struct DemandEstimator {
-    /// The last count of each daemon, by part and model.
-    counts: IndexMap<(MemberId, usize), IndexMap<ModelName, DemandCounts>>,
-    /// What was asked for since the last average.
-    fresh: IndexMap<ModelName, DemandCounts>,
-    stays: IndexMap<ModelName, Stay>,
+    /// The last counters of each daemon, by part and model.
+    counters: IndexMap<(MemberId, usize), IndexMap<ModelName, DemandCounts>>,
+    /// Increases since the last call of [`Self::advance`].
+    pending: IndexMap<ModelName, DemandCounts>,
+    service_times: IndexMap<ModelName, MeanServiceTime>,
     averages: IndexMap<ModelName, Averages>,
-    /// For how long anything was asked for.
-    known: Duration,
-    at: Instant,
+    /// Total length of the intervals in which requests arrived.
+    observed: Duration,
+    advanced_at: Instant,
 }
 
 impl DemandEstimator {
-    /// Starts with no demand.
+    /// Starts without demand.
     pub fn new(now: Instant) -> Self {
         Self {
-            counts: IndexMap::new(),
-            fresh: IndexMap::new(),
-            stays: IndexMap::new(),
+            counters: IndexMap::new(),
+            pending: IndexMap::new(),
+            service_times: IndexMap::new(),
             averages: IndexMap::new(),
-            known: Duration::ZERO,
-            at: now,
+            observed: Duration::ZERO,
+            advanced_at: now,
         }
     }
 
-    /// Takes in what callers have asked of a daemon since its start, in one of the parts
-    /// in which it tells that; a model is always in the same part.
+    /// Updates a daemon's counters, which run since its start.
+    ///
+    /// A daemon may send them in several parts; a model is always in the same part.
     pub fn update(
         &mut self,
         from: MemberId,
         part: usize,
-        asked: Vec<(ModelName, DemandCounts)>,
+        counts: Vec<(ModelName, DemandCounts)>,
     ) {
-        let first = !self.counts.contains_key(&(from, part));
-        let known = self.counts.entry((from, part)).or_default();
-        for (model, asked) in asked {
-            let before = known.insert(model.clone(), asked).unwrap_or_default();
-            // What was counted before this planner took over is of the past.
-            if !first {
-                *self.fresh.entry(model).or_default() += asked.since(before);
+        let is_first = !self.counters.contains_key(&(from, part));
+        let counters = self.counters.entry((from, part)).or_default();
+        for (model, counts) in counts {
+            let before = counters.insert(model.clone(), counts).unwrap_or_default();
+            // The first counters also cover the time before this planner took over.
+            if !is_first {
+                *self.pending.entry(model).or_default() += counts.since(before);
             }
         }
     }
 
-    /// Takes what was counted since the last call into the averages.
-    pub fn advance(&mut self, engine: &Engine, speeds: &EngineTimings, now: Instant) {
-        let time = now.saturating_duration_since(self.at);
-        self.at = now;
-        let fresh = std::mem::take(&mut self.fresh);
-        if fresh.values().any(|asked| asked.requests > 0.0) {
-            self.known += time;
+    /// Adds the increases since the last call to the averages.
+    pub fn advance(&mut self, engine: &Engine, timings: &EngineTimings, now: Instant) {
+        let elapsed = now.saturating_duration_since(self.advanced_at);
+        self.advanced_at = now;
+        let pending = std::mem::take(&mut self.pending);
+        if pending.values().any(|counts| counts.requests > 0.0) {
+            self.observed += elapsed;
         }
         for model in engine.models.keys() {
-            let asked = fresh.get(model).copied().unwrap_or_default();
-            let stay = self.stays.entry(model.clone()).or_default();
-            stay.learn(asked, time);
-            let work = work(asked, stay.mean(), speeds.token_time(model), engine);
-            self.averages.entry(model.clone()).or_default().add(work, time);
+            let counts = pending.get(model).copied().unwrap_or_default();
+            let service_time = self.service_times.entry(model.clone()).or_default();
+            service_time.add(counts, elapsed);
+            let work = runner_seconds(
+                counts,
+                service_time.seconds(),
+                timings.token_time(model),
+                engine,
+            );
+            self.averages.entry(model.clone()).or_default().add(work, elapsed);
         }
     }
 
-    /// Whether what is asked for has been seen for long enough to tell what is not.
+    /// Whether requests were observed for long enough to tell which models have no demand.
     pub fn is_established(&self) -> bool {
-        self.known >= KNOWN
+        self.observed >= MIN_OBSERVATION
     }
 
     /// The demand to plan for, in runners.
@@ -208,11 +216,18 @@
     }
 }
 
-/// The time of a runner that requests take, in seconds, if they stay for `stay` seconds
-/// and an unread token takes `token`.
-fn work(asked: DemandCounts, stay: f64, token: Duration, engine: &Engine) -> f64 {
-    let reading = asked.prompt_tokens * token.as_secs_f64() / READ_SHARE;
-    let places = asked.requests * stay / f64::from(engine.slots.max(1));
-    let memory = asked.kv_tokens * stay / (engine.usable_tokens().max(1) as f64);
-    reading.max(places).max(memory)
+/// Time of a runner that requests take, in seconds.
+///
+/// `service_s` is their mean service time in seconds, `token_time` the prefill time of one
+/// token.
+fn runner_seconds(
+    counts: DemandCounts,
+    service_s: f64,
+    token_time: Duration,
+    engine: &Engine,
+) -> f64 {
+    let prefill = counts.prompt_tokens * token_time.as_secs_f64() / PREFILL_SHARE;
+    let slots = counts.requests * service_s / f64::from(engine.slots.max(1));
+    let memory = counts.kv_tokens * service_s / (engine.usable_tokens().max(1) as f64);
+    prefill.max(slots).max(memory)
 }
--- a/crates/pool/src/runner.rs
+++ b/crates/pool/src/runner.rs
@@ -1,9 +1,8 @@
-//! What the holder of a runner's claim knows of it.
+//! The view that the holder of a runner's claim has of the runner.
 //!
-//! Every daemon that sends requests to the runner tells the holder its own sum, so
-//! that the holder's total is exact but for messages on their way. The holder alone
-//! gives orders, so that it also knows what the runner holds before the registry
-//! says so.
+//! Every daemon that sends requests to the runner sends the holder a usage report of its
+//! own, so the holder's total is exact but for messages in flight. Only the holder gives
+//! orders, so it also knows what the runner holds before the registry lists it.
 
 use std::time::{Duration, Instant};
 
@@ -17,212 +16,212 @@
 use crate::timing::EngineTimings;
 use crate::usage::Usage;
 
-/// How long a daemon's sum counts without being repeated.
+/// How long a daemon's usage report counts without being repeated.
 ///
-/// Daemons repeat sums that are not zero every second; three lost messages in a
-/// row mean that the daemon is gone.
-const SUM_TIME: Duration = Duration::from_millis(3500);
+/// Daemons repeat reports that are not zero every second; three lost messages in a row
+/// mean that the daemon is gone.
+const USAGE_TIMEOUT: Duration = Duration::from_millis(3500);
 
-/// How long an adapter counts as in use after it was last asked for.
+/// How long an adapter counts as in use after its last request.
 ///
-/// A note of 70 tokens takes about a second; unloading an adapter that is in use
-/// holds up the runner's orders until its runs have ended.
-const ADAPTER_USE: Duration = Duration::from_secs(2);
+/// A response of 70 tokens takes about a second; unloading an adapter that is in use blocks
+/// the runner's orders until its requests have finished.
+const ADAPTER_IN_USE: Duration = Duration::from_secs(2);
 
-/// How long a runner that reports an order in progress is left alone.
-const BUSY_TIME: Duration = Duration::from_millis(200);
+/// How long to wait after a runner reported an order in progress.
+const REPORTED_BUSY_TIME: Duration = Duration::from_millis(200);
 
 /// An adapter on a runner.
 #[derive(Debug, Clone, Copy, PartialEq)]
-struct Slot {
+struct AdapterSlot {
     /// When its load is expected to be complete.
-    ready: Instant,
-    /// When it was last asked for.
-    used: Instant,
-    /// Whether the runner has rejected a request for want of it.
-    missed: bool,
+    ready_at: Instant,
+    /// When it was last requested.
+    last_used: Instant,
+    /// Whether the runner rejected a request because the adapter was missing.
+    reported_missing: bool,
 }
 
-impl Slot {
-    fn new(ready: Instant, used: Instant) -> Self {
-        Self { ready, used, missed: false }
+impl AdapterSlot {
+    fn new(ready_at: Instant, last_used: Instant) -> Self {
+        Self { ready_at, last_used, reported_missing: false }
     }
 }
 
 /// How far a runner is from serving an adapter.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub enum AdapterState {
-    /// It is there.
+    /// It is loaded, or none is needed.
     Ready,
-    /// It is on its way.
+    /// It is being loaded, and ready after this time.
     Loading(Duration),
-    /// It is not there, and a place is free.
+    /// It is not loaded, and a slot is free.
     SlotFree,
-    /// It is not there, and another one that is not in use has to go.
+    /// It is not loaded, and another one that is not in use has to be evicted.
     NeedsEviction,
-    /// It is not there, and all places are in use.
+    /// It is not loaded, and all slots are in use.
     SlotsInUse,
 }
 
-/// What is to be done to have an adapter on a runner.
+/// The next step to make an adapter available on a runner.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum AdapterNeed {
-    /// Nothing; it is there in this time.
+    /// None; it is ready after this time.
     ReadyIn(Duration),
-    /// This order.
+    /// Give this order.
     Order(OrderStep),
-    /// It can't be had: all places are in use.
+    /// It can't be loaded: all slots are in use.
     SlotsInUse,
 }
 
-/// What the holder of a runner's claim knows of it.
+/// The view that the holder of a runner's claim has of the runner.
 #[derive(Debug, Default)]
 pub struct RunnerView {
-    /// What each daemon has in flight there.
-    sums: IndexMap<MemberId, (Usage, Instant)>,
-    adapters: IndexMap<TargetModel, Slot>,
+    /// The last usage report of each daemon, and when it arrived.
+    usage: IndexMap<MemberId, (Usage, Instant)>,
+    adapters: IndexMap<TargetModel, AdapterSlot>,
     models: Vec<ModelName>,
-    /// The model that is being unloaded; requests for it are rejected.
-    leaving: Option<ModelName>,
-    /// The number of orders that the runner has accepted; nothing if unknown.
-    orders: Option<u64>,
-    /// Orders that it is known to have accepted; older reports tell nothing.
-    floor: u64,
+    /// The model that is being unloaded; the runner rejects requests for it.
+    unloading: Option<ModelName>,
+    /// Number of orders that the runner has accepted; `None` if unknown.
+    order_count: Option<u64>,
+    /// Number of orders that it is known to have accepted; reports with a lower number are
+    /// outdated.
+    min_order_count: u64,
     /// Until when an order is expected to be in progress.
-    busy: Option<Instant>,
+    busy_until: Option<Instant>,
     /// Prompts that wait to be sent to the runner.
     pub prefill_queue: PrefillQueue,
-    /// What it has read lately.
+    /// Prompt parts that the runner has probably cached.
     pub prefix_cache: PrefixCache,
 }
 
 impl RunnerView {
-    /// Takes in what a daemon has in flight.
+    /// Updates what a daemon has in flight at the runner.
     pub fn update_usage(&mut self, from: MemberId, usage: Usage, now: Instant) {
         match usage == Usage::default() {
-            true => drop(self.sums.swap_remove(&from)),
-            false => drop(self.sums.insert(from, (usage, now))),
+            true => drop(self.usage.swap_remove(&from)),
+            false => drop(self.usage.insert(from, (usage, now))),
         }
     }
 
-    /// What all daemons have in flight.
+    /// What all daemons together have in flight.
     pub fn total_usage(&self, now: Instant) -> Usage {
-        let fresh = |at: Instant| now.saturating_duration_since(at) < SUM_TIME;
+        let is_current = |at: Instant| now.saturating_duration_since(at) < USAGE_TIMEOUT;
         let mut total = Usage::default();
-        for (usage, at) in self.sums.values() {
-            if fresh(*at) {
+        for (usage, at) in self.usage.values() {
+            if is_current(*at) {
                 total += *usage;
             }
         }
         total
     }
 
-    /// Takes in a report; returns whether it tells what the runner holds now.
+    /// Applies a report; returns whether it shows what the runner holds now.
     ///
-    /// Reports are some hundred milliseconds old. One from before the last order
-    /// shows models that are gone and memory that is taken: loading by it would
-    /// crash the runner.
+    /// Reports are some hundred milliseconds old. One from before the last order lists
+    /// models that are gone and omits memory that is taken; a load based on it would crash
+    /// the runner.
     pub fn apply_report(&mut self, report: &EngineReport, now: Instant) -> bool {
-        if report.orders < self.floor {
+        if report.orders < self.min_order_count {
             return false;
         }
-        self.floor = report.orders;
+        self.min_order_count = report.orders;
         if report.busy {
-            // A model on its way is not among those that the report lists.
-            self.busy = Some(now + BUSY_TIME);
+            // The report does not list a model that is being loaded.
+            self.busy_until = Some(now + REPORTED_BUSY_TIME);
             return false;
         }
-        self.orders = Some(report.orders);
-        self.busy = None;
-        self.leaving = None;
-        self.learn_models(&report.models, now);
+        self.order_count = Some(report.orders);
+        self.busy_until = None;
+        self.unloading = None;
+        self.apply_models(&report.models, now);
         for (model, adapter) in &report.coming {
-            let slot = Slot::new(now, now);
+            let slot = AdapterSlot::new(now, now);
             self.adapters.entry(target(model, adapter)).or_insert(slot);
         }
         true
     }
 
-    /// Takes in which models and adapters the runner holds.
-    fn learn_models(&mut self, held: &[HeldModel], now: Instant) {
+    fn apply_models(&mut self, held: &[HeldModel], now: Instant) {
         self.models = held.iter().map(|held| held.model.clone()).collect();
         let mut adapters = IndexMap::new();
         for model in held {
             for adapter in &model.adapters {
                 let target = target(&model.model, adapter);
-                let known = self.adapters.get(&target).copied();
-                let used = known.map_or(now, |slot| slot.used);
-                let ready = known.map_or(now, |slot| slot.ready);
-                adapters.insert(target, Slot::new(ready, used));
+                let previous = self.adapters.get(&target).copied();
+                let last_used = previous.map_or(now, |slot| slot.last_used);
+                let ready_at = previous.map_or(now, |slot| slot.ready_at);
+                adapters.insert(target, AdapterSlot::new(ready_at, last_used));
             }
         }
         self.adapters = adapters;
     }
 
-    /// Forgets what is known of the runner's orders, after an answer that does not
-    /// fit or was lost.
+    /// Forgets the order count, after a response to an order was lost or unexpected.
     pub fn forget_order_count(&mut self) {
-        self.orders = None;
+        self.order_count = None;
     }
 
-    /// The number of orders that the runner has accepted.
+    /// Number of orders that the runner has accepted; `None` if unknown.
     pub fn order_count(&self) -> Option<u64> {
-        self.orders
+        self.order_count
     }
 
-    /// The models that the runner holds.
+    /// The models that the runner holds, including one that is being loaded or unloaded.
     pub fn models(&self) -> &[ModelName] {
         &self.models
     }
 
     /// Whether a model is being unloaded.
     pub fn is_unloading(&self, model: &ModelName) -> bool {
-        self.leaving.as_ref() == Some(model)
+        self.unloading.as_ref() == Some(model)
     }
 
-    /// The tokens that the runner has to read of a prompt.
-    pub fn uncached_tokens(&self, want: &GenerationRequest) -> u32 {
-        let kept = self.prefix_cache.cached_tokens(&want.target, &want.parts);
-        want.size.prompt.saturating_sub(kept)
+    /// Prompt tokens of a request that the runner has to prefill.
+    pub fn uncached_tokens(&self, request: &GenerationRequest) -> u32 {
+        let cached = self.prefix_cache.cached_tokens(&request.target, &request.parts);
+        request.size.prompt.saturating_sub(cached)
     }
 
-    /// How long the runner takes to read a prompt.
+    /// Estimated time that the runner takes to prefill a request's prompt.
     pub fn prefill_time(
         &self,
-        want: &GenerationRequest,
-        speeds: &EngineTimings,
+        request: &GenerationRequest,
+        timings: &EngineTimings,
     ) -> Duration {
-        speeds.prefill_time(&want.target.model, self.uncached_tokens(want))
+        timings.prefill_time(&request.target.model, self.uncached_tokens(request))
     }
 
-    /// How long an order is expected to be in progress.
+    /// How much longer an order is expected to be in progress.
     pub fn order_time_left(&self, now: Instant) -> Duration {
-        self.busy.map_or(Duration::ZERO, |until| until.saturating_duration_since(now))
+        self.busy_until
+            .map_or(Duration::ZERO, |until| until.saturating_duration_since(now))
     }
 
-    /// Takes in that the runner has accepted an order that takes `time`.
+    /// Records that the runner accepted an order that takes `time`.
     pub fn record_accepted(&mut self, step: &OrderStep, time: Duration, now: Instant) {
-        self.orders = self.orders.map(|orders| orders + 1);
-        self.floor = self.orders.unwrap_or(self.floor);
+        self.order_count = self.order_count.map(|orders| orders + 1);
+        self.min_order_count = self.order_count.unwrap_or(self.min_order_count);
         match step {
             OrderStep::Load(model) => {
-                self.busy = Some(now + time);
+                self.busy_until = Some(now + time);
                 self.models.push(model.clone());
             }
-            // The model keeps its memory until its runs have ended.
+            // The model keeps its memory until its requests have finished.
             OrderStep::Unload(model) => {
-                self.busy = Some(now + time);
-                self.leaving = Some(model.clone());
+                self.busy_until = Some(now + time);
+                self.unloading = Some(model.clone());
             }
             OrderStep::LoadAdapter(model, adapter) => {
-                let slot = Slot::new(now + time, now);
+                let slot = AdapterSlot::new(now + time, now);
                 self.adapters.insert(target(model, adapter), slot);
             }
             OrderStep::UnloadAdapter(..) => {}
         }
     }
 
-    /// Takes in that what was ordered holds.
+    /// Records that the result of an order is in force.
     pub fn record_in_force(&mut self, step: &OrderStep, now: Instant) {
         match step {
             OrderStep::Load(model) if !self.models.contains(model) => {
@@ -234,59 +233,59 @@
                 self.adapters.retain(|target, _| target.model != *model);
             }
             OrderStep::LoadAdapter(model, adapter) => {
-                let slot = Slot::new(now, now);
+                let slot = AdapterSlot::new(now, now);
                 self.adapters.insert(target(model, adapter), slot);
             }
-            // An adapter that nothing uses is dropped at once, by an accepted order.
+            // An unused adapter is dropped at once, by an accepted order.
             OrderStep::UnloadAdapter(model, adapter) => {
                 self.adapters.swap_remove(&target(model, adapter));
-                self.orders = self.orders.map(|orders| orders + 1);
-                self.floor = self.orders.unwrap_or(self.floor);
+                self.order_count = self.order_count.map(|orders| orders + 1);
+                self.min_order_count = self.order_count.unwrap_or(self.min_order_count);
             }
         }
     }
 
-    /// Takes note that a request for an adapter is sent.
+    /// Records that a request for an adapter is sent.
     pub fn mark_adapter_used(&mut self, target: &TargetModel, now: Instant) {
         if let Some(slot) = self.adapters.get_mut(target) {
-            slot.used = now;
+            slot.last_used = now;
         }
     }
 
-    /// Takes note that the runner has rejected a request for want of an adapter that it was
-    /// thought to have.
+    /// Records that the runner rejected a request because an adapter that this view lists
+    /// was missing.
     ///
-    /// It may be on its way there, so that its place counts as taken until an order or a
-    /// report tells. Counted as free while no order could be given, the next adapter went
-    /// beyond what the runner holds, and the runner crashed.
+    /// The adapter may still be loading, so its slot counts as taken until an order or a
+    /// report settles it. If it counted as free while no order can be given, the next
+    /// adapter would exceed the runner's slots and crash it.
     pub fn mark_adapter_missing(&mut self, target: &TargetModel) {
         if let Some(slot) = self.adapters.get_mut(target) {
-            slot.missed = true;
+            slot.reported_missing = true;
         }
     }
 
-    /// How far the runner is from serving an adapter; it has `places` in all.
+    /// How far the runner, which has `slots` adapter slots, is from serving an adapter.
     pub fn adapter_state(
         &self,
         target: &TargetModel,
-        places: usize,
+        slots: usize,
         now: Instant,
     ) -> AdapterState {
         if target.adapter.is_none() {
             return AdapterState::Ready;
         }
         if let Some(slot) = self.adapters.get(target) {
-            if slot.missed {
-                // Its own place is there for it.
+            if slot.reported_missing {
+                // Its own slot is reserved for it.
                 return AdapterState::SlotFree;
             }
-            let left = slot.ready.saturating_duration_since(now);
+            let left = slot.ready_at.saturating_duration_since(now);
             return match left.is_zero() {
                 true => AdapterState::Ready,
                 false => AdapterState::Loading(left),
             };
         }
-        if self.adapters.len() < places {
+        if self.adapters.len() < slots {
             return AdapterState::SlotFree;
         }
         match self.eviction_candidate(now) {
@@ -295,17 +294,18 @@
         }
     }
 
-    /// What is to be done to have an adapter; the runner has `places` in all.
+    /// The next step to make an adapter available on the runner, which has `slots` adapter
+    /// slots.
     pub fn adapter_need(
         &self,
         target: &TargetModel,
-        places: usize,
+        slots: usize,
         now: Instant,
     ) -> AdapterNeed {
         let Some(adapter) = target.adapter.clone() else {
             return AdapterNeed::ReadyIn(Duration::ZERO);
         };
-        match self.adapter_state(target, places, now) {
+        match self.adapter_state(target, slots, now) {
             AdapterState::Ready => AdapterNeed::ReadyIn(Duration::ZERO),
             AdapterState::Loading(left) => AdapterNeed::ReadyIn(left),
             AdapterState::SlotFree => {
@@ -313,16 +313,16 @@
                 AdapterNeed::Order(step)
             }
             AdapterState::NeedsEviction | AdapterState::SlotsInUse => {
-                let victim = self.eviction_candidate(now).cloned();
-                let step = victim.and_then(|victim| {
-                    Some(OrderStep::UnloadAdapter(victim.model, victim.adapter?))
+                let evicted = self.eviction_candidate(now).cloned();
+                let step = evicted.and_then(|evicted| {
+                    Some(OrderStep::UnloadAdapter(evicted.model, evicted.adapter?))
                 });
                 step.map_or(AdapterNeed::SlotsInUse, AdapterNeed::Order)
             }
         }
     }
 
-    /// Whether a model fits beside what the runner holds or has on its way.
+    /// Whether a model fits beside those that the runner holds or is loading.
     pub fn fits(&self, model: &ModelName, engine: &Engine) -> bool {
         let size = |name: &ModelName| engine.models.get(name).map(|m| m.weights_mb);
         let held: Option<f64> = self.models.iter().map(size).sum();
@@ -330,16 +330,18 @@
             (Some(held), Some(size)) => {
                 held + size + engine.adapter_reserve() <= engine.memory_mb
             }
-            // A model of unknown size may take any room.
+            // A model of unknown size may take all of the memory.
             _ => false,
         }
     }
 
-    /// The adapter that was not asked for the longest, if it is not in use.
+    /// The least recently used adapter, if it is not in use.
     pub fn eviction_candidate(&self, now: Instant) -> Option<&TargetModel> {
-        let idle = |slot: &Slot| now.saturating_duration_since(slot.used) >= ADAPTER_USE;
-        let oldest = self.adapters.iter().min_by_key(|(_, slot)| slot.used)?;
-        idle(oldest.1).then_some(oldest.0)
+        let is_idle = |slot: &AdapterSlot| {
+            now.saturating_duration_since(slot.last_used) >= ADAPTER_IN_USE
+        };
+        let oldest = self.adapters.iter().min_by_key(|(_, slot)| slot.last_used)?;
+        is_idle(oldest.1).then_some(oldest.0)
     }
 }
 
