--- a/crates/pool/src/budget.rs
+++ b/crates/pool/src/budget.rs
@@ -1,88 +1,88 @@
-//! How often requests are sent again.
+//! Bounds how often requests are retried.
 //!
-//! Load pattern: servers of a service reject or fail many requests at once, and
-//! each repeat adds to the load that made them fail. Without a bound every
-//! request arrives as often as its deadline allows. The operators' bound holds for
-//! the sum over all daemons, in any window; each daemon keeps to its own share,
-//! which needs no message and holds when daemons can't reach each other.
+//! Load pattern: servers of a service reject or fail many requests at once, and each retry
+//! adds to the load that made them fail. Without a bound every request is sent as often as
+//! its deadline allows. The operators' bound holds for the sum over all daemons, in any
+//! window; each daemon keeps to its own share, which needs no messages and holds when
+//! daemons can't reach each other.
 //!
-//! A daemon that has just started does not know what the process before it on its VM
-//! has spent. All daemons that are killed and start again would spend the slack twice in
-//! a window; for as long as a window lasts a new one therefore has only that part of the
-//! slack which the one before it did not plan with.
+//! A daemon that has just started does not know how many retries the previous process on
+//! its VM made. If all daemons were killed and restarted, they would spend the slack twice
+//! within a window; for the length of a window a new daemon therefore uses only the part
+//! of the slack that the previous one did not plan with.
 
 use std::collections::VecDeque;
 use std::time::{Duration, Instant};
 
-/// The operators' bound on repeats, for one service over all daemons.
+/// The operators' bound on the retries for one service, over all daemons.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct RetryBound {
-    /// Repeats for each request.
+    /// Retries allowed for each request.
     pub ratio: f64,
-    /// Repeats besides.
+    /// Retries allowed in addition.
     pub slack: f64,
     /// The window in which both are counted.
     pub window: Duration,
 }
 
-/// The part of the bound that daemons plan with.
+/// Share of the bound that daemons plan with.
 ///
-/// Arrivals are counted where they arrive, some milliseconds after they were sent,
-/// and the number of daemons may be known late.
-const SAFETY: f64 = 0.8;
+/// Requests are counted at the server, some milliseconds after they were sent, and a change
+/// in the number of daemons may be noticed late.
+const PLANNED_SHARE: f64 = 0.8;
 
-/// A daemon's own share of the repeats for one service.
+/// A daemon's share of the retries for one service.
 #[derive(Debug)]
 pub struct RetryBudget {
     /// When the daemon started.
     started: Instant,
     requests: VecDeque<Instant>,
-    repeats: VecDeque<Instant>,
+    retries: VecDeque<Instant>,
 }
 
 impl RetryBudget {
     /// Creates the budget of a daemon that started at this time.
     pub fn new(started: Instant) -> Self {
-        Self { started, requests: VecDeque::new(), repeats: VecDeque::new() }
+        Self { started, requests: VecDeque::new(), retries: VecDeque::new() }
     }
 
-    /// Takes note of a request for the service.
+    /// Records a request for the service.
     ///
-    /// What is older than `window` is forgotten here too: a service that fails nothing
-    /// has no repeats for years, and would fill the memory with its requests.
+    /// This also removes what is older than `window`: a service without failures has no
+    /// retries for years, and its requests would fill the memory.
     pub fn record_request(&mut self, window: Duration, now: Instant) {
-        self.forget(window, now);
+        self.remove_expired(window, now);
         self.requests.push_back(now);
     }
 
-    /// How many requests and repeats are remembered.
+    /// Number of requests and retries that are held in memory.
     pub fn tracked(&self) -> usize {
-        self.requests.len() + self.repeats.len()
+        self.requests.len() + self.retries.len()
     }
 
-    /// Takes a repeat out of the budget, if there is one.
+    /// Takes a retry out of the budget; returns whether there was one.
     ///
-    /// `daemons` share the slack; while their number is not known there is none.
+    /// All `daemons` share the slack; while their number is unknown there is none.
     pub fn try_take(
         &mut self,
         bound: RetryBound,
         daemons: Option<usize>,
         now: Instant,
     ) -> bool {
-        self.forget(bound.window, now);
+        self.remove_expired(bound.window, now);
         let share = daemons.map_or(0.0, |daemons| bound.slack / daemons.max(1) as f64);
-        let new = now.saturating_duration_since(self.started) < bound.window;
-        let slack = share * if new { 1.0 - SAFETY } else { SAFETY };
-        let limit = self.requests.len() as f64 * bound.ratio * SAFETY + slack;
-        let granted = (self.repeats.len() as f64) < limit.floor();
+        let is_new = now.saturating_duration_since(self.started) < bound.window;
+        let slack = share * if is_new { 1.0 - PLANNED_SHARE } else { PLANNED_SHARE };
+        let limit = self.requests.len() as f64 * bound.ratio * PLANNED_SHARE + slack;
+        let granted = (self.retries.len() as f64) < limit.floor();
         if granted {
-            self.repeats.push_back(now);
+            self.retries.push_back(now);
         }
         granted
     }
 
-    fn forget(&mut self, window: Duration, now: Instant) {
-        for times in [&mut self.requests, &mut self.repeats] {
+    fn remove_expired(&mut self, window: Duration, now: Instant) {
+        for times in [&mut self.requests, &mut self.retries] {
             while times.front().is_some_and(|&at| now.duration_since(at) > window) {
                 times.pop_front();
             }
--- a/crates/pool/src/health.rs
+++ b/crates/pool/src/health.rs
@@ -1,89 +1,90 @@
-//! How far a server's recent answers can be trusted.
+//! Tracks recent failures of a server.
 //!
-//! Load pattern: a server fails part of its requests or all of them while the
-//! registry still lists it as ready; it crashed, is cut off, or answers errors.
-//! Without this module it answers fastest, looks idle and draws the traffic of the
-//! whole pool. A failure raises a penalty that decays with time, so that a server
-//! is asked again little by little; one that can't be connected to is left alone
-//! for a pause that doubles.
+//! Load pattern: a server fails some or all of its requests while the registry still lists
+//! it as ready; it crashed, is disconnected, or responds with errors. Without tracking, it
+//! responds fastest, looks idle and attracts the traffic of the whole pool. A failure
+//! raises a penalty that decays with time, so that the server gets requests again little
+//! by little; after a failed connection it gets none until a backoff has passed, which
+//! doubles with each further one.
 
 use std::time::{Duration, Instant};
 
-/// The first pause after a failed connection.
+/// Backoff after the first failed connection.
 ///
-/// A server that crashed is back after some seconds; the pause only has to keep
-/// the requests of one burst away from it.
-const FIRST_PAUSE: Duration = Duration::from_millis(200);
+/// A crashed server is back after some seconds; the backoff only has to keep the requests
+/// of one burst away from it.
+const MIN_CONNECT_BACKOFF: Duration = Duration::from_millis(200);
 
-/// The longest pause after failed connections.
+/// Longest backoff after failed connections.
 ///
-/// A second bounds how long a server that is back stays unused.
-const LAST_PAUSE: Duration = Duration::from_secs(1);
+/// It bounds how long a server that is back stays unused.
+const MAX_CONNECT_BACKOFF: Duration = Duration::from_secs(1);
 
-/// The time in which a penalty halves.
+/// Half-life of a penalty.
 ///
-/// Two seconds let a server that fails half of its requests keep about a tenth of
-/// its share, and one that has recovered be back at half of it after four.
-const HALF_LIFE: Duration = Duration::from_secs(2);
+/// With two seconds, a server that fails half of its requests keeps about a tenth of its
+/// share, and one that has recovered is back at half of it after four.
+const PENALTY_HALF_LIFE: Duration = Duration::from_secs(2);
 
-/// How long a failed connection counts as news.
-const UNREACHABLE: Duration = Duration::from_millis(1500);
+/// How long a failed connection counts as recent.
+const UNREACHABLE_TIME: Duration = Duration::from_millis(1500);
 
-/// The greatest penalty.
-const LIMIT: f64 = 8.0;
+/// Largest penalty.
+const MAX_PENALTY: f64 = 8.0;
 
-/// How far a server's recent answers can be trusted.
+/// Recent failures of a server.
 #[derive(Debug, Clone, Copy, Default)]
 pub struct Health {
-    /// Recent failures, as of `at`; decays.
+    /// Number of recent failures as of `updated_at`; decays.
     penalty: f64,
-    at: Option<Instant>,
+    updated_at: Option<Instant>,
     /// Failed connections in a row.
-    refused: u32,
-    /// Until when the server is left alone.
-    blocked: Option<Instant>,
+    failed_connections: u32,
+    /// End of the backoff.
+    backoff_until: Option<Instant>,
     /// When a connection failed last.
-    refused_at: Option<Instant>,
+    last_connection_failure: Option<Instant>,
 }
 
 impl Health {
-    /// Takes note of an answer.
+    /// Records a response without a failure.
     pub fn record_success(&mut self, now: Instant) {
-        self.refused = 0;
-        self.blocked = None;
+        self.failed_connections = 0;
+        self.backoff_until = None;
         self.penalty = self.penalty(now) * 0.9;
-        self.at = Some(now);
+        self.updated_at = Some(now);
     }
 
-    /// Takes note of an answer that failed or broke off.
+    /// Records a response that was an error, broke off or did not come.
     pub fn record_failure(&mut self, now: Instant) {
-        self.penalty = (self.penalty(now) + 1.0).min(LIMIT);
-        self.at = Some(now);
+        self.penalty = (self.penalty(now) + 1.0).min(MAX_PENALTY);
+        self.updated_at = Some(now);
     }
 
-    /// Takes note of a connection that could not be opened.
+    /// Records a connection that could not be opened.
     pub fn record_connection_failure(&mut self, now: Instant) {
-        let pause = FIRST_PAUSE * (1 << self.refused.min(4));
-        self.refused += 1;
-        self.refused_at = Some(now);
-        self.blocked = Some(now + pause.min(LAST_PAUSE));
+        let backoff = MIN_CONNECT_BACKOFF * (1 << self.failed_connections.min(4));
+        self.failed_connections += 1;
+        self.last_connection_failure = Some(now);
+        self.backoff_until = Some(now + backoff.min(MAX_CONNECT_BACKOFF));
     }
 
-    /// Whether the server may be sent to.
+    /// Whether no backoff is in effect.
     pub fn allows_requests(&self, now: Instant) -> bool {
-        self.blocked.is_none_or(|until| now >= until)
+        self.backoff_until.is_none_or(|until| now >= until)
     }
 
-    /// Whether connections failed lately and none was answered since.
+    /// Whether a connection failed recently and no response has arrived since.
     pub fn is_unreachable(&self, now: Instant) -> bool {
-        let lately = |at: Instant| now.saturating_duration_since(at) < UNREACHABLE;
-        self.refused > 0 && self.refused_at.is_some_and(lately)
+        let is_recent =
+            |at: Instant| now.saturating_duration_since(at) < UNREACHABLE_TIME;
+        self.failed_connections > 0 && self.last_connection_failure.is_some_and(is_recent)
     }
 
-    /// The number of recent failures.
+    /// The number of recent failures, decayed.
     pub fn penalty(&self, now: Instant) -> f64 {
-        let Some(at) = self.at else { return 0.0 };
+        let Some(at) = self.updated_at else { return 0.0 };
         let age = now.saturating_duration_since(at).as_secs_f64();
-        self.penalty * 0.5f64.powf(age / HALF_LIFE.as_secs_f64())
+        self.penalty * 0.5f64.powf(age / PENALTY_HALF_LIFE.as_secs_f64())
     }
 }
--- a/crates/pool/src/timing.rs
+++ b/crates/pool/src/timing.rs
@@ -1,20 +1,22 @@
-//! How fast a service's runners work, learnt from their answers.
+//! Learns the speed of a service's engines from their responses.
 //!
-//! Runners don't say how fast they are, and models differ threefold. Sent faster than they
-//! are read, prompts pile up at the engine, which then reads several at a time and makes
-//! all of its streams pause. A line through times of first events over prompt lengths gives
-//! the time for each token, whatever else a first event takes. Until a few prompts of a
-//! model were read, it is expected to be as others have learnt, or like other models.
+//! Runners don't report their speed, and models differ threefold. If prompts are sent
+//! faster than the engine prefills them, they pile up there, several are prefilled at a
+//! time, and the event gaps of all streams grow. A line fitted to times of first events
+//! over prompt lengths gives the time for each token, whatever else a first event takes.
+//! Until a few prompts of a model were prefilled, it is expected to be as other daemons
+//! have learned, or like other models.
 //!
-//! The time of a step is learnt from the pauses between events, and how long requests stay
-//! at a runner from when they end.
+//! The duration of a step is learned from the gaps between events, and the service time
+//! from finished requests.
 //!
-//! Only prompts that the engine was free for teach anything, and of those only the ones
-//! whose kept parts are known. A prompt that waited at the engine has its first event late
-//! whatever its length, and one of which the engine keeps more than is known has it early;
-//! both make reading look faster than it is, so that more is sent, more waits, and reading
-//! looks faster still. Learnt from all prompts while daemons restarted one after another,
-//! an eighth of the streams paused too long; learnt from these a twenty-fifth.
+//! Only prompts that found the engine idle are samples, and of those only the ones whose
+//! cached parts are known. The first event of a prompt that waited at the engine is late
+//! whatever its length, and that of a prompt with more cached parts than known is early;
+//! both make prefill look faster than it is, so more prompts are sent, more of them wait,
+//! and prefill looks faster still. With samples from all prompts during a rolling restart
+//! of the daemons, an eighth of the streams had too long gaps; with these samples a
+//! twenty-fifth.
 
 use std::time::Duration;
 
@@ -23,82 +25,88 @@
 use serde::{Deserialize, Serialize};
 use serde_with::{DurationMicroSeconds, serde_as};
 
-/// The time for a token that is assumed at first, in milliseconds.
+/// Prefill time for a token that is assumed at first, in milliseconds.
 ///
-/// On the slow side: prompts wait somewhat longer until the first ones have been read.
-const FIRST_GUESS: f64 = 1.0 / 17.0;
+/// It is on the slow side: prompts wait somewhat longer until the first ones have been
+/// prefilled.
+const INITIAL_TOKEN_MS: f64 = 1.0 / 17.0;
 
-/// The length at which a prompt takes twice the time for each token.
+/// Prompt length at which the prefill time for each token is twice that of a short prompt.
 ///
-/// Each token is compared with all before it; for prompts of 4,000 tokens this makes
-/// up an eighth to a fifth of the time.
-const DOUBLE_AT: f64 = 25_000.0;
+/// Attention compares each token with all tokens before it; for prompts of 4,000 tokens
+/// this makes up an eighth to a fifth of the time.
+const DOUBLE_COST_TOKENS: f64 = 25_000.0;
 
-/// The least and the greatest time for a token that is believed, in milliseconds.
-const BOUNDS: (f64, f64) = (1.0 / 100.0, 1.0 / 5.0);
+/// Smallest and largest plausible prefill time for a token, in milliseconds.
+const TOKEN_MS_RANGE: (f64, f64) = (1.0 / 100.0, 1.0 / 5.0);
 
-/// The time of a step that is assumed at first.
-const FIRST_STEP: Duration = Duration::from_millis(10);
+/// Duration of a step that is assumed at first.
+const INITIAL_STEP_TIME: Duration = Duration::from_millis(10);
 
-/// The shortest and the longest step that another daemon is believed.
-const STEPS: (Duration, Duration) = (Duration::from_micros(200), Duration::from_secs(1));
+/// Smallest and largest step duration that is accepted from another daemon.
+const STEP_TIME_RANGE: (Duration, Duration) =
+    (Duration::from_micros(200), Duration::from_secs(1));
 
-/// The longest mean stay that another daemon is believed.
-const LONGEST_STAY: Duration = Duration::from_secs(600);
+/// Largest mean service time that is accepted from another daemon.
+const MAX_SERVICE_TIME: Duration = Duration::from_secs(600);
 
-/// The part of pauses between events that are taken to hold nothing but steps; in the
-/// others the engine has read prompts as well.
-const BARE_PART: f64 = 0.3;
+/// Quantile of the gaps between events that is taken for steps without prefill; in longer
+/// gaps the engine has prefilled prompts as well.
+const STEP_QUANTILE: f64 = 0.3;
 
-/// How much longer steps are planned than they are in the mean: they grow with the streams
-/// that run and with their length.
-const FULL_STEP: f64 = 1.2;
+/// Factor on the learned step duration, since steps grow with the number and the length of
+/// the running streams.
+const STEP_TIME_MARGIN: f64 = 1.2;
 
-/// By which part a pause moves the step that is believed.
+/// Relative change of the learned step duration by one gap.
 const STEP_GAIN: f64 = 0.02;
 
-/// Shorter pauses are of events that arrived together.
-const LEAST_PAUSE: Duration = Duration::from_millis(1);
+/// Shorter gaps are between events that arrived together, and are ignored.
+const MIN_EVENT_GAP: Duration = Duration::from_millis(1);
 
-/// How long a request is assumed to stay at its runner at first.
-const FIRST_STAY: Duration = Duration::from_secs(3);
+/// Mean service time that is assumed at first.
+const INITIAL_SERVICE_TIME: Duration = Duration::from_secs(3);
 
-/// By which part a request that ended moves the mean stay that is believed.
-const STAY_GAIN: f64 = 0.02;
+/// Weight of one request in the moving average of the service time.
+const SERVICE_TIME_GAIN: f64 = 0.02;
 
-/// What a first event is assumed to take besides reading at first, in milliseconds.
+/// Time of a first event besides prefill that is assumed at first, in milliseconds.
 ///
-/// The way there and back and the step that runs take 15; engines add nothing or up to
-/// 80. Assumed too short, each first event makes the engine look as if it were behind,
-/// and prompts wait for nothing: with 0 the slowest hundredth of first events took 5 s
+/// The network round trip and the running step take 15; engines add nothing or up to 80.
+/// If the assumption is too short, each first event makes the engine look behind and
+/// prompts wait without need: with 0 the slowest hundredth of first events took 5 s
 /// instead of one.
-const FIRST_BASE: f64 = 50.0;
+const INITIAL_OVERHEAD_MS: f64 = 50.0;
 
-/// The lengths at which an expectation counts, and how many samples it counts for: the
-/// first guess, what was learnt from other models, and what was learnt before of the same.
-const EXPECTED_AT: [f64; 2] = [200.0, 2200.0];
-const GUESS_WEIGHT: f64 = 1.0;
-const OTHERS_WEIGHT: f64 = 2.0;
-const KNOWN_WEIGHT: f64 = 5.0;
+/// Prompt lengths at which an expectation is added to a line as samples.
+const EXPECTED_AT_TOKENS: [f64; 2] = [200.0, 2200.0];
 
-/// From how many samples on a line is worth telling.
-const TOLD_FROM: f64 = 12.0;
+/// Number of samples that an expectation counts for: the initial assumption, timings of
+/// other models, and timings of the same model from other daemons.
+const INITIAL_WEIGHT: f64 = 1.0;
+const OTHER_MODELS_WEIGHT: f64 = 2.0;
+const SHARED_WEIGHT: f64 = 5.0;
 
-/// By how much a time has to change to be worth telling again.
-const TOLD_CHANGE: f64 = 0.1;
+/// Number of samples from which on a line is shared with other daemons.
+const MIN_SHARED_WEIGHT: f64 = 12.0;
 
-/// By how much first events vary at least beside their prompts' length, in milliseconds.
-const LEAST_NOISE: f64 = 8.0;
+/// Relative change of a time that is worth sharing.
+const SHARED_CHANGE: f64 = 0.1;
 
-/// Models that are told of, at most.
-const TOLD_MODELS: usize = 256;
+/// Smallest standard deviation of first event times around the line, in milliseconds.
+const MIN_NOISE_MS: f64 = 8.0;
 
-/// How much of a sample's weight is left when the next one comes.
-const FADE: f64 = 0.99;
+/// Largest number of models that are shared.
+const MAX_SHARED_MODELS: usize = 256;
 
-/// A weighted line through samples.
+/// Share of a sample's weight that is left when the next one is added.
+const SAMPLE_DECAY: f64 = 0.99;
+
+/// A weighted linear regression of first event times over prompt lengths.
+///
+/// Holds the weighted sums; the oldest samples weigh least.
 #[derive(Debug, Clone, Copy)]
-struct Line {
+struct Regression {
     weight: f64,
     tokens: f64,
     time: f64,
@@ -107,8 +115,8 @@
     time_squared: f64,
 }
 
-impl Line {
-    /// Starts with what is expected, which counts for so many samples.
+impl Regression {
+    /// Starts with an expectation that counts for `weight` samples.
     fn new(expected: PrefillTiming, weight: f64) -> Self {
         let zero = Self {
             weight: 0.0,
@@ -118,7 +126,7 @@
             product: 0.0,
             time_squared: 0.0,
         };
-        let expect = |line: Self, tokens: f64| {
+        let add_expected = |line: Self, tokens: f64| {
             line.with(
                 tokens,
                 tokens * expected.token_ms + expected.overhead_ms,
@@ -126,102 +134,105 @@
                 1.0,
             )
         };
-        EXPECTED_AT.into_iter().fold(zero, expect)
+        EXPECTED_AT_TOKENS.into_iter().fold(zero, add_expected)
     }
 
-    fn reading(&self) -> PrefillTiming {
-        PrefillTiming { token_ms: self.slope(), overhead_ms: self.base() }
+    fn timing(&self) -> PrefillTiming {
+        PrefillTiming { token_ms: self.slope(), overhead_ms: self.intercept() }
     }
 
-    fn with(self, tokens: f64, time: f64, weight: f64, fade: f64) -> Self {
+    /// Adds a sample after multiplying the weight of earlier ones by `decay`.
+    fn with(self, tokens: f64, time: f64, weight: f64, decay: f64) -> Self {
         Self {
-            weight: self.weight * fade + weight,
-            tokens: self.tokens * fade + weight * tokens,
-            time: self.time * fade + weight * time,
-            tokens_squared: self.tokens_squared * fade + weight * tokens * tokens,
-            product: self.product * fade + weight * tokens * time,
-            time_squared: self.time_squared * fade + weight * time * time,
+            weight: self.weight * decay + weight,
+            tokens: self.tokens * decay + weight * tokens,
+            time: self.time * decay + weight * time,
+            tokens_squared: self.tokens_squared * decay + weight * tokens * tokens,
+            product: self.product * decay + weight * tokens * time,
+            time_squared: self.time_squared * decay + weight * time * time,
         }
     }
 
-    /// The time for a token, in milliseconds.
+    /// Prefill time for a token, in milliseconds.
     fn slope(&self) -> f64 {
-        let (least, most) = BOUNDS;
+        let (min, max) = TOKEN_MS_RANGE;
         match self.variance() {
-            variance if variance > 0.0 => {
-                (self.covariance() / variance).clamp(least, most)
-            }
-            _ => FIRST_GUESS,
+            variance if variance > 0.0 => (self.covariance() / variance).clamp(min, max),
+            _ => INITIAL_TOKEN_MS,
         }
     }
 
-    /// The time for a token that is planned with: longer by its standard error.
-    fn cautious(&self) -> f64 {
-        let (_, most) = BOUNDS;
-        (self.slope() + self.error()).min(most)
+    /// The slope plus its standard error, in milliseconds.
+    fn cautious_slope(&self) -> f64 {
+        let (_, max) = TOKEN_MS_RANGE;
+        (self.slope() + self.standard_error()).min(max)
     }
 
-    /// The standard error of the time for a token, in milliseconds.
-    fn error(&self) -> f64 {
+    /// Standard error of the slope, in milliseconds.
+    fn standard_error(&self) -> f64 {
         let variance = self.variance();
         if variance <= 0.0 {
             return 0.0;
         }
         let mean = self.time / self.weight;
-        let times = self.time_squared / self.weight - mean * mean;
+        let time_variance = self.time_squared / self.weight - mean * mean;
         let explained = self.slope() * self.covariance() / (self.weight * self.weight);
-        let noise = (times - explained).max(LEAST_NOISE * LEAST_NOISE);
+        let noise = (time_variance - explained).max(MIN_NOISE_MS * MIN_NOISE_MS);
         (noise * self.weight / variance).sqrt()
     }
 
+    /// Variance of the prompt lengths, times the squared weight.
     fn variance(&self) -> f64 {
         self.tokens_squared * self.weight - self.tokens * self.tokens
     }
 
+    /// Covariance of prompt lengths and times, times the squared weight.
     fn covariance(&self) -> f64 {
         self.product * self.weight - self.tokens * self.time
     }
 }
 
-impl Line {
-    /// The time that a first event takes besides reading, in milliseconds.
-    fn base(&self) -> f64 {
+impl Regression {
+    /// Time of a first event besides prefill, in milliseconds.
+    fn intercept(&self) -> f64 {
         let (tokens, time) = (self.tokens / self.weight, self.time / self.weight);
         (time - tokens * self.slope()).max(0.0)
     }
 }
 
-/// How fast prompts are read.
+/// How long an engine takes to the first event of a prompt.
 #[derive(Debug, Clone, Copy, PartialEq, Serialize, Deserialize)]
 pub struct PrefillTiming {
-    /// The time for a token, in milliseconds.
+    /// Prefill time for a token of a short prompt, in milliseconds.
     #[serde(rename = "token")]
     pub token_ms: f64,
-    /// What a first event takes besides, in milliseconds.
+    /// Time of a first event besides prefill, in milliseconds.
     #[serde(rename = "base")]
     pub overhead_ms: f64,
 }
 
 impl PrefillTiming {
-    const GUESS: Self = Self { token_ms: FIRST_GUESS, overhead_ms: FIRST_BASE };
+    const INITIAL: Self =
+        Self { token_ms: INITIAL_TOKEN_MS, overhead_ms: INITIAL_OVERHEAD_MS };
 
-    fn differs(self, other: Self) -> bool {
-        (self.token_ms - other.token_ms).abs() > TOLD_CHANGE * other.token_ms
+    fn differs_from(self, other: Self) -> bool {
+        (self.token_ms - other.token_ms).abs() > SHARED_CHANGE * other.token_ms
     }
 }
 
-/// What was learnt of a service's runners, for daemons that have learnt nothing yet.
+/// Timings of a service's engines that daemons share, for those that have none of their
+/// own.
 #[serde_as]
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(default)]
 pub struct LearnedTimings {
-    /// How fast prompts of each model are read.
+    /// Models with enough samples.
     pub models: IndexMap<ModelName, PrefillTiming>,
-    /// The time of a step beside what is read in it.
+    /// Duration of a step without prefill.
     #[serde_as(as = "DurationMicroSeconds<u64>")]
     #[serde(rename = "step")]
     pub step_time: Duration,
-    /// How long requests stay at a runner, in the mean.
+    /// Mean time that requests spend at a runner.
     #[serde_as(as = "DurationMicroSeconds<u64>")]
     #[serde(rename = "stay")]
     pub service_time: Duration,
@@ -229,150 +240,171 @@
 
 impl Default for LearnedTimings {
     fn default() -> Self {
-        Self { models: IndexMap::new(), step_time: FIRST_STEP, service_time: FIRST_STAY }
+        Self {
+            models: IndexMap::new(),
+            step_time: INITIAL_STEP_TIME,
+            service_time: INITIAL_SERVICE_TIME,
+        }
     }
 }
 
 impl LearnedTimings {
-    /// Whether this tells something that an earlier account does not.
+    /// Whether these differ from earlier ones by enough to be worth sharing.
     pub fn differs_from(&self, before: &Self) -> bool {
-        let news = |now: PrefillTiming, before: Option<&PrefillTiming>| {
-            before.is_none_or(|before| now.differs(*before))
+        let timing_differs = |now: PrefillTiming, before: Option<&PrefillTiming>| {
+            before.is_none_or(|before| now.differs_from(*before))
         };
-        let far = |now: Duration, before: Duration| {
-            now.abs_diff(before) > before.mul_f64(TOLD_CHANGE * 2.0)
+        let time_differs = |now: Duration, before: Duration| {
+            now.abs_diff(before) > before.mul_f64(SHARED_CHANGE * 2.0)
         };
-        let times = far(self.step_time, before.step_time)
-            || far(self.service_time, before.service_time);
+        let times = time_differs(self.step_time, before.step_time)
+            || time_differs(self.service_time, before.service_time);
         let mut models = self.models.iter();
-        times || models.any(|(model, now)| news(*now, before.models.get(model)))
+        times || models.any(|(model, now)| timing_differs(*now, before.models.get(model)))
     }
 }
 
-/// How fast runners work.
+/// This daemon's estimates of the speed of a service's engines.
 #[derive(Debug)]
 pub struct EngineTimings {
-    /// What was learnt here of each model.
-    models: IndexMap<ModelName, Line>,
-    /// What others have learnt.
-    known: IndexMap<ModelName, PrefillTiming>,
-    step: Duration,
-    stay: Duration,
+    /// Models with samples from this daemon.
+    models: IndexMap<ModelName, Regression>,
+    /// Timings from other daemons.
+    shared: IndexMap<ModelName, PrefillTiming>,
+    step_time: Duration,
+    service_time: Duration,
 }
 
 impl Default for EngineTimings {
     fn default() -> Self {
-        let (models, known) = (IndexMap::new(), IndexMap::new());
-        Self { models, known, step: FIRST_STEP, stay: FIRST_STAY }
+        let (models, shared) = (IndexMap::new(), IndexMap::new());
+        Self {
+            models,
+            shared,
+            step_time: INITIAL_STEP_TIME,
+            service_time: INITIAL_SERVICE_TIME,
+        }
     }
 }
 
 impl EngineTimings {
-    /// Takes in that a prompt of so many unread tokens, which the engine was free for,
+    /// Records that a prompt with this many uncached tokens, which found the engine idle,
     /// had its first event after `time`.
     pub fn record_first_event(&mut self, model: &ModelName, tokens: u32, time: Duration) {
         let millis = time.as_secs_f64() * 1000.0;
-        let line = self.line(model).with(effort(tokens), millis, 1.0, FADE);
+        let line =
+            self.line(model).with(prefill_effort(tokens), millis, 1.0, SAMPLE_DECAY);
         self.models.insert(model.clone(), line);
     }
 
-    /// Takes in the pause before an event of `tokens` tokens.
-    pub fn record_event_gap(&mut self, pause: Duration, tokens: u32) {
-        if pause < LEAST_PAUSE {
+    /// Records the gap before an event of `tokens` tokens.
+    pub fn record_event_gap(&mut self, gap: Duration, tokens: u32) {
+        if gap < MIN_EVENT_GAP {
             return;
         }
-        // Settles where the part of pauses that are shorter is the one that holds nothing
-        // but steps.
-        let shorter = pause / tokens.max(1) < self.step;
-        let gain = if shorter { BARE_PART - 1.0 } else { BARE_PART } * STEP_GAIN;
-        self.step = self.step.mul_f64(1.0 + gain);
+        // Converges to the quantile of the gaps that contain nothing but steps.
+        let is_shorter = gap / tokens.max(1) < self.step_time;
+        let gain =
+            if is_shorter { STEP_QUANTILE - 1.0 } else { STEP_QUANTILE } * STEP_GAIN;
+        self.step_time = self.step_time.mul_f64(1.0 + gain);
     }
 
-    /// Takes in how long a request stayed at its runner.
-    pub fn record_service_time(&mut self, stay: Duration) {
-        let kept = self.stay.mul_f64(1.0 - STAY_GAIN);
-        self.stay = kept + stay.mul_f64(STAY_GAIN);
+    /// Records the time that a request spent at its runner.
+    pub fn record_service_time(&mut self, time: Duration) {
+        let previous = self.service_time.mul_f64(1.0 - SERVICE_TIME_GAIN);
+        self.service_time = previous + time.mul_f64(SERVICE_TIME_GAIN);
     }
 
-    /// The time of a step beside what is read in it, on the long side.
+    /// Duration of a step without prefill, estimated on the long side.
     pub fn step_time(&self) -> Duration {
-        self.step.mul_f64(FULL_STEP)
+        self.step_time.mul_f64(STEP_TIME_MARGIN)
     }
 
-    /// How long requests stay at a runner, in the mean.
+    /// Mean time that requests spend at a runner.
     pub fn service_time(&self) -> Duration {
-        self.stay
+        self.service_time
     }
 
-    /// Takes in what another daemon has learnt.
-    pub fn merge(&mut self, learnt: &LearnedTimings) {
+    /// Merges timings from another daemon.
+    ///
+    /// Step and service times are taken over only while this daemon has no samples.
+    pub fn merge(&mut self, learned: &LearnedTimings) {
         if self.models.is_empty() {
-            self.step = learnt.step_time.clamp(STEPS.0, STEPS.1);
-            self.stay = learnt.service_time.min(LONGEST_STAY);
+            self.step_time =
+                learned.step_time.clamp(STEP_TIME_RANGE.0, STEP_TIME_RANGE.1);
+            self.service_time = learned.service_time.min(MAX_SERVICE_TIME);
         }
-        self.known.extend(learnt.models.clone());
+        self.shared.extend(learned.models.clone());
     }
 
-    /// What was learnt here.
+    /// Timings learned by this daemon.
     pub fn learned(&self) -> LearnedTimings {
-        let models = self.well_known();
-        let models = models.map(|(model, line)| (model.clone(), line.reading()));
-        let models = models.take(TOLD_MODELS).collect();
-        LearnedTimings { models, step_time: self.step, service_time: self.stay }
+        let models = self.established();
+        let models = models.map(|(model, line)| (model.clone(), line.timing()));
+        let models = models.take(MAX_SHARED_MODELS).collect();
+        LearnedTimings {
+            models,
+            step_time: self.step_time,
+            service_time: self.service_time,
+        }
     }
 
-    /// What was learnt here or by others.
+    /// Timings learned by this daemon, completed by those of other daemons.
     pub fn learned_by_all(&self) -> LearnedTimings {
-        let mut learnt = self.learned();
-        for (model, known) in &self.known {
-            if learnt.models.len() < TOLD_MODELS {
-                learnt.models.entry(model.clone()).or_insert(*known);
+        let mut learned = self.learned();
+        for (model, shared) in &self.shared {
+            if learned.models.len() < MAX_SHARED_MODELS {
+                learned.models.entry(model.clone()).or_insert(*shared);
             }
         }
-        learnt
+        learned
     }
 
-    /// How long a first event takes besides reading.
+    /// Time of a first event besides prefill.
     pub fn first_event_overhead(&self, model: &ModelName) -> Duration {
-        Duration::from_secs_f64(self.line(model).base() / 1000.0)
+        Duration::from_secs_f64(self.line(model).intercept() / 1000.0)
     }
 
-    /// How long a runner takes to read one token of a short prompt.
+    /// Prefill time for one token of a short prompt.
     pub fn token_time(&self, model: &ModelName) -> Duration {
         Duration::from_secs_f64(self.line(model).slope() / 1000.0)
     }
 
-    /// How long a runner takes to read tokens, on the long side: prompts that are sent
-    /// too soon make all streams pause, those that are sent late only wait.
+    /// Prefill time for a prompt with this many uncached tokens, estimated on the long
+    /// side: a prompt that is sent too early delays all streams, one that is sent too late
+    /// only waits.
     pub fn prefill_time(&self, model: &ModelName, tokens: u32) -> Duration {
-        Duration::from_secs_f64(effort(tokens) * self.line(model).cautious() / 1000.0)
+        Duration::from_secs_f64(
+            prefill_effort(tokens) * self.line(model).cautious_slope() / 1000.0,
+        )
     }
 
-    fn line(&self, model: &ModelName) -> Line {
+    fn line(&self, model: &ModelName) -> Regression {
         self.models.get(model).copied().unwrap_or_else(|| self.expected(model))
     }
 
-    /// What is expected of a model of which nothing was learnt here: what others have
-    /// learnt of it, or that it is read like the slowest one that is known.
-    fn expected(&self, model: &ModelName) -> Line {
-        if let Some(known) = self.known.get(model) {
-            return Line::new(*known, KNOWN_WEIGHT);
+    /// The expectation for a model without samples: the timings from other daemons, or
+    /// those of the slowest model that is known.
+    fn expected(&self, model: &ModelName) -> Regression {
+        if let Some(shared) = self.shared.get(model) {
+            return Regression::new(*shared, SHARED_WEIGHT);
         }
-        let learnt = self.well_known().map(|(_, line)| line.reading());
-        let known = learnt.chain(self.known.values().copied());
-        match known.max_by(|a, b| a.token_ms.total_cmp(&b.token_ms)) {
-            Some(slowest) => Line::new(slowest, OTHERS_WEIGHT),
-            None => Line::new(PrefillTiming::GUESS, GUESS_WEIGHT),
+        let learned = self.established().map(|(_, line)| line.timing());
+        let all = learned.chain(self.shared.values().copied());
+        match all.max_by(|a, b| a.token_ms.total_cmp(&b.token_ms)) {
+            Some(slowest) => Regression::new(slowest, OTHER_MODELS_WEIGHT),
+            None => Regression::new(PrefillTiming::INITIAL, INITIAL_WEIGHT),
         }
     }
 
-    fn well_known(&self) -> impl Iterator<Item = (&ModelName, &Line)> {
-        self.models.iter().filter(|(_, line)| line.weight >= TOLD_FROM)
+    /// Models with enough samples to share their timings.
+    fn established(&self) -> impl Iterator<Item = (&ModelName, &Regression)> {
+        self.models.iter().filter(|(_, line)| line.weight >= MIN_SHARED_WEIGHT)
     }
 }
 
-/// The length of a prompt as far as it takes time.
-fn effort(tokens: u32) -> f64 {
+/// Prompt length, scaled so that the prefill time is proportional to it.
+fn prefill_effort(tokens: u32) -> f64 {
     let tokens = f64::from(tokens);
-    tokens * (1.0 + tokens / DOUBLE_AT)
+    tokens * (1.0 + tokens / DOUBLE_COST_TOKENS)
 }
