--- a/crates/pool/src/fleet.rs
+++ b/crates/pool/src/fleet.rs
@@ -1,4 +1,4 @@
-//! The table of backend servers as the registry lists them.
+//! The backend servers that this daemon knows from the registry.
 
 use std::time::{Duration, Instant};
 
@@ -11,42 +11,42 @@
 use crate::usage::{InFlightRequest, Usage};
 
 new_key_type! {
-    /// A run of a backend server: a server that starts again gets a new key.
+    /// One incarnation of a backend server; a restarted server gets a new key.
     pub struct ServerKey;
 }
 
-/// A backend server.
+/// A backend server, with this daemon's own records of it.
 #[derive(Debug, Clone)]
 pub struct Server {
-    /// What it last said of itself.
+    /// Its last registry entry.
     pub entry: ServerEntry,
-    /// How far its answers can be trusted.
+    /// Its recent failures.
     pub health: Health,
-    /// What this daemon has in flight there.
+    /// What this daemon has in flight there; other daemons' requests are not included.
     pub own_usage: Usage,
-    /// Since when the registry does not list it.
+    /// Since when the registry no longer lists it; `None` while it does.
     pub missing_since: Option<Instant>,
 }
 
-/// The table of backend servers.
+/// The backend servers of all services.
 #[derive(Debug, Default)]
 pub struct Fleet {
     servers: SlotMap<ServerKey, Server>,
     names: IndexMap<ServerName, ServerKey>,
-    /// Until when entries may be missing since the registry was away.
-    excused: Option<Instant>,
+    /// Until when entries may be missing because the registry was unavailable.
+    grace_until: Option<Instant>,
 }
 
 /// How long after an outage of the registry a missing entry may still return.
 ///
-/// The platform says about two seconds.
+/// The platform specifies about two seconds.
 pub const RELIST_GRACE: Duration = Duration::from_secs(2);
 
 impl Fleet {
-    /// Takes in what a server says of itself.
+    /// Adds or updates a server's registry entry.
     pub fn update(&mut self, entry: ServerEntry) -> ServerKey {
-        let known = self.names.get(&entry.name).copied();
-        if let Some(key) = known
+        let previous = self.names.get(&entry.name).copied();
+        if let Some(key) = previous
             && let Some(server) = self.servers.get_mut(key)
             && server.entry.born == entry.born
         {
@@ -54,25 +54,21 @@
             server.missing_since = None;
             return key;
         }
-        if let Some(key) = known {
+        if let Some(key) = previous {
             self.servers.remove(key);
         }
         let name = entry.name.clone();
-        let (health, own) = (Health::default(), Usage::default());
-        let key = self.servers.insert(Server {
-            entry,
-            health,
-            own_usage: own,
-            missing_since: None,
-        });
+        let (health, own_usage) = (Health::default(), Usage::default());
+        let key =
+            self.servers.insert(Server { entry, health, own_usage, missing_since: None });
         self.names.insert(name, key);
         key
     }
 
-    /// Takes in that the registry no longer lists a server.
+    /// Records that the registry no longer lists a server.
     ///
-    /// It may be a server that leaves and still serves, so that it is kept for what
-    /// is in flight; it gets nothing new, unless the registry was away.
+    /// The server may be draining, so it is kept for the requests in flight; it gets no new
+    /// ones, except within the grace period.
     pub fn mark_missing(&mut self, name: &ServerName, now: Instant) {
         if let Some(key) = self.names.get(name)
             && let Some(server) = self.servers.get_mut(*key)
@@ -81,45 +77,48 @@
         }
     }
 
-    /// Takes note that the registry could not be read until now, or is read for the first
-    /// time: whether it was away before is not known then.
+    /// Starts a grace period for missing entries, since they expire during an outage of the
+    /// registry while their servers are alive.
     ///
-    /// Entries lapse meanwhile though their servers live.
+    /// Called when the registry is read again after an outage, and when it is read for the
+    /// first time, since it may have been unavailable before.
     pub fn start_grace(&mut self, now: Instant) {
-        self.excused = Some(now + RELIST_GRACE);
+        self.grace_until = Some(now + RELIST_GRACE);
     }
 
-    /// How much longer entries may be missing though their servers live.
+    /// The rest of the grace period; zero outside of it.
     pub fn grace_left(&self, now: Instant) -> Duration {
-        let until = self.excused.unwrap_or(now);
+        let until = self.grace_until.unwrap_or(now);
         until.saturating_duration_since(now)
     }
 
-    /// Forgets servers that are gone and have nothing in flight.
+    /// Removes missing servers that have nothing in flight, unless in a grace period.
     pub fn remove_missing(&mut self, now: Instant) {
         if !self.grace_left(now).is_zero() {
             return;
         }
-        let gone = |server: &Server| {
+        let is_gone = |server: &Server| {
             server.missing_since.is_some() && server.own_usage.requests == 0
         };
-        self.servers.retain(|_, server| !gone(server));
+        self.servers.retain(|_, server| !is_gone(server));
         let servers = &self.servers;
         self.names.retain(|_, key| servers.contains_key(*key));
     }
 
-    /// Whether the registry lists a server as one that takes new requests.
+    /// Whether a server is listed as ready for new requests.
+    ///
+    /// A missing server counts as listed within the grace period.
     pub fn is_listed(&self, server: &Server, now: Instant) -> bool {
-        let excused = !self.grace_left(now).is_zero();
-        (server.missing_since.is_none() || excused) && server.entry.phase == Phase::Ready
+        let in_grace = !self.grace_left(now).is_zero();
+        (server.missing_since.is_none() || in_grace) && server.entry.phase == Phase::Ready
     }
 
-    /// Whether a server may get new requests.
+    /// Whether a server is listed as ready and its health allows requests.
     pub fn accepts_requests(&self, server: &Server, now: Instant) -> bool {
         self.is_listed(server, now) && server.health.allows_requests(now)
     }
 
-    /// The servers of a service that may get new requests.
+    /// The servers of a service that accept new requests.
     pub fn available<'a>(
         &'a self,
         service: &'a ServiceName,
@@ -130,37 +129,37 @@
         })
     }
 
-    /// All servers.
+    /// All servers, including missing ones.
     pub fn iter(&self) -> impl Iterator<Item = (ServerKey, &Server)> {
         self.servers.iter()
     }
 
-    /// A server.
+    /// `None` if this incarnation was removed.
     pub fn get(&self, key: ServerKey) -> Option<&Server> {
         self.servers.get(key)
     }
 
-    /// A server.
+    /// `None` if this incarnation was removed.
     pub fn get_mut(&mut self, key: ServerKey) -> Option<&mut Server> {
         self.servers.get_mut(key)
     }
 
-    /// The current run of a server.
+    /// The key of a server's current incarnation.
     pub fn key(&self, name: &ServerName) -> Option<ServerKey> {
         self.names.get(name).copied()
     }
 
-    /// Counts a request that is sent.
-    pub fn begin_request(&mut self, key: ServerKey, flight: InFlightRequest) {
+    /// Adds a request to the server's own usage.
+    pub fn begin_request(&mut self, key: ServerKey, request: InFlightRequest) {
         if let Some(server) = self.servers.get_mut(key) {
-            server.own_usage += flight.into();
+            server.own_usage += request.into();
         }
     }
 
-    /// Counts a request that has ended.
-    pub fn end_request(&mut self, key: ServerKey, flight: InFlightRequest) {
+    /// Subtracts a request from the server's own usage.
+    pub fn end_request(&mut self, key: ServerKey, request: InFlightRequest) {
         if let Some(server) = self.servers.get_mut(key) {
-            server.own_usage -= flight.into();
+            server.own_usage -= request.into();
         }
     }
 }
--- a/crates/pool/src/lib.rs
+++ b/crates/pool/src/lib.rs
@@ -1,22 +1,23 @@
-//! Decisions on a pool of backend servers; nothing here does I/O.
+//! Decisions on a pool of backend servers. Nothing here does I/O.
 //!
-//! Stages of a request's way, in order:
+//! The modules follow a request on its way:
 //!
-//! 1. [`fleet`] is the table of servers as the registry lists them,
-//! 2. [`health`] tells how far a server's recent answers can be trusted,
-//! 3. [`usage`] counts what is in flight where,
-//! 4. [`runner`] is what the holder of a runner's claim knows of it, with the
-//!    [`prefix`]es that it has read,
-//! 5. [`choose`] estimates and picks the server for a request,
-//! 6. [`prefill_queue`] says when the runner gets which prompt, by the [`timing`] at which it
-//!    reads,
-//! 7. [`queue`] says which server of a plain service runs which request, and when,
-//! 8. [`attempts`] says what may follow an attempt that brought no answer, and what is
-//!    true of the request then,
-//! 9. [`budget`] bounds how often requests are sent again.
+//! 1. [`fleet`] holds the servers that the registry lists,
+//! 2. [`health`] tracks the recent failures of a server,
+//! 3. [`usage`] counts what is in flight at a server,
+//! 4. [`runner`] is the view that the holder of a runner's claim has of it, with the
+//!    [`prefix`]es in its KV cache,
+//! 5. [`mod@choose`] estimates waits and picks the server for a request,
+//! 6. [`prefill_queue`] decides when a runner gets which prompt, by the [`timing`] of its
+//!    engine,
+//! 7. [`queue`] decides which server of a plain service runs which request, and when,
+//! 8. [`attempts`] decides what may follow an attempt without a complete response, and
+//!    whether the request may have run,
+//! 9. [`budget`] bounds how often requests are retried.
 //!
-//! Beside them, [`placement`] says which runner holds which model, by [`demand`] and at
-//! a [`pacer`] that the weight store allows, without servers that are [`unreachable`].
+//! Independently of requests, [`placement`] plans which runner holds which model, by
+//! [`demand`] and at the rate of the [`pacer`] for the weight store, without servers that
+//! are [`mod@unreachable`]; [`moves`] tracks the progress of its plans.
 
 pub mod attempts;
 pub mod budget;
--- a/crates/pool/src/prefix.rs
+++ b/crates/pool/src/prefix.rs
@@ -1,63 +1,63 @@
-//! Which parts of prompts a runner has read lately.
+//! Estimates which prompt prefixes a runner has in its KV cache.
 //!
-//! An engine does not read a part again that it keeps for the same model and
-//! adapter, as long as it keeps all parts before it. Its own account of what it
-//! keeps comes late and with gaps; what was sent to it tells almost the same at no
-//! cost, since it drops the parts that were used the longest time ago.
+//! An engine does not prefill a part again that it has cached for the same model and
+//! adapter, as long as it has all parts before it. Its own reports of the cache are late
+//! and incomplete; the prompts that were sent to it tell almost the same at no cost, since
+//! it evicts the least recently used parts.
 
 use chestnut_edge::{PromptPart, TargetModel};
 use indexmap::IndexMap;
 use std::hash::{DefaultHasher, Hash, Hasher};
 
-/// The share of the KV cache that is taken to hold parts that nothing uses.
+/// Share of the KV cache that is assumed to hold parts of finished requests.
 ///
-/// The rest is taken by requests that run.
-const KEPT_SHARE: f64 = 0.4;
+/// Running requests take the rest.
+const CACHED_SHARE: f64 = 0.4;
 
-/// A part together with all parts before it, for a model and adapter.
-type Chain = u64;
+/// Hash of a model and adapter, a part, and all parts before it.
+type PrefixHash = u64;
 
-/// Which parts of prompts a runner has read lately.
+/// An estimate of the prompt prefixes in a runner's KV cache.
 #[derive(Debug, Default)]
 pub struct PrefixCache {
-    /// The tokens of each part, the one used the longest time ago first.
-    parts: IndexMap<Chain, u32>,
-    /// The sum of the tokens.
+    /// The tokens of each prefix's last part, least recently used first.
+    parts: IndexMap<PrefixHash, u32>,
+    /// Sum of the tokens.
     tokens: u64,
 }
 
 impl PrefixCache {
-    /// The prompt tokens that the runner need not read.
+    /// Prompt tokens that the runner need not prefill.
     pub fn cached_tokens(&self, target: &TargetModel, parts: &[PromptPart]) -> u32 {
-        let known =
-            chains(target, parts).take_while(|(chain, _)| self.parts.contains_key(chain));
-        known.map(|(_, tokens)| tokens).sum()
+        let cached = prefix_hashes(target, parts)
+            .take_while(|(hash, _)| self.parts.contains_key(hash));
+        cached.map(|(_, tokens)| tokens).sum()
     }
 
-    /// The prompt tokens of which it is not known whether the runner keeps them: parts
-    /// that requests share and that were not seen here. The last part is a request's own.
+    /// Prompt tokens that the runner may have cached without this estimate knowing: shared
+    /// parts that were not sent from here. The last part is a request's own.
     pub fn uncertain_tokens(&self, target: &TargetModel, parts: &[PromptPart]) -> u32 {
         let shared = &parts[..parts.len().saturating_sub(1)];
-        let unseen = chains(target, shared)
-            .skip_while(|(chain, _)| self.parts.contains_key(chain));
-        unseen.map(|(_, tokens)| tokens).sum()
+        let unknown = prefix_hashes(target, shared)
+            .skip_while(|(hash, _)| self.parts.contains_key(hash));
+        unknown.map(|(_, tokens)| tokens).sum()
     }
 
-    /// Takes note of a prompt that is sent; `capacity` tokens fit into the cache.
+    /// Records that a prompt is sent to a runner whose KV cache holds `capacity` tokens.
     pub fn record_sent(
         &mut self,
         target: &TargetModel,
         parts: &[PromptPart],
         capacity: u64,
     ) {
-        for (chain, tokens) in chains(target, parts) {
-            if let Some(old) = self.parts.shift_remove(&chain) {
+        for (hash, tokens) in prefix_hashes(target, parts) {
+            if let Some(old) = self.parts.shift_remove(&hash) {
                 self.tokens -= u64::from(old);
             }
-            self.parts.insert(chain, tokens);
+            self.parts.insert(hash, tokens);
             self.tokens += u64::from(tokens);
         }
-        let limit = (capacity as f64 * KEPT_SHARE) as u64;
+        let limit = (capacity as f64 * CACHED_SHARE) as u64;
         while self.tokens > limit
             && let Some((_, tokens)) = self.parts.shift_remove_index(0)
         {
@@ -65,16 +65,17 @@
         }
     }
 
-    /// Forgets everything, as the runner does when it starts again.
+    /// Removes everything, for a runner that restarted.
     pub fn clear(&mut self) {
         *self = Self::default();
     }
 }
 
-fn chains<'a>(
+/// The hash of the prefix up to each part, with the tokens of that part.
+fn prefix_hashes<'a>(
     target: &TargetModel,
     parts: &'a [PromptPart],
-) -> impl Iterator<Item = (Chain, u32)> + 'a {
+) -> impl Iterator<Item = (PrefixHash, u32)> + 'a {
     let mut hasher = DefaultHasher::new();
     target.hash(&mut hasher);
     parts.iter().map(move |part| {
--- a/crates/pool/src/unreachable.rs
+++ b/crates/pool/src/unreachable.rs
@@ -1,49 +1,50 @@
-//! Servers that daemons can't connect to, though the registry lists them.
+//! Servers to which daemons can't connect though the registry lists them.
 //!
-//! Load pattern: a rack of runners dies at once. The registry lists them for some
-//! seconds more; meanwhile the planner takes their models for resident, and callers
-//! of models whose only replica was there wait in vain. Daemons that send requests
-//! know it within a connection attempt. One daemon alone may be the one that is cut
-//! off, so that its word is not enough where there are others.
+//! Load pattern: a rack of runners fails at once. The registry lists them for some seconds
+//! more; meanwhile the planner counts their models as resident, and callers of models whose
+//! only replica was there wait in vain. Daemons that send requests notice within one
+//! connection attempt. A single daemon may be disconnected itself, so its report is not
+//! enough where there are others.
 
 use std::time::{Duration, Instant};
 
 use chestnut_base::{MemberId, ServerName};
 use indexmap::IndexMap;
 
-/// How long a daemon's word counts; it is repeated four times a second.
-const WORD_TIME: Duration = Duration::from_millis(700);
+/// How long a daemon's report counts; it is repeated four times a second.
+const REPORT_TIMEOUT: Duration = Duration::from_millis(700);
 
-/// How many daemons have to say so where there are more.
+/// Number of daemons that have to report a server, where there are as many.
 const QUORUM: usize = 2;
 
-/// Who can't connect to which server.
+/// Reports of daemons that can't connect to servers.
 #[derive(Debug, Default)]
 pub struct UnreachableReports {
-    words: IndexMap<ServerName, IndexMap<MemberId, Instant>>,
+    reports: IndexMap<ServerName, IndexMap<MemberId, Instant>>,
 }
 
 impl UnreachableReports {
-    /// Takes in which servers a daemon can't connect to.
+    /// Records the servers to which a daemon can't connect.
     pub fn record(&mut self, from: MemberId, servers: Vec<ServerName>, now: Instant) {
         for server in servers {
-            self.words.entry(server).or_default().insert(from, now);
+            self.reports.entry(server).or_default().insert(from, now);
         }
-        for words in self.words.values_mut() {
-            words.retain(|_, at| now.saturating_duration_since(*at) < WORD_TIME);
+        for reports in self.reports.values_mut() {
+            reports.retain(|_, at| now.saturating_duration_since(*at) < REPORT_TIMEOUT);
         }
-        self.words.retain(|_, words| !words.is_empty());
+        self.reports.retain(|_, reports| !reports.is_empty());
     }
 
-    /// Whether a server counts as lost among so many daemons.
+    /// Whether enough of `daemons` daemons can't connect to a server.
     pub fn is_unreachable(
         &self,
         server: &ServerName,
         daemons: usize,
         now: Instant,
     ) -> bool {
-        let Some(words) = self.words.get(server) else { return false };
-        let fresh = |at: &&Instant| now.saturating_duration_since(**at) < WORD_TIME;
-        words.values().filter(fresh).count() >= QUORUM.min(daemons)
+        let Some(reports) = self.reports.get(server) else { return false };
+        let is_current =
+            |at: &&Instant| now.saturating_duration_since(**at) < REPORT_TIMEOUT;
+        reports.values().filter(is_current).count() >= QUORUM.min(daemons)
     }
 }
--- a/crates/pool/src/usage.rs
+++ b/crates/pool/src/usage.rs
@@ -1,23 +1,23 @@
-//! What is in flight at a backend server.
+//! Counts of what is in flight at a backend server.
 
 use std::ops::{AddAssign, SubAssign};
 
 use chestnut_edge::Size;
 use serde::{Deserialize, Serialize};
 
-/// One request in flight, as far as it takes room at a server.
+/// One request in flight, as far as it takes capacity of a server.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct InFlightRequest {
-    /// The size of the generation; zero for plain requests.
+    /// Prompt and output tokens of a generation; zero for plain requests.
     pub size: Size,
-    /// Whether the server has begun to answer.
+    /// Whether the server has begun to respond.
     pub responding: bool,
 }
 
-/// The sum of what is in flight at a server.
+/// Total of the requests in flight at a server.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Usage {
-    /// Requests in flight.
+    /// Number of requests.
     pub requests: u32,
     /// Prompt tokens of requests that have no first event yet.
     #[serde(rename = "unread")]
@@ -28,12 +28,12 @@
 }
 
 impl From<InFlightRequest> for Usage {
-    fn from(flight: InFlightRequest) -> Self {
-        let prompt = u64::from(flight.size.prompt);
+    fn from(request: InFlightRequest) -> Self {
+        let prompt = u64::from(request.size.prompt);
         Self {
             requests: 1,
-            pending_prompt_tokens: if flight.responding { 0 } else { prompt },
-            kv_tokens: prompt + u64::from(flight.size.output),
+            pending_prompt_tokens: if request.responding { 0 } else { prompt },
+            kv_tokens: prompt + u64::from(request.size.output),
         }
     }
 }
@@ -47,7 +47,7 @@
 }
 
 impl SubAssign for Usage {
-    /// Saturates: a server that started again was counted anew.
+    /// Saturates, since a restarted server starts again from zero.
     fn sub_assign(&mut self, other: Self) {
         self.requests = self.requests.saturating_sub(other.requests);
         self.pending_prompt_tokens =
