--- a/crates/pool/tests/bounds.rs
+++ b/crates/pool/tests/bounds.rs
@@ -1,4 +1,4 @@
-//! What operators bound: repeats over all daemons, loads from the weight store.
+//! The operators' bounds on retries over all daemons and on loads from the weight store.
 
 use std::time::{Duration, Instant};
 
@@ -10,9 +10,9 @@
     RetryBound { ratio: 0.2, slack: 52.0, window: Duration::from_secs(10) };
 
 #[test]
-fn a_service_that_fails_nothing_is_forgotten() {
-    // A daemon serves a service for an hour, and nothing has to be repeated. It remembers
-    // the requests of one window, not of the hour.
+fn requests_older_than_the_window_are_removed() {
+    // A daemon serves a service for an hour without retries. It keeps the requests of one
+    // window in memory, not those of the hour.
     let start = Instant::now();
     let mut budget = RetryBudget::new(start);
     for second in 0..3600 {
@@ -26,29 +26,30 @@
 }
 
 #[test]
-fn a_fast_weight_store_is_used_whole() {
-    // Guards against saving up less than what accrues between two looks of the planner: of
-    // sixteen loads a second that are allowed, eight begin.
+fn a_fast_weight_store_is_used_fully() {
+    // Guards against saving less credit than accrues between two runs of the planner: of
+    // sixteen loads a second that are allowed, only eight would begin.
     let bound = load_bound(16.0);
     let start = Instant::now();
-    let mut pace = LoadPacer::new(start);
-    let mut begun = 0;
-    for look in 1..=20 {
-        let now = start + Duration::from_millis(250) * look;
-        while pace.available(bound, now) > 0 {
-            pace.take();
-            begun += 1;
+    let mut pacer = LoadPacer::new(start);
+    let mut started = 0;
+    for run in 1..=20 {
+        let now = start + Duration::from_millis(250) * run;
+        while pacer.available(bound, now) > 0 {
+            pacer.take();
+            started += 1;
         }
     }
-    assert!((78..=91).contains(&begun), "{begun} loads in five seconds");
+    assert!((78..=91).contains(&started), "{started} loads in five seconds");
 }
 
 proptest! {
-    // All servers fail, and every daemon repeats all it may. In no window do the repeats
-    // of all daemons together exceed what operators allow for the requests of that
-    // window and the one before, not even when all daemons are killed and start again.
+    // All servers fail, and every daemon retries as often as its budget allows. In no
+    // window do the retries of all daemons together exceed the operators' bound for the
+    // requests of that window and the one before, not even when all daemons are killed and
+    // restarted.
     #[test]
-    fn repeats_stay_within_the_bound(
+    fn retries_stay_within_the_bound(
         steps in prop::collection::vec((0u64..120, 0usize..6, 0u32..4), 1..400),
         restart in 0usize..400,
     ) {
@@ -56,7 +57,7 @@
         let mut now = start + BOUND.window;
         let mut daemons: Vec<RetryBudget> = Vec::new();
         daemons.resize_with(6, || RetryBudget::new(start));
-        let (mut requests, mut repeats) = (Vec::new(), Vec::new());
+        let (mut requests, mut retries) = (Vec::new(), Vec::new());
         for (step, (wait, daemon, tries)) in steps.into_iter().enumerate() {
             now += Duration::from_millis(wait);
             if step == restart {
@@ -66,22 +67,22 @@
             requests.push(now);
             for _ in 0..tries {
                 if daemons[daemon].try_take(BOUND, Some(6), now) {
-                    repeats.push(now);
+                    retries.push(now);
                 }
             }
             let within = |times: &[Instant], span: Duration| {
                 times.iter().filter(|at| now.duration_since(**at) <= span).count() as f64
             };
-            let seen = within(&requests, BOUND.window * 2);
-            let allowed = seen * BOUND.ratio + BOUND.slack;
-            prop_assert!(within(&repeats, BOUND.window) <= allowed);
+            let counted = within(&requests, BOUND.window * 2);
+            let allowed = counted * BOUND.ratio + BOUND.slack;
+            prop_assert!(within(&retries, BOUND.window) <= allowed);
         }
     }
 
-    // A daemon has not read yet how many others there are. It must not spend the slack of
+    // A daemon does not know yet how many others there are. It must not spend the slack of
     // all of them.
     #[test]
-    fn a_daemon_that_knows_no_others_spends_no_slack(requests in 0u32..100) {
+    fn no_slack_is_spent_while_the_number_of_daemons_is_unknown(requests in 0u32..100) {
         let start = Instant::now();
         let now = start + BOUND.window;
         let mut budget = RetryBudget::new(start);
@@ -90,31 +91,31 @@
         prop_assert!(granted as f64 <= f64::from(requests) * BOUND.ratio);
     }
 
-    // Loads are wanted all the time. In no window of five seconds do more begin than
-    // the rate allows with a tenth and three on top, not even when another planner
-    // takes over at any time.
+    // Loads are always wanted. In no window of five seconds do more begin than the rate
+    // allows with a tenth and three on top, even when another planner takes over at any
+    // time.
     #[test]
-    fn loads_stay_within_the_ceiling(
+    fn loads_stay_within_the_bound(
         waits in prop::collection::vec(0u64..400, 1..300),
         takeover in 0usize..300,
         rate in prop_oneof![Just(1.1), Just(2.1), 0.1..30.0],
     ) {
         let bound = load_bound(rate);
         let mut now = Instant::now();
-        let mut pace = LoadPacer::new(now);
+        let mut pacer = LoadPacer::new(now);
         let mut loads: Vec<Instant> = Vec::new();
         for (index, wait) in waits.into_iter().enumerate() {
             now += Duration::from_millis(wait);
             if index == takeover {
-                pace = LoadPacer::new(now);
+                pacer = LoadPacer::new(now);
             }
-            while pace.available(bound, now) > 0 {
-                pace.take();
+            while pacer.available(bound, now) > 0 {
+                pacer.take();
                 loads.push(now);
             }
             let window = bound.window;
-            let begun = loads.iter().filter(|at| now.duration_since(**at) <= window).count();
-            prop_assert!(begun as f64 <= rate * 5.0 * 1.1 + 3.0);
+            let started = loads.iter().filter(|at| now.duration_since(**at) <= window).count();
+            prop_assert!(started as f64 <= rate * 5.0 * 1.1 + 3.0);
         }
     }
 }
--- a/crates/pool/tests/permits.rs
+++ b/crates/pool/tests/permits.rs
@@ -1,5 +1,5 @@
-//! Places at a plain service's servers under any order of requests, ends, callers' times
-//! that pass, and servers that leave the list and return.
+//! Permits for a plain service's servers under any order of requests, releases, expired
+//! deadlines, and servers that leave the list and return.
 
 use std::time::{Duration, Instant};
 
@@ -12,13 +12,13 @@
 const SERVERS: usize = 3;
 const SLOTS: usize = 6;
 
-/// Requests that a server is sent beyond its places.
-const AHEAD: usize = 4;
+/// Permits that a server gets beyond its slots.
+const EXTRA_PERMITS: usize = 4;
 
 #[derive(Debug, Clone)]
 enum Op {
-    Push { patience: u64 },
-    End { index: usize, outcome: PermitOutcome },
+    Push { wait_limit: u64 },
+    Release { index: usize, outcome: PermitOutcome },
     Wait(u64),
     List(Vec<usize>),
 }
@@ -30,8 +30,8 @@
         1 => Just(PermitOutcome::Unused),
     ];
     prop_oneof![
-        8 => (50u64..2000).prop_map(|patience| Op::Push { patience }),
-        6 => (0usize..20, outcome).prop_map(|(index, outcome)| Op::End { index, outcome }),
+        8 => (50u64..2000).prop_map(|wait_limit| Op::Push { wait_limit }),
+        6 => (0usize..20, outcome).prop_map(|(index, outcome)| Op::Release { index, outcome }),
         2 => (1u64..300).prop_map(Op::Wait),
         1 => prop::sample::subsequence(vec![0, 1, 2], 0..=SERVERS).prop_map(Op::List),
     ]
@@ -42,33 +42,33 @@
 }
 
 fn listed(numbers: &[usize]) -> Vec<ListedServer> {
-    let one = |number: &usize| ListedServer {
+    let entry = |number: &usize| ListedServer {
         name: server(*number),
         slots: SLOTS as u32,
         domain: DomainName::try_from("north").expect("a valid name"),
     };
-    numbers.iter().map(one).collect()
+    numbers.iter().map(entry).collect()
 }
 
-/// The holder of a queue, and what it has sent that has not ended.
-struct Holder {
+/// A queue, and the permits that it has granted and that were not released.
+struct PermitHolder {
     queue: PermitQueue,
     now: Instant,
     listed: Vec<usize>,
-    /// When callers' times are over, by the requests' numbers.
-    times: Vec<Instant>,
-    sent: Vec<(RequestKey, ServerName)>,
+    /// When callers stop waiting, by the requests' numbers.
+    deadlines: Vec<Instant>,
+    granted: Vec<(RequestKey, ServerName)>,
 }
 
-impl Holder {
+impl PermitHolder {
     fn new() -> Self {
         let now = Instant::now();
         let mut holder = Self {
             queue: PermitQueue::default(),
             now,
             listed: Vec::new(),
-            times: Vec::new(),
-            sent: Vec::new(),
+            deadlines: Vec::new(),
+            granted: Vec::new(),
         };
         holder.list(vec![0, 1, 2]);
         holder
@@ -79,73 +79,74 @@
         self.listed = numbers;
     }
 
-    fn push(&mut self, patience: u64) {
-        let patience = Duration::from_millis(patience);
-        let want = PlainRequest {
+    fn push(&mut self, wait_limit: u64) {
+        let wait_limit = Duration::from_millis(wait_limit);
+        let request = PlainRequest {
             urgency: 1,
-            target_time: patience,
-            wait_limit: patience,
+            target_time: wait_limit,
+            wait_limit,
             domain: DomainName::try_from("north").expect("a valid name"),
             avoid: Vec::new(),
         };
-        let number = self.times.len() as u64;
-        self.times.push(self.now + patience);
-        self.queue.push((MemberId(1), number), want, self.now);
+        let number = self.deadlines.len() as u64;
+        self.deadlines.push(self.now + wait_limit);
+        self.queue.push((MemberId(1), number), request, self.now);
     }
 
-    fn end(&mut self, index: usize, outcome: PermitOutcome) {
-        if index < self.sent.len() {
-            let (asker, _) = self.sent.swap_remove(index);
-            self.queue.release(asker, outcome, self.now);
+    fn release(&mut self, index: usize, outcome: PermitOutcome) {
+        if index < self.granted.len() {
+            let (key, _) = self.granted.swap_remove(index);
+            self.queue.release(key, outcome, self.now);
         }
     }
 
-    /// Sends what can be sent; what was sent before and is over is free by then.
-    fn serve(&mut self) -> usize {
-        let times = &self.times;
-        self.sent.retain(|((_, number), _)| self.now < times[*number as usize]);
-        let before = self.sent.len();
-        while let Some(step) = self.queue.next_decision(self.now) {
-            if let QueueDecision::Grant(asker, at) = step {
+    /// Drops expired permits and grants all free ones; returns how many were granted.
+    fn grant_all(&mut self) -> usize {
+        let deadlines = &self.deadlines;
+        self.granted.retain(|((_, number), _)| self.now < deadlines[*number as usize]);
+        let before = self.granted.len();
+        while let Some(decision) = self.queue.next_decision(self.now) {
+            if let QueueDecision::Grant(key, at) = decision {
                 assert!(self.listed.iter().any(|number| server(*number) == at));
-                self.sent.push((asker, at));
+                self.granted.push((key, at));
             }
         }
         for number in 0..SERVERS {
-            let here = self.sent.iter().filter(|(_, at)| *at == server(number)).count();
-            assert!(here <= SLOTS + AHEAD, "{here} at s{number}");
+            let here =
+                self.granted.iter().filter(|(_, at)| *at == server(number)).count();
+            assert!(here <= SLOTS + EXTRA_PERMITS, "{here} permits for s{number}");
         }
-        self.sent.len() - before
+        self.granted.len() - before
     }
 }
 
 proptest! {
-    // No server is sent more than its places and those ahead; once nothing is in flight
-    // any more, all places of all servers are there to be had.
+    // No server gets more permits than it has slots and extra permits; once all are
+    // released, the slots of all servers are free.
     #[test]
-    fn places_are_neither_lost_nor_given_twice(
+    fn permits_are_neither_lost_nor_granted_twice(
         ops in prop::collection::vec(op(), 1..200),
     ) {
-        let mut holder = Holder::new();
+        let mut holder = PermitHolder::new();
         for op in ops {
             match op {
-                Op::Push { patience } => holder.push(patience),
-                Op::End { index, outcome } => holder.end(index, outcome),
+                Op::Push { wait_limit } => holder.push(wait_limit),
+                Op::Release { index, outcome } => holder.release(index, outcome),
                 Op::Wait(ms) => holder.now += Duration::from_millis(ms),
                 Op::List(numbers) => holder.list(numbers),
             }
-            holder.serve();
+            holder.grant_all();
         }
-        while !holder.sent.is_empty() {
-            holder.end(0, PermitOutcome::Answered);
+        while !holder.granted.is_empty() {
+            holder.release(0, PermitOutcome::Answered);
         }
-        // Failures fade, and callers' times are over.
+        // Failure rates decay, and deadlines pass.
         holder.now += Duration::from_secs(60);
         holder.list(vec![0, 1, 2]);
-        holder.serve();
+        holder.grant_all();
         for _ in 0..SERVERS * SLOTS {
             holder.push(1000);
         }
-        prop_assert_eq!(holder.serve(), SERVERS * SLOTS);
+        prop_assert_eq!(holder.grant_all(), SERVERS * SLOTS);
     }
 }
--- a/crates/pool/tests/prefill_queue.rs
+++ b/crates/pool/tests/prefill_queue.rs
@@ -1,4 +1,4 @@
-//! Prompts on their way to a runner, when more come than it reads at once.
+//! The prefill queue under bursts of prompts that a runner can't prefill at once.
 
 mod support;
 
@@ -9,24 +9,24 @@
 };
 use proptest::prelude::*;
 
-use support::{Answer, TimedEngine, at, model};
+use support::{EventTiming, SimulatedEngine, after_ms, model};
 
-/// The longest pause between events for which a stream is on time.
-const PAUSE: f64 = 250.0;
+/// Longest gap between events for which a stream is on time.
+const MAX_GAP_MS: f64 = 250.0;
 
-fn room() -> RunnerCapacity {
-    let pause = Some(Duration::from_millis(PAUSE as u64));
-    let step = Duration::from_millis(12);
+fn capacity() -> RunnerCapacity {
+    let max_event_gap = Some(Duration::from_millis(MAX_GAP_MS as u64));
+    let step_time = Duration::from_millis(12);
     RunnerCapacity {
         requests: 64,
         kv_tokens: 150_000,
-        max_event_gap: pause,
-        step_time: step,
+        max_event_gap,
+        step_time,
         steps_per_event: 3,
     }
 }
 
-fn waiting(number: u64, tokens: u32, urgency: u8, start: Instant) -> QueuedPrompt {
+fn prompt(number: u64, tokens: u32, urgency: u8, start: Instant) -> QueuedPrompt {
     QueuedPrompt {
         ticket: Ticket(number),
         prefill_time: Duration::from_micros(u64::from(tokens) * 50),
@@ -38,303 +38,316 @@
     }
 }
 
-/// Waves of prompts of very different length, as (time in ms, tokens).
-fn waves() -> Vec<(f64, u32)> {
+/// Bursts of prompts of very different length, as (time in ms, tokens).
+fn bursts() -> Vec<(f64, u32)> {
     let lengths = [300, 3700, 900, 1500, 200, 2800, 600, 1200, 3900, 500];
-    let wave = |wave: usize| {
-        let prompt = move |at: usize| (wave as f64 * 900.0, lengths[(wave + at) % 10]);
+    let burst = |burst: usize| {
+        let prompt =
+            move |index: usize| (burst as f64 * 900.0, lengths[(burst + index) % 10]);
         (0..5).map(prompt)
     };
-    (0..12).flat_map(wave).collect()
+    (0..12).flat_map(burst).collect()
 }
 
-/// Sends everything as it comes.
-fn at_once(load: &[(f64, u32)]) -> Vec<Answer> {
-    let mut engine = TimedEngine::default();
+/// Sends every prompt when it arrives.
+fn run_unqueued(load: &[(f64, u32)]) -> Vec<EventTiming> {
+    let mut engine = SimulatedEngine::default();
     let mut sent = 0;
-    while sent < load.len() || engine.load() > 0 {
-        while sent < load.len() && load[sent].0 <= engine.now {
-            engine.take(sent, load[sent].1, 40);
+    while sent < load.len() || engine.in_flight() > 0 {
+        while sent < load.len() && load[sent].0 <= engine.now_ms {
+            engine.submit(sent, load[sent].1, 40);
             sent += 1;
         }
-        engine.step();
+        engine.run_step();
     }
-    engine.answers.into_values().collect()
+    engine.timings.into_values().collect()
 }
 
-/// Sends what the lane says.
-fn through_lane(load: &[(f64, u32)]) -> Vec<Answer> {
-    let (mut engine, mut lane) = (TimedEngine::default(), PrefillQueue::default());
-    drive(load, &mut engine, &mut lane, room());
-    engine.answers.into_values().collect()
+/// Sends prompts when the queue allows it.
+fn run_queued(load: &[(f64, u32)]) -> Vec<EventTiming> {
+    let (mut engine, mut queue) = (SimulatedEngine::default(), PrefillQueue::default());
+    drive(load, &mut engine, &mut queue, capacity());
+    engine.timings.into_values().collect()
 }
 
-/// Sends an engine what the lane says until all is answered.
+/// Passes a load through a queue to an engine until all requests have finished.
 fn drive(
     load: &[(f64, u32)],
-    engine: &mut TimedEngine,
-    lane: &mut PrefillQueue,
-    room: RunnerCapacity,
+    engine: &mut SimulatedEngine,
+    queue: &mut PrefillQueue,
+    capacity: RunnerCapacity,
 ) {
     let start = Instant::now();
-    let mut came = 0;
-    while came < load.len() || engine.load() > 0 || !lane.is_empty() {
-        let now = at(start, engine.now);
-        while came < load.len() && load[came].0 <= engine.now {
-            lane.push(waiting(came as u64, load[came].1, 0, now));
-            came += 1;
+    let mut arrived = 0;
+    while arrived < load.len() || engine.in_flight() > 0 || !queue.is_empty() {
+        let now = after_ms(start, engine.now_ms);
+        while arrived < load.len() && load[arrived].0 <= engine.now_ms {
+            queue.push(prompt(arrived as u64, load[arrived].1, 0, now));
+            arrived += 1;
         }
-        while let PrefillAction::Send(one) = lane.next_action(room, now) {
-            engine.take(one.ticket.0 as usize, one.kv_tokens as u32, 40);
+        while let PrefillAction::Send(sent) = queue.next_action(capacity, now) {
+            engine.submit(sent.ticket.0 as usize, sent.kv_tokens as u32, 40);
         }
-        engine.step();
+        engine.run_step();
     }
 }
 
-fn late(answers: &[Answer]) -> usize {
-    answers.iter().filter(|answer| answer.pause > PAUSE).count()
+fn count_late(timings: &[EventTiming]) -> usize {
+    timings.iter().filter(|timing| timing.max_gap_ms > MAX_GAP_MS).count()
 }
 
 #[test]
-fn waves_of_prompts_pause_no_stream() {
-    // Five prompts come at once, some of them long. Sent as they come, the engine reads
-    // several between two tokens, and the streams of all callers on the runner pause
-    // for half a second. Through the lane they come one after another.
-    let load = waves();
-    let (baseline, lane) = (late(&at_once(&load)), late(&through_lane(&load)));
-    assert!(baseline >= load.len() / 3, "{baseline} streams are late without a lane");
-    assert_eq!(lane, 0, "streams are late with a lane");
+fn bursts_of_prompts_make_no_stream_late() {
+    // Five prompts arrive at once, some of them long. Without a queue the engine prefills
+    // several between two tokens, and the streams of all callers on the runner have a gap
+    // of half a second. The queue sends them one after another.
+    let load = bursts();
+    let (unqueued, queued) =
+        (count_late(&run_unqueued(&load)), count_late(&run_queued(&load)));
+    assert!(unqueued >= load.len() / 3, "{unqueued} streams are late without a queue");
+    assert_eq!(queued, 0, "streams are late with a queue");
 }
 
 #[test]
-fn events_of_many_tokens_span_many_prompts() {
-    // Guards against looking at the last two prompts alone: where an event takes nine short
-    // steps, a wave of short prompts is read within one of them, and every stream pauses.
-    let (step, event_steps) = (5.0, 9);
+fn all_prompts_within_one_event_count() {
+    // Guards against counting only the last two prompts: where an event takes nine short
+    // steps, a burst of short prompts is prefilled within one of them, and every stream is
+    // late.
+    let (step_ms, steps_per_event) = (5.0, 9);
     let load: Vec<(f64, u32)> =
-        (0..80).map(|at| (f64::from(at / 8) * 700.0, 700)).collect();
-    let room = RunnerCapacity {
+        (0..80).map(|index| (f64::from(index / 8) * 700.0, 700)).collect();
+    let capacity = RunnerCapacity {
         step_time: Duration::from_millis(5),
-        steps_per_event: event_steps,
-        ..room()
+        steps_per_event,
+        ..capacity()
     };
-    let engine = || TimedEngine::new(step, event_steps);
-    let through = |room: RunnerCapacity| {
-        let (mut engine, mut lane) = (engine(), PrefillQueue::default());
-        drive(&load, &mut engine, &mut lane, room);
-        late(&engine.answers.into_values().collect::<Vec<_>>())
+    let engine = || SimulatedEngine::new(step_ms, steps_per_event);
+    let late_with = |capacity: RunnerCapacity| {
+        let (mut engine, mut queue) = (engine(), PrefillQueue::default());
+        drive(&load, &mut engine, &mut queue, capacity);
+        count_late(&engine.timings.into_values().collect::<Vec<_>>())
     };
-    let short = through(RunnerCapacity { steps_per_event: 3, ..room });
-    assert!(short > load.len() / 4, "{short} streams are late if three steps count");
-    assert_eq!(through(room), 0, "streams are late if the event's steps count");
+    let three_steps = late_with(RunnerCapacity { steps_per_event: 3, ..capacity });
+    assert!(
+        three_steps > load.len() / 4,
+        "{three_steps} streams are late if three steps count"
+    );
+    assert_eq!(late_with(capacity), 0, "streams are late if the event's steps count");
 }
 
-/// What a first event takes besides reading, in milliseconds.
-const BASE: f64 = 80.0;
+/// Time of a first event besides prefill.
+const OVERHEAD_MS: f64 = 80.0;
 
-/// The first prompts, of which the engine keeps half from before the lane's time.
-const HIDDEN: usize = 60;
+/// Number of first prompts of which the engine has cached half without the queue knowing.
+const UNKNOWN_CACHED: usize = 60;
 
-/// Sends what the lane says, with speeds that are learnt from first events on the way.
+/// Passes a load through a queue whose timings are learned from first events.
 ///
-/// First events are seen `BASE` later than the engine has read their prompts. Returns
-/// the answers and the time for a thousand tokens that is believed at the end.
-fn through_learning_lane(load: &[(f64, u32)]) -> (Vec<Answer>, f64) {
+/// First events are observed `OVERHEAD_MS` after the engine has prefilled their prompts.
+/// Returns the timings and the final estimate for a thousand tokens, in milliseconds.
+fn run_with_learning(load: &[(f64, u32)]) -> (Vec<EventTiming>, f64) {
     let start = Instant::now();
     let name = model("m");
-    let mut engine = TimedEngine::default();
-    let (mut lane, mut speeds) = (PrefillQueue::default(), EngineTimings::default());
-    let mut sent = vec![0.0; load.len()];
+    let mut engine = SimulatedEngine::default();
+    let (mut queue, mut timings) = (PrefillQueue::default(), EngineTimings::default());
+    let mut sent_ms = vec![0.0; load.len()];
     let mut events: Vec<(f64, usize)> = Vec::new();
-    let mut came = 0;
-    while came < load.len() || engine.load() > 0 || !lane.is_empty() {
-        let now = at(start, engine.now);
-        while came < load.len() && load[came].0 <= engine.now {
-            let work = speeds.prefill_time(&name, load[came].1);
-            let one = waiting(came as u64, load[came].1, 0, now);
-            lane.push(QueuedPrompt { prefill_time: work, ..one });
-            came += 1;
+    let mut arrived = 0;
+    while arrived < load.len() || engine.in_flight() > 0 || !queue.is_empty() {
+        let now = after_ms(start, engine.now_ms);
+        while arrived < load.len() && load[arrived].0 <= engine.now_ms {
+            let prefill_time = timings.prefill_time(&name, load[arrived].1);
+            let next = prompt(arrived as u64, load[arrived].1, 0, now);
+            queue.push(QueuedPrompt { prefill_time, ..next });
+            arrived += 1;
         }
-        for (seen, one) in events.extract_if(.., |(seen, _)| *seen <= engine.now) {
-            let after = Duration::from_secs_f64((seen - sent[one]) / 1000.0);
-            let base = speeds.first_event_overhead(&name);
-            let free = lane.record_first_event(Ticket(one as u64), after, base);
-            if free && one >= HIDDEN {
-                speeds.record_first_event(&name, load[one].1, after);
+        for (observed, id) in events.extract_if(.., |(at, _)| *at <= engine.now_ms) {
+            let after = Duration::from_secs_f64((observed - sent_ms[id]) / 1000.0);
+            let overhead = timings.first_event_overhead(&name);
+            let was_idle = queue.record_first_event(Ticket(id as u64), after, overhead);
+            if was_idle && id >= UNKNOWN_CACHED {
+                timings.record_first_event(&name, load[id].1, after);
             }
         }
-        while let PrefillAction::Send(one) = lane.next_action(room(), now) {
-            let index = one.ticket.0 as usize;
-            sent[index] = engine.now;
-            let hidden = if index < HIDDEN { load[index].1 / 2 } else { 0 };
-            engine.take(index, load[index].1 - hidden, 40);
+        while let PrefillAction::Send(sent) = queue.next_action(capacity(), now) {
+            let id = sent.ticket.0 as usize;
+            sent_ms[id] = engine.now_ms;
+            let cached = if id < UNKNOWN_CACHED { load[id].1 / 2 } else { 0 };
+            engine.submit(id, load[id].1 - cached, 40);
         }
-        let begun = engine.step();
-        events.extend(begun.into_iter().map(|one| (engine.now + BASE, one)));
+        let prefilled = engine.run_step();
+        events.extend(prefilled.into_iter().map(|id| (engine.now_ms + OVERHEAD_MS, id)));
     }
-    let thousand = speeds.prefill_time(&name, 1000).as_secs_f64() * 1000.0;
-    (engine.answers.into_values().collect(), thousand)
+    let thousand = timings.prefill_time(&name, 1000).as_secs_f64() * 1000.0;
+    (engine.timings.into_values().collect(), thousand)
 }
 
 #[test]
-fn speeds_are_not_learnt_from_prompts_that_waited_at_the_engine() {
-    // A daemon takes over a runner at the worst of the load. At first it doesn't know what
-    // the runner keeps, and first events come sooner than whole prompts could be read; then
-    // short prompts wait at the runner behind long ones. Learnt from both, the runner seems
-    // to read faster than it does, more is sent than it reads, and the streams of all
-    // callers on it pause for longer than they may.
+fn prompts_that_waited_at_the_engine_are_no_samples() {
+    // A daemon takes over a runner under full load. At first it doesn't know what the
+    // runner has cached, and first events come sooner than whole prompts could be
+    // prefilled; then short prompts wait at the runner behind long ones. If both were
+    // samples, the runner would seem faster than it is, more prompts would be sent than it
+    // can prefill, and the event gaps of all its streams would become too long.
     let lengths = [300, 2700, 400, 1500, 200, 1800, 600, 1200, 2900, 500];
     let prompt = |number: usize| (number as f64 * 55.0, lengths[number * 7 % 10]);
     let load: Vec<(f64, u32)> = (0..550).map(prompt).collect();
-    let (answers, thousand) = through_learning_lane(&load);
-    let late = late(&answers);
-    assert!((45.0..65.0).contains(&thousand), "{thousand} ms for 1000 tokens, really 50");
+    let (timings, thousand) = run_with_learning(&load);
+    let late = count_late(&timings);
+    assert!(
+        (45.0..65.0).contains(&thousand),
+        "{thousand} ms for 1000 tokens instead of 50"
+    );
     assert!(late * 50 <= load.len(), "{late} of {} streams are late", load.len());
 }
 
 #[test]
-fn what_can_be_on_time_goes_before_what_is_late() {
-    // The runner was behind: an old request is late in any case. One that came just now
-    // can still be on time and goes first; the old one is not forgotten.
+fn prompts_that_can_be_on_time_go_before_late_ones() {
+    // After a delay at the runner, an old request is late in any case. A new one that can
+    // still be on time goes first, and the old one follows.
     let start = Instant::now();
-    let mut lane = PrefillQueue::default();
-    let old = QueuedPrompt { target: start, ..waiting(1, 1000, 0, start) };
-    lane.push(old);
-    lane.push(waiting(2, 1000, 2, start));
+    let mut queue = PrefillQueue::default();
+    let late = QueuedPrompt { target: start, ..prompt(1, 1000, 0, start) };
+    queue.push(late);
+    queue.push(prompt(2, 1000, 2, start));
     let now = start + Duration::from_millis(100);
-    let sent = |lane: &mut PrefillQueue, now| match lane.next_action(room(), now) {
-        PrefillAction::Send(one) => Some(one.ticket.0),
-        _ => None,
-    };
-    assert_eq!(sent(&mut lane, now), Some(2));
-    assert_eq!(sent(&mut lane, now + Duration::from_millis(200)), Some(1));
+    let next_sent =
+        |queue: &mut PrefillQueue, now| match queue.next_action(capacity(), now) {
+            PrefillAction::Send(sent) => Some(sent.ticket.0),
+            _ => None,
+        };
+    assert_eq!(next_sent(&mut queue, now), Some(2));
+    assert_eq!(next_sent(&mut queue, now + Duration::from_millis(200)), Some(1));
 }
 
 #[test]
 fn urgent_requests_go_first() {
     let start = Instant::now();
-    let mut lane = PrefillQueue::default();
-    lane.push(waiting(1, 400, 2, start));
-    lane.push(waiting(2, 400, 0, start));
+    let mut queue = PrefillQueue::default();
+    queue.push(prompt(1, 400, 2, start));
+    queue.push(prompt(2, 400, 0, start));
     assert!(
-        matches!(lane.next_action(room(), start), PrefillAction::Send(one) if one.ticket == Ticket(2))
+        matches!(queue.next_action(capacity(), start), PrefillAction::Send(sent) if sent.ticket == Ticket(2))
     );
 }
 
 #[test]
-fn a_request_waits_for_its_adapter_and_holds_up_nobody() {
-    // A caller's adapter is on its way for 20 ms. Others' prompts go meanwhile.
+fn a_request_that_waits_for_its_adapter_blocks_no_other() {
+    // A request's adapter is loading for 20 ms. Other prompts are sent meanwhile.
     let start = Instant::now();
-    let mut lane = PrefillQueue::default();
-    lane.push(QueuedPrompt { adapter_ready_at: None, ..waiting(1, 100, 0, start) });
-    lane.push(waiting(2, 100, 2, start));
+    let mut queue = PrefillQueue::default();
+    queue.push(QueuedPrompt { adapter_ready_at: None, ..prompt(1, 100, 0, start) });
+    queue.push(prompt(2, 100, 2, start));
     assert!(
-        matches!(lane.next_action(room(), start), PrefillAction::Send(one) if one.ticket == Ticket(2))
+        matches!(queue.next_action(capacity(), start), PrefillAction::Send(sent) if sent.ticket == Ticket(2))
     );
     let ready = start + Duration::from_millis(20);
-    lane.set_adapter_ready(Ticket(1), ready);
-    assert_eq!(lane.next_action(room(), start), PrefillAction::WaitUntil(ready));
+    queue.set_adapter_ready(Ticket(1), ready);
+    assert_eq!(queue.next_action(capacity(), start), PrefillAction::WaitUntil(ready));
     assert!(
-        matches!(lane.next_action(room(), ready), PrefillAction::Send(one) if one.ticket == Ticket(1))
+        matches!(queue.next_action(capacity(), ready), PrefillAction::Send(sent) if sent.ticket == Ticket(1))
     );
 }
 
 #[test]
-fn nothing_is_sent_into_a_full_runner() {
-    // All slots are taken: a request that is sent nonetheless waits at the engine, out
-    // of reach of the order by urgency, and is rejected when the queue there is full.
+fn nothing_is_sent_to_a_full_runner() {
+    // All slots are taken. A request that is sent anyway waits at the engine without regard
+    // to urgency, and is rejected when the queue there is full.
     let start = Instant::now();
-    let mut lane = PrefillQueue::default();
-    lane.push(waiting(1, 100, 0, start));
-    let full = RunnerCapacity { requests: 0, ..room() };
-    assert!(!matches!(lane.next_action(full, start), PrefillAction::Send(_)));
-    assert!(matches!(lane.next_action(room(), start), PrefillAction::Send(_)));
+    let mut queue = PrefillQueue::default();
+    queue.push(prompt(1, 100, 0, start));
+    let full = RunnerCapacity { requests: 0, ..capacity() };
+    assert!(!matches!(queue.next_action(full, start), PrefillAction::Send(_)));
+    assert!(matches!(queue.next_action(capacity(), start), PrefillAction::Send(_)));
 }
 
 #[test]
-fn a_runner_without_prompts_for_days_counts_no_old_prompt() {
-    // Guards against an overflow of the idle steps between prompts: an old prompt would count
-    // as one of the last few, or a debug build would panic.
-    let (start, step) = (Instant::now(), Duration::from_micros(100));
-    let room = RunnerCapacity { step_time: step, steps_per_event: 9, ..room() };
-    let mut lane = PrefillQueue::default();
-    let days = start + Duration::from_secs(8 * 24 * 3600);
-    for (number, now) in [(1, start), (2, days)] {
-        lane.push(waiting(number, 1500, 1, now));
-        assert!(matches!(lane.next_action(room, now), PrefillAction::Send(_)));
+fn an_idle_time_of_days_does_not_overflow() {
+    // Guards against an overflow of the idle steps between prompts: an old prompt would
+    // count as one of the last few, or a debug build would panic.
+    let (start, step_time) = (Instant::now(), Duration::from_micros(100));
+    let capacity = RunnerCapacity { step_time, steps_per_event: 9, ..capacity() };
+    let mut queue = PrefillQueue::default();
+    let days_later = start + Duration::from_secs(8 * 24 * 3600);
+    for (number, now) in [(1, start), (2, days_later)] {
+        queue.push(prompt(number, 1500, 1, now));
+        assert!(matches!(queue.next_action(capacity, now), PrefillAction::Send(_)));
     }
-    let third = waiting(3, 1500, 1, days);
-    let read = days + third.prefill_time + step;
-    lane.push(third);
-    assert_eq!(lane.next_action(room, days), PrefillAction::WaitUntil(read));
+    let third = prompt(3, 1500, 1, days_later);
+    let prefilled = days_later + third.prefill_time + step_time;
+    queue.push(third);
+    assert_eq!(
+        queue.next_action(capacity, days_later),
+        PrefillAction::WaitUntil(prefilled)
+    );
 }
 
 #[test]
-fn a_caller_that_has_left_is_not_served() {
+fn a_prompt_expires_at_its_deadline() {
     let start = Instant::now();
-    let mut lane = PrefillQueue::default();
-    lane.push(waiting(1, 100, 0, start));
+    let mut queue = PrefillQueue::default();
+    queue.push(prompt(1, 100, 0, start));
     let late = start + Duration::from_secs(16);
     assert!(
-        matches!(lane.next_action(room(), late), PrefillAction::Expired(one) if one.ticket == Ticket(1))
+        matches!(queue.next_action(capacity(), late), PrefillAction::Expired(expired) if expired.ticket == Ticket(1))
     );
-    assert!(lane.is_empty());
+    assert!(queue.is_empty());
 }
 
 #[test]
-fn a_lane_waits_for_an_engine_that_is_behind() {
-    // The engine is slower than assumed: the first event comes 200 ms late. What was
-    // sent is still being read, and the next prompt waits for it.
+fn prompts_wait_for_an_engine_that_is_behind() {
+    // The engine is slower than estimated: the first event is 200 ms late. The prompt is
+    // still being prefilled meanwhile, and the next one waits for it.
     let start = Instant::now();
-    let mut lane = PrefillQueue::default();
-    lane.push(waiting(1, 400, 0, start));
-    assert!(matches!(lane.next_action(room(), start), PrefillAction::Send(_)));
-    lane.push(waiting(2, 400, 0, start));
-    assert!(!matches!(lane.next_action(room(), start), PrefillAction::Send(_)));
-    lane.record_first_event(Ticket(1), Duration::from_millis(220), Duration::ZERO);
-    let assumed = start + Duration::from_millis(60);
-    assert!(!matches!(lane.next_action(room(), assumed), PrefillAction::Send(_)));
-    let read = start + Duration::from_millis(221);
-    assert!(matches!(lane.next_action(room(), read), PrefillAction::Send(_)));
+    let mut queue = PrefillQueue::default();
+    queue.push(prompt(1, 400, 0, start));
+    assert!(matches!(queue.next_action(capacity(), start), PrefillAction::Send(_)));
+    queue.push(prompt(2, 400, 0, start));
+    assert!(!matches!(queue.next_action(capacity(), start), PrefillAction::Send(_)));
+    queue.record_first_event(Ticket(1), Duration::from_millis(220), Duration::ZERO);
+    let estimated = start + Duration::from_millis(60);
+    assert!(!matches!(queue.next_action(capacity(), estimated), PrefillAction::Send(_)));
+    let prefilled = start + Duration::from_millis(221);
+    assert!(matches!(queue.next_action(capacity(), prefilled), PrefillAction::Send(_)));
 }
 
 #[test]
-fn what_a_first_event_takes_besides_reading_is_no_backlog() {
-    // A daemon has just taken over a runner that answers 80 ms after it has read a prompt.
-    // Nothing was learnt of it yet. If all of that time is taken for reading, the next
-    // callers wait for an engine that is idle, after each prompt anew.
+fn first_event_overhead_is_no_backlog() {
+    // A daemon has just taken over a runner that responds 80 ms after it has prefilled a
+    // prompt, and has no timings yet. If all of that time counted as prefill, the next
+    // callers would wait for an idle engine, after each prompt again.
     let start = Instant::now();
-    let mut lane = PrefillQueue::default();
-    lane.push(waiting(1, 400, 0, start));
-    assert!(matches!(lane.next_action(room(), start), PrefillAction::Send(_)));
-    let first = Duration::from_millis(20 + BASE as u64);
-    let free = lane.record_first_event(
+    let mut queue = PrefillQueue::default();
+    queue.push(prompt(1, 400, 0, start));
+    assert!(matches!(queue.next_action(capacity(), start), PrefillAction::Send(_)));
+    let first_event = Duration::from_millis(20 + OVERHEAD_MS as u64);
+    let was_idle = queue.record_first_event(
         Ticket(1),
-        first,
+        first_event,
         EngineTimings::default().first_event_overhead(&model("m")),
     );
-    assert!(free, "nothing was sent before");
+    assert!(was_idle, "nothing was sent before");
     let now = start + Duration::from_millis(60);
-    lane.push(waiting(2, 400, 0, now));
-    assert!(matches!(lane.next_action(room(), now), PrefillAction::Send(_)));
+    queue.push(prompt(2, 400, 0, now));
+    assert!(matches!(queue.next_action(capacity(), now), PrefillAction::Send(_)));
 }
 
 proptest! {
-    // Whatever comes when, everything is sent once or expires, and the lane never
-    // says to wait for a time that is past.
+    // Every prompt is sent once or expires, and the queue never asks to wait for a time in
+    // the past.
     #[test]
-    fn everything_is_sent_once(
+    fn every_prompt_is_sent_or_expires_once(
         load in prop::collection::vec((0u64..3000, 50u32..4000, 0u8..3), 1..40),
     ) {
         let start = Instant::now();
-        let mut lane = PrefillQueue::default();
+        let mut queue = PrefillQueue::default();
         for (number, (_, tokens, urgency)) in load.iter().enumerate() {
-            lane.push(waiting(number as u64, *tokens, *urgency, start));
+            queue.push(prompt(number as u64, *tokens, *urgency, start));
         }
-        let (mut now, mut sent) = (start, Vec::new());
+        let (mut now, mut done) = (start, Vec::new());
         for _ in 0..load.len() * 4 {
-            match lane.next_action(room(), now) {
-                PrefillAction::Send(one) | PrefillAction::Expired(one) => sent.push(one.ticket.0),
+            match queue.next_action(capacity(), now) {
+                PrefillAction::Send(prompt) | PrefillAction::Expired(prompt) => done.push(prompt.ticket.0),
                 PrefillAction::WaitUntil(until) => {
                     prop_assert!(until > now);
                     now = until;
@@ -342,7 +355,7 @@
                 PrefillAction::Idle => break,
             }
         }
-        sent.sort_unstable();
-        prop_assert_eq!(sent, (0..load.len() as u64).collect::<Vec<_>>());
+        done.sort_unstable();
+        prop_assert_eq!(done, (0..load.len() as u64).collect::<Vec<_>>());
     }
 }
--- a/crates/pool/tests/servers.rs
+++ b/crates/pool/tests/servers.rs
@@ -1,4 +1,5 @@
-//! What the registry says of backend servers, and what can be trusted of it.
+//! The fleet as listed in the registry, the health of servers, and reports of unreachable
+//! ones.
 
 mod support;
 
@@ -30,42 +31,44 @@
     ServerName::try_from(name).expect("a valid name")
 }
 
-fn open(fleet: &Fleet, now: Instant) -> usize {
+fn available_count(fleet: &Fleet, now: Instant) -> usize {
     let service = ServiceName::try_from("letters").expect("a valid name");
     fleet.available(&service, now).count()
 }
 
 #[test]
-fn leaving_and_missing_servers_get_nothing_new() {
-    // A runner says that it leaves, another one's entry vanishes without a word: it may
-    // be leaving too. Callers' new requests go to neither.
+fn draining_and_missing_servers_get_no_new_requests() {
+    // One runner announces that it is draining, and the entry of another one disappears
+    // without notice: it may be draining too. New requests go to neither.
     let (mut fleet, now) = (Fleet::default(), Instant::now());
     fleet.update(entry("r1", 1, Phase::Ready));
     fleet.update(entry("r2", 1, Phase::Ready));
-    assert_eq!(open(&fleet, now), 2);
+    assert_eq!(available_count(&fleet, now), 2);
     fleet.update(entry("r1", 1, Phase::Leaving(None)));
     fleet.mark_missing(&server("r2"), now);
-    assert_eq!(open(&fleet, now), 0);
+    assert_eq!(available_count(&fleet, now), 0);
 }
 
 #[test]
-fn entries_that_lapse_with_the_registry_are_kept_for_a_while() {
-    // The registry is down; servers can't renew their entries, which lapse one by one as
-    // it returns. The servers live. Two seconds later a missing one is gone for good.
+fn entries_that_expire_during_an_outage_have_a_grace_period() {
+    // During an outage of the registry servers can't renew their entries, which expire one
+    // by one when it returns. The servers are alive. After two seconds a missing one counts
+    // as gone.
     let (mut fleet, now) = (Fleet::default(), Instant::now());
     fleet.update(entry("r1", 1, Phase::Ready));
     fleet.start_grace(now);
     fleet.mark_missing(&server("r1"), now);
     fleet.remove_missing(now);
-    assert_eq!(open(&fleet, now + Duration::from_millis(1900)), 1);
-    assert_eq!(open(&fleet, now + Duration::from_millis(2100)), 0);
+    assert_eq!(available_count(&fleet, now + Duration::from_millis(1900)), 1);
+    assert_eq!(available_count(&fleet, now + Duration::from_millis(2100)), 0);
 }
 
 #[test]
-fn callers_are_told_when_entries_are_back() {
-    // All machines lose power while the registry is away. A daemon reads a registry that
-    // is nearly empty; its callers are refused, and those that come back before the
-    // entries do are refused once more and may not come back again.
+fn the_rest_of_the_grace_period_is_known() {
+    // All machines lose power while the registry is unavailable. A daemon then reads a
+    // registry that is nearly empty and refuses its callers; those that retry before the
+    // entries are back are refused again and may not retry any more. They are therefore
+    // told to retry after the grace period.
     let (mut fleet, now) = (Fleet::default(), Instant::now());
     assert_eq!(fleet.grace_left(now), Duration::ZERO);
     fleet.start_grace(now);
@@ -75,26 +78,26 @@
 }
 
 #[test]
-fn a_server_that_starts_again_is_another_one() {
-    // A runner crashes and is back under its name. What was counted there is gone with
-    // its former run, and the end of an old request must not count against the new run.
+fn a_restarted_server_gets_a_new_key() {
+    // A runner crashes and restarts under its name. The usage of its previous incarnation
+    // is gone, and the end of an old request must not be subtracted from the new one.
     let (mut fleet, now) = (Fleet::default(), Instant::now());
     let size = Size { prompt: 100, output: 10 };
-    let flight = InFlightRequest { size, responding: false };
-    let old = fleet.update(entry("r1", 1, Phase::Ready));
-    fleet.begin_request(old, flight);
-    let new = fleet.update(entry("r1", 2, Phase::Ready));
-    fleet.begin_request(new, flight);
-    fleet.end_request(old, flight);
-    assert_eq!(fleet.get(new).map(|server| server.own_usage.requests), Some(1));
-    assert!(fleet.get(old).is_none());
-    assert_eq!(open(&fleet, now), 1);
+    let request = InFlightRequest { size, responding: false };
+    let previous = fleet.update(entry("r1", 1, Phase::Ready));
+    fleet.begin_request(previous, request);
+    let restarted = fleet.update(entry("r1", 2, Phase::Ready));
+    fleet.begin_request(restarted, request);
+    fleet.end_request(previous, request);
+    assert_eq!(fleet.get(restarted).map(|server| server.own_usage.requests), Some(1));
+    assert!(fleet.get(previous).is_none());
+    assert_eq!(available_count(&fleet, now), 1);
 }
 
 #[test]
-fn a_server_that_refuses_connections_is_left_alone_for_a_moment() {
-    // A crashed runner refuses at once and would draw a burst of requests; it is tried
-    // again soon, as it is back after seconds.
+fn a_failed_connection_starts_a_short_backoff() {
+    // A crashed runner refuses connections at once and would attract a burst of requests;
+    // it is tried again soon, since it restarts within seconds.
     let (mut health, now) = (Health::default(), Instant::now());
     health.record_connection_failure(now);
     assert!(!health.allows_requests(now + Duration::from_millis(100)));
@@ -108,8 +111,8 @@
 }
 
 #[test]
-fn failures_fade() {
-    // A server fails half of its requests for a while, with its health check good. It
+fn the_penalty_for_failures_decays() {
+    // A server fails half of its requests for a while, though its health check passes. It
     // keeps little of its share meanwhile and has it back some seconds later.
     let (mut health, now) = (Health::default(), Instant::now());
     for _ in 0..4 {
@@ -121,14 +124,15 @@
 }
 
 #[test]
-fn one_daemon_alone_declares_no_server_lost() {
-    // A daemon is cut off from half of the runners. Its word must not move their models;
-    // two daemons' word must, long before the registry forgets the runners.
-    let (mut lost, now) = (UnreachableReports::default(), Instant::now());
-    lost.record(MemberId(1), vec![server("r1")], now);
-    assert!(!lost.is_unreachable(&server("r1"), 6, now));
-    assert!(lost.is_unreachable(&server("r1"), 1, now));
-    lost.record(MemberId(2), vec![server("r1")], now);
-    assert!(lost.is_unreachable(&server("r1"), 6, now));
-    assert!(!lost.is_unreachable(&server("r1"), 6, now + Duration::from_secs(1)));
+fn one_of_several_daemons_can_not_declare_a_server_unreachable() {
+    // A daemon is disconnected from half of the runners. Its reports alone must not move
+    // their models; those of two daemons must, long before the registry removes the
+    // runners.
+    let (mut reports, now) = (UnreachableReports::default(), Instant::now());
+    reports.record(MemberId(1), vec![server("r1")], now);
+    assert!(!reports.is_unreachable(&server("r1"), 6, now));
+    assert!(reports.is_unreachable(&server("r1"), 1, now));
+    reports.record(MemberId(2), vec![server("r1")], now);
+    assert!(reports.is_unreachable(&server("r1"), 6, now));
+    assert!(!reports.is_unreachable(&server("r1"), 6, now + Duration::from_secs(1)));
 }
--- a/crates/pool/tests/support/mod.rs
+++ b/crates/pool/tests/support/mod.rs
@@ -1,4 +1,4 @@
-//! An engine as far as its timing goes, and names for tests.
+//! A simulation of an engine's timing, and constructors for test data.
 
 #![allow(dead_code)]
 
@@ -9,155 +9,161 @@
 use chestnut_edge::{Engine, Model, TargetModel};
 use indexmap::IndexMap;
 
-/// The time of a step beside what is read in it.
-const STEP: f64 = 10.0;
+/// Duration of a step without prefill.
+const STEP_MS: f64 = 10.0;
 
-/// Prompt tokens that are read in a millisecond.
-const RATE: f64 = 20.0;
+/// Prompt tokens that are prefilled in a millisecond.
+const PREFILL_TOKENS_PER_MS: f64 = 20.0;
 
-/// Prompt tokens that are read in one step, at most.
-const CHUNK: u32 = 4096;
+/// Largest number of prompt tokens that are prefilled in one step.
+const MAX_PREFILL_TOKENS: u32 = 4096;
 
-/// Steps that one event of a stream takes.
-const EVENT_STEPS: u32 = 3;
+/// Steps between two events of a stream.
+const STEPS_PER_EVENT: u32 = 3;
 
-/// A prompt at the engine.
+/// A prompt that waits at the engine or is being prefilled.
 #[derive(Debug, Clone, Copy)]
-struct Prompt {
+struct PendingPrompt {
     id: usize,
-    left: u32,
+    tokens_left: u32,
     events: u32,
 }
 
 /// A stream that runs.
 #[derive(Debug, Clone, Copy)]
-struct Stream {
+struct RunningStream {
     id: usize,
     steps: u32,
-    events: u32,
-    /// When its last event was, in milliseconds.
-    at: f64,
+    events_left: u32,
+    last_event_ms: f64,
 }
 
-/// What became of a request.
+/// Timing of a request's events.
 #[derive(Debug, Clone, Copy, Default, PartialEq)]
-pub struct Answer {
-    /// When its first event was, in milliseconds.
-    pub first: Option<f64>,
-    /// The longest pause between its events, in milliseconds.
-    pub pause: f64,
-    /// Whether it ended.
-    pub whole: bool,
+pub struct EventTiming {
+    /// When its first event came; `None` before.
+    pub first_event_ms: Option<f64>,
+    /// Longest gap between its events so far.
+    pub max_gap_ms: f64,
+    /// Whether its last event came.
+    pub finished: bool,
 }
 
-/// An engine that reads waiting prompts between the tokens of its streams.
+/// An engine that prefills waiting prompts between the tokens of its streams.
 #[derive(Debug)]
-pub struct TimedEngine {
-    /// The time, in milliseconds.
-    pub now: f64,
-    /// The time of a step beside what is read in it, in milliseconds.
-    pub step: f64,
-    /// The steps that one event of a stream takes.
-    pub event_steps: u32,
-    prompts: VecDeque<Prompt>,
-    streams: Vec<Stream>,
-    /// What became of the requests, by their numbers.
-    pub answers: IndexMap<usize, Answer>,
+pub struct SimulatedEngine {
+    /// Simulated time since the start.
+    pub now_ms: f64,
+    /// Duration of a step without prefill.
+    pub step_ms: f64,
+    /// Steps between two events of a stream.
+    pub steps_per_event: u32,
+    prompts: VecDeque<PendingPrompt>,
+    streams: Vec<RunningStream>,
+    /// Timing of all submitted requests, by their ids.
+    pub timings: IndexMap<usize, EventTiming>,
 }
 
-impl Default for TimedEngine {
+impl Default for SimulatedEngine {
     fn default() -> Self {
-        Self::new(STEP, EVENT_STEPS)
+        Self::new(STEP_MS, STEPS_PER_EVENT)
     }
 }
 
-impl TimedEngine {
-    /// An engine with steps of so many milliseconds and events of so many steps.
-    pub fn new(step: f64, event_steps: u32) -> Self {
+impl SimulatedEngine {
+    /// An idle engine.
+    pub fn new(step_ms: f64, steps_per_event: u32) -> Self {
         Self {
-            now: 0.0,
-            step,
-            event_steps,
+            now_ms: 0.0,
+            step_ms,
+            steps_per_event,
             prompts: VecDeque::new(),
             streams: Vec::new(),
-            answers: IndexMap::new(),
+            timings: IndexMap::new(),
         }
     }
 
-    /// Takes a request with a prompt of so many tokens and so many events.
-    pub fn take(&mut self, id: usize, tokens: u32, events: u32) {
-        self.answers.insert(id, Answer::default());
-        self.prompts.push_back(Prompt { id, left: tokens, events });
+    /// Submits a request with a prompt of `tokens` and a response of `events`.
+    pub fn submit(&mut self, id: usize, tokens: u32, events: u32) {
+        self.timings.insert(id, EventTiming::default());
+        self.prompts.push_back(PendingPrompt { id, tokens_left: tokens, events });
     }
 
-    /// The requests that run or wait.
-    pub fn load(&self) -> usize {
+    /// Number of requests that run or wait.
+    pub fn in_flight(&self) -> usize {
         self.prompts.len() + self.streams.len()
     }
 
     /// Runs one step; returns the requests whose first event it brought.
-    pub fn step(&mut self) -> Vec<usize> {
-        let mut budget = CHUNK;
-        let mut begun = Vec::new();
+    pub fn run_step(&mut self) -> Vec<usize> {
+        let mut budget = MAX_PREFILL_TOKENS;
+        let mut prefilled = Vec::new();
         while budget > 0
             && let Some(prompt) = self.prompts.front_mut()
         {
-            let read = prompt.left.min(budget);
-            prompt.left -= read;
-            budget -= read;
-            if prompt.left > 0 {
+            let tokens = prompt.tokens_left.min(budget);
+            prompt.tokens_left -= tokens;
+            budget -= tokens;
+            if prompt.tokens_left > 0 {
                 break;
             }
-            begun.extend(self.prompts.pop_front());
+            prefilled.extend(self.prompts.pop_front());
         }
-        self.now += self.step + f64::from(CHUNK - budget) / RATE;
-        self.advance();
-        for prompt in &begun {
-            let Prompt { id, events, .. } = *prompt;
-            self.answers[&id].first = Some(self.now);
-            self.streams.push(Stream { id, steps: 0, events, at: self.now });
+        self.now_ms +=
+            self.step_ms + f64::from(MAX_PREFILL_TOKENS - budget) / PREFILL_TOKENS_PER_MS;
+        self.advance_streams();
+        for prompt in &prefilled {
+            let PendingPrompt { id, events, .. } = *prompt;
+            self.timings[&id].first_event_ms = Some(self.now_ms);
+            self.streams.push(RunningStream {
+                id,
+                steps: 0,
+                events_left: events,
+                last_event_ms: self.now_ms,
+            });
         }
-        begun.into_iter().map(|prompt| prompt.id).collect()
+        prefilled.into_iter().map(|prompt| prompt.id).collect()
     }
 
-    fn advance(&mut self) {
+    fn advance_streams(&mut self) {
         for stream in &mut self.streams {
             stream.steps += 1;
-            if stream.steps % self.event_steps == 0 {
-                let answer = &mut self.answers[&stream.id];
-                answer.pause = answer.pause.max(self.now - stream.at);
-                stream.at = self.now;
-                stream.events = stream.events.saturating_sub(1);
-                answer.whole = stream.events == 0;
+            if stream.steps % self.steps_per_event == 0 {
+                let timing = &mut self.timings[&stream.id];
+                timing.max_gap_ms =
+                    timing.max_gap_ms.max(self.now_ms - stream.last_event_ms);
+                stream.last_event_ms = self.now_ms;
+                stream.events_left = stream.events_left.saturating_sub(1);
+                timing.finished = stream.events_left == 0;
             }
         }
-        self.streams.retain(|stream| stream.events > 0);
+        self.streams.retain(|stream| stream.events_left > 0);
     }
 }
 
-/// A model's name.
+/// Parses a model's name.
 pub fn model(name: &str) -> ModelName {
     ModelName::try_from(name).expect("a valid name")
 }
 
-/// An adapter's name.
+/// Parses an adapter's name.
 pub fn adapter(name: &str) -> AdapterName {
     AdapterName::try_from(name).expect("a valid name")
 }
 
 /// A model without an adapter.
-pub fn base(name: &str) -> TargetModel {
+pub fn without_adapter(name: &str) -> TargetModel {
     TargetModel { model: model(name), adapter: None }
 }
 
-/// A model with an adapter.
+/// A model with the adapter `a<number>`.
 pub fn with_adapter(name: &str, number: usize) -> TargetModel {
     let adapter = Some(adapter(&format!("a{number}")));
     TargetModel { model: model(name), adapter }
 }
 
-/// A point in time that is some milliseconds after another.
-pub fn at(start: Instant, millis: f64) -> Instant {
+/// The time `millis` milliseconds after another.
+pub fn after_ms(start: Instant, millis: f64) -> Instant {
     start + Duration::from_secs_f64(millis / 1000.0)
 }
 
@@ -177,7 +183,7 @@
     Engine {
         slots: 64,
         kv_tokens: 150_000,
-        event_tokens: EVENT_STEPS,
+        event_tokens: STEPS_PER_EVENT,
         memory_mb: 200_000.0,
         adapter_slots: 8,
         loads_per_s: 1.1,
--- a/crates/pool/tests/timing.rs
+++ b/crates/pool/tests/timing.rs
@@ -1,4 +1,4 @@
-//! How soon it is known how fast engines read.
+//! How fast the timings of engines are learned.
 
 mod support;
 
@@ -11,21 +11,21 @@
 
 use support::model;
 
-/// Reading speeds of engines, in tokens a millisecond.
+/// Prefill rates of engines, in tokens a millisecond.
 const RATES: [f64; 3] = [13.0, 25.0, 60.0];
 
-/// Prompts that are read before the speed has to be known.
-const PROMPTS: usize = 25;
+/// Number of samples after which the rate has to be known.
+const SAMPLES: usize = 25;
 
-/// Lets prompts of usual lengths be read at a rate.
-fn read(speeds: &mut EngineTimings, name: &str, rate: f64, prompts: usize) {
+/// Records first events of prompts of usual lengths at a prefill rate.
+fn record_prompts(timings: &mut EngineTimings, name: &str, rate: f64, prompts: usize) {
     let mut rng = SmallRng::seed_from_u64(7);
     for _ in 0..prompts {
         let tokens: u32 = rng.random_range(100..2500);
-        // Each token is compared with those before it.
+        // Attention compares each token with those before it.
         let effort = f64::from(tokens) * (1.0 + f64::from(tokens) / 25_000.0);
         let time = 60.0 + effort / rate + rng.random_range(0.0..6.0);
-        speeds.record_first_event(
+        timings.record_first_event(
             &model(name),
             tokens,
             Duration::from_secs_f64(time / 1000.0),
@@ -33,120 +33,126 @@
     }
 }
 
-/// How fast prompts of a model are read, in tokens a millisecond.
-fn rate(speeds: &EngineTimings, name: &str) -> f64 {
-    0.001 / speeds.token_time(&model(name)).as_secs_f64()
+/// Estimated prefill rate of a model, in tokens a millisecond.
+fn rate(timings: &EngineTimings, name: &str) -> f64 {
+    0.001 / timings.token_time(&model(name)).as_secs_f64()
 }
 
-fn assert_near(speeds: &EngineTimings, name: &str, truth: f64) {
-    let known = rate(speeds, name);
-    assert!((known / truth - 1.0).abs() < 0.2, "{known} tokens/ms, really {truth}");
+fn assert_near(timings: &EngineTimings, name: &str, actual: f64) {
+    let estimate = rate(timings, name);
+    assert!(
+        (estimate / actual - 1.0).abs() < 0.2,
+        "{estimate} tokens/ms instead of {actual}"
+    );
 }
 
 #[test]
-fn engines_of_any_speed_are_known_after_a_few_prompts() {
-    // Guards against going by the first guess for long: prompts wait at an idle engine, or
-    // pile up at a slow one.
-    for truth in RATES {
-        let mut speeds = EngineTimings::default();
-        read(&mut speeds, "m", truth, PROMPTS);
-        assert_near(&speeds, "m", truth);
+fn any_prefill_rate_is_learned_after_a_few_prompts() {
+    // Guards against relying on the initial assumption for long: prompts wait at an idle
+    // engine, or pile up at a slow one.
+    for actual in RATES {
+        let mut timings = EngineTimings::default();
+        record_prompts(&mut timings, "m", actual, SAMPLES);
+        assert_near(&timings, "m", actual);
     }
 }
 
 #[test]
-fn a_daemon_that_starts_goes_by_what_others_learnt() {
-    // Guards against the first guess after all daemons lost their power.
-    for truth in RATES {
+fn a_daemon_that_starts_uses_shared_timings() {
+    // Guards against the initial assumption after all daemons lost power.
+    for actual in RATES {
         let mut before = EngineTimings::default();
-        read(&mut before, "m", truth, PROMPTS * 4);
+        record_prompts(&mut before, "m", actual, SAMPLES * 4);
         let mut fresh = EngineTimings::default();
         fresh.merge(&before.learned());
-        assert_near(&fresh, "m", truth);
+        assert_near(&fresh, "m", actual);
     }
 }
 
 #[test]
-fn a_model_that_was_not_read_yet_is_expected_to_be_like_others() {
-    // Guards against the first guess for the model that callers have just turned to.
-    let mut speeds = EngineTimings::default();
-    read(&mut speeds, "m", 60.0, PROMPTS * 4);
-    assert_near(&speeds, "n", 60.0);
-    read(&mut speeds, "n", 20.0, PROMPTS * 2);
-    assert_near(&speeds, "n", 20.0);
+fn a_model_without_samples_is_expected_to_be_like_others() {
+    // Guards against the initial assumption for a model whose demand has just begun.
+    let mut timings = EngineTimings::default();
+    record_prompts(&mut timings, "m", 60.0, SAMPLES * 4);
+    assert_near(&timings, "n", 60.0);
+    record_prompts(&mut timings, "n", 20.0, SAMPLES * 2);
+    assert_near(&timings, "n", 20.0);
 }
 
 #[test]
-fn what_was_learnt_is_told_when_it_changes() {
+fn timings_are_shared_when_they_change() {
     // Guards against a write to the store with every prompt.
-    let mut speeds = EngineTimings::default();
-    read(&mut speeds, "m", 20.0, PROMPTS * 4);
-    let told = speeds.learned();
-    assert!(told.differs_from(&Default::default()));
-    read(&mut speeds, "m", 20.0, PROMPTS);
-    assert!(!speeds.learned().differs_from(&told));
-    read(&mut speeds, "m", 30.0, PROMPTS * 4);
-    assert!(speeds.learned().differs_from(&told));
+    let mut timings = EngineTimings::default();
+    record_prompts(&mut timings, "m", 20.0, SAMPLES * 4);
+    let shared = timings.learned();
+    assert!(shared.differs_from(&Default::default()));
+    record_prompts(&mut timings, "m", 20.0, SAMPLES);
+    assert!(!timings.learned().differs_from(&shared));
+    record_prompts(&mut timings, "m", 30.0, SAMPLES * 4);
+    assert!(timings.learned().differs_from(&shared));
 }
 
 #[test]
-fn a_step_is_told_from_pauses_in_which_prompts_were_read() {
-    // Guards against taking the reading between two events for the engine's own step, or
-    // events that arrive together for a fast one.
+fn the_step_time_excludes_gaps_with_prefill() {
+    // Guards against counting prefill between two events as part of the engine's step time,
+    // or events that arrive together as a fast step.
     for (step, tokens) in [(4.0, 9), (6.0, 6), (30.0, 3)] {
-        let mut speeds = EngineTimings::default();
+        let mut timings = EngineTimings::default();
         let mut rng = SmallRng::seed_from_u64(11);
         for _ in 0..400 {
-            let read =
+            let prefill =
                 if rng.random_bool(0.6) { rng.random_range(10.0..150.0) } else { 0.0 };
-            let bare = step * f64::from(tokens) * rng.random_range(0.95..1.05);
-            let pause = if rng.random_bool(0.1) { 0.1 } else { bare + read };
-            speeds.record_event_gap(Duration::from_secs_f64(pause / 1000.0), tokens);
+            let steps = step * f64::from(tokens) * rng.random_range(0.95..1.05);
+            let gap = if rng.random_bool(0.1) { 0.1 } else { steps + prefill };
+            timings.record_event_gap(Duration::from_secs_f64(gap / 1000.0), tokens);
         }
-        let known = speeds.step_time().as_secs_f64() * 1000.0;
-        assert!((1.0..1.4).contains(&(known / step)), "{known} ms, really {step}");
+        let estimate = timings.step_time().as_secs_f64() * 1000.0;
+        assert!(
+            (1.0..1.4).contains(&(estimate / step)),
+            "{estimate} ms instead of {step}"
+        );
     }
 }
 
 #[test]
-fn how_long_requests_stay_is_learnt() {
-    // Guards against refusing a caller because streams are taken to stay for longer than
-    // they do.
-    let mut speeds = EngineTimings::default();
+fn the_service_time_is_learned() {
+    // Guards against refusing a caller because service times are overestimated.
+    let mut timings = EngineTimings::default();
     for _ in 0..150 {
-        speeds.record_service_time(Duration::from_millis(500));
+        timings.record_service_time(Duration::from_millis(500));
     }
-    assert!(speeds.service_time() < Duration::from_millis(650));
+    assert!(timings.service_time() < Duration::from_millis(650));
 }
 
 #[test]
-fn a_daemon_that_starts_keeps_what_others_learnt() {
-    // Guards against a planner that has just started and writes that nothing is known.
+fn a_daemon_that_starts_keeps_shared_timings() {
+    // Guards against a planner that has just started and overwrites the stored timings with
+    // its empty ones.
     let mut before = EngineTimings::default();
-    read(&mut before, "m", 40.0, PROMPTS * 4);
+    record_prompts(&mut before, "m", 40.0, SAMPLES * 4);
     let mut fresh = EngineTimings::default();
     fresh.merge(&before.learned());
     assert!(fresh.learned().models.is_empty());
-    read(&mut fresh, "n", 20.0, PROMPTS * 4);
-    let kept = fresh.learned_by_all();
-    assert_eq!(kept.models.len(), 2);
-    assert!(!kept.differs_from(&fresh.learned_by_all()));
+    record_prompts(&mut fresh, "n", 20.0, SAMPLES * 4);
+    let all = fresh.learned_by_all();
+    assert_eq!(all.models.len(), 2);
+    assert!(!all.differs_from(&fresh.learned_by_all()));
 }
 
 #[test]
-fn times_that_no_engine_has_are_not_believed() {
-    // Guards against a row in the store with figures that a daemon can't reckon with.
-    let mut speeds = EngineTimings::default();
-    let most = Duration::from_micros(u64::MAX);
-    speeds.merge(&LearnedTimings {
-        step_time: most,
-        service_time: most,
+fn implausible_shared_times_are_clamped() {
+    // Guards against a row in the store with values that a daemon can't calculate with.
+    let mut timings = EngineTimings::default();
+    let huge = Duration::from_micros(u64::MAX);
+    timings.merge(&LearnedTimings {
+        step_time: huge,
+        service_time: huge,
         ..LearnedTimings::default()
     });
-    assert!(speeds.step_time() < Duration::from_secs(2));
-    speeds.merge(&LearnedTimings {
+    assert!(timings.step_time() < Duration::from_secs(2));
+    timings.merge(&LearnedTimings {
         step_time: Duration::ZERO,
         ..LearnedTimings::default()
     });
-    assert!(speeds.step_time() > Duration::ZERO);
+    assert!(timings.step_time() > Duration::ZERO);
 }
