--- a/crates/pool/src/choose.rs
+++ b/crates/pool/src/choose.rs
@@ -12,7 +12,7 @@
 //! runners that get them, so that one replica of a model takes most of them.
 //!
 //! A runner whose slots or KV cache are full has room again as its streams end. An
-//! estimate without this wait is a tenth of the real one at a full runner, and requests
+//! estimate that ignores this is a tenth of the real wait at a full runner, and requests
 //! queue there while other replicas of the model have room.
 
 use std::time::{Duration, Instant};
--- a/crates/pool/src/queue.rs
+++ b/crates/pool/src/queue.rs
@@ -74,7 +74,7 @@
 /// late are refused instead, and the others are on time.
 const OVERLOAD_AFTER: Duration = Duration::from_millis(300);
 
-/// How often the backoff of a server that rejects requests doubles.
+/// How many times the backoff of a server that rejects requests doubles at most.
 const MAX_BACKOFF_DOUBLINGS: u32 = 3;
 
 /// A plain request that asks for a permit.
--- a/crates/pool/src/timing.rs
+++ b/crates/pool/src/timing.rs
@@ -15,8 +15,8 @@
 //! whatever its length, and that of a prompt with more cached parts than known is early;
 //! both make prefill look faster than it is, so more prompts are sent, more of them wait,
 //! and prefill looks faster still. With samples from all prompts during a rolling restart
-//! of the daemons, an eighth of the streams had too long gaps; with these samples a
-//! twenty-fifth.
+//! of the daemons, the event gap was too long in an eighth of the streams; with only these
+//! samples, in a twenty-fifth.
 
 use std::time::Duration;
 
