--- a/crates/gate/src/answer.rs
+++ b/crates/gate/src/answer.rs
@@ -281,7 +281,7 @@
                 }
                 Ok(_) | Err(Missed::Late) => return false,
                 Err(missed) => {
-                    drop(self.job.attempts.record(place.run(), missed.ended()))
+                    let _ = self.job.attempts.record(place.run(), missed.ended());
                 }
             }
         }
