--- a/crates/node/src/opsconf.rs
+++ b/crates/node/src/config_api.rs
@@ -12,7 +12,7 @@
 //! | `GET /v1/config/change/ID` | the answer to the team's earlier change |
 //! | `GET /v1/config/files?at=N` | the team's files, now or at a revision |
 //! | `GET /v1/config/history?limit=N` | the newest revisions |
-//! | `GET /v1/config/show/SUBJECT` | rows, see [`opsrows`] |
+//! | `GET /v1/config/show/SUBJECT` | rows, see [`show_rows`] |
 //! | `GET /v1/config/explain?...` | what would happen to a request |
 //! | `POST /v1/config/drain` | tells a VM to leave |
 
@@ -36,7 +36,7 @@
 use crate::members::{DRAINS, DrainRow};
 use crate::node::Node;
 use crate::shared::Shared;
-use crate::{confsync, explain, opsrows};
+use crate::{config_sync, explain, show_rows};
 
 /// The largest body of a change, in bytes.
 const BODY_LIMIT: usize = 4 << 20;
@@ -72,13 +72,13 @@
     let shared = &node.shared;
     let change = own(shared, &headers, body)?;
     // A plan is of use during an outage too, and says at which revision it is.
-    let files = match confsync::refresh(shared).await {
+    let files = match config_sync::refresh(shared).await {
         Ok(files) => files,
-        Err(_) => confsync::files(shared),
+        Err(_) => config_sync::files(shared),
     };
     let revision = files.revision();
     let next = Revision(revision.0 + 1);
-    let runners = confsync::runners(shared);
+    let runners = config_sync::runner_counts(shared);
     let (reason, plan): (Option<Reason>, _) = match change.judge(&files, &runners, next) {
         Ok(new) => (None, Plan::between(&shared.catalog(), &new)),
         Err(reason) => (Some(reason), Plan::default()),
@@ -94,7 +94,7 @@
 ) -> Result<Response, Fault> {
     let shared = &node.shared;
     let change = own(shared, &headers, body)?;
-    match confsync::commit(shared, change).await {
+    match config_sync::apply_change(shared, change).await {
         Answer::Final(verdict) => Ok(answer(verdict)),
         Answer::Undecided(why) => Err(Fault::undecided(&why)),
         Answer::Reused => Err(Fault::new(
@@ -111,7 +111,7 @@
 ) -> Result<Response, Fault> {
     let shared = &node.shared;
     let team = team(shared, &headers)?;
-    match confsync::ruling(shared, &team, &id).await? {
+    match config_sync::ruling(shared, &team, &id).await? {
         Some(ruling) => Ok(answer(ruling.verdict)),
         None => Err(Fault::new(
             StatusCode::NOT_FOUND,
@@ -140,11 +140,11 @@
 ) -> Result<Response, Fault> {
     let shared = &node.shared;
     let team = team(shared, &headers)?;
-    let read = confsync::refresh(shared).await;
+    let read = config_sync::refresh(shared).await;
     // During an outage the files in force are still of use for a plan.
     let files = match (read, query.at) {
         (Ok(files), _) => files,
-        (Err(_), None) => confsync::files(shared),
+        (Err(_), None) => config_sync::files(shared),
         (Err(error), Some(_)) => return Err(error.into()),
     };
     let newest = files.revision();
@@ -201,7 +201,8 @@
     while let Some(number) = block
         && found.len() < count
     {
-        let entries = confsync::block(shared, Revision(number * BLOCK)).await?;
+        let entries =
+            config_sync::history_block(shared, Revision(number * BLOCK)).await?;
         found.extend(entries.into_iter().filter(|entry| entry.revision <= newest));
         block = number.checked_sub(1);
     }
@@ -221,10 +222,10 @@
 ) -> Result<Response, Fault> {
     let shared = &node.shared;
     team(shared, &headers)?;
-    let newest = confsync::refresh(shared).await?.revision();
+    let newest = config_sync::refresh(shared).await?.revision();
     let count = query.limit.unwrap_or(HISTORY).min(HISTORY_LIMIT);
     let entries = newest_entries(shared, newest, count).await?;
-    let rows: Vec<_> = entries.iter().map(opsrows::entry).collect();
+    let rows: Vec<_> = entries.iter().map(show_rows::history_entry).collect();
     Ok(Json(json!({ "revision": newest, "rows": rows })).into_response())
 }
 
@@ -236,13 +237,13 @@
     let shared = &node.shared;
     team(shared, &headers)?;
     let rows = match subject.as_str() {
-        "daemons" => Some(opsrows::daemons(&node).await),
-        _ => opsrows::rows(shared, &subject),
+        "daemons" => Some(show_rows::daemons(&node).await),
+        _ => show_rows::rows(shared, &subject),
     };
     match rows {
         Some(rows) => Ok(Json(json!({
             "revision": shared.catalog().revision,
-            "fresh": confsync::is_fresh(shared, shared.clock.now()),
+            "fresh": config_sync::is_fresh(shared, shared.clock.now()),
             "rows": rows,
         }))
         .into_response()),
@@ -256,7 +257,7 @@
 async fn explain_request(
     State(node): State<Arc<Node>>,
     headers: HeaderMap,
-    Query(query): Query<explain::Request>,
+    Query(query): Query<explain::ExplainQuery>,
 ) -> Result<Response, Fault> {
     let shared = &node.shared;
     team(shared, &headers)?;
--- a/crates/node/src/confsync.rs
+++ b/crates/node/src/config_sync.rs
@@ -23,7 +23,7 @@
 use serde::de::DeserializeOwned;
 use tokio::task::JoinSet;
 
-use crate::feed::Feed;
+use crate::feed::ChangeFeed;
 use crate::members;
 use crate::metrics::Metrics;
 use crate::node::Node;
@@ -48,7 +48,7 @@
 const STALE_SHARE: f64 = 4.0;
 
 /// What a daemon keeps of the configuration's rows.
-pub struct Conf {
+pub struct ConfigState {
     store: Mutex<Store>,
     reads: Counter,
     failures: Counter,
@@ -62,7 +62,7 @@
     checked: Revision,
 }
 
-impl Conf {
+impl ConfigState {
     /// Creates the state of a daemon that has read nothing yet.
     pub fn new(metrics: &Metrics) -> Self {
         let conf = Self {
@@ -101,7 +101,7 @@
     let mut ask_next = shared.clock.now();
     loop {
         let members = shared.view().members.len();
-        let pace = Feed::pace(shared.settings.times.poll, members);
+        let pace = ChangeFeed::poll_interval(shared.settings.times.poll, members);
         if follow(shared).await.is_err() {
             shared.conf.failures.inc();
             if needs_peers(shared) && shared.clock.now() >= ask_next {
@@ -138,7 +138,7 @@
     }
     while let Some(answer) = calls.join_next().await {
         if let Ok(Ok(PeerResponse::Config(Some(handover)))) = answer {
-            hear(shared, &handover, asked);
+            apply_handover(shared, &handover, asked);
         }
     }
 }
@@ -194,7 +194,7 @@
 }
 
 /// What to tell a peer that has revision `have` and can't read the table.
-pub fn tell(shared: &Shared, have: Revision) -> Bytes {
+pub fn handover(shared: &Shared, have: Revision) -> Bytes {
     let now = shared.clock.now();
     let handover =
         shared.conf.store().replica.tell(have, now, shared.settings.times.stale);
@@ -205,7 +205,7 @@
 /// Takes in a peer's answer to a question that was sent at `asked`.
 ///
 /// An answer that can't be read changes nothing.
-pub fn hear(shared: &Shared, answer: &[u8], asked: Instant) {
+pub fn apply_handover(shared: &Shared, answer: &[u8], asked: Instant) {
     let Ok(handover) = serde_json::from_slice::<Handover>(answer) else {
         shared.conf.failures.inc();
         return;
@@ -216,7 +216,7 @@
 }
 
 /// Takes a change to its answer.
-pub async fn commit(shared: &Shared, change: Change) -> Answer {
+pub async fn apply_change(shared: &Shared, change: Change) -> Answer {
     let wall = shared.clock.wall_time().duration_since(UNIX_EPOCH);
     let mut applier = Applier::new(change.clone(), wall.map_or(0, |at| at.as_secs()));
     let mut step = applier.start();
@@ -249,7 +249,7 @@
         None => None,
     };
     let ruling = ruling(shared, &change.team, &change.id).await?;
-    Ok(Snapshot { head, files, ruling, oldest, runners: runners(shared) })
+    Ok(Snapshot { head, files, ruling, oldest, runners: runner_counts(shared) })
 }
 
 async fn send(shared: &Shared, commit: Commit) -> Event {
@@ -284,7 +284,7 @@
 }
 
 /// The entries of the block of the history that holds a revision, newest first.
-pub async fn block(
+pub async fn history_block(
     shared: &Shared,
     revision: Revision,
 ) -> Result<Vec<Entry>, PlatformError> {
@@ -297,7 +297,7 @@
 }
 
 /// The number of runners of each pool on the platform's list.
-pub fn runners(shared: &Shared) -> IndexMap<PoolName, usize> {
+pub fn runner_counts(shared: &Shared) -> IndexMap<PoolName, usize> {
     let mut found = IndexMap::new();
     for server in shared.view().servers.values() {
         if let ServerRole::Runner(pool) = &server.role {
--- a/crates/node/src/explain.rs
+++ b/crates/node/src/explain.rs
@@ -15,7 +15,7 @@
 
 use crate::node::Node;
 use crate::shared::Shared;
-use crate::{confsync, opsrows};
+use crate::{config_sync, show_rows};
 
 /// The greatest number of other daemons that are asked for their queues.
 const ASKED: usize = 8;
@@ -26,7 +26,7 @@
 /// A request that an operator asks about.
 #[derive(Debug, Default, Deserialize)]
 #[serde(deny_unknown_fields)]
-pub struct Request {
+pub struct ExplainQuery {
     /// What the caller puts into `model`.
     model: Option<String>,
     /// The plain service.
@@ -38,7 +38,7 @@
 }
 
 /// What would happen to a request, step by step, and who waits before it.
-pub async fn explain(node: &Arc<Node>, request: &Request) -> Value {
+pub async fn explain(node: &Arc<Node>, request: &ExplainQuery) -> Value {
     let mut found = steps(&node.shared, request);
     let names: Vec<String> = found["servers"]
         .as_array()
@@ -90,11 +90,11 @@
     found
 }
 
-fn steps(shared: &Shared, request: &Request) -> Value {
+fn steps(shared: &Shared, request: &ExplainQuery) -> Value {
     let mut steps = Vec::new();
     let catalog = shared.catalog();
     steps.push(format!("declarations of revision {} are in force", catalog.revision));
-    if !confsync::is_fresh(shared, shared.clock.now()) {
+    if !config_sync::is_fresh(shared, shared.clock.now()) {
         steps.push("this daemon can't confirm that and takes no new work".into());
     }
     if let Some(caller) = &request.caller {
@@ -188,6 +188,6 @@
 fn candidate(view: &View, name: &str, server: &Server, resident: bool) -> Value {
     json!({
         "server": name, "domain": server.domain, "leaving": server.leaving,
-        "resident": resident && !server.leaving, "lead": opsrows::lead(view, name),
+        "resident": resident && !server.leaving, "lead": show_rows::lead_vm(view, name),
     })
 }
--- a/crates/node/src/feed.rs
+++ b/crates/node/src/feed.rs
@@ -2,7 +2,7 @@
 //!
 //! Membership, declarations, the ledger, plans and convictions are all rows that
 //! every daemon follows. If each part asked for its own, 2,100 daemons would cost
-//! some 8 reads a poll each, and with a budget of [`READS_PER_SECOND`] a change
+//! some 8 reads a poll each, and with a budget of [`MAX_READS_PER_SECOND`] a change
 //! would take 17 s to be seen by all. One read of all tables at once takes 2.1 s.
 //! The feed keeps the last changes; each part takes from it what it has not seen.
 
@@ -20,7 +20,7 @@
 ///
 /// Half of the two thousand that the platform serves; the rest is for starts,
 /// journals and orders.
-pub const READS_PER_SECOND: f64 = 1000.0;
+pub const MAX_READS_PER_SECOND: f64 = 1000.0;
 
 /// The greatest number of changes that are kept.
 ///
@@ -32,7 +32,7 @@
 const PART: usize = 500;
 
 /// The changes of the tables that every daemon follows.
-pub struct Feed {
+pub struct ChangeFeed {
     tables: Vec<String>,
     state: Mutex<State>,
 }
@@ -62,7 +62,7 @@
     row: Option<Row>,
 }
 
-impl Feed {
+impl ChangeFeed {
     /// Creates a feed of `tables` that has read nothing yet.
     pub fn new(tables: &[&str]) -> Self {
         let state = State {
@@ -78,8 +78,8 @@
     }
 
     /// The time between two reads of a daemon among `members`.
-    pub fn pace(poll: Duration, members: usize) -> Duration {
-        poll.max(Duration::from_secs_f64(members as f64 / READS_PER_SECOND))
+    pub fn poll_interval(poll: Duration, members: usize) -> Duration {
+        poll.max(Duration::from_secs_f64(members as f64 / MAX_READS_PER_SECOND))
     }
 
     /// Reads what changed, and the rows that are wanted besides.
@@ -98,14 +98,14 @@
         match table.changes(&ask).await {
             Ok(changed) => Ok(self.lock().take(changed, asked)),
             Err(error) => {
-                self.note_failure(&error);
+                self.record_failure(&error);
                 Err(error)
             }
         }
     }
 
     /// Takes note that the table can't be used.
-    pub fn note_failure(&self, error: &PlatformError) {
+    pub fn record_failure(&self, error: &PlatformError) {
         self.lock().failure = Some(error.clone());
     }
 
--- a/crates/node/src/lead.rs
+++ b/crates/node/src/lead.rs
@@ -65,7 +65,7 @@
     pub address: SocketAddr,
     hold: Hold,
     /// Keeps the model resident while the attempt runs.
-    _used: Option<usage::Hold>,
+    _used: Option<usage::UsageGuard>,
     loads: Loads,
     stopped: Option<oneshot::Receiver<()>>,
     told: Mutex<Told>,
@@ -144,7 +144,7 @@
             ));
         };
         // Before the check, so that the model is not unloaded in between.
-        let used = self.shared.usage.hold_target(&run.server, &run.request.target);
+        let used = self.shared.usage.acquire_target(&run.server, &run.request.target);
         if !self.holds(run) {
             return Err(passing(
                 RefusalCode::NotResident,
@@ -393,7 +393,7 @@
     }
     // Before the check that the model is resident, so that it is not unloaded
     // between the check and the end of the stream.
-    let _hold = node.shared.usage.hold_target(&run.server, &run.request.target);
+    let _hold = node.shared.usage.acquire_target(&run.server, &run.request.target);
     let offered = tokio::select! {
         offered = node.leads.offer(&run) => offered,
         () = out.closed() => return,
--- a/crates/node/src/lib.rs
+++ b/crates/node/src/lib.rs
@@ -10,13 +10,14 @@
 //! 5. [`engine`] calls the backend server; the answer streams back and
 //!    [`answer`] gives it the form that the caller expects.
 //!
-//! Beside them run [`members`] (leases and claims), [`confsync`] (declarations),
+//! Beside them run [`members`] (leases and claims), [`config_sync`] (declarations),
 //! [`planner`] and [`orders`] (which model is resident where). They meet in
 //! [`shared`]; [`run`] starts and stops them.
 
 pub mod answer;
 mod command;
-pub mod confsync;
+pub mod config_api;
+pub mod config_sync;
 pub mod demand;
 pub mod engine;
 pub mod entry;
@@ -29,8 +30,6 @@
 pub mod metrics;
 pub mod node;
 pub mod ops;
-pub mod opsconf;
-pub mod opsrows;
 pub mod orders;
 pub mod parse;
 pub mod peer;
@@ -40,6 +39,7 @@
 pub mod relay;
 pub mod run;
 pub mod shared;
+pub mod show_rows;
 pub mod single;
 pub mod slotlog;
 pub mod slots;
--- a/crates/node/src/members.rs
+++ b/crates/node/src/members.rs
@@ -26,7 +26,7 @@
 use slog::{info, warn};
 
 use self::counters::Counters;
-use crate::feed::Feed;
+use crate::feed::ChangeFeed;
 use crate::node::Node;
 use crate::shared::Shared;
 
@@ -146,7 +146,7 @@
     /// and no faster than they always poll, so that the return is no stampede.
     fn pause(&self) -> Duration {
         let poll = self.shared.settings.times.poll;
-        let pace = Feed::pace(poll, self.known.members.len());
+        let pace = ChangeFeed::poll_interval(poll, self.known.members.len());
         pace.mul_f64(rand::random_range(0.75..1.25))
     }
 
@@ -182,7 +182,7 @@
             self.counters.failures.inc();
             // Also when the renewal failed before anything was read: those who
             // follow the feed must not take old rows for confirmed ones.
-            self.shared.feed.note_failure(&error);
+            self.shared.feed.record_failure(&error);
             if self.reachable {
                 let why = error.to_string();
                 warn!(self.shared.log, "the table can't be used"; "error" => why);
--- a/crates/node/src/node.rs
+++ b/crates/node/src/node.rs
@@ -7,7 +7,7 @@
 use reqwest::Client;
 use tokio::sync::mpsc;
 
-use crate::confsync;
+use crate::config_sync;
 use crate::entry::Intake;
 use crate::lead::{self, Leads};
 use crate::peer::{Peers, Serve};
@@ -48,7 +48,7 @@
                 PeerResponse::Once(Slots::lookup(&self, &id).await)
             }
             PeerRequest::Config(have) => {
-                PeerResponse::Config(Some(confsync::tell(&self.shared, have)))
+                PeerResponse::Config(Some(config_sync::handover(&self.shared, have)))
             }
             PeerRequest::Status => PeerResponse::Status(self.status()),
             PeerRequest::ReportSuspects(blames) => {
--- a/crates/node/src/ops.rs
+++ b/crates/node/src/ops.rs
@@ -9,8 +9,8 @@
 use serde_json::{Value, json};
 
 use crate::answer;
+use crate::config_api;
 use crate::node::Node;
-use crate::opsconf;
 
 /// The routes that operators use.
 pub fn router(node: Arc<Node>) -> Router {
@@ -18,7 +18,7 @@
         .route("/metrics", get(metrics))
         .route("/debug/state", get(state))
         .with_state(node.clone())
-        .merge(opsconf::router(node.clone()))
+        .merge(config_api::router(node.clone()))
 }
 
 async fn metrics(State(node): State<Arc<Node>>) -> String {
--- a/crates/node/src/orders.rs
+++ b/crates/node/src/orders.rs
@@ -4,11 +4,11 @@
 //! ([`rows`]). For each runner that it leads it runs one task ([`runner`]) that
 //! reads the engine's report, decides the next steps with `chestnut-place`,
 //! commits them to the runner's row under the claim, and only then sends orders
-//! ([`command`]). [`usage`] counts the requests that use an asset, so that
+//! ([`engine_client`]). [`usage`] counts the requests that use an asset, so that
 //! nothing is unloaded under a running request.
 
-pub mod command;
 pub mod counters;
+pub mod engine_client;
 pub mod rows;
 pub mod runner;
 pub mod usage;
@@ -21,16 +21,16 @@
 use indexmap::IndexMap;
 use tokio::task::JoinHandle;
 
-use crate::feed::Feed;
-use crate::orders::command::Engines;
+use crate::feed::ChangeFeed;
 use crate::orders::counters::Counters;
-use crate::orders::runner::Runner;
+use crate::orders::engine_client::EngineClient;
+use crate::orders::runner::RunnerReconciler;
 use crate::shared::Shared;
 
 /// Reads the ledger and serves the runners that this daemon leads.
 pub async fn run(shared: Arc<Shared>) {
     let counters = Arc::new(Counters::new(&shared.metrics));
-    let engines = match Engines::new(shared.settings.times.platform) {
+    let engines = match EngineClient::new(shared.settings.times.platform) {
         Ok(engines) => engines,
         Err(error) => {
             slog::error!(shared.log, "no orders can be sent"; "error" => %error);
@@ -51,7 +51,7 @@
         });
         for (name, claim) in led {
             tasks.entry(name.clone()).or_insert_with(|| {
-                let runner = Runner::new(
+                let runner = RunnerReconciler::new(
                     shared.clone(),
                     engines.clone(),
                     counters.clone(),
@@ -61,13 +61,13 @@
                 (claim, tokio::spawn(runner.run()))
             });
         }
-        tokio::time::sleep(pace(&shared)).await;
+        tokio::time::sleep(poll_interval(&shared)).await;
     }
 }
 
 /// How long to wait between two reads of the table.
-pub fn pace(shared: &Shared) -> Duration {
-    Feed::pace(shared.settings.times.poll, shared.view().members.len())
+pub fn poll_interval(shared: &Shared) -> Duration {
+    ChangeFeed::poll_interval(shared.settings.times.poll, shared.view().members.len())
 }
 
 /// The runners that this daemon leads while its lease holds.
--- a/crates/node/src/orders/counters.rs
+++ b/crates/node/src/orders/counters.rs
@@ -13,15 +13,15 @@
     pub loads: Counter,
     /// Unload orders that were created.
     pub unloads: Counter,
-    /// Copies of orders that were sent, by how the engine answered.
-    pub copies: Family<Copies, Counter>,
+    /// CopyLabels of orders that were sent, by how the engine answered.
+    pub copies: Family<CopyLabels, Counter>,
     /// Transactions on ledger rows that were refused.
     pub conflicts: Counter,
 }
 
 /// How an engine answered a copy of an order.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, EncodeLabelSet)]
-pub struct Copies {
+pub struct CopyLabels {
     /// The answer.
     pub answer: &'static str,
 }
@@ -40,7 +40,7 @@
             registry.register("unloads", "Unload orders created", all.unloads.clone());
             registry.register(
                 "order_copies",
-                "Copies of orders sent, by the engine's answer",
+                "CopyLabels of orders sent, by the engine's answer",
                 all.copies.clone(),
             );
             registry.register(
--- a/crates/node/src/orders/command.rs
+++ b/crates/node/src/orders/engine_client.rs
@@ -16,43 +16,53 @@
 
 /// The client of engines for reports and orders.
 #[derive(Debug, Clone)]
-pub struct Engines {
+pub struct EngineClient {
     http: Client,
 }
 
 /// What became of one copy of an order.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Sent {
+pub enum SendOutcome {
     /// The engine answered; this copy is not under way any more.
-    Answered(StatusCode),
+    Responded(StatusCode),
     /// No connection could be made, so that nothing was sent.
-    Unsent,
+    NotSent,
     /// No answer came; the copy may still arrive.
     Unknown,
 }
 
-impl Engines {
+impl EngineClient {
     /// Creates a client whose calls fail after `timeout`.
     pub fn new(timeout: Duration) -> Result<Self, reqwest::Error> {
         Ok(Self { http: Client::builder().timeout(timeout).no_proxy().build()? })
     }
 
     /// Reads an engine's report.
-    pub async fn report(&self, engine: SocketAddr) -> Result<Report, reqwest::Error> {
+    pub async fn fetch_report(
+        &self,
+        engine: SocketAddr,
+    ) -> Result<Report, reqwest::Error> {
         let url = format!("http://{engine}/v1/report");
         self.http.get(url).send().await?.error_for_status()?.json().await
     }
 
     /// Sends one copy of an order.
-    pub async fn send(&self, engine: SocketAddr, order: &Order, fence: Fence) -> Sent {
+    pub async fn send_order(
+        &self,
+        engine: SocketAddr,
+        order: &Order,
+        fence: Fence,
+    ) -> SendOutcome {
         let call = self
             .call(engine, order)
             .header(ORDER_HEADER, order.id.0)
             .header(FENCE_HEADER, fence.0);
         match call.send().await {
-            Ok(answer) => Sent::Answered(answer.status()),
-            Err(error) if error.is_connect() || error.is_builder() => Sent::Unsent,
-            Err(_) => Sent::Unknown,
+            Ok(answer) => SendOutcome::Responded(answer.status()),
+            Err(error) if error.is_connect() || error.is_builder() => {
+                SendOutcome::NotSent
+            }
+            Err(_) => SendOutcome::Unknown,
         }
     }
 
--- a/crates/node/src/orders/rows.rs
+++ b/crates/node/src/orders/rows.rs
@@ -19,13 +19,13 @@
 
 /// The rows that this daemon has read.
 #[derive(Debug, Clone, Default)]
-pub struct Rows {
+pub struct PlacementRows {
     /// Each runner's ledger and the row's version.
     pub ledgers: IndexMap<ServerName, (Ledger, u64)>,
     /// What planners want each runner to hold.
     pub plans: IndexMap<ServerName, PlanRow>,
     /// What planners could not place.
-    pub unplaced: IndexMap<PoolName, Vec<Unplaced>>,
+    pub unplaced: IndexMap<PoolName, Vec<UnplacedAsset>>,
     /// The version up to which ledgers were read.
     pub ledger_version: u64,
     /// The version up to which plans were read.
@@ -34,13 +34,13 @@
     pub view: Arc<View>,
     /// The table service's time at the last read of ledgers, in milliseconds,
     /// and when that read was sent.
-    pub now: Option<(u64, Instant)>,
+    pub table_time: Option<(u64, Instant)>,
 }
 
-impl Rows {
+impl PlacementRows {
     /// The table service's time as it is at most, at `at`.
-    pub fn time_to(&self, at: Instant) -> u64 {
-        self.now.map_or(0, |(now, sent)| {
+    pub fn latest_time(&self, at: Instant) -> u64 {
+        self.table_time.map_or(0, |(now, sent)| {
             now + at.saturating_duration_since(sent).as_millis() as u64
         })
     }
@@ -55,14 +55,14 @@
 
 /// What a planner could not place, in the row `pool/NAME` of the plans' table.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct PoolRow {
+pub struct UnplacedRow {
     /// Declared models and adapters for which there is no room.
-    pub unplaced: Vec<Unplaced>,
+    pub unplaced: Vec<UnplacedAsset>,
 }
 
 /// A declared model or adapter for which there is no room.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Unplaced {
+pub struct UnplacedAsset {
     /// The model or adapter.
     pub name: String,
     /// The memory of one replica, in bytes.
@@ -98,7 +98,7 @@
             rows.ledger_version = delta.version;
             // Only once all rows were read: until then nobody may rest on them.
             if !delta.more {
-                rows.now = Some((delta.now, sent));
+                rows.table_time = Some((delta.now, sent));
             }
             changed = !delta.is_empty();
             more = delta.more;
@@ -115,24 +115,29 @@
     });
     // Putting it all together anew takes milliseconds at thousands of runners.
     if changed {
-        publish(shared);
+        publish_residency(shared);
     }
     more
 }
 
 /// Notes a row that this daemon has committed, before it is read back.
-pub fn note(shared: &Shared, server: &ServerName, ledger: &Ledger, version: u64) {
+pub fn record_committed(
+    shared: &Shared,
+    server: &ServerName,
+    ledger: &Ledger,
+    version: u64,
+) {
     shared.rows.send_modify(|rows| {
         let rows = Arc::make_mut(rows);
         rows.ledgers.insert(server.clone(), (ledger.clone(), version));
     });
-    publish(shared);
+    publish_residency(shared);
 }
 
 /// Publishes what may be used of what the runners hold.
 ///
 /// Runners that are no longer on the platform's list are left out.
-pub fn publish(shared: &Shared) {
+pub fn publish_residency(shared: &Shared) {
     let view = shared.view();
     let rows = shared.rows.borrow().clone();
     let old = shared.residence();
@@ -154,7 +159,7 @@
     });
 }
 
-fn take_ledgers(shared: &Shared, rows: &mut Rows, delta: chestnut_plat::Delta) {
+fn take_ledgers(shared: &Shared, rows: &mut PlacementRows, delta: chestnut_plat::Delta) {
     for key in delta.deleted {
         if let Ok(name) = ServerName::try_from(key) {
             rows.ledgers.shift_remove(&name);
@@ -175,7 +180,7 @@
     }
 }
 
-fn take_plans(shared: &Shared, rows: &mut Rows, delta: chestnut_plat::Delta) {
+fn take_plans(shared: &Shared, rows: &mut PlacementRows, delta: chestnut_plat::Delta) {
     for key in delta.deleted {
         if let Ok(name) = ServerName::try_from(key) {
             rows.plans.shift_remove(&name);
@@ -196,8 +201,13 @@
     }
 }
 
-fn take_pool(shared: &Shared, rows: &mut Rows, name: &str, value: serde_json::Value) {
-    let row = serde_json::from_value::<PoolRow>(value);
+fn take_pool(
+    shared: &Shared,
+    rows: &mut PlacementRows,
+    name: &str,
+    value: serde_json::Value,
+) {
+    let row = serde_json::from_value::<UnplacedRow>(value);
     let (Ok(name), Ok(row)) = (PoolName::try_from(name), row) else {
         slog::error!(shared.log, "a pool's row can't be read"; "pool" => name);
         return;
--- a/crates/node/src/orders/runner.rs
+++ b/crates/node/src/orders/runner.rs
@@ -13,8 +13,8 @@
 use chestnut_plat::{PlatformError, Txn, TxnResponse};
 
 use crate::members::CLAIMS;
-use crate::orders::command::{Engines, Sent};
-use crate::orders::counters::{Copies, Counters};
+use crate::orders::counters::{CopyLabels, Counters};
+use crate::orders::engine_client::{EngineClient, SendOutcome};
 use crate::orders::rows::{self, LEDGER};
 use crate::shared::Shared;
 
@@ -31,9 +31,9 @@
 const STREAM_LIMIT: Duration = Duration::from_secs(120);
 
 /// One runner that this daemon leads.
-pub struct Runner {
+pub struct RunnerReconciler {
     shared: Arc<Shared>,
-    engines: Engines,
+    engines: EngineClient,
     counters: Arc<Counters>,
     name: ServerName,
     claim: Claim,
@@ -65,11 +65,11 @@
     delay: Duration,
 }
 
-impl Runner {
+impl RunnerReconciler {
     /// Prepares to lead a runner under a claim.
     pub fn new(
         shared: Arc<Shared>,
-        engines: Engines,
+        engines: EngineClient,
         counters: Arc<Counters>,
         name: ServerName,
         claim: Claim,
@@ -133,8 +133,8 @@
         }
         let Some((held, version)) = self.row.clone() else { return true };
         // Without the table's time no late copy can be told from a dead one.
-        let Some((from, _)) = self.shared.rows.borrow().now else { return true };
-        let Ok(report) = self.engines.report(server.address).await else {
+        let Some((from, _)) = self.shared.rows.borrow().table_time else { return true };
+        let Ok(report) = self.engines.fetch_report(server.address).await else {
             self.miss(&held, version).await;
             return true;
         };
@@ -199,7 +199,7 @@
     ) -> Vec<(ServerName, u64)> {
         let catalog = self.shared.catalog();
         let rows = self.shared.rows.borrow().clone();
-        let to = rows.time_to(self.shared.clock.now());
+        let to = rows.latest_time(self.shared.clock.now());
         ledger.apply_report(report, TimeRange { earliest: from, latest: to });
         for order in self.cleared(ledger) {
             ledger.mark_answered(order);
@@ -278,7 +278,7 @@
             Ok(TxnResponse::Committed { version, .. }) => {
                 self.count_new(held, next);
                 self.row = Some((next.clone(), version));
-                rows::note(&self.shared, &self.name, next, version);
+                rows::record_committed(&self.shared, &self.name, next, version);
             }
             Ok(TxnResponse::Conflict { .. }) => {
                 self.counters.conflicts.inc();
@@ -345,17 +345,17 @@
         // Counted before it is sent: if this task is stopped meanwhile, the
         // copy counts as unanswered.
         self.copies.entry(order.id).or_default().sent += 1;
-        let sent = self.engines.send(server.address, order, self.claim.fence).await;
-        if sent != Sent::Unknown {
+        let sent = self.engines.send_order(server.address, order, self.claim.fence).await;
+        if sent != SendOutcome::Unknown {
             self.copies.entry(order.id).or_default().answered += 1;
         }
         let answer = match sent {
-            Sent::Answered(status) if status.is_success() => "taken",
-            Sent::Answered(_) => "refused",
-            Sent::Unsent => "unsent",
-            Sent::Unknown => "unknown",
+            SendOutcome::Responded(status) if status.is_success() => "taken",
+            SendOutcome::Responded(_) => "refused",
+            SendOutcome::NotSent => "unsent",
+            SendOutcome::Unknown => "unknown",
         };
-        self.counters.copies.get_or_create(&Copies { answer }).inc();
+        self.counters.copies.get_or_create(&CopyLabels { answer }).inc();
         slog::info!(
             self.shared.log, "order sent";
             "runner" => %self.name,
--- a/crates/node/src/planner.rs
+++ b/crates/node/src/planner.rs
@@ -2,10 +2,10 @@
 //!
 //! A round of a planner reads the demand that entries have written
 //! ([`crate::demand`]), turns declarations, runners and ledgers into the state
-//! of the pool ([`scene`]), plans with `chestnut-place`, and writes what each
+//! of the pool ([`placement_input`]), plans with `chestnut-place`, and writes what each
 //! runner is to hold under the pool's claim. The runners' leads follow it.
 
-pub mod scene;
+pub mod placement_input;
 
 use std::sync::Arc;
 use std::time::{Duration, Instant};
@@ -22,8 +22,8 @@
 use crate::demand::{self, DEMAND, Digest};
 use crate::members::CLAIMS;
 use crate::orders;
-use crate::orders::rows::{LEDGER, PLAN, PlanRow, PoolRow, pool_key};
-use crate::planner::scene::Scene;
+use crate::orders::rows::{LEDGER, PLAN, PlanRow, UnplacedRow, pool_key};
+use crate::planner::placement_input::PlacementInput;
 use crate::shared::Shared;
 
 /// Polls between two plans.
@@ -61,7 +61,7 @@
             }
         }
         let pause = shared.settings.times.poll * POLLS;
-        tokio::time::sleep(pause.max(orders::pace(&shared))).await;
+        tokio::time::sleep(pause.max(orders::poll_interval(&shared))).await;
     }
 }
 
@@ -152,14 +152,16 @@
     ) -> Result<(), PlatformError> {
         let rows = shared.rows.borrow().clone();
         // Without the ledgers everything would look unplaced.
-        if rows.now.is_none() {
+        if rows.table_time.is_none() {
             return Ok(());
         }
         let stale = self.read_demand(shared, pool).await?;
         let now = shared.clock.now();
         let catalog = shared.catalog();
         let view = shared.view();
-        let Some(scene) = Scene::new(&catalog, &view, &rows, pool) else { return Ok(()) };
+        let Some(scene) = PlacementInput::new(&catalog, &view, &rows, pool) else {
+            return Ok(());
+        };
         let state = scene.state(&self.averages, &mut self.awaited, now);
         let placement = plan_placement(&state);
         counters.rounds.inc();
@@ -176,7 +178,7 @@
         }
         let known = rows.unplaced.get(pool);
         if known.map_or(!unplaced.is_empty(), |known| *known != unplaced) {
-            let value = json!(PoolRow { unplaced });
+            let value = json!(UnplacedRow { unplaced });
             txns.push(Txn::new().put(PLAN, pool_key(pool), value));
         }
         txns.extend(stale.into_iter().map(|key| Txn::new().delete(DEMAND, key)));
@@ -232,7 +234,7 @@
     }
 
     /// Runners that are no longer on the platform's list for some time.
-    fn gone(&mut self, scene: &Scene, now: Instant) -> Vec<ServerName> {
+    fn gone(&mut self, scene: &PlacementInput, now: Instant) -> Vec<ServerName> {
         let absent = scene.absent();
         self.missing.retain(|name, _| absent.contains(name));
         for name in absent {
--- a/crates/node/src/planner/scene.rs
+++ b/crates/node/src/planner/placement_input.rs
@@ -12,7 +12,7 @@
 };
 use indexmap::IndexMap;
 
-use crate::orders::rows::{Rows, Unplaced};
+use crate::orders::rows::{PlacementRows, UnplacedAsset};
 
 /// How many times its declared time a load may take until its place counts as bad.
 const COLD_TIMES: u32 = 3;
@@ -21,9 +21,9 @@
 const COLD_SLACK: Duration = Duration::from_secs(30);
 
 /// A pool with its declarations, runners and ledgers.
-pub struct Scene<'a> {
+pub struct PlacementInput<'a> {
     catalog: &'a Catalog,
-    rows: &'a Rows,
+    rows: &'a PlacementRows,
     declared: &'a Pool,
     runners: Vec<(&'a ServerName, &'a Server)>,
     models: Vec<(&'a ModelName, &'a Model)>,
@@ -31,12 +31,12 @@
     view: &'a View,
 }
 
-impl<'a> Scene<'a> {
+impl<'a> PlacementInput<'a> {
     /// Looks at a pool; nothing if it is not declared.
     pub fn new(
         catalog: &'a Catalog,
         view: &'a View,
-        rows: &'a Rows,
+        rows: &'a PlacementRows,
         pool: &PoolName,
     ) -> Option<Self> {
         let declared = catalog.pools.get(pool)?;
@@ -121,7 +121,7 @@
         &self,
         state: &PoolState,
         placement: &Placement,
-    ) -> (Vec<(ServerName, Vec<DesiredAsset>)>, Vec<Unplaced>) {
+    ) -> (Vec<(ServerName, Vec<DesiredAsset>)>, Vec<UnplacedAsset>) {
         let mut room: Vec<u64> = state
             .runners
             .iter()
@@ -135,10 +135,10 @@
                 room[*runner] = room[*runner].saturating_sub(model.bytes);
             }
         }
-        let mut unplaced: Vec<Unplaced> = placement
+        let mut unplaced: Vec<UnplacedAsset> = placement
             .unplaced
             .iter()
-            .map(|(index, missing)| Unplaced {
+            .map(|(index, missing)| UnplacedAsset {
                 name: self.models[*index].0.to_string(),
                 bytes: state.models[*index].bytes,
                 missing: *missing,
@@ -170,7 +170,7 @@
         at: &[usize],
         room: &mut [u64],
         wanted: &mut [Vec<DesiredAsset>],
-        unplaced: &mut Vec<Unplaced>,
+        unplaced: &mut Vec<UnplacedAsset>,
     ) {
         let (name, model) = self.models[index];
         let adapters = self.catalog.adapters.iter().filter(|(_, a)| a.model == *name);
@@ -188,7 +188,7 @@
             }
             if count == 0 && !at.is_empty() {
                 let (name, bytes) = (adapter.to_string(), declared.bytes);
-                unplaced.push(Unplaced { name, bytes, missing: 1 });
+                unplaced.push(UnplacedAsset { name, bytes, missing: 1 });
             }
         }
     }
--- a/crates/node/src/poison.rs
+++ b/crates/node/src/poison.rs
@@ -27,7 +27,7 @@
 use tokio::time::timeout;
 
 use crate::engine::CallEnd;
-use crate::feed::Feed;
+use crate::feed::ChangeFeed;
 use crate::members;
 use crate::node::Node;
 use crate::shared::Shared;
@@ -321,7 +321,7 @@
 
 fn pause(shared: &Shared) -> Duration {
     let members = shared.view().members.len();
-    let pace = Feed::pace(shared.settings.times.poll, members);
+    let pace = ChangeFeed::poll_interval(shared.settings.times.poll, members);
     pace.mul_f64(rand::random_range(0.75..1.25))
 }
 
--- a/crates/node/src/run.rs
+++ b/crates/node/src/run.rs
@@ -25,7 +25,7 @@
 use crate::poison::Poison;
 use crate::shared::Shared;
 use crate::slots::Slots;
-use crate::{confsync, engine, ops, orders, planner, poison, slots, tls};
+use crate::{config_sync, engine, ops, orders, planner, poison, slots, tls};
 
 /// How often a leaving daemon looks whether all its work is done.
 const LEAVE_CHECK: Duration = Duration::from_millis(50);
@@ -85,7 +85,7 @@
     let endpoint = node.peers.endpoint().clone();
     tasks.spawn(peer::accept(endpoint, node.clone()));
     tasks.spawn(members::run(node.clone(), addresses));
-    tasks.spawn(confsync::run(node.clone()));
+    tasks.spawn(config_sync::run(node.clone()));
     tasks.spawn(orders::run(node.shared.clone()));
     tasks.spawn(poison::run(node.clone()));
     tasks.spawn(slots::keep(node.clone()));
--- a/crates/node/src/shared.rs
+++ b/crates/node/src/shared.rs
@@ -14,12 +14,12 @@
 use slog::Logger;
 use tokio::sync::{Notify, watch};
 
-use crate::confsync::{self, Conf};
+use crate::config_sync::{self, ConfigState};
 use crate::demand::Asked;
-use crate::feed::Feed;
+use crate::feed::ChangeFeed;
 use crate::metrics::Metrics;
-use crate::orders::rows::Rows;
-use crate::orders::usage::Usage;
+use crate::orders::rows::PlacementRows;
+use crate::orders::usage::AssetUsage;
 use crate::{members, orders, poison};
 
 /// The tables that every daemon follows.
@@ -53,25 +53,25 @@
     pub table: TableClient,
     /// The changes of the tables that every daemon follows, read by
     /// [`crate::members`].
-    pub feed: Feed,
+    pub feed: ChangeFeed,
     /// The object store.
     pub objects: ObjectStore,
     /// The platform's list of VMs.
     pub vms: VmList,
-    /// The declarations in force, written by [`crate::confsync`].
+    /// The declarations in force, written by [`crate::config_sync`].
     pub catalog: watch::Sender<Arc<Catalog>>,
     /// What is kept of the configuration's rows, and how fresh it is.
-    pub conf: Conf,
+    pub conf: ConfigState,
     /// Members, servers and claims, written by [`crate::members`].
     pub view: watch::Sender<Arc<View>>,
     /// What is resident where, written by [`crate::orders`].
     pub residence: watch::Sender<Arc<Residency>>,
     /// The ledger's and the plan's rows, written by [`crate::orders`].
-    pub rows: watch::Sender<Arc<Rows>>,
+    pub rows: watch::Sender<Arc<PlacementRows>>,
     /// What callers ask of each model, read by [`crate::demand`].
     pub demand: Asked,
     /// Which requests use which asset of the runners that this daemon leads.
-    pub usage: Usage,
+    pub usage: AssetUsage,
     /// Whether this daemon is leaving, written by [`crate::run`].
     pub leaving: watch::Sender<bool>,
     /// Whether this daemon takes no new requests any more, written by [`crate::run`].
@@ -102,7 +102,7 @@
     ) -> Self {
         let term = settings.times.lease;
         let metrics = Metrics::new();
-        let conf = Conf::new(&metrics);
+        let conf = ConfigState::new(&metrics);
         Self {
             settings,
             clock,
@@ -110,7 +110,7 @@
             log,
             metrics,
             table,
-            feed: Feed::new(&FOLLOWED),
+            feed: ChangeFeed::new(&FOLLOWED),
             objects,
             vms,
             catalog: watch::Sender::new(Arc::default()),
@@ -119,7 +119,7 @@
             residence: watch::Sender::new(Arc::default()),
             rows: watch::Sender::new(Arc::default()),
             demand: Asked::default(),
-            usage: Usage::default(),
+            usage: AssetUsage::default(),
             leaving: watch::Sender::new(false),
             closed: watch::Sender::new(false),
             lease: Mutex::new(Lease::new(term)),
@@ -201,12 +201,12 @@
 
     /// Whether it was read at least once what is resident where.
     pub fn knows_residence(&self) -> bool {
-        self.rows.borrow().now.is_some()
+        self.rows.borrow().table_time.is_some()
     }
 
     /// Whether the declarations in force are recent enough to serve by.
     pub fn is_fresh(&self) -> bool {
-        confsync::is_fresh(self, self.clock.now())
+        config_sync::is_fresh(self, self.clock.now())
     }
 
     /// The addresses that callers may use, this daemon's domain first.
--- a/crates/node/src/opsrows.rs
+++ b/crates/node/src/show_rows.rs
@@ -14,7 +14,7 @@
 use crate::members::LEASES;
 use crate::node::Node;
 use crate::shared::Shared;
-use crate::{confsync, members};
+use crate::{config_sync, members};
 
 /// The greatest number of daemons that are asked for their revision one by one.
 const ASKED: usize = 64;
@@ -33,7 +33,7 @@
         "kinds" => named(&catalog.kinds),
         "callers" => named(&catalog.callers),
         "routes" => named(&catalog.routes),
-        "files" => confsync::files(shared)
+        "files" => config_sync::files(shared)
             .rows()
             .filter_map(|row| {
                 row.text.as_ref().map(|text| {
@@ -52,7 +52,7 @@
 }
 
 /// A revision of the history, without texts.
-pub fn entry(entry: &Entry) -> Row {
+pub fn history_entry(entry: &Entry) -> Row {
     object(json!({
         "revision": entry.revision, "team": entry.team, "author": entry.author,
         "note": entry.note, "change": entry.change, "at": entry.at,
@@ -61,7 +61,7 @@
 }
 
 /// The VM of the daemon that leads a backend server.
-pub fn lead(view: &View, server: &str) -> Option<String> {
+pub fn lead_vm(view: &View, server: &str) -> Option<String> {
     let (name, _) = view.servers.iter().find(|(name, _)| name.as_str() == server)?;
     let (_, member) = view.holder(&ClaimKey::Server(name.clone()))?;
     Some(member.vm.to_string())
@@ -130,7 +130,7 @@
         object(json!({
             "name": name, "role": role, "of": of, "domain": server.domain,
             "address": server.address, "leaving": server.leaving,
-            "lead": lead(&view, name.as_str()),
+            "lead": lead_vm(&view, name.as_str()),
         }))
     });
     rows.collect()
--- a/crates/node/tests/feed.rs
+++ b/crates/node/tests/feed.rs
@@ -5,7 +5,7 @@
 
 use chestnut_base::SystemClock;
 use chestnut_fake::{platform, weights::WeightSpeed};
-use chestnut_node::feed::Feed;
+use chestnut_node::feed::ChangeFeed;
 use chestnut_plat::{PlatformError, TableClient, Txn};
 use indexmap::IndexMap;
 use proptest::prelude::*;
@@ -38,7 +38,7 @@
 }
 
 impl Part {
-    async fn look(&mut self, feed: &Feed, table: &TableClient, name: &str) {
+    async fn look(&mut self, feed: &ChangeFeed, table: &TableClient, name: &str) {
         let found = feed.scan(table, &SystemClock, name, "", self.version).await;
         let (delta, _) = found.expect("the platform is up");
         self.version = delta.version;
@@ -62,7 +62,7 @@
 
 async fn run(events: Vec<Event>) {
     let (_platform, table) = start().await;
-    let feed = Feed::new(&TABLES);
+    let feed = ChangeFeed::new(&TABLES);
     let mut parts = [Part::default(), Part::default()];
     for (n, event) in events.into_iter().enumerate() {
         match event {
@@ -115,9 +115,9 @@
     // as to one that asks itself; else old rows would pass for confirmed ones.
     block_on(async {
         let (_platform, table) = start().await;
-        let feed = Feed::new(&TABLES);
+        let feed = ChangeFeed::new(&TABLES);
         feed.refresh(&table, &SystemClock, Vec::new()).await.expect("it is up");
-        feed.note_failure(&PlatformError::Unavailable("outage".into()));
+        feed.record_failure(&PlatformError::Unavailable("outage".into()));
         let found = feed.scan(&table, &SystemClock, "claims", "", 1).await;
         assert!(matches!(found, Err(PlatformError::Unavailable(_))));
         feed.refresh(&table, &SystemClock, Vec::new()).await.expect("it is up");
