--- a/crates/node/src/config_sync.rs
+++ b/crates/node/src/config_sync.rs
@@ -1,8 +1,9 @@
-//! Keeping the declarations in force up to date, and accepting changes of them.
+//! Synchronizes the declarations in force with the table and commits changes to them.
 //!
-//! The daemon reads what changed in the table at every poll and publishes the
-//! declarations of the newest revision. It never goes to a lower one, and while
-//! the table can't be read it keeps what it has and asks its peers.
+//! At every poll the daemon reads the changes of the table and publishes the
+//! declarations of the newest revision. It never goes back to a lower revision.
+//! While the table can't be read, it keeps the current declarations and queries
+//! its peers for newer ones.
 
 use std::net::SocketAddr;
 use std::sync::{Arc, Mutex, MutexGuard};
@@ -29,44 +30,43 @@
 use crate::node::Node;
 use crate::shared::Shared;
 
-/// How many peers a daemon asks that can't read the table.
+/// Number of peers that a daemon queries while it can't read the table.
 ///
-/// Enough that one is fresh when most of them were cut off together with this
-/// daemon; each is asked at most once a poll.
-const PEERS_ASKED: usize = 5;
+/// With several, one is likely to be fresh even if most peers lost the table
+/// together with this daemon. Each is queried at most once per poll.
+const PEERS_PER_QUERY: usize = 5;
 
-/// How often a daemon looks into the feed between two reads of the table.
+/// Number of scans of the change feed per read of the table.
 ///
-/// Looking costs no call. Looking as seldom as the table is read lets a change wait
-/// a second time: with reads every 500 ms half of the changes were in force at six
-/// daemons after 775 ms (33 changes) in place of 480 ms (100 changes), measured with
-/// `chestnutlane-lab config`.
-const LOOKS: u32 = 5;
+/// A scan is local and costs no call. Scanning only once per read delays changes
+/// by up to a second poll interval: with reads every 500 ms, the median time until
+/// a change was in force at six daemons was 775 ms instead of 480 ms.
+const SCANS_PER_READ: u32 = 5;
 
-/// Peers are asked when this part of the time has passed in which a daemon must
-/// confirm its declarations, so that several attempts fit into the rest.
-const STALE_SHARE: f64 = 4.0;
+/// Divisor of the staleness limit: peers are queried once a quarter of the limit
+/// has passed without confirmation, which leaves time for several attempts.
+const PEER_QUERY_DIVISOR: f64 = 4.0;
 
-/// What a daemon keeps of the configuration's rows.
+/// This daemon's replica of the configuration rows, with the metrics of its reads.
 pub struct ConfigState {
-    store: Mutex<Store>,
+    replica: Mutex<ReplicaState>,
     reads: Counter,
     failures: Counter,
     revision: Gauge,
 }
 
 #[derive(Default)]
-struct Store {
+struct ReplicaState {
     replica: Replica,
-    /// The last revision that was checked, in force or not.
-    checked: Revision,
+    /// The last revision that was validated, whether or not it came into force.
+    last_checked: Revision,
 }
 
 impl ConfigState {
-    /// Creates the state of a daemon that has read nothing yet.
+    /// Creates an empty replica and registers its metrics.
     pub fn new(metrics: &Metrics) -> Self {
         let conf = Self {
-            store: Mutex::default(),
+            replica: Mutex::default(),
             reads: Counter::default(),
             failures: Counter::default(),
             revision: Gauge::default(),
@@ -82,177 +82,188 @@
         conf
     }
 
-    fn store(&self) -> MutexGuard<'_, Store> {
-        self.store.lock().expect("no holder of the store panics")
+    fn lock(&self) -> MutexGuard<'_, ReplicaState> {
+        self.replica.lock().expect("no holder of the replica panics")
     }
 }
 
-/// Whether the daemon confirmed its revision recently enough to take new work.
+/// Whether the daemon confirmed its revision recently enough to accept new requests.
 ///
-/// A daemon that did not may hold declarations that others have replaced.
+/// Otherwise its declarations may have been replaced at other daemons.
 pub fn is_fresh(shared: &Shared, now: Instant) -> bool {
-    shared.conf.store().replica.is_fresh(now, shared.settings.times.stale)
+    shared.conf.lock().replica.is_fresh(now, shared.settings.times.stale)
 }
 
 /// Keeps the declarations up to date until the daemon stops.
 pub async fn run(node: Arc<Node>) {
     let shared = &node.shared;
-    let mut fresh = false;
-    let mut ask_next = shared.clock.now();
+    let mut was_fresh = false;
+    let mut next_peer_query = shared.clock.now();
     loop {
         let members = shared.view().members.len();
-        let pace = ChangeFeed::poll_interval(shared.settings.times.poll, members);
-        if follow(shared).await.is_err() {
+        let poll_interval =
+            ChangeFeed::poll_interval(shared.settings.times.poll, members);
+        if sync_from_feed(shared).await.is_err() {
             shared.conf.failures.inc();
-            if needs_peers(shared) && shared.clock.now() >= ask_next {
-                ask_peers(&node).await;
-                // Without the spread all daemons would ask at the same moments.
-                ask_next =
-                    shared.clock.now() + pace.mul_f64(rand::random_range(0.8..1.2));
+            if needs_peers(shared) && shared.clock.now() >= next_peer_query {
+                query_peers(&node).await;
+                // The jitter keeps daemons from querying all at the same time.
+                next_peer_query = shared.clock.now()
+                    + poll_interval.mul_f64(rand::random_range(0.8..1.2));
             }
         }
-        let now = is_fresh(shared, shared.clock.now());
-        if now != fresh {
-            slog::info!(shared.log, "freshness of declarations changed"; "fresh" => now);
-            fresh = now;
+        let fresh = is_fresh(shared, shared.clock.now());
+        if fresh != was_fresh {
+            slog::info!(shared.log, "freshness of declarations changed"; "fresh" => fresh);
+            was_fresh = fresh;
         }
-        tokio::time::sleep(pace / LOOKS).await;
+        tokio::time::sleep(poll_interval / SCANS_PER_READ).await;
     }
 }
 
-/// Whether the last confirmation is so old that peers are asked.
+/// Whether the last confirmation is so old that peers should be queried.
 fn needs_peers(shared: &Shared) -> bool {
-    let limit = shared.settings.times.stale.div_f64(STALE_SHARE);
-    !shared.conf.store().replica.is_fresh(shared.clock.now(), limit)
+    let limit = shared.settings.times.stale.div_f64(PEER_QUERY_DIVISOR);
+    !shared.conf.lock().replica.is_fresh(shared.clock.now(), limit)
 }
 
-/// Asks some peers for declarations that are newer than the own ones.
-async fn ask_peers(node: &Arc<Node>) {
+/// Queries some peers for declarations newer than this daemon's.
+async fn query_peers(node: &Arc<Node>) {
     let shared = &node.shared;
-    let asked = shared.clock.now();
-    let ask = PeerRequest::Config(files(shared).revision());
+    let requested_at = shared.clock.now();
+    let request = PeerRequest::Config(files(shared).revision());
     let mut calls = JoinSet::new();
-    for addr in peers(node).await {
-        let (node, ask) = (node.clone(), ask.clone());
-        calls.spawn(async move { node.peers.ask_once(addr, &ask).await });
+    for addr in select_peers(node).await {
+        let (node, request) = (node.clone(), request.clone());
+        calls.spawn(async move { node.peers.ask_once(addr, &request).await });
     }
-    while let Some(answer) = calls.join_next().await {
-        if let Ok(Ok(PeerResponse::Config(Some(handover)))) = answer {
-            apply_handover(shared, &handover, asked);
+    while let Some(response) = calls.join_next().await {
+        if let Ok(Ok(PeerResponse::Config(Some(handover)))) = response {
+            apply_handover(shared, &handover, requested_at);
         }
     }
 }
 
-/// Peers to ask, picked at random.
+/// Picks peers at random.
 ///
-/// A daemon that starts during an outage of the table knows no members; then the
-/// platform's list of VMs says where entry VMs take other daemons' connections.
-async fn peers(node: &Arc<Node>) -> Vec<SocketAddr> {
+/// A daemon that starts during an outage of the table has no list of members; it
+/// takes the peer addresses of entry VMs from the platform's list of VMs instead.
+async fn select_peers(node: &Arc<Node>) -> Vec<SocketAddr> {
     let shared = &node.shared;
-    let mut found: Vec<SocketAddr> =
+    let mut peers: Vec<SocketAddr> =
         members::others(shared).into_iter().map(|(_, addr)| addr).collect();
-    if found.is_empty()
+    if peers.is_empty()
         && let Ok(list) = shared.vms.read().await
     {
         let entries = list.into_iter().filter(|row| row.role == VmRole::Entry);
         let others = entries.filter(|row| row.vm != shared.settings.vm);
-        found = others.map(|row| row.address).collect();
+        peers = others.map(|row| row.address).collect();
     }
-    found.shuffle(&mut rand::rng());
-    found.truncate(PEERS_ASKED);
-    found
+    peers.shuffle(&mut rand::rng());
+    peers.truncate(PEERS_PER_QUERY);
+    peers
 }
 
-/// Takes in what changed, as the feed has it, and publishes the newest
-/// declarations.
-async fn follow(shared: &Shared) -> Result<(), PlatformError> {
-    let since = shared.conf.store().replica.version();
-    let (delta, asked) = shared.changes(rows::TABLE, rows::FILES, since).await?;
-    take(shared, delta, asked).map(drop)
+/// Applies the changes in the feed and publishes the newest declarations.
+async fn sync_from_feed(shared: &Shared) -> Result<(), PlatformError> {
+    let since = shared.conf.lock().replica.version();
+    let (delta, requested_at) = shared.changes(rows::TABLE, rows::FILES, since).await?;
+    apply_delta(shared, delta, requested_at).map(drop)
 }
 
-/// Reads what changed from the table itself and publishes the newest declarations.
+/// Reads changes directly from the table, not from the feed, and publishes the
+/// newest declarations.
 pub async fn refresh(shared: &Shared) -> Result<Files, PlatformError> {
-    let asked = shared.clock.now();
-    let since = shared.conf.store().replica.version();
+    let requested_at = shared.clock.now();
+    let since = shared.conf.lock().replica.version();
     shared.conf.reads.inc();
     let delta = shared.table.scan(rows::TABLE, rows::FILES, since).await?;
-    take(shared, delta, asked)
+    apply_delta(shared, delta, requested_at)
 }
 
-fn take(shared: &Shared, delta: Delta, asked: Instant) -> Result<Files, PlatformError> {
-    let found: Result<Vec<FileRow>, _> = delta.rows.into_iter().map(read).collect();
-    let mut store = shared.conf.store();
-    store.replica.read(found?, delta.version, asked);
-    publish(shared, &mut store);
-    Ok(store.replica.files().clone())
+fn apply_delta(
+    shared: &Shared,
+    delta: Delta,
+    requested_at: Instant,
+) -> Result<Files, PlatformError> {
+    let rows: Result<Vec<FileRow>, _> = delta.rows.into_iter().map(decode_row).collect();
+    let mut state = shared.conf.lock();
+    state.replica.read(rows?, delta.version, requested_at);
+    publish(shared, &mut state);
+    Ok(state.replica.files().clone())
 }
 
-/// All files as far as they are known.
+/// All files in this daemon's replica, which may be out of date.
 pub fn files(shared: &Shared) -> Files {
-    shared.conf.store().replica.files().clone()
+    shared.conf.lock().replica.files().clone()
 }
 
-/// What to tell a peer that has revision `have` and can't read the table.
+/// Encodes the files that a peer at revision `have` lacks, as JSON.
+///
+/// Sent to peers that can't read the table.
 pub fn handover(shared: &Shared, have: Revision) -> Bytes {
     let now = shared.clock.now();
     let handover =
-        shared.conf.store().replica.tell(have, now, shared.settings.times.stale);
-    let text = serde_json::to_vec(&handover);
-    text.expect("these types have texts as keys").into()
+        shared.conf.lock().replica.tell(have, now, shared.settings.times.stale);
+    let json = serde_json::to_vec(&handover);
+    json.expect("all map keys serialize as strings").into()
 }
 
-/// Takes in a peer's answer to a question that was sent at `asked`.
+/// Applies a peer's response to a query that was sent at `requested_at`.
 ///
-/// An answer that can't be read changes nothing.
-pub fn apply_handover(shared: &Shared, answer: &[u8], asked: Instant) {
-    let Ok(handover) = serde_json::from_slice::<Handover>(answer) else {
+/// A malformed response is counted as a failure and changes nothing else.
+pub fn apply_handover(shared: &Shared, response: &[u8], requested_at: Instant) {
+    let Ok(handover) = serde_json::from_slice::<Handover>(response) else {
         shared.conf.failures.inc();
         return;
     };
-    let mut store = shared.conf.store();
-    store.replica.hear(handover, asked);
-    publish(shared, &mut store);
+    let mut state = shared.conf.lock();
+    state.replica.hear(handover, requested_at);
+    publish(shared, &mut state);
 }
 
-/// Takes a change to its answer.
+/// Runs a change until it is decided or can't be decided now.
 pub async fn apply_change(shared: &Shared, change: Change) -> Answer {
-    let wall = shared.clock.wall_time().duration_since(UNIX_EPOCH);
-    let mut applier = Applier::new(change.clone(), wall.map_or(0, |at| at.as_secs()));
+    let wall_time = shared.clock.wall_time().duration_since(UNIX_EPOCH);
+    let mut applier =
+        Applier::new(change.clone(), wall_time.map_or(0, |at| at.as_secs()));
     let mut step = applier.start();
     loop {
         let event = match step {
-            Step::Read => match snapshot(shared, &change).await {
-                Ok(found) => Event::Read(Box::new(found)),
+            Step::Read => match read_snapshot(shared, &change).await {
+                Ok(snapshot) => Event::Read(Box::new(snapshot)),
                 Err(error) => Event::Down(error.to_string()),
             },
-            Step::Commit(commit) => send(shared, commit).await,
+            Step::Commit(commit) => send_commit(shared, commit).await,
             Step::Done(answer) => return answer,
         };
         step = applier.on(event);
     }
 }
 
-async fn snapshot(shared: &Shared, change: &Change) -> Result<Snapshot, PlatformError> {
+async fn read_snapshot(
+    shared: &Shared,
+    change: &Change,
+) -> Result<Snapshot, PlatformError> {
     let head = shared.table.get(rows::TABLE, rows::HEAD).await?;
     let head = match head {
         Some(row) => {
             let version = row.version;
-            Some((read::<Head>(row)?, version))
+            Some((decode_row::<Head>(row)?, version))
         }
         None => None,
     };
     let newest = head.as_ref().map_or(Revision(0), |(head, _)| head.revision);
     let files = refresh(shared).await?;
     let oldest = match newest.0.checked_sub(KEPT) {
-        Some(old) => get(shared, &rows::entry_key(Revision(old))).await?,
+        Some(oldest) => get_row(shared, &rows::entry_key(Revision(oldest))).await?,
         None => None,
     };
     let ruling = ruling(shared, &change.team, &change.id).await?;
     Ok(Snapshot { head, files, ruling, oldest, runners: runner_counts(shared) })
 }
 
-async fn send(shared: &Shared, commit: Commit) -> Event {
+async fn send_commit(shared: &Shared, commit: Commit) -> Event {
     let mut txn = Txn::new().absent(rows::table_of(&commit.fresh), commit.fresh);
     txn = match commit.head {
         Some(version) => txn.version(rows::TABLE, rows::HEAD, version),
@@ -267,30 +278,30 @@
     match shared.table.commit(&txn).await {
         Ok(TxnResponse::Committed { .. }) => Event::Committed,
         Ok(TxnResponse::Conflict { .. }) => Event::Conflict,
-        Err(PlatformError::Unavailable(why)) => Event::Down(why),
+        Err(PlatformError::Unavailable(reason)) => Event::Down(reason),
         Err(PlatformError::OutcomeUnknown(_) | PlatformError::Protocol(_)) => {
             Event::Unknown
         }
     }
 }
 
-/// The final answer to a change, if there is one.
+/// The recorded decision on a change; absent while it is undecided.
 pub async fn ruling(
     shared: &Shared,
     team: &TeamName,
     id: &str,
 ) -> Result<Option<Ruling>, PlatformError> {
-    get(shared, &rows::change_key(team, id)).await
+    get_row(shared, &rows::change_key(team, id)).await
 }
 
-/// The entries of the block of the history that holds a revision, newest first.
+/// The history entries of the block that contains a revision, newest first.
 pub async fn history_block(
     shared: &Shared,
     revision: Revision,
 ) -> Result<Vec<Entry>, PlatformError> {
     let prefix = rows::block_prefix(revision);
     let delta = shared.table.scan(rows::LOG, &prefix, 0).await?;
-    let entries: Result<Vec<Entry>, _> = delta.rows.into_iter().map(read).collect();
+    let entries: Result<Vec<Entry>, _> = delta.rows.into_iter().map(decode_row).collect();
     let mut entries = entries?;
     entries.sort_by_key(|entry| std::cmp::Reverse(entry.revision));
     Ok(entries)
@@ -298,26 +309,26 @@
 
 /// The number of runners of each pool on the platform's list.
 pub fn runner_counts(shared: &Shared) -> IndexMap<PoolName, usize> {
-    let mut found = IndexMap::new();
+    let mut counts = IndexMap::new();
     for server in shared.view().servers.values() {
         if let ServerRole::Runner(pool) = &server.role {
-            *found.entry(pool.clone()).or_default() += 1;
+            *counts.entry(pool.clone()).or_default() += 1;
         }
     }
-    found
+    counts
 }
 
-/// Publishes the declarations unless they are not newer than those in force.
-fn publish(shared: &Shared, store: &mut Store) {
-    let revision = store.replica.files().revision();
-    if revision <= store.checked {
+/// Publishes the replica's declarations if their revision has not been checked yet.
+fn publish(shared: &Shared, state: &mut ReplicaState) {
+    let revision = state.replica.files().revision();
+    if revision <= state.last_checked {
         return;
     }
-    store.checked = revision;
-    // Every accepted change was checked, so that a failure here means that this
-    // program is older than the one that accepted the change. It goes on with
-    // the last declarations that it can read.
-    match Catalog::union(revision, &store.replica.files().teams()) {
+    state.last_checked = revision;
+    // Changes are validated before they are accepted, so a failure here means that
+    // this binary is older than the one that accepted the change. The last readable
+    // declarations stay in force.
+    match Catalog::union(revision, &state.replica.files().teams()) {
         Ok(catalog) => {
             shared.catalog.send_replace(Arc::new(catalog));
             shared.conf.revision.set(revision.0 as i64);
@@ -325,21 +336,21 @@
         }
         Err(problems) => {
             slog::error!(
-                shared.log, "declarations can't be read; replace this VM by a newer one";
+                shared.log, "declarations can't be read; replace this VM with a newer version";
                 "revision" => revision.0, "problems" => problems.to_string()
             );
         }
     }
 }
 
-async fn get<T: DeserializeOwned>(
+async fn get_row<T: DeserializeOwned>(
     shared: &Shared,
     key: &str,
 ) -> Result<Option<T>, PlatformError> {
-    shared.table.get(rows::table_of(key), key).await?.map(read).transpose()
+    shared.table.get(rows::table_of(key), key).await?.map(decode_row).transpose()
 }
 
-fn read<T: DeserializeOwned>(row: Row) -> Result<T, PlatformError> {
+fn decode_row<T: DeserializeOwned>(row: Row) -> Result<T, PlatformError> {
     serde_json::from_value(row.value)
         .map_err(|error| PlatformError::Protocol(format!("row {}: {error}", row.key)))
 }
--- a/crates/node/src/feed.rs
+++ b/crates/node/src/feed.rs
@@ -1,10 +1,10 @@
-//! What changed in the platform's table, read once for all parts of the daemon.
+//! Change feed: reads the changes of the platform's tables once for the whole daemon.
 //!
-//! Membership, declarations, the ledger, plans and convictions are all rows that
-//! every daemon follows. If each part asked for its own, 2,100 daemons would cost
-//! some 8 reads a poll each, and with a budget of [`MAX_READS_PER_SECOND`] a change
-//! would take 17 s to be seen by all. One read of all tables at once takes 2.1 s.
-//! The feed keeps the last changes; each part takes from it what it has not seen.
+//! Every daemon watches the rows of membership, declarations, ledgers, plans and
+//! blocked request digests. If each component read its own tables, each of 2,100
+//! daemons would make about 8 reads per poll, and within [`MAX_READS_PER_SECOND`] a
+//! change would take 17 s to reach all of them. One read of all tables takes 2.1 s.
+//! The feed buffers recent changes; each component scans those it has not applied.
 
 use std::collections::VecDeque;
 use std::sync::Mutex;
@@ -16,46 +16,45 @@
     ChangesQuery, ChangesResponse, Delta, PlatformError, Row, TableClient,
 };
 
-/// Table reads a second that the polls of all daemons may cost altogether.
+/// Limit on the table reads per second by the polls of all daemons together.
 ///
-/// Half of the two thousand that the platform serves; the rest is for starts,
-/// journals and orders.
+/// Half of the two thousand that the platform serves; the rest is left for daemon
+/// starts, journals and orders.
 pub const MAX_READS_PER_SECOND: f64 = 1000.0;
 
-/// The greatest number of changes that are kept.
+/// Number of changes in the buffer.
 ///
-/// A part that has not looked for longer reads its table anew. At full size some
-/// three changes come in a second; this is over half an hour of them.
-const KEPT: usize = 8192;
+/// A component that falls further behind reads its whole table again. At full size
+/// about three changes arrive per second, so the buffer covers over half an hour.
+const MAX_BUFFERED_CHANGES: usize = 8192;
 
-/// About how many rows are read at once when a part reads its table anew.
-const PART: usize = 500;
+/// Approximate number of rows per page when a whole table is read again.
+const PAGE_ROWS: usize = 500;
 
-/// The changes of the tables that every daemon follows.
+/// The buffered changes of the tables that every daemon watches.
 pub struct ChangeFeed {
     tables: Vec<String>,
     state: Mutex<State>,
 }
 
-/// What was read so far.
 struct State {
-    /// Changes in the order of versions; a row stands once for each change read.
+    /// Changes in version order; a row appears once for each change that was read.
     log: VecDeque<Change>,
-    /// All changes after this version and up to `version` are in the log.
-    base: u64,
+    /// The log holds all changes after this version up to `version`.
+    start_version: u64,
     /// The version up to which the tables were read; absent before the first read.
     version: Option<u64>,
     /// The table service's clock at the last read, in milliseconds.
-    now: u64,
-    /// When the last read that succeeded was sent.
-    asked: Option<Instant>,
-    /// Why the last read failed, if it did.
+    table_time: u64,
+    /// When the last successful read was sent.
+    requested_at: Option<Instant>,
+    /// The error of the last read, if it failed.
     failure: Option<PlatformError>,
 }
 
-/// A row that was written or removed.
+/// A row that was written, or deleted if `row` is absent.
 struct Change {
-    /// The version of the read that found it; the row itself may be older.
+    /// The version of the read that returned the change; the row may be older.
     version: u64,
     table: String,
     key: String,
@@ -63,40 +62,40 @@
 }
 
 impl ChangeFeed {
-    /// Creates a feed of `tables` that has read nothing yet.
+    /// Creates an empty feed of `tables`.
     pub fn new(tables: &[&str]) -> Self {
         let state = State {
             log: VecDeque::new(),
-            base: 0,
+            start_version: 0,
             version: None,
-            now: 0,
-            asked: None,
+            table_time: 0,
+            requested_at: None,
             failure: None,
         };
         let tables = tables.iter().map(|&name| name.to_owned()).collect();
         Self { tables, state: Mutex::new(state) }
     }
 
-    /// The time between two reads of a daemon among `members`.
+    /// Time between two reads of each daemon when there are `members` daemons.
     pub fn poll_interval(poll: Duration, members: usize) -> Duration {
         poll.max(Duration::from_secs_f64(members as f64 / MAX_READS_PER_SECOND))
     }
 
-    /// Reads what changed, and the rows that are wanted besides.
+    /// Reads the new changes into the feed; returns the rows of `row_keys`.
     pub async fn refresh(
         &self,
         table: &TableClient,
         clock: &dyn Clock,
-        wanted: Vec<RowKey>,
+        row_keys: Vec<RowKey>,
     ) -> Result<Vec<Row>, PlatformError> {
         let since = self.lock().version;
-        // The first read only finds out where to begin: each part reads its own
-        // table whole then.
+        // The first read only returns the current version: each component then reads
+        // its whole table.
         let tables = if since.is_some() { self.tables.clone() } else { Vec::new() };
-        let ask = ChangesQuery { tables, since: since.unwrap_or(0), row_keys: wanted };
-        let asked = clock.now();
-        match table.changes(&ask).await {
-            Ok(changed) => Ok(self.lock().take(changed, asked)),
+        let query = ChangesQuery { tables, since: since.unwrap_or(0), row_keys };
+        let requested_at = clock.now();
+        match table.changes(&query).await {
+            Ok(changed) => Ok(self.lock().append(changed, requested_at)),
             Err(error) => {
                 self.record_failure(&error);
                 Err(error)
@@ -104,14 +103,16 @@
         }
     }
 
-    /// Takes note that the table can't be used.
+    /// Marks the table as unavailable: scans fail with `error` until the next
+    /// successful read.
     pub fn record_failure(&self, error: &PlatformError) {
         self.lock().failure = Some(error.clone());
     }
 
-    /// The changes of one table after a version, and when they were asked for.
+    /// The changes of one table after a version, and when they were requested.
     ///
-    /// Fails while the last read failed, as the table itself would.
+    /// Reads the table itself if the buffer does not reach back to `since`. Fails
+    /// if the last read failed, as a read of the table would.
     pub async fn scan(
         &self,
         table: &TableClient,
@@ -121,27 +122,28 @@
         since: u64,
     ) -> Result<(Delta, Instant), PlatformError> {
         debug_assert!(self.tables.iter().any(|table| table == name));
-        if let Some(found) = self.lock().find(name, prefix, since)? {
-            return Ok(found);
+        if let Some(buffered) = self.lock().find(name, prefix, since)? {
+            return Ok(buffered);
         }
-        let asked = clock.now();
+        let requested_at = clock.now();
         let delta = match prefix {
-            "" => table.scan_page(name, since, PART).await?,
+            "" => table.scan_page(name, since, PAGE_ROWS).await?,
             prefix => table.scan(name, prefix, since).await?,
         };
-        Ok((delta, asked))
+        Ok((delta, requested_at))
     }
 
     fn lock(&self) -> std::sync::MutexGuard<'_, State> {
-        self.state.lock().expect("no holder of the changes panics")
+        self.state.lock().expect("no holder of the feed's state panics")
     }
 }
 
 impl State {
-    fn take(&mut self, changed: ChangesResponse, asked: Instant) -> Vec<Row> {
+    /// Appends the changes of a read to the log; returns the rows requested by key.
+    fn append(&mut self, changed: ChangesResponse, requested_at: Instant) -> Vec<Row> {
         let version = changed.version;
         if self.version.is_none() {
-            self.base = version;
+            self.start_version = version;
         }
         for row in changed.rows {
             let (table, key) = (row.table.clone(), row.key.clone());
@@ -150,19 +152,19 @@
         for (table, key) in changed.deleted {
             self.log.push_back(Change { version, table, key, row: None });
         }
-        while self.log.len() > KEPT
-            && let Some(old) = self.log.pop_front()
+        while self.log.len() > MAX_BUFFERED_CHANGES
+            && let Some(oldest) = self.log.pop_front()
         {
-            self.base = self.base.max(old.version);
+            self.start_version = self.start_version.max(oldest.version);
         }
         self.version = Some(version);
-        self.now = changed.now;
-        self.asked = Some(asked);
+        self.table_time = changed.now;
+        self.requested_at = Some(requested_at);
         self.failure = None;
         changed.requested
     }
 
-    /// The changes, or nothing if the log does not reach back so far.
+    /// The changes after `since`, or nothing if the log does not reach back so far.
     fn find(
         &self,
         table: &str,
@@ -172,11 +174,12 @@
         if let Some(error) = &self.failure {
             return Err(error.clone());
         }
-        let (Some(version), Some(asked)) = (self.version, self.asked) else {
+        let (Some(version), Some(requested_at)) = (self.version, self.requested_at)
+        else {
             return Ok(None);
         };
-        // Version 0 asks for all rows, also when nothing was ever written.
-        if since < self.base || since == 0 {
+        // Version 0 requests all rows, even if nothing was ever written.
+        if since < self.start_version || since == 0 {
             return Ok(None);
         }
         let mut delta = Delta {
@@ -184,14 +187,15 @@
             deleted: Vec::new(),
             version,
             more: false,
-            now: self.now,
+            now: self.table_time,
         };
         delta.version = version.max(since);
         let newer = self.log.iter().rev().take_while(|change| change.version > since);
         for change in newer {
-            let known = delta.rows.iter().any(|row| row.key == change.key)
+            // Newest first: an older change of the same row is superseded.
+            let superseded = delta.rows.iter().any(|row| row.key == change.key)
                 || delta.deleted.contains(&change.key);
-            if change.table != table || !change.key.starts_with(prefix) || known {
+            if change.table != table || !change.key.starts_with(prefix) || superseded {
                 continue;
             }
             match &change.row {
@@ -200,6 +204,6 @@
             }
         }
         delta.rows.reverse();
-        Ok(Some((delta, asked)))
+        Ok(Some((delta, requested_at)))
     }
 }
--- a/crates/node/tests/feed.rs
+++ b/crates/node/tests/feed.rs
@@ -1,4 +1,4 @@
-//! What a part learns from the feed is what the table itself would have told.
+//! Checks that rows followed through the change feed match the table.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -18,7 +18,7 @@
     Put(usize, u8),
     Delete(usize, u8),
     Refresh,
-    Look(usize),
+    Scan(usize),
 }
 
 fn event() -> impl Strategy<Value = Event> {
@@ -26,21 +26,21 @@
         4 => (0..2usize, 0..6u8).prop_map(|(table, key)| Event::Put(table, key)),
         2 => (0..2usize, 0..6u8).prop_map(|(table, key)| Event::Delete(table, key)),
         2 => Just(Event::Refresh),
-        2 => (0..2usize).prop_map(Event::Look),
+        2 => (0..2usize).prop_map(Event::Scan),
     ]
 }
 
-/// What a part has put together from the changes of one table.
+/// A copy of one table, built from the changes in the feed.
 #[derive(Default)]
-struct Part {
+struct TableCopy {
     rows: IndexMap<String, Value>,
     version: u64,
 }
 
-impl Part {
-    async fn look(&mut self, feed: &ChangeFeed, table: &TableClient, name: &str) {
-        let found = feed.scan(table, &SystemClock, name, "", self.version).await;
-        let (delta, _) = found.expect("the platform is up");
+impl TableCopy {
+    async fn update(&mut self, feed: &ChangeFeed, table: &TableClient, name: &str) {
+        let result = feed.scan(table, &SystemClock, name, "", self.version).await;
+        let (delta, _) = result.expect("the platform is up");
         self.version = delta.version;
         for key in delta.deleted {
             self.rows.swap_remove(&key);
@@ -63,11 +63,11 @@
 async fn run(events: Vec<Event>) {
     let (_platform, table) = start().await;
     let feed = ChangeFeed::new(&TABLES);
-    let mut parts = [Part::default(), Part::default()];
-    for (n, event) in events.into_iter().enumerate() {
+    let mut copies = [TableCopy::default(), TableCopy::default()];
+    for (index, event) in events.into_iter().enumerate() {
         match event {
             Event::Put(name, key) => {
-                let txn = Txn::new().put(TABLES[name], key.to_string(), json!(n));
+                let txn = Txn::new().put(TABLES[name], key.to_string(), json!(index));
                 table.commit(&txn).await.expect("the platform is up");
             }
             Event::Delete(name, key) => {
@@ -78,18 +78,18 @@
                 let read = feed.refresh(&table, &SystemClock, Vec::new()).await;
                 read.expect("the platform is up");
             }
-            Event::Look(name) => parts[name].look(&feed, &table, TABLES[name]).await,
+            Event::Scan(name) => copies[name].update(&feed, &table, TABLES[name]).await,
         }
     }
     feed.refresh(&table, &SystemClock, Vec::new()).await.expect("the platform is up");
-    for (name, part) in TABLES.iter().zip(&mut parts) {
-        part.look(&feed, &table, name).await;
+    for (name, copy) in TABLES.iter().zip(&mut copies) {
+        copy.update(&feed, &table, name).await;
         let all = table.scan(name, "", 0).await.expect("the platform is up");
         let mut rows: IndexMap<String, Value> =
             all.rows.into_iter().map(|row| (row.key, row.value)).collect();
         rows.sort_keys();
-        part.rows.sort_keys();
-        assert_eq!(part.rows, rows, "{name}");
+        copy.rows.sort_keys();
+        assert_eq!(copy.rows, rows, "{name}");
     }
 }
 
@@ -102,7 +102,7 @@
     #![proptest_config(ProptestConfig::with_cases(40))]
 
     #[test]
-    fn parts_see_what_the_table_holds(
+    fn scanned_changes_match_the_table(
         events in proptest::collection::vec(event(), 1..40),
     ) {
         block_on(run(events));
@@ -110,16 +110,16 @@
 }
 
 #[test]
-fn a_failed_read_is_told_to_all_parts() {
-    // An outage of the table must look the same to a part that follows the feed
-    // as to one that asks itself; else old rows would pass for confirmed ones.
+fn failed_read_fails_all_scans() {
+    // During an outage a scan must fail as a read of the table would; otherwise old
+    // rows would count as confirmed.
     block_on(async {
         let (_platform, table) = start().await;
         let feed = ChangeFeed::new(&TABLES);
         feed.refresh(&table, &SystemClock, Vec::new()).await.expect("it is up");
         feed.record_failure(&PlatformError::Unavailable("outage".into()));
-        let found = feed.scan(&table, &SystemClock, "claims", "", 1).await;
-        assert!(matches!(found, Err(PlatformError::Unavailable(_))));
+        let result = feed.scan(&table, &SystemClock, "claims", "", 1).await;
+        assert!(matches!(result, Err(PlatformError::Unavailable(_))));
         feed.refresh(&table, &SystemClock, Vec::new()).await.expect("it is up");
         assert!(feed.scan(&table, &SystemClock, "claims", "", 1).await.is_ok());
     });
