--- a/crates/node/src/config_api.rs
+++ b/crates/node/src/config_api.rs
@@ -1,20 +1,20 @@
-//! The operators' address: reading and changing declarations.
+//! The HTTP API with which operators read and change declarations.
 //!
 //! Every call names its team in `x-team` and carries the team's key as
-//! `authorization: Bearer KEY`. Only the key's SHA-256 is in the settings; the
-//! key itself is neither logged nor dumped. Reading is open to every team,
-//! changing only to the team whose files change.
+//! `authorization: Bearer KEY`. The settings hold only the key's SHA-256; the key
+//! itself is never logged or written to the debug state. Any team may read; only
+//! the team that owns the files may change them.
 //!
-//! | call | does |
+//! | call | result |
 //! |---|---|
-//! | `POST /v1/config/plan` | tells what a [`Change`] would do |
-//! | `POST /v1/config/apply` | takes a [`Change`] to its answer |
-//! | `GET /v1/config/change/ID` | the answer to the team's earlier change |
+//! | `POST /v1/config/plan` | the effect of a [`Change`], without applying it |
+//! | `POST /v1/config/apply` | applies a [`Change`] and returns the verdict |
+//! | `GET /v1/config/change/ID` | the verdict on an earlier change of the team |
 //! | `GET /v1/config/files?at=N` | the team's files, now or at a revision |
 //! | `GET /v1/config/history?limit=N` | the newest revisions |
 //! | `GET /v1/config/show/SUBJECT` | rows, see [`show_rows`] |
-//! | `GET /v1/config/explain?...` | what would happen to a request |
-//! | `POST /v1/config/drain` | tells a VM to leave |
+//! | `GET /v1/config/explain?...` | how a request would be handled |
+//! | `POST /v1/config/drain` | drains a VM |
 
 use std::sync::Arc;
 
@@ -38,14 +38,14 @@
 use crate::shared::Shared;
 use crate::{config_sync, explain, show_rows};
 
-/// The largest body of a change, in bytes.
-const BODY_LIMIT: usize = 4 << 20;
+/// Maximum size of a request body, in bytes.
+const MAX_BODY_BYTES: usize = 4 << 20;
 
-/// The number of revisions of the history that are shown by default.
-const HISTORY: usize = 20;
+/// Number of revisions that the history returns by default.
+const DEFAULT_HISTORY_LIMIT: usize = 20;
 
-/// The greatest number of revisions of the history that are shown.
-const HISTORY_LIMIT: usize = 1000;
+/// Maximum number of revisions that the history returns.
+const MAX_HISTORY_LIMIT: usize = 1000;
 
 /// The routes under `/v1/config`.
 pub fn router(node: Arc<Node>) -> Router {
@@ -58,20 +58,20 @@
         .route("/v1/config/show/{subject}", get(show))
         .route("/v1/config/explain", get(explain_request))
         .route("/v1/config/drain", post(drain))
-        .layer(DefaultBodyLimit::max(BODY_LIMIT))
+        .layer(DefaultBodyLimit::max(MAX_BODY_BYTES))
         .with_state(node)
 }
 
-type Body<T> = Result<Json<T>, JsonRejection>;
+type JsonBody<T> = Result<Json<T>, JsonRejection>;
 
 async fn plan(
     State(node): State<Arc<Node>>,
     headers: HeaderMap,
-    body: Body<Change>,
-) -> Result<Response, Fault> {
+    body: JsonBody<Change>,
+) -> Result<Response, ApiError> {
     let shared = &node.shared;
-    let change = own(shared, &headers, body)?;
-    // A plan is of use during an outage too, and says at which revision it is.
+    let change = authorized_change(shared, &headers, body)?;
+    // A plan is useful during an outage too; it states the revision that it is based on.
     let files = match config_sync::refresh(shared).await {
         Ok(files) => files,
         Err(_) => config_sync::files(shared),
@@ -79,27 +79,28 @@
     let revision = files.revision();
     let next = Revision(revision.0 + 1);
     let runners = config_sync::runner_counts(shared);
-    let (reason, plan): (Option<Reason>, _) = match change.judge(&files, &runners, next) {
+    let (refusal, plan): (Option<Reason>, _) = match change.judge(&files, &runners, next)
+    {
         Ok(new) => (None, Plan::between(&shared.catalog(), &new)),
         Err(reason) => (Some(reason), Plan::default()),
     };
-    Ok(Json(json!({ "revision": revision, "reason": reason, "plan": plan }))
+    Ok(Json(json!({ "revision": revision, "reason": refusal, "plan": plan }))
         .into_response())
 }
 
 async fn apply(
     State(node): State<Arc<Node>>,
     headers: HeaderMap,
-    body: Body<Change>,
-) -> Result<Response, Fault> {
+    body: JsonBody<Change>,
+) -> Result<Response, ApiError> {
     let shared = &node.shared;
-    let change = own(shared, &headers, body)?;
+    let change = authorized_change(shared, &headers, body)?;
     match config_sync::apply_change(shared, change).await {
-        Answer::Final(verdict) => Ok(answer(verdict)),
-        Answer::Undecided(why) => Err(Fault::undecided(&why)),
-        Answer::Reused => Err(Fault::new(
+        Answer::Final(verdict) => Ok(verdict_response(verdict)),
+        Answer::Undecided(reason) => Err(ApiError::undecided(&reason)),
+        Answer::Reused => Err(ApiError::new(
             StatusCode::UNPROCESSABLE_ENTITY,
-            "the change's id was used for another change; choose a new id",
+            "the id was already used for a different change; choose a new id",
         )),
     }
 }
@@ -108,19 +109,19 @@
     State(node): State<Arc<Node>>,
     headers: HeaderMap,
     Path(id): Path<String>,
-) -> Result<Response, Fault> {
+) -> Result<Response, ApiError> {
     let shared = &node.shared;
-    let team = team(shared, &headers)?;
+    let team = authenticate(shared, &headers)?;
     match config_sync::ruling(shared, &team, &id).await? {
-        Some(ruling) => Ok(answer(ruling.verdict)),
-        None => Err(Fault::new(
+        Some(ruling) => Ok(verdict_response(ruling.verdict)),
+        None => Err(ApiError::new(
             StatusCode::NOT_FOUND,
-            "nothing is decided about this change; apply it again with the same id",
+            "this change is not decided yet; apply it again with the same id",
         )),
     }
 }
 
-fn answer(verdict: Verdict) -> Response {
+fn verdict_response(verdict: Verdict) -> Response {
     let status = match verdict {
         Verdict::Accepted { .. } => StatusCode::OK,
         Verdict::Refused { .. } => StatusCode::CONFLICT,
@@ -129,20 +130,20 @@
 }
 
 #[derive(Deserialize)]
-struct At {
+struct FilesQuery {
     at: Option<u64>,
 }
 
 async fn files(
     State(node): State<Arc<Node>>,
     headers: HeaderMap,
-    Query(query): Query<At>,
-) -> Result<Response, Fault> {
+    Query(query): Query<FilesQuery>,
+) -> Result<Response, ApiError> {
     let shared = &node.shared;
-    let team = team(shared, &headers)?;
-    let read = config_sync::refresh(shared).await;
-    // During an outage the files in force are still of use for a plan.
-    let files = match (read, query.at) {
+    let team = authenticate(shared, &headers)?;
+    let refreshed = config_sync::refresh(shared).await;
+    // During an outage the files in force are still useful for a plan.
+    let files = match (refreshed, query.at) {
         (Ok(files), _) => files,
         (Err(_), None) => config_sync::files(shared),
         (Err(error), Some(_)) => return Err(error.into()),
@@ -150,36 +151,36 @@
     let newest = files.revision();
     let mut text = files.team(&team);
     if let Some(at) = query.at {
-        let entries = entries(shared, newest, at).await?;
+        let entries = entries_after(shared, newest, at).await?;
         text = take_back(&team, text, Revision(at), &entries);
     }
     Ok(Json(json!({ "revision": newest, "files": text.files })).into_response())
 }
 
 /// All revisions after `at` up to `newest`, newest first.
-async fn entries(
+async fn entries_after(
     shared: &Shared,
     newest: Revision,
     at: u64,
-) -> Result<Vec<Entry>, Fault> {
+) -> Result<Vec<Entry>, ApiError> {
     let count = newest.0.checked_sub(at).ok_or_else(|| {
-        Fault::new(
+        ApiError::new(
             StatusCode::NOT_FOUND,
             format!("there is no revision {at}; the newest is {newest}"),
         )
     })?;
     if count > ROLLBACK_LIMIT {
-        return Err(Fault::new(
+        return Err(ApiError::new(
             StatusCode::NOT_FOUND,
             format!(
-                "revision {at} is more than {ROLLBACK_LIMIT} back; apply the files from \
+                "revision {at} is more than {ROLLBACK_LIMIT} revisions back; apply the files from \
                  your version control"
             ),
         ));
     }
-    let found = newest_entries(shared, newest, count as usize).await?;
-    if found.len() as u64 != count {
-        return Err(Fault::new(
+    let entries = newest_entries(shared, newest, count as usize).await?;
+    if entries.len() as u64 != count {
+        return Err(ApiError::new(
             StatusCode::NOT_FOUND,
             format!(
                 "the history does not reach back to revision {at}; apply the files from \
@@ -187,7 +188,7 @@
             ),
         ));
     }
-    Ok(found)
+    Ok(entries)
 }
 
 /// The newest `count` revisions up to `newest`, newest first.
@@ -196,34 +197,34 @@
     newest: Revision,
     count: usize,
 ) -> Result<Vec<Entry>, PlatformError> {
-    let mut found: Vec<Entry> = Vec::new();
+    let mut newest_first: Vec<Entry> = Vec::new();
     let mut block = Some(newest.0 / BLOCK);
     while let Some(number) = block
-        && found.len() < count
+        && newest_first.len() < count
     {
         let entries =
             config_sync::history_block(shared, Revision(number * BLOCK)).await?;
-        found.extend(entries.into_iter().filter(|entry| entry.revision <= newest));
+        newest_first.extend(entries.into_iter().filter(|entry| entry.revision <= newest));
         block = number.checked_sub(1);
     }
-    found.truncate(count);
-    Ok(found)
+    newest_first.truncate(count);
+    Ok(newest_first)
 }
 
 #[derive(Deserialize)]
-struct Limit {
+struct HistoryQuery {
     limit: Option<usize>,
 }
 
 async fn history(
     State(node): State<Arc<Node>>,
     headers: HeaderMap,
-    Query(query): Query<Limit>,
-) -> Result<Response, Fault> {
+    Query(query): Query<HistoryQuery>,
+) -> Result<Response, ApiError> {
     let shared = &node.shared;
-    team(shared, &headers)?;
+    authenticate(shared, &headers)?;
     let newest = config_sync::refresh(shared).await?.revision();
-    let count = query.limit.unwrap_or(HISTORY).min(HISTORY_LIMIT);
+    let count = query.limit.unwrap_or(DEFAULT_HISTORY_LIMIT).min(MAX_HISTORY_LIMIT);
     let entries = newest_entries(shared, newest, count).await?;
     let rows: Vec<_> = entries.iter().map(show_rows::history_entry).collect();
     Ok(Json(json!({ "revision": newest, "rows": rows })).into_response())
@@ -233,9 +234,9 @@
     State(node): State<Arc<Node>>,
     headers: HeaderMap,
     Path(subject): Path<String>,
-) -> Result<Response, Fault> {
+) -> Result<Response, ApiError> {
     let shared = &node.shared;
-    team(shared, &headers)?;
+    authenticate(shared, &headers)?;
     let rows = match subject.as_str() {
         "daemons" => Some(show_rows::daemons(&node).await),
         _ => show_rows::rows(shared, &subject),
@@ -247,9 +248,9 @@
             "rows": rows,
         }))
         .into_response()),
-        None => Err(Fault::new(
+        None => Err(ApiError::new(
             StatusCode::NOT_FOUND,
-            format!("there is nothing called {subject:?} to show; see docs/LANGUAGE.md"),
+            format!("{subject:?} can't be shown; see docs/LANGUAGE.md for the subjects"),
         )),
     }
 }
@@ -258,15 +259,15 @@
     State(node): State<Arc<Node>>,
     headers: HeaderMap,
     Query(query): Query<explain::ExplainQuery>,
-) -> Result<Response, Fault> {
+) -> Result<Response, ApiError> {
     let shared = &node.shared;
-    team(shared, &headers)?;
+    authenticate(shared, &headers)?;
     Ok(Json(explain::explain(&node, &query).await).into_response())
 }
 
 #[derive(Deserialize)]
 #[serde(deny_unknown_fields)]
-struct Drain {
+struct DrainRequest {
     vm: VmName,
     author: String,
 }
@@ -274,114 +275,112 @@
 async fn drain(
     State(node): State<Arc<Node>>,
     headers: HeaderMap,
-    body: Body<Drain>,
-) -> Result<Response, Fault> {
+    body: JsonBody<DrainRequest>,
+) -> Result<Response, ApiError> {
     let shared = &node.shared;
-    let team = team(shared, &headers)?;
-    let Json(drain) = body?;
+    let team = authenticate(shared, &headers)?;
+    let Json(request) = body?;
     let view = shared.view();
-    let member = view.members.iter().find(|(_, member)| member.vm == drain.vm);
+    let member = view.members.iter().find(|(_, member)| member.vm == request.vm);
     let Some((&member, _)) = member else {
-        return Err(not_a_daemon(&view, &drain.vm));
+        return Err(no_such_daemon(&view, &request.vm));
     };
-    // The row names the daemon's start, so that a VM that is replaced under the
-    // same name does not leave at once.
-    let row = DrainRow { member, by: format!("{} ({team})", drain.author) };
-    let txn = Txn::new().put(DRAINS, drain.vm.as_str(), json!(row));
+    // The row names the daemon's incarnation, so that a replacement VM with the same
+    // name is not drained.
+    let row = DrainRow { member, by: format!("{} ({team})", request.author) };
+    let txn = Txn::new().put(DRAINS, request.vm.as_str(), json!(row));
     match shared.table.commit(&txn).await {
-        Ok(_) => {
-            Ok(Json(json!({ "vm": drain.vm, "member": member.to_string() }))
-                .into_response())
-        }
-        Err(error) => Err(Fault::new(
+        Ok(_) => Ok(Json(json!({ "vm": request.vm, "member": member.to_string() }))
+            .into_response()),
+        Err(error) => Err(ApiError::new(
             StatusCode::SERVICE_UNAVAILABLE,
-            format!("the drain may not hold ({error}); repeat it"),
+            format!("the drain may not have been recorded ({error}); repeat it"),
         )),
     }
 }
 
-fn not_a_daemon(view: &View, vm: &VmName) -> Fault {
-    let text = if view.servers.keys().any(|name| name.as_str() == vm.as_str()) {
+fn no_such_daemon(view: &View, vm: &VmName) -> ApiError {
+    let message = if view.servers.keys().any(|name| name.as_str() == vm.as_str()) {
         format!(
             "{vm} is a backend server; mark its VM as leaving in the platform's list, \
-             which the daemons follow"
+             which the daemons read"
         )
     } else {
         format!("no daemon runs on a VM {vm}; see `show daemons`")
     };
-    Fault::new(StatusCode::NOT_FOUND, text)
+    ApiError::new(StatusCode::NOT_FOUND, message)
 }
 
-/// The change of the body, if the call's team may make it.
-fn own(
+/// The change in the body, provided that the calling team owns its files.
+fn authorized_change(
     shared: &Shared,
     headers: &HeaderMap,
-    body: Body<Change>,
-) -> Result<Change, Fault> {
-    let team = team(shared, headers)?;
+    body: JsonBody<Change>,
+) -> Result<Change, ApiError> {
+    let team = authenticate(shared, headers)?;
     let Json(change) = body?;
     if change.team != team {
-        return Err(Fault::new(
+        return Err(ApiError::new(
             StatusCode::FORBIDDEN,
-            "a team changes only its own files; use the other team's key",
+            "a team may change only its own files; use the key of the team that owns them",
         ));
     }
     match change.check() {
         Ok(()) => Ok(change),
-        Err(message) => Err(Fault::new(StatusCode::BAD_REQUEST, message)),
+        Err(message) => Err(ApiError::new(StatusCode::BAD_REQUEST, message)),
     }
 }
 
-/// The team whose key the call carries.
-fn team(shared: &Shared, headers: &HeaderMap) -> Result<TeamName, Fault> {
-    let text = |name: &str| headers.get(name).and_then(|value| value.to_str().ok());
-    let name = text("x-team").and_then(|name| TeamName::try_from(name).ok());
-    let key = text("authorization").and_then(|value| value.strip_prefix("Bearer "));
+/// The calling team, if the call carries its key.
+fn authenticate(shared: &Shared, headers: &HeaderMap) -> Result<TeamName, ApiError> {
+    let header = |name: &str| headers.get(name).and_then(|value| value.to_str().ok());
+    let name = header("x-team").and_then(|name| TeamName::try_from(name).ok());
+    let key = header("authorization").and_then(|value| value.strip_prefix("Bearer "));
     if let (Some(name), Some(key)) = (name, key)
         && shared.settings.operators.get(&name) == Some(&keys::sha256(key))
     {
         return Ok(name);
     }
-    Err(Fault::new(
+    Err(ApiError::new(
         StatusCode::UNAUTHORIZED,
         "the team's key is missing or wrong; send it as `authorization: Bearer KEY` \
          with the team's name in `x-team`",
     ))
 }
 
-/// Why a call was not done.
-struct Fault {
+/// An error response.
+struct ApiError {
     status: StatusCode,
     message: String,
 }
 
-impl Fault {
+impl ApiError {
     fn new(status: StatusCode, message: impl Into<String>) -> Self {
         Self { status, message: message.into() }
     }
 
-    fn undecided(why: &str) -> Self {
+    fn undecided(reason: &str) -> Self {
         Self::new(
             StatusCode::SERVICE_UNAVAILABLE,
-            format!("nothing is decided: {why}; repeat the change with the same id"),
+            format!("the change is undecided: {reason}; repeat it with the same id"),
         )
     }
 }
 
-impl From<PlatformError> for Fault {
+impl From<PlatformError> for ApiError {
     fn from(error: PlatformError) -> Self {
-        let text = format!("the table can't be read now ({error}); try again later");
-        Self::new(StatusCode::SERVICE_UNAVAILABLE, text)
+        let message = format!("the table can't be read now ({error}); try again later");
+        Self::new(StatusCode::SERVICE_UNAVAILABLE, message)
     }
 }
 
-impl From<JsonRejection> for Fault {
+impl From<JsonRejection> for ApiError {
     fn from(error: JsonRejection) -> Self {
         Self::new(error.status(), error.body_text())
     }
 }
 
-impl IntoResponse for Fault {
+impl IntoResponse for ApiError {
     fn into_response(self) -> Response {
         (self.status, Json(json!({ "message": self.message }))).into_response()
     }
--- a/crates/node/src/explain.rs
+++ b/crates/node/src/explain.rs
@@ -1,4 +1,4 @@
-//! What would happen to a request, told to operators.
+//! Explains to operators how a request would be handled.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -17,127 +17,135 @@
 use crate::shared::Shared;
 use crate::{config_sync, show_rows};
 
-/// The greatest number of other daemons that are asked for their queues.
-const ASKED: usize = 8;
+/// Maximum number of other daemons that are queried for the load of their servers.
+const MAX_QUERIED_DAEMONS: usize = 8;
 
-/// How long another daemon may take to tell its queues.
-const PATIENCE: Duration = Duration::from_secs(1);
+/// Timeout of a query to another daemon.
+const QUERY_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// A request that an operator asks about.
+/// The request to explain; a plain request names a service, others a model.
 #[derive(Debug, Default, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct ExplainQuery {
-    /// What the caller puts into `model`.
+    /// The route that the caller names in `model`.
     model: Option<String>,
-    /// The plain service.
+    /// The service of a plain request.
     service: Option<String>,
-    /// The kind that the caller names.
+    /// The kind that the caller names; the route's default if absent.
     kind: Option<String>,
-    /// The caller.
+    /// The caller's name.
     caller: Option<String>,
 }
 
-/// What would happen to a request, step by step, and who waits before it.
-pub async fn explain(node: &Arc<Node>, request: &ExplainQuery) -> Value {
-    let mut found = steps(&node.shared, request);
-    let names: Vec<String> = found["servers"]
+/// The steps by which a request would be handled, and the candidate servers with
+/// their loads.
+pub async fn explain(node: &Arc<Node>, query: &ExplainQuery) -> Value {
+    let mut explanation = explain_steps(&node.shared, query);
+    let names: Vec<String> = explanation["servers"]
         .as_array()
         .into_iter()
         .flatten()
         .filter_map(|server| server["server"].as_str().map(str::to_owned))
         .collect();
-    let loads = loads(node, &names).await;
-    for server in found["servers"].as_array_mut().into_iter().flatten() {
+    let loads = server_loads(node, &names).await;
+    for server in explanation["servers"].as_array_mut().into_iter().flatten() {
         let load = server["server"].as_str().and_then(|name| loads.get(name));
         server["load"] = load.cloned().unwrap_or_default();
     }
-    found
+    explanation
 }
 
-/// What the leads of backend servers say of their queues.
-async fn loads(node: &Arc<Node>, servers: &[String]) -> IndexMap<String, Value> {
+/// The loads of backend servers as their leads report them.
+async fn server_loads(node: &Arc<Node>, servers: &[String]) -> IndexMap<String, Value> {
     let view = node.shared.view();
-    let mut found = IndexMap::new();
-    let mut others: IndexMap<SocketAddr, Vec<String>> = IndexMap::new();
-    let own = node.leads.loads();
+    let mut loads = IndexMap::new();
+    let mut by_lead: IndexMap<SocketAddr, Vec<String>> = IndexMap::new();
+    let own_loads = node.leads.loads();
     for name in servers {
         let Ok(server) = ServerName::try_from(name.as_str()) else { continue };
         let holder = view.holder(&ClaimKey::Server(server.clone()));
         let Some((claim, lead)) = holder else { continue };
         if claim.holder == node.shared.me {
-            // A backend server that was never asked for anything has no load yet.
-            let load = own.get(&server).copied().unwrap_or_default();
-            found.insert(name.clone(), json!(load));
+            // A backend server without any request so far has no load yet.
+            let load = own_loads.get(&server).copied().unwrap_or_default();
+            loads.insert(name.clone(), json!(load));
         } else {
-            others.entry(lead.ops_addr).or_default().push(name.clone());
+            by_lead.entry(lead.ops_addr).or_default().push(name.clone());
         }
     }
     let mut calls = JoinSet::new();
-    for (addr, led) in others.into_iter().take(ASKED) {
-        let call = node.http.get(format!("http://{addr}/debug/state")).timeout(PATIENCE);
+    for (addr, led) in by_lead.into_iter().take(MAX_QUERIED_DAEMONS) {
+        let call =
+            node.http.get(format!("http://{addr}/debug/state")).timeout(QUERY_TIMEOUT);
         calls.spawn(async move {
             let state: Value = call.send().await.ok()?.json().await.ok()?;
             Some((led, state.get("leads")?.clone()))
         });
     }
-    while let Some(answer) = calls.join_next().await {
-        let Ok(Some((led, leads))) = answer else { continue };
+    while let Some(response) = calls.join_next().await {
+        let Ok(Some((led, leads))) = response else { continue };
         for name in led {
             let load = leads.get(&name).cloned();
-            found.insert(name, load.unwrap_or_else(|| json!(ServerLoad::default())));
+            loads.insert(name, load.unwrap_or_else(|| json!(ServerLoad::default())));
         }
     }
-    found
+    loads
 }
 
-fn steps(shared: &Shared, request: &ExplainQuery) -> Value {
+fn explain_steps(shared: &Shared, query: &ExplainQuery) -> Value {
     let mut steps = Vec::new();
     let catalog = shared.catalog();
     steps.push(format!("declarations of revision {} are in force", catalog.revision));
     if !config_sync::is_fresh(shared, shared.clock.now()) {
-        steps.push("this daemon can't confirm that and takes no new work".into());
+        steps.push("this daemon can't confirm that and accepts no new requests".into());
     }
-    if let Some(caller) = &request.caller {
+    if let Some(caller) = &query.caller {
         steps.push(
             match catalog.callers.iter().find(|(name, _)| name.as_str() == caller) {
-                Some((_, it)) => format!("caller `{caller}` has share {}", it.share),
+                Some((_, own)) => format!("caller `{caller}` has share {}", own.share),
                 None => {
                     format!("caller `{caller}` is not declared; refused (unauthorised)")
                 }
             },
         );
     }
-    let mut default = None;
+    let mut default_kind = None;
     let mut servers = Vec::new();
     let view = shared.view();
-    if let Some(name) = &request.service {
-        let found = catalog.services.iter().find(|(it, _)| it.as_str() == name);
-        if let Some((name, service)) = found {
+    if let Some(name) = &query.service {
+        let declared = catalog.services.iter().find(|(key, _)| key.as_str() == name);
+        if let Some((name, service)) = declared {
             steps.push(format!("service `{name}` is declared by {}", service.team));
-            default = service.kind.clone();
-            for (server, it) in &view.servers {
-                if it.role == ServerRole::Service(name.clone()) {
-                    servers.push(candidate(&view, server.as_str(), it, true));
+            default_kind = service.kind.clone();
+            for (server, row) in &view.servers {
+                if row.role == ServerRole::Service(name.clone()) {
+                    servers.push(candidate_json(&view, server.as_str(), row, true));
                 }
             }
         } else {
             steps.push(format!("no service `{name}` is declared; refused"));
         }
     }
-    if let Some(name) = &request.model {
+    if let Some(name) = &query.model {
         if let Some(route) = catalog.routes.get(name) {
-            default = route.kind.clone();
-            steps.push(along(name, route));
+            default_kind = route.kind.clone();
+            steps.push(route_step(name, route));
             if let Some(model) = catalog.models.get(&route.model) {
                 steps.push(format!(
-                    "version `{}` of it is served by pool `{}`",
+                    "version `{}` of the model is served by pool `{}`",
                     model.version, model.pool
                 ));
-                let holding = holding(shared, route, &route.model, &model.version);
-                for (server, it) in &view.servers {
-                    if it.role == ServerRole::Runner(model.pool.clone()) {
-                        let resident = holding.contains(&server.to_string());
-                        servers.push(candidate(&view, server.as_str(), it, resident));
+                let serving =
+                    serving_runners(shared, route, &route.model, &model.version);
+                for (server, row) in &view.servers {
+                    if row.role == ServerRole::Runner(model.pool.clone()) {
+                        let resident = serving.contains(&server.to_string());
+                        servers.push(candidate_json(
+                            &view,
+                            server.as_str(),
+                            row,
+                            resident,
+                        ));
                     }
                 }
             }
@@ -145,27 +153,27 @@
             steps.push(format!("no route `{name}` is declared; refused"));
         }
     }
-    let kind = request.kind.clone().or(default.map(|kind| kind.to_string()));
+    let kind = query.kind.clone().or(default_kind.map(|kind| kind.to_string()));
     steps.push(match &kind {
-        Some(name) => match catalog.kinds.iter().find(|(it, _)| it.as_str() == name) {
+        Some(name) => match catalog.kinds.iter().find(|(key, _)| key.as_str() == name) {
             Some((_, kind)) => format!(
-                "kind `{name}`: {:?}, to be answered within {} ms, {}",
+                "kind `{name}`: {:?}, deadline {} ms, {}",
                 kind.urgency,
                 kind.deadline.as_millis(),
                 if kind.idempotent { "may be retried" } else { "runs at most once" }
             ),
             None => format!("no kind `{name}` is declared; refused"),
         },
-        None => "no kind is named or declared for the route".into(),
+        None => "the request names no kind and none is declared as default".into(),
     });
-    let ready = servers.iter().filter(|it| it["resident"] == true).count();
-    if request.model.is_some() || request.service.is_some() {
+    let ready = servers.iter().filter(|server| server["resident"] == true).count();
+    if query.model.is_some() || query.service.is_some() {
         steps.push(format!("{ready} of {} backend servers can take it", servers.len()));
     }
     json!({ "revision": catalog.revision, "steps": steps, "servers": servers })
 }
 
-fn along(name: &str, route: &Route) -> String {
+fn route_step(name: &str, route: &Route) -> String {
     let base =
         format!("route `{name}` of {} leads to model `{}`", route.team, route.model);
     match &route.adapter {
@@ -174,18 +182,18 @@
     }
 }
 
-fn holding(
+fn serving_runners(
     shared: &Shared,
     route: &Route,
     model: &ModelName,
     version: &VersionName,
 ) -> Vec<String> {
     let residence = shared.residence();
-    let found = residence.serving(model, version, route.adapter.as_ref());
-    found.map(ToString::to_string).collect()
+    let runners = residence.serving(model, version, route.adapter.as_ref());
+    runners.map(ToString::to_string).collect()
 }
 
-fn candidate(view: &View, name: &str, server: &Server, resident: bool) -> Value {
+fn candidate_json(view: &View, name: &str, server: &Server, resident: bool) -> Value {
     json!({
         "server": name, "domain": server.domain, "leaving": server.leaving,
         "resident": resident && !server.leaving, "lead": show_rows::lead_vm(view, name),
--- a/crates/node/src/ops.rs
+++ b/crates/node/src/ops.rs
@@ -1,4 +1,4 @@
-//! What operators connect to.
+//! The HTTP server for operators: metrics, debug state and the configuration API.
 
 use std::sync::Arc;
 
@@ -12,11 +12,11 @@
 use crate::config_api;
 use crate::node::Node;
 
-/// The routes that operators use.
+/// The routes served at the operators' address.
 pub fn router(node: Arc<Node>) -> Router {
     Router::new()
         .route("/metrics", get(metrics))
-        .route("/debug/state", get(state))
+        .route("/debug/state", get(debug_state))
         .with_state(node.clone())
         .merge(config_api::router(node.clone()))
 }
@@ -25,11 +25,11 @@
     node.shared.metrics.render()
 }
 
-async fn state(State(node): State<Arc<Node>>) -> Response {
+async fn debug_state(State(node): State<Arc<Node>>) -> Response {
     answer::json(200, &dump(&node))
 }
 
-/// The whole state of the process, without keys.
+/// The state of the process as JSON; contains no keys.
 pub fn dump(node: &Node) -> Value {
     let shared = &node.shared;
     let settings = &shared.settings;
@@ -62,10 +62,10 @@
     })
 }
 
-/// The load of each backend server that this daemon leads.
+/// The load of each backend server that this daemon leads, by the server's name.
 fn leads(node: &Node) -> Value {
     let loads = node.leads.loads();
-    let row = |load: chestnut_wire::ServerLoad| {
+    let to_json = |load: chestnut_wire::ServerLoad| {
         json!({
             "running": load.running,
             "queued": load.queued,
@@ -74,16 +74,16 @@
             "step_us": load.step_us,
         })
     };
-    loads.into_iter().map(|(name, load)| (name.to_string(), row(load))).collect()
+    loads.into_iter().map(|(name, load)| (name.to_string(), to_json(load))).collect()
 }
 
-/// How many digests are suspect and how many convicted.
+/// The numbers of suspect and of blocked request digests.
 fn poison(node: &Node) -> Value {
-    let (suspects, convicted) = node.poison.counts();
-    json!({ "suspects": suspects, "convicted": convicted })
+    let (suspects, blocked) = node.poison.counts();
+    json!({ "suspects": suspects, "convicted": blocked })
 }
 
-/// Members, servers and claims, with claims as `server:NAME` and the like.
+/// Members, servers and claims; the key of a claim is `server:NAME` or similar.
 fn view(node: &Node) -> Value {
     let view = node.shared.view();
     let members: serde_json::Map<String, Value> =
@@ -99,25 +99,25 @@
     json!({ "members": members, "servers": view.servers, "claims": claims })
 }
 
-/// What is resident where.
+/// The resident models and adapters of each runner.
 fn residence(node: &Node) -> Value {
     let residence = node.shared.residence();
     let runners: serde_json::Map<String, Value> = residence
         .runners()
         .iter()
-        .map(|(name, held)| {
-            let models: Vec<String> = held
+        .map(|(name, assets)| {
+            let models: Vec<String> = assets
                 .models
                 .iter()
                 .map(|(model, version)| format!("{model}@{version}"))
                 .collect();
-            (name.to_string(), json!({ "models": models, "adapters": held.adapters }))
+            (name.to_string(), json!({ "models": models, "adapters": assets.adapters }))
         })
         .collect();
     Value::Object(runners)
 }
 
-/// What each runner's memory is reserved for, and in which state.
+/// Each runner's memory reservations and their states.
 fn ledgers(node: &Node) -> Value {
     let rows = node.shared.rows.borrow();
     let runners: serde_json::Map<String, Value> = rows
--- a/crates/node/src/show_rows.rs
+++ b/crates/node/src/show_rows.rs
@@ -1,4 +1,4 @@
-//! What operators can look at, as rows of named fields.
+//! The state that operators can show, as rows of named fields.
 
 use std::sync::Arc;
 
@@ -16,28 +16,28 @@
 use crate::shared::Shared;
 use crate::{config_sync, members};
 
-/// The greatest number of daemons that are asked for their revision one by one.
-const ASKED: usize = 64;
+/// Up to this many other daemons are queried for their current revision.
+const MAX_QUERIED_DAEMONS: usize = 64;
 
-/// A row of named fields.
+/// A row: its values by field name.
 pub type Row = Map<String, Value>;
 
-/// The rows of a subject, if there is such a subject.
+/// The rows of a subject; absent if the subject is unknown or is `daemons`.
 pub fn rows(shared: &Shared, subject: &str) -> Option<Vec<Row>> {
     let catalog = shared.catalog();
     Some(match subject {
-        "pools" => named(&catalog.pools),
-        "models" => named(&catalog.models),
-        "adapters" => named(&catalog.adapters),
-        "services" => named(&catalog.services),
-        "kinds" => named(&catalog.kinds),
-        "callers" => named(&catalog.callers),
-        "routes" => named(&catalog.routes),
+        "pools" => named_rows(&catalog.pools),
+        "models" => named_rows(&catalog.models),
+        "adapters" => named_rows(&catalog.adapters),
+        "services" => named_rows(&catalog.services),
+        "kinds" => named_rows(&catalog.kinds),
+        "callers" => named_rows(&catalog.callers),
+        "routes" => named_rows(&catalog.routes),
         "files" => config_sync::files(shared)
             .rows()
             .filter_map(|row| {
                 row.text.as_ref().map(|text| {
-                    object(json!({
+                    to_row(json!({
                         "name": row.file, "team": row.team, "revision": row.revision,
                         "author": row.author, "change": row.change,
                         "bytes": text.len(),
@@ -45,43 +45,44 @@
                 })
             })
             .collect(),
-        "servers" => servers(shared),
-        "residents" => residents(shared),
+        "servers" => server_rows(shared),
+        "residents" => resident_rows(shared),
         _ => return None,
     })
 }
 
-/// A revision of the history, without texts.
+/// A revision of the history, without the contents of its files.
 pub fn history_entry(entry: &Entry) -> Row {
-    object(json!({
+    to_row(json!({
         "revision": entry.revision, "team": entry.team, "author": entry.author,
         "note": entry.note, "change": entry.change, "at": entry.at,
         "files": entry.before.keys().collect::<Vec<_>>(),
     }))
 }
 
-/// The VM of the daemon that leads a backend server.
+/// The VM of the daemon that leads a backend server, if one does.
 pub fn lead_vm(view: &View, server: &str) -> Option<String> {
     let (name, _) = view.servers.iter().find(|(name, _)| name.as_str() == server)?;
     let (_, member) = view.holder(&ClaimKey::Server(name.clone()))?;
     Some(member.vm.to_string())
 }
 
-/// The daemons whose lease holds, with the revision in force at each.
+/// The daemons with a valid lease and the revision in force at each.
 ///
-/// The table knows the revisions as of the last renewals; few daemons are asked
-/// themselves, so that an operator who waits for a change sees it at once.
+/// The table has the revisions as of the last lease renewals. In a small deployment
+/// the daemons are also queried directly, so that an operator who waits for a change
+/// sees it at once.
 pub async fn daemons(node: &Arc<Node>) -> Vec<Row> {
     let shared = &node.shared;
-    let mut known = renewed(shared).await;
-    known.extend(asked(node).await);
+    let mut revisions = revisions_at_renewal(shared).await;
+    revisions.extend(query_revisions(node).await);
     let newest = shared.catalog().revision;
-    known.insert(shared.me, newest);
+    revisions.insert(shared.me, newest);
     let view = shared.view();
     let rows = view.members.iter().map(|(id, member)| {
-        let revision = known.get(id);
+        let revision = revisions.get(id);
         let behind = revision.map(|revision| newest.0.saturating_sub(revision.0));
-        object(json!({
+        to_row(json!({
             "name": member.vm, "member": id.to_string(), "domain": member.domain,
             "caller_addr": member.caller_addr, "ops_addr": member.ops_addr,
             "leaving": member.leaving, "revision": revision, "behind": behind,
@@ -90,8 +91,8 @@
     rows.collect()
 }
 
-/// The revisions as of the last renewals; none while the table can't be read.
-async fn renewed(shared: &Shared) -> IndexMap<MemberId, Revision> {
+/// The revisions as of the last lease renewals; empty while the table can't be read.
+async fn revisions_at_renewal(shared: &Shared) -> IndexMap<MemberId, Revision> {
     let Ok(delta) = shared.table.scan(LEASES, "", 0).await else {
         return IndexMap::new();
     };
@@ -100,34 +101,34 @@
     leases.map(|lease| (lease.member, lease.revision)).collect()
 }
 
-/// The revisions that the other daemons tell.
-async fn asked(node: &Arc<Node>) -> IndexMap<MemberId, Revision> {
-    let mut found = IndexMap::new();
+/// Queries the other daemons for their revisions; empty if there are too many daemons.
+async fn query_revisions(node: &Arc<Node>) -> IndexMap<MemberId, Revision> {
+    let mut revisions = IndexMap::new();
     let others = members::others(&node.shared);
-    if others.len() > ASKED {
-        return found;
+    if others.len() > MAX_QUERIED_DAEMONS {
+        return revisions;
     }
     let mut calls = JoinSet::new();
     for (_, addr) in others {
         let node = node.clone();
         calls.spawn(async move { node.peers.ask_once(addr, &PeerRequest::Status).await });
     }
-    while let Some(answer) = calls.join_next().await {
-        if let Ok(Ok(PeerResponse::Status(status))) = answer {
-            found.insert(status.member, status.revision);
+    while let Some(response) = calls.join_next().await {
+        if let Ok(Ok(PeerResponse::Status(status))) = response {
+            revisions.insert(status.member, status.revision);
         }
     }
-    found
+    revisions
 }
 
-fn servers(shared: &Shared) -> Vec<Row> {
+fn server_rows(shared: &Shared) -> Vec<Row> {
     let view = shared.view();
     let rows = view.servers.iter().map(|(name, server)| {
         let (role, of) = match &server.role {
             ServerRole::Runner(pool) => ("runner", pool.to_string()),
             ServerRole::Service(service) => ("service", service.to_string()),
         };
-        object(json!({
+        to_row(json!({
             "name": name, "role": role, "of": of, "domain": server.domain,
             "address": server.address, "leaving": server.leaving,
             "lead": lead_vm(&view, name.as_str()),
@@ -136,17 +137,17 @@
     rows.collect()
 }
 
-fn residents(shared: &Shared) -> Vec<Row> {
+fn resident_rows(shared: &Shared) -> Vec<Row> {
     let residence = shared.residence();
     let mut rows = Vec::new();
-    for (server, held) in residence.runners() {
-        for (model, version) in &held.models {
-            rows.push(object(json!({
+    for (server, assets) in residence.runners() {
+        for (model, version) in &assets.models {
+            rows.push(to_row(json!({
                 "name": model, "kind": "model", "version": version, "server": server,
             })));
         }
-        for adapter in &held.adapters {
-            rows.push(object(json!({
+        for adapter in &assets.adapters {
+            rows.push(to_row(json!({
                 "name": adapter, "kind": "adapter", "version": null, "server": server,
             })));
         }
@@ -154,17 +155,17 @@
     rows
 }
 
-fn named<K: ToString, T: Serialize>(map: &IndexMap<K, T>) -> Vec<Row> {
+fn named_rows<K: ToString, T: Serialize>(map: &IndexMap<K, T>) -> Vec<Row> {
     let rows = map.iter().map(|(name, item)| {
         let mut row = Row::new();
         row.insert("name".into(), name.to_string().into());
-        row.extend(object(serde_json::to_value(item).unwrap_or_default()));
+        row.extend(to_row(serde_json::to_value(item).unwrap_or_default()));
         row
     });
     rows.collect()
 }
 
-fn object(value: Value) -> Row {
+fn to_row(value: Value) -> Row {
     match value {
         Value::Object(row) => row,
         _ => Row::new(),
