--- a/crates/node/src/explain.rs
+++ b/crates/node/src/explain.rs
@@ -102,7 +102,9 @@
     if let Some(caller) = &query.caller {
         steps.push(
             match catalog.callers.iter().find(|(name, _)| name.as_str() == caller) {
-                Some((_, own)) => format!("caller `{caller}` has share {}", own.share),
+                Some((_, declared)) => {
+                    format!("caller `{caller}` has share {}", declared.share)
+                }
                 None => {
                     format!("caller `{caller}` is not declared; refused (unauthorised)")
                 }
--- a/crates/node/src/orders.rs
+++ b/crates/node/src/orders.rs
@@ -1,11 +1,11 @@
-//! Orders to the engines that this daemon leads, through the ledger.
+//! Orders to the engines of the runners that this daemon leads.
 //!
-//! Every daemon reads the ledger's rows and publishes what is resident where
-//! ([`rows`]). For each runner that it leads it runs one task ([`runner`]) that
-//! reads the engine's report, decides the next steps with `chestnut-place`,
-//! commits them to the runner's row under the claim, and only then sends orders
-//! ([`engine_client`]). [`usage`] counts the requests that use an asset, so that
-//! nothing is unloaded under a running request.
+//! Every daemon reads the ledger rows of all runners and publishes which assets are
+//! resident where ([`rows`]). For each runner that it leads, it runs one task
+//! ([`runner`]) that reads the engine's report, reconciles the ledger with the plan
+//! by means of `chestnut-place`, commits the ledger row under the claim, and only
+//! then sends orders ([`engine_client`]). [`usage`] counts the requests that use an
+//! asset, so that no asset is unloaded while a request uses it.
 
 pub mod counters;
 pub mod engine_client;
@@ -27,50 +27,50 @@
 use crate::orders::runner::RunnerReconciler;
 use crate::shared::Shared;
 
-/// Reads the ledger and serves the runners that this daemon leads.
+/// Reads the placement tables and runs a task for each runner that this daemon leads.
 pub async fn run(shared: Arc<Shared>) {
     let counters = Arc::new(Counters::new(&shared.metrics));
     let engines = match EngineClient::new(shared.settings.times.platform) {
         Ok(engines) => engines,
         Err(error) => {
-            slog::error!(shared.log, "no orders can be sent"; "error" => %error);
+            slog::error!(shared.log, "cannot create the engine client; no orders will be sent"; "error" => %error);
             return;
         }
     };
     let mut tasks: IndexMap<ServerName, (Claim, JoinHandle<()>)> = IndexMap::new();
     loop {
-        // A daemon that starts reads thousands of rows in parts.
+        // A daemon that starts reads thousands of rows, page by page.
         while rows::refresh(&shared).await {}
         let led = led_runners(&shared);
         tasks.retain(|name, (claim, task)| {
-            let keep = led.get(name) == Some(claim) && !task.is_finished();
-            if !keep {
+            let retain = led.get(name) == Some(claim) && !task.is_finished();
+            if !retain {
                 task.abort();
             }
-            keep
+            retain
         });
         for (name, claim) in led {
             tasks.entry(name.clone()).or_insert_with(|| {
-                let runner = RunnerReconciler::new(
+                let reconciler = RunnerReconciler::new(
                     shared.clone(),
                     engines.clone(),
                     counters.clone(),
                     name,
                     claim,
                 );
-                (claim, tokio::spawn(runner.run()))
+                (claim, tokio::spawn(reconciler.run()))
             });
         }
         tokio::time::sleep(poll_interval(&shared)).await;
     }
 }
 
-/// How long to wait between two reads of the table.
+/// Time between two reads of the tables, within the limit on reads of all daemons.
 pub fn poll_interval(shared: &Shared) -> Duration {
     ChangeFeed::poll_interval(shared.settings.times.poll, shared.view().members.len())
 }
 
-/// The runners that this daemon leads while its lease holds.
+/// The runners whose valid claim this daemon holds in its view.
 fn led_runners(shared: &Shared) -> IndexMap<ServerName, Claim> {
     let view = shared.view();
     let led = view.servers.iter().filter_map(|(name, server)| {
--- a/crates/node/src/orders/counters.rs
+++ b/crates/node/src/orders/counters.rs
@@ -1,4 +1,4 @@
-//! What is counted about orders.
+//! Metrics of orders to engines.
 
 use prometheus_client::encoding::EncodeLabelSet;
 use prometheus_client::metrics::counter::Counter;
@@ -6,49 +6,53 @@
 
 use crate::metrics::Metrics;
 
-/// What is counted about orders.
+/// Metrics of the orders that this daemon creates and sends.
 #[derive(Debug)]
 pub struct Counters {
-    /// Load orders that were created; each is a move.
+    /// Load orders created; each one is a move.
     pub loads: Counter,
-    /// Unload orders that were created.
+    /// Unload orders created.
     pub unloads: Counter,
-    /// CopyLabels of orders that were sent, by how the engine answered.
-    pub copies: Family<CopyLabels, Counter>,
-    /// Transactions on ledger rows that were refused.
+    /// Copies of orders sent, by the result of sending.
+    pub copies_sent: Family<CopyLabels, Counter>,
+    /// Transactions on ledger rows that failed with a conflict.
     pub conflicts: Counter,
 }
 
-/// How an engine answered a copy of an order.
+/// Labels of [`Counters::copies_sent`].
 #[derive(Debug, Clone, PartialEq, Eq, Hash, EncodeLabelSet)]
 pub struct CopyLabels {
-    /// The answer.
+    /// `taken`, `refused`, `unsent` or `unknown`.
     pub answer: &'static str,
 }
 
 impl Counters {
-    /// Registers the counters.
+    /// Creates the counters and registers them at `metrics`.
     pub fn new(metrics: &Metrics) -> Self {
-        let all = Self {
+        let counters = Self {
             loads: Counter::default(),
             unloads: Counter::default(),
-            copies: Family::default(),
+            copies_sent: Family::default(),
             conflicts: Counter::default(),
         };
         metrics.register(|registry| {
-            registry.register("moves", "Load orders created", all.loads.clone());
-            registry.register("unloads", "Unload orders created", all.unloads.clone());
+            registry.register("moves", "Load orders created", counters.loads.clone());
+            registry.register(
+                "unloads",
+                "Unload orders created",
+                counters.unloads.clone(),
+            );
             registry.register(
                 "order_copies",
-                "CopyLabels of orders sent, by the engine's answer",
-                all.copies.clone(),
+                "Copies of orders sent, by the engine's answer",
+                counters.copies_sent.clone(),
             );
             registry.register(
                 "ledger_conflicts",
                 "Refused transactions on ledger rows",
-                all.conflicts.clone(),
+                counters.conflicts.clone(),
             );
         });
-        all
+        counters
     }
 }
--- a/crates/node/src/orders/engine_client.rs
+++ b/crates/node/src/orders/engine_client.rs
@@ -1,4 +1,4 @@
-//! The calls to engines that concern what they hold.
+//! HTTP client for engine reports and orders to load or unload assets.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -8,36 +8,36 @@
 use reqwest::{Client, RequestBuilder, StatusCode};
 use serde_json::json;
 
-/// The header that names an order.
+/// Header with the number of an order.
 const ORDER_HEADER: &str = "x-order-id";
 
-/// The header with the fencing number of the sender's claim.
+/// Header with the fence of the sender's claim.
 const FENCE_HEADER: &str = "x-fence";
 
-/// The client of engines for reports and orders.
+/// Client for the report and order calls of engines; clones share its connections.
 #[derive(Debug, Clone)]
 pub struct EngineClient {
     http: Client,
 }
 
-/// What became of one copy of an order.
+/// The result of sending one copy of an order.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum SendOutcome {
-    /// The engine answered; this copy is not under way any more.
+    /// The engine responded; this copy is no longer in transit.
     Responded(StatusCode),
-    /// No connection could be made, so that nothing was sent.
+    /// No connection could be made, so nothing was sent.
     NotSent,
-    /// No answer came; the copy may still arrive.
+    /// There was no response; the copy may still arrive.
     Unknown,
 }
 
 impl EngineClient {
-    /// Creates a client whose calls fail after `timeout`.
+    /// Creates a client; each call fails after `timeout`.
     pub fn new(timeout: Duration) -> Result<Self, reqwest::Error> {
         Ok(Self { http: Client::builder().timeout(timeout).no_proxy().build()? })
     }
 
-    /// Reads an engine's report.
+    /// Fetches an engine's report of its memory, assets and requests.
     pub async fn fetch_report(
         &self,
         engine: SocketAddr,
@@ -46,19 +46,19 @@
         self.http.get(url).send().await?.error_for_status()?.json().await
     }
 
-    /// Sends one copy of an order.
+    /// Sends one copy of an order under the claim with this fence.
     pub async fn send_order(
         &self,
         engine: SocketAddr,
         order: &Order,
         fence: Fence,
     ) -> SendOutcome {
-        let call = self
-            .call(engine, order)
+        let request = self
+            .order_request(engine, order)
             .header(ORDER_HEADER, order.id.0)
             .header(FENCE_HEADER, fence.0);
-        match call.send().await {
-            Ok(answer) => SendOutcome::Responded(answer.status()),
+        match request.send().await {
+            Ok(response) => SendOutcome::Responded(response.status()),
             Err(error) if error.is_connect() || error.is_builder() => {
                 SendOutcome::NotSent
             }
@@ -66,7 +66,7 @@
         }
     }
 
-    fn call(&self, engine: SocketAddr, order: &Order) -> RequestBuilder {
+    fn order_request(&self, engine: SocketAddr, order: &Order) -> RequestBuilder {
         let post = |path| self.http.post(format!("http://{engine}/v1/{path}"));
         let asset = &order.asset;
         match (&asset.adapter, order.kind) {
--- a/crates/node/src/orders/rows.rs
+++ b/crates/node/src/orders/rows.rs
@@ -1,4 +1,4 @@
-//! The ledger's and the plan's rows as the table has them.
+//! The rows of the ledger and plan tables, as last read by this daemon.
 
 use std::sync::Arc;
 use std::time::Instant;
@@ -11,34 +11,35 @@
 
 use crate::shared::Shared;
 
-/// The table of ledgers, one row per runner.
+/// The table of ledgers, with one row per runner.
 pub const LEDGER: &str = "ledger";
 
-/// The table of wanted placements, one row per runner.
+/// The table of plans, with one row per runner and one per pool.
 pub const PLAN: &str = "plan";
 
-/// The rows that this daemon has read.
+/// The ledger and plan rows that this daemon has read, or committed itself.
 #[derive(Debug, Clone, Default)]
 pub struct PlacementRows {
     /// Each runner's ledger and the row's version.
     pub ledgers: IndexMap<ServerName, (Ledger, u64)>,
-    /// What planners want each runner to hold.
+    /// The assets that planners want each runner to hold.
     pub plans: IndexMap<ServerName, PlanRow>,
-    /// What planners could not place.
+    /// The models and adapters that planners could not place.
     pub unplaced: IndexMap<PoolName, Vec<UnplacedAsset>>,
     /// The version up to which ledgers were read.
     pub ledger_version: u64,
     /// The version up to which plans were read.
     pub plan_version: u64,
-    /// The view by which what is resident was put together last.
+    /// The view from which residency was last computed.
     pub view: Arc<View>,
-    /// The table service's time at the last read of ledgers, in milliseconds,
-    /// and when that read was sent.
+    /// The table service's time at the last read of ledgers, in milliseconds, and when
+    /// that read was sent; absent until all ledgers were read once.
     pub table_time: Option<(u64, Instant)>,
 }
 
 impl PlacementRows {
-    /// The table service's time as it is at most, at `at`.
+    /// The latest that the table service's clock may show at `at`, in milliseconds; 0
+    /// before the first read.
     pub fn latest_time(&self, at: Instant) -> u64 {
         self.table_time.map_or(0, |(now, sent)| {
             now + at.saturating_duration_since(sent).as_millis() as u64
@@ -46,24 +47,24 @@
     }
 }
 
-/// What a planner wants a runner to hold.
+/// The row of a runner in the plan table: what its planner wants it to hold.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct PlanRow {
-    /// Models before the adapters on top of them.
+    /// Each model precedes its adapters.
     pub wanted: Vec<DesiredAsset>,
 }
 
-/// What a planner could not place, in the row `pool/NAME` of the plans' table.
+/// The row `pool/NAME` of the plan table: what the pool's planner could not place.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct UnplacedRow {
-    /// Declared models and adapters for which there is no room.
+    /// Declared models and adapters for which there is not enough memory.
     pub unplaced: Vec<UnplacedAsset>,
 }
 
-/// A declared model or adapter for which there is no room.
+/// A declared model or adapter for which there is not enough memory.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct UnplacedAsset {
-    /// The model or adapter.
+    /// The name of the model or adapter.
     pub name: String,
     /// The memory of one replica, in bytes.
     pub bytes: u64,
@@ -71,56 +72,57 @@
     pub missing: usize,
 }
 
-/// The start of the keys of rows about a pool; no runner's name holds a slash.
+/// Key prefix of pool rows; server names contain no slash, so keys can't collide.
 const POOL_PREFIX: &str = "pool/";
 
-/// The key of a pool's row.
+/// The key of a pool's row in the plan table.
 pub fn pool_key(pool: &PoolName) -> String {
     format!("{POOL_PREFIX}{pool}")
 }
 
-/// Reads what has changed and publishes what is resident; whether there is more.
+/// Reads the changes of both tables and publishes the residency.
 ///
-/// While the table can't be read, what was read last stays in force.
+/// Returns whether there are more rows to read. While the table can't be read, the
+/// rows read last stay in force.
 pub async fn refresh(shared: &Shared) -> bool {
     let (ledger_version, plan_version) = {
         let rows = shared.rows.borrow();
         (rows.ledger_version, rows.plan_version)
     };
-    let ledgers = shared.changes(LEDGER, "", ledger_version).await;
-    let plans = shared.changes(PLAN, "", plan_version).await;
+    let ledger_changes = shared.changes(LEDGER, "", ledger_version).await;
+    let plan_changes = shared.changes(PLAN, "", plan_version).await;
     let view = shared.view();
     let mut changed = false;
     let mut more = false;
     shared.rows.send_modify(|rows| {
         let rows = Arc::make_mut(rows);
-        if let Ok((delta, sent)) = ledgers {
+        if let Ok((delta, requested_at)) = ledger_changes {
             rows.ledger_version = delta.version;
-            // Only once all rows were read: until then nobody may rest on them.
+            // Set only once all rows were read: partial rows must not be relied upon.
             if !delta.more {
-                rows.table_time = Some((delta.now, sent));
+                rows.table_time = Some((delta.now, requested_at));
             }
             changed = !delta.is_empty();
             more = delta.more;
-            take_ledgers(shared, rows, delta);
+            apply_ledgers(shared, rows, delta);
         }
-        if let Ok((delta, _)) = plans {
+        if let Ok((delta, _)) = plan_changes {
             rows.plan_version = delta.version;
             more |= delta.more;
-            take_plans(shared, rows, delta);
+            apply_plans(shared, rows, delta);
         }
-        // Runners that left the platform's list are left out.
+        // Residency leaves out runners that are no longer on the platform's list.
         changed |= !Arc::ptr_eq(&rows.view, &view);
         rows.view = view;
     });
-    // Putting it all together anew takes milliseconds at thousands of runners.
+    // Recomputing the residency takes milliseconds with thousands of runners.
     if changed {
         publish_residency(shared);
     }
     more
 }
 
-/// Notes a row that this daemon has committed, before it is read back.
+/// Records a ledger row that this daemon committed, before it is read back.
 pub fn record_committed(
     shared: &Shared,
     server: &ServerName,
@@ -134,21 +136,22 @@
     publish_residency(shared);
 }
 
-/// Publishes what may be used of what the runners hold.
+/// Publishes which assets on the runners may be used.
 ///
 /// Runners that are no longer on the platform's list are left out.
 pub fn publish_residency(shared: &Shared) {
     let view = shared.view();
     let rows = shared.rows.borrow().clone();
-    let old = shared.residence();
-    let runners =
-        rows.ledgers.iter().filter(|(name, _)| view.servers.contains_key(*name)).map(
-            |(name, (ledger, _))| {
-                let held = ResidentAssets::from_ledger(ledger);
-                let same = old.runners().get(name).filter(|old| ***old == held);
-                (name.clone(), same.cloned().unwrap_or_else(|| Arc::new(held)))
-            },
-        );
+    let previous = shared.residence();
+    let runners = rows
+        .ledgers
+        .iter()
+        .filter(|(name, _)| view.servers.contains_key(*name))
+        .map(|(name, (ledger, _))| {
+            let assets = ResidentAssets::from_ledger(ledger);
+            let unchanged = previous.runners().get(name).filter(|old| ***old == assets);
+            (name.clone(), unchanged.cloned().unwrap_or_else(|| Arc::new(assets)))
+        });
     let residence = Residency::new(runners.collect());
     shared.residence.send_if_modified(|old| {
         let changed = **old != residence;
@@ -159,7 +162,7 @@
     });
 }
 
-fn take_ledgers(shared: &Shared, rows: &mut PlacementRows, delta: chestnut_plat::Delta) {
+fn apply_ledgers(shared: &Shared, rows: &mut PlacementRows, delta: chestnut_plat::Delta) {
     for key in delta.deleted {
         if let Ok(name) = ServerName::try_from(key) {
             rows.ledgers.shift_remove(&name);
@@ -169,18 +172,19 @@
         let name = ServerName::try_from(row.key.clone());
         let ledger = serde_json::from_value::<Ledger>(row.value);
         let (Ok(name), Ok(ledger)) = (name, ledger) else {
-            slog::error!(shared.log, "a ledger row can't be read"; "key" => row.key);
+            slog::error!(shared.log, "a ledger row can't be decoded"; "key" => row.key);
             continue;
         };
-        // What this daemon has committed itself may be newer than the read.
-        let newer = rows.ledgers.get(&name).is_none_or(|(_, held)| *held <= row.version);
-        if newer {
+        // A row that this daemon committed itself may be newer than the one read.
+        let is_current =
+            rows.ledgers.get(&name).is_none_or(|(_, version)| *version <= row.version);
+        if is_current {
             rows.ledgers.insert(name, (ledger, row.version));
         }
     }
 }
 
-fn take_plans(shared: &Shared, rows: &mut PlacementRows, delta: chestnut_plat::Delta) {
+fn apply_plans(shared: &Shared, rows: &mut PlacementRows, delta: chestnut_plat::Delta) {
     for key in delta.deleted {
         if let Ok(name) = ServerName::try_from(key) {
             rows.plans.shift_remove(&name);
@@ -188,20 +192,20 @@
     }
     for row in delta.rows {
         if let Some(name) = row.key.strip_prefix(POOL_PREFIX) {
-            take_pool(shared, rows, name, row.value);
+            apply_pool_row(shared, rows, name, row.value);
             continue;
         }
         let name = ServerName::try_from(row.key.clone());
         let plan = serde_json::from_value::<PlanRow>(row.value);
         let (Ok(name), Ok(plan)) = (name, plan) else {
-            slog::error!(shared.log, "a plan row can't be read"; "key" => row.key);
+            slog::error!(shared.log, "a plan row can't be decoded"; "key" => row.key);
             continue;
         };
         rows.plans.insert(name, plan);
     }
 }
 
-fn take_pool(
+fn apply_pool_row(
     shared: &Shared,
     rows: &mut PlacementRows,
     name: &str,
@@ -209,14 +213,15 @@
 ) {
     let row = serde_json::from_value::<UnplacedRow>(value);
     let (Ok(name), Ok(row)) = (PoolName::try_from(name), row) else {
-        slog::error!(shared.log, "a pool's row can't be read"; "pool" => name);
+        slog::error!(shared.log, "a pool's row can't be decoded"; "pool" => name);
         return;
     };
-    let old = rows.unplaced.insert(name.clone(), row.unplaced.clone());
-    if old.unwrap_or_default() != row.unplaced {
-        let names: Vec<_> = row.unplaced.iter().map(|one| one.name.as_str()).collect();
+    let previous = rows.unplaced.insert(name.clone(), row.unplaced.clone());
+    if previous.unwrap_or_default() != row.unplaced {
+        let names: Vec<_> =
+            row.unplaced.iter().map(|asset| asset.name.as_str()).collect();
         slog::warn!(
-            shared.log, "what has no room has changed";
+            shared.log, "unplaced models and adapters changed";
             "pool" => %name, "unplaced" => names.join(" ")
         );
     }
--- a/crates/node/src/orders/runner.rs
+++ b/crates/node/src/orders/runner.rs
@@ -1,4 +1,4 @@
-//! One runner that this daemon leads: its report, its ledger, its orders.
+//! Reconciles one runner that this daemon leads with its plan.
 
 use std::collections::HashMap;
 use std::sync::Arc;
@@ -18,55 +18,57 @@
 use crate::orders::rows::{self, LEDGER};
 use crate::shared::Shared;
 
-/// How long to wait before an order is sent again, at first.
-const RESEND: Duration = Duration::from_secs(1);
+/// Delay before an order is resent for the first time.
+const INITIAL_RESEND_DELAY: Duration = Duration::from_secs(1);
 
-/// How long to wait before an order is sent again, at most.
-const RESEND_LIMIT: Duration = Duration::from_secs(10);
+/// Maximum delay before an order is resent.
+const MAX_RESEND_DELAY: Duration = Duration::from_secs(10);
 
-/// How many reports in a row must fail until the engine counts as down.
-const MISSED_REPORTS: u32 = 3;
+/// Number of failed reports in a row after which the engine is marked as down.
+const MAX_FAILED_REPORTS: u32 = 3;
 
-/// The longest time for which a stream that another lead started is waited for.
-const STREAM_LIMIT: Duration = Duration::from_secs(120);
+/// How long to wait for streams that an earlier lead may have started.
+const MAX_STREAM_TIME: Duration = Duration::from_secs(120);
 
-/// One runner that this daemon leads.
+/// The state of this daemon's lead of one runner.
 pub struct RunnerReconciler {
     shared: Arc<Shared>,
     engines: EngineClient,
     counters: Arc<Counters>,
     name: ServerName,
     claim: Claim,
-    /// When this daemon started to lead the runner.
-    since: Instant,
-    /// The row as committed, with its version; 0 if there is none yet.
+    /// When this daemon became the runner's lead.
+    lead_since: Instant,
+    /// The committed row with its version, 0 if the table has none; absent while it
+    /// has to be read again.
     row: Option<(Ledger, u64)>,
-    /// Whether nobody led the runner before, so that all streams are known here.
-    first: bool,
+    /// Whether there was no lead before, so that this daemon counts all streams.
+    is_first_lead: bool,
     /// The number of the last order that earlier leads may have sent.
-    earlier: u64,
-    /// How many reports have failed in a row.
-    missed: u32,
-    /// The copies that were sent of each order.
-    copies: HashMap<OrderId, Count>,
-    /// When to send an order about an asset again.
-    waits: HashMap<Asset, Wait>,
+    last_earlier_order: u64,
+    /// Number of failed reports in a row.
+    failed_reports: u32,
+    /// Copies sent of each order.
+    copies: HashMap<OrderId, CopyCount>,
+    /// The resend delay of the order for each asset.
+    backoffs: HashMap<Asset, ResendBackoff>,
 }
 
 #[derive(Debug, Default, Clone, Copy)]
-struct Count {
+struct CopyCount {
     sent: u32,
-    answered: u32,
+    /// Copies that can't arrive any more: the engine responded or nothing was sent.
+    settled: u32,
 }
 
 #[derive(Debug, Clone, Copy)]
-struct Wait {
+struct ResendBackoff {
     next: Instant,
     delay: Duration,
 }
 
 impl RunnerReconciler {
-    /// Prepares to lead a runner under a claim.
+    /// Starts to lead a runner under a claim; the row is not read yet.
     pub fn new(
         shared: Arc<Shared>,
         engines: EngineClient,
@@ -74,43 +76,42 @@
         name: ServerName,
         claim: Claim,
     ) -> Self {
-        let since = shared.clock.now();
+        let lead_since = shared.clock.now();
         Self {
             shared,
             engines,
             counters,
             name,
             claim,
-            since,
+            lead_since,
             row: None,
-            first: false,
-            earlier: 0,
-            missed: 0,
+            is_first_lead: false,
+            last_earlier_order: 0,
+            failed_reports: 0,
             copies: HashMap::new(),
-            waits: HashMap::new(),
+            backoffs: HashMap::new(),
         }
     }
 
-    /// Leads the runner until the claim is lost.
+    /// Reconciles the runner until the claim is lost.
     pub async fn run(mut self) {
         while let Some(server) = self.server() {
-            let busy = self.step(&server).await;
+            let busy = self.reconcile_once(&server).await;
             tokio::time::sleep(self.period(busy)).await;
         }
     }
 
-    /// The runner, as long as this daemon is known to hold the claim under which
-    /// it began.
+    /// The runner, as long as the view shows that this daemon still holds its claim.
     fn server(&self) -> Option<Server> {
         let view = self.shared.view();
         let (claim, _) = view.holder(&ClaimKey::Server(self.name.clone()))?;
         (claim == self.claim).then(|| view.servers.get(&self.name).cloned())?
     }
 
-    /// How long to wait until the next report is read.
+    /// Time until the next report is read.
     ///
-    /// A runner at which nothing happens is asked less often the more runners
-    /// the daemon leads, so that reports stay within the daemon's bandwidth.
+    /// Idle runners are polled less often the more runners this daemon leads, so
+    /// that reports stay within the daemon's bandwidth.
     fn period(&self, busy: bool) -> Duration {
         let poll = self.shared.settings.times.poll;
         if busy {
@@ -123,56 +124,58 @@
         poll * (led.count().max(1) as u32)
     }
 
-    /// Reads the report, takes the steps that can be taken, sends orders.
+    /// Reads the report, updates and commits the ledger, and sends orders.
     ///
-    /// Returns whether something is under way.
-    async fn step(&mut self, server: &Server) -> bool {
+    /// Returns whether changes are pending.
+    async fn reconcile_once(&mut self, server: &Server) -> bool {
         let ServerRole::Runner(pool) = &server.role else { return false };
         if self.row.is_none() && self.read_row().await.is_err() {
             return true;
         }
         let Some((held, version)) = self.row.clone() else { return true };
-        // Without the table's time no late copy can be told from a dead one.
-        let Some((from, _)) = self.shared.rows.borrow().table_time else { return true };
+        // Without the table's time it is unknown which copies may still arrive.
+        let Some((earliest, _)) = self.shared.rows.borrow().table_time else {
+            return true;
+        };
         let Ok(report) = self.engines.fetch_report(server.address).await else {
-            self.miss(&held, version).await;
+            self.record_failed_report(&held, version).await;
             return true;
         };
-        self.missed = 0;
+        self.failed_reports = 0;
         let mut next = held.clone();
-        let witnesses = self.decide(&mut next, &report, from, server, pool);
+        let witnesses = self.update_ledger(&mut next, &report, earliest, server, pool);
         if next != held {
             self.commit(&held, &next, version, witnesses).await;
         }
         self.send_orders(server, &next).await
     }
 
-    /// Notes that the engine did not answer; after some times it counts as down.
+    /// Records a failed report; after [`MAX_FAILED_REPORTS`] the engine is marked as down.
     ///
-    /// Else entries would go on sending requests there, and other leads would
-    /// drop their replicas because of what this runner once held.
-    async fn miss(&mut self, held: &Ledger, version: u64) {
-        self.missed += 1;
-        if self.missed >= MISSED_REPORTS && !held.down {
-            slog::warn!(self.shared.log, "an engine does not answer"; "runner" => %self.name);
+    /// Otherwise entries would keep sending requests to it, and other leads would drop
+    /// their replicas on account of those that this runner once held.
+    async fn record_failed_report(&mut self, held: &Ledger, version: u64) {
+        self.failed_reports += 1;
+        if self.failed_reports >= MAX_FAILED_REPORTS && !held.down {
+            slog::warn!(self.shared.log, "an engine does not respond"; "runner" => %self.name);
             let next = Ledger { down: true, ..held.clone() };
             self.commit(held, &next, version, Vec::new()).await;
         }
     }
 
-    /// Reads the runner's row, so that all orders of earlier leads are known.
+    /// Reads the runner's row, which lists all orders of earlier leads.
     async fn read_row(&mut self) -> Result<(), PlatformError> {
         let row = self.shared.table.get(LEDGER, self.name.as_str()).await?;
         let (ledger, version) = match row {
             None => {
-                self.first = true;
+                self.is_first_lead = true;
                 (Ledger::default(), 0)
             }
             Some(row) => match serde_json::from_value::<Ledger>(row.value) {
                 Ok(ledger) => (ledger, row.version),
                 Err(error) => {
                     slog::error!(
-                        self.shared.log, "a ledger row can't be read; no orders are sent";
+                        self.shared.log, "a ledger row can't be decoded; no orders are sent";
                         "runner" => %self.name, "error" => %error
                     );
                     return Err(PlatformError::Protocol(error.to_string()));
@@ -180,28 +183,29 @@
             },
         };
         if self.copies.is_empty() {
-            self.earlier = ledger.last_order;
+            self.last_earlier_order = ledger.last_order;
         }
         self.row = Some((ledger, version));
         Ok(())
     }
 
-    /// Takes the report and the wanted placement into the ledger.
+    /// Applies the report and the plan to the ledger.
     ///
-    /// Returns the rows that the transaction must check.
-    fn decide(
+    /// Returns the other runners' rows, with their versions, that must be unchanged when
+    /// the ledger is committed.
+    fn update_ledger(
         &self,
         ledger: &mut Ledger,
         report: &Report,
-        from: u64,
+        earliest: u64,
         server: &Server,
         pool: &PoolName,
     ) -> Vec<(ServerName, u64)> {
         let catalog = self.shared.catalog();
         let rows = self.shared.rows.borrow().clone();
-        let to = rows.latest_time(self.shared.clock.now());
-        ledger.apply_report(report, TimeRange { earliest: from, latest: to });
-        for order in self.cleared(ledger) {
+        let latest = rows.latest_time(self.shared.clock.now());
+        ledger.apply_report(report, TimeRange { earliest, latest });
+        for order in self.answered_loads(ledger) {
             ledger.mark_answered(order);
         }
         let Some(declared) = catalog.pools.get(pool) else { return Vec::new() };
@@ -209,52 +213,61 @@
         let wanted = if server.leaving { Some(Vec::new()) } else { self.wanted() };
         let Some(wanted) = wanted else { return Vec::new() };
         let view = self.shared.view();
-        let stays = |name: &ServerName| {
+        let can_witness = |name: &ServerName| {
             *name != self.name && view.servers.get(name).is_some_and(|s| !s.leaving)
         };
-        let others = rows.ledgers.iter().filter(|(name, _)| stays(name));
+        let others = rows.ledgers.iter().filter(|(name, _)| can_witness(name));
         let others = others.map(|(name, (ledger, _))| (name, ledger));
-        let spare = |ledger: &Ledger, asset: &Asset| {
+        let find_witnesses = |ledger: &Ledger, asset: &Asset| {
             witnesses(&catalog, others.clone(), ledger, asset)
         };
-        let idle = |asset: &Asset| self.is_idle(asset, report);
-        let found =
-            reconcile(ledger, &wanted, &DropChecks { witnesses: &spare, is_idle: &idle });
+        let is_idle = |asset: &Asset| self.is_idle(asset, report);
+        let result = reconcile(
+            ledger,
+            &wanted,
+            &DropChecks { witnesses: &find_witnesses, is_idle: &is_idle },
+        );
         let version = |name: &ServerName| rows.ledgers.get(name).map(|(_, v)| *v);
-        found
+        result
             .witnesses
             .into_iter()
             .filter_map(|name| version(&name).map(|version| (name, version)))
             .collect()
     }
 
-    /// What the runner is to hold; nothing is changed until a planner has said it.
+    /// The assets planned for the runner; absent until a planner has written a plan,
+    /// and until then nothing is changed.
     fn wanted(&self) -> Option<Vec<DesiredAsset>> {
         let rows = self.shared.rows.borrow();
         rows.plans.get(&self.name).map(|plan| plan.wanted.clone())
     }
 
-    /// Whether no request uses an asset, also none that an earlier lead started.
+    /// Whether no request uses an asset, including requests that an earlier lead sent.
     fn is_idle(&self, asset: &Asset, report: &Report) -> bool {
-        let held = self.shared.clock.now().saturating_duration_since(self.since);
-        let alone = self.first || (report.running == 0 && report.waiting == 0);
-        self.shared.usage.is_idle(&self.name, asset) && (alone || held >= STREAM_LIMIT)
+        let lead_time =
+            self.shared.clock.now().saturating_duration_since(self.lead_since);
+        let no_earlier_streams =
+            self.is_first_lead || (report.running == 0 && report.waiting == 0);
+        self.shared.usage.is_idle(&self.name, asset)
+            && (no_earlier_streams || lead_time >= MAX_STREAM_TIME)
     }
 
-    /// Load orders of which every copy that any lead sent was answered.
-    fn cleared(&self, ledger: &Ledger) -> Vec<OrderId> {
+    /// Load orders of this lead no copy of which can arrive any more.
+    fn answered_loads(&self, ledger: &Ledger) -> Vec<OrderId> {
         let loads = ledger.reservations.iter().flat_map(|item| &item.loads);
         loads
-            .filter(|load| load.listed && !load.answered && load.order.0 > self.earlier)
+            .filter(|load| {
+                load.listed && !load.answered && load.order.0 > self.last_earlier_order
+            })
             .filter(|load| {
                 let count = self.copies.get(&load.order).copied().unwrap_or_default();
-                count.sent == count.answered
+                count.sent == count.settled
             })
             .map(|load| load.order)
             .collect()
     }
 
-    /// Commits the ledger; without it nothing new is sent.
+    /// Commits the ledger under the claim; new orders are sent only after that.
     async fn commit(
         &mut self,
         held: &Ledger,
@@ -276,7 +289,7 @@
         let txn = txn.put(LEDGER, key, value);
         match self.shared.table.commit(&txn).await {
             Ok(TxnResponse::Committed { version, .. }) => {
-                self.count_new(held, next);
+                self.count_new_orders(held, next);
                 self.row = Some((next.clone(), version));
                 rows::record_committed(&self.shared, &self.name, next, version);
             }
@@ -284,7 +297,7 @@
                 self.counters.conflicts.inc();
                 self.row = None;
             }
-            // Nothing was written, so that the row is as it was read.
+            // Nothing was written, so the row is unchanged.
             Err(PlatformError::Unavailable(_)) => {}
             Err(PlatformError::OutcomeUnknown(_) | PlatformError::Protocol(_)) => {
                 self.row = None
@@ -292,70 +305,74 @@
         }
     }
 
-    fn count_new(&self, held: &Ledger, next: &Ledger) {
+    fn count_new_orders(&self, held: &Ledger, next: &Ledger) {
         for item in &next.reservations {
-            let fresh =
+            let new_loads =
                 item.loads.iter().filter(|load| load.order.0 > held.last_order).count();
-            self.counters.loads.inc_by(fresh as u64);
+            self.counters.loads.inc_by(new_loads as u64);
             if item.unload.is_some_and(|order| order.0 > held.last_order) {
                 self.counters.unloads.inc();
             }
         }
     }
 
-    /// Sends the orders that are due and that the committed row knows.
+    /// Sends the orders that are due and that the committed row contains.
     ///
-    /// Returns whether orders are outstanding.
+    /// Returns whether the ledger has changes pending.
     async fn send_orders(&mut self, server: &Server, next: &Ledger) -> bool {
         let orders = next.pending_orders();
-        self.waits.retain(|asset, _| orders.iter().any(|order| order.asset == *asset));
+        self.backoffs.retain(|asset, _| orders.iter().any(|order| order.asset == *asset));
         for order in &orders {
-            let known =
+            let committed =
                 self.row.as_ref().is_some_and(|(row, _)| row.contains_order(order));
-            if known && self.may_send(order) && self.is_due(order) {
+            if committed && self.may_send(order) && self.is_due(order) {
                 self.send(server, order).await;
             }
         }
         next.is_changing()
     }
 
-    /// Whether an order may be sent under the claim as it is.
+    /// Whether an order may be sent under the claim and lease as they are now.
     ///
-    /// With a lapsed lease only loads: a successor reads their numbers in the row
-    /// and counts with their copies. Without them an engine that restarts while
-    /// the table is down would stay empty until the end of the outage.
+    /// After the lease has expired only loads may be sent: a successor finds their
+    /// numbers in the row and accounts for copies that arrive late. Without them an
+    /// engine that restarts while the table is down would stay empty until the end of
+    /// the outage.
     fn may_send(&self, order: &Order) -> bool {
-        let holds = self.shared.lease_holds(self.shared.clock.now());
-        self.server().is_some() && (holds || order.kind == OrderKind::Load)
+        let lease_valid = self.shared.lease_holds(self.shared.clock.now());
+        self.server().is_some() && (lease_valid || order.kind == OrderKind::Load)
     }
 
+    /// Whether an order is due; if so, doubles the delay until it is due again.
     fn is_due(&mut self, order: &Order) -> bool {
         let now = self.shared.clock.now();
-        let wait = self.waits.get(&order.asset).copied();
-        let delay = match wait {
-            Some(wait) if now < wait.next => return false,
-            Some(wait) => (wait.delay * 2).min(RESEND_LIMIT),
-            None => RESEND,
+        let backoff = self.backoffs.get(&order.asset).copied();
+        let delay = match backoff {
+            Some(backoff) if now < backoff.next => return false,
+            Some(backoff) => (backoff.delay * 2).min(MAX_RESEND_DELAY),
+            None => INITIAL_RESEND_DELAY,
         };
-        self.waits.insert(order.asset.clone(), Wait { next: now + delay, delay });
+        self.backoffs
+            .insert(order.asset.clone(), ResendBackoff { next: now + delay, delay });
         true
     }
 
     async fn send(&mut self, server: &Server, order: &Order) {
-        // Counted before it is sent: if this task is stopped meanwhile, the
-        // copy counts as unanswered.
+        // Counted before it is sent: if this task is aborted meanwhile, the copy must
+        // not count as settled.
         self.copies.entry(order.id).or_default().sent += 1;
-        let sent = self.engines.send_order(server.address, order, self.claim.fence).await;
-        if sent != SendOutcome::Unknown {
-            self.copies.entry(order.id).or_default().answered += 1;
+        let outcome =
+            self.engines.send_order(server.address, order, self.claim.fence).await;
+        if outcome != SendOutcome::Unknown {
+            self.copies.entry(order.id).or_default().settled += 1;
         }
-        let answer = match sent {
+        let answer = match outcome {
             SendOutcome::Responded(status) if status.is_success() => "taken",
             SendOutcome::Responded(_) => "refused",
             SendOutcome::NotSent => "unsent",
             SendOutcome::Unknown => "unknown",
         };
-        self.counters.copies.get_or_create(&CopyLabels { answer }).inc();
+        self.counters.copies_sent.get_or_create(&CopyLabels { answer }).inc();
         slog::info!(
             self.shared.log, "order sent";
             "runner" => %self.name,
--- a/crates/node/src/orders/usage.rs
+++ b/crates/node/src/orders/usage.rs
@@ -1,9 +1,9 @@
-//! Which requests use which asset of a runner that this daemon leads.
+//! Counts the requests that use each asset of the runners that this daemon leads.
 //!
-//! A lead takes a [`UsageGuard`] before it checks that the asset is resident; the
-//! runner's task first publishes that the asset is not to be used and then
-//! looks for holds. So either the request sees that it is too late, or the
-//! unload order sees the request and waits.
+//! A lead acquires a [`UsageGuard`] before it checks that the asset is resident. The
+//! runner's task first publishes that the asset may no longer be used and then checks
+//! for guards. So either the request observes that the asset is going away, or the
+//! unload observes the request and waits.
 
 use std::collections::HashMap;
 use std::sync::{Arc, Mutex};
@@ -13,13 +13,13 @@
 
 type Counts = HashMap<(ServerName, Asset), usize>;
 
-/// Counts of the requests that use an asset of a runner.
+/// The number of requests per asset and runner; clones share the counts.
 #[derive(Debug, Clone, Default)]
 pub struct AssetUsage {
     counts: Arc<Mutex<Counts>>,
 }
 
-/// A request's use of an asset, until it is dropped.
+/// Counts one request as using an asset until it is dropped.
 #[derive(Debug)]
 pub struct UsageGuard {
     counts: Arc<Mutex<Counts>>,
@@ -27,10 +27,10 @@
 }
 
 impl AssetUsage {
-    /// Counts a request as using what it is sent to; plain services need nothing.
+    /// Acquires a guard for a request's target; absent for plain services.
     ///
-    /// To be kept from before the check that the runner can serve the request
-    /// until its stream has ended.
+    /// The guard must be held from before the check that the runner can serve the
+    /// request until the end of its stream.
     pub fn acquire_target(
         &self,
         server: &ServerName,
@@ -45,14 +45,14 @@
         Some(self.acquire(server, asset))
     }
 
-    /// Counts a request as using an asset.
+    /// Acquires a guard for an asset of a runner.
     pub fn acquire(&self, server: &ServerName, asset: Asset) -> UsageGuard {
         let key = (server.clone(), asset);
         *self.lock().entry(key.clone()).or_default() += 1;
         UsageGuard { counts: self.counts.clone(), key }
     }
 
-    /// Whether no request uses the asset or an adapter on top of it.
+    /// Whether no request uses the asset or an adapter of it.
     pub fn is_idle(&self, server: &ServerName, asset: &Asset) -> bool {
         let counts = self.lock();
         !counts.keys().any(|(name, used)| {
--- a/crates/node/src/planner.rs
+++ b/crates/node/src/planner.rs
@@ -1,9 +1,9 @@
-//! The planners of the pools that this daemon claims.
+//! The planners of the pools whose claim this daemon holds.
 //!
-//! A round of a planner reads the demand that entries have written
-//! ([`crate::demand`]), turns declarations, runners and ledgers into the state
-//! of the pool ([`placement_input`]), plans with `chestnut-place`, and writes what each
-//! runner is to hold under the pool's claim. The runners' leads follow it.
+//! In each round a planner reads the demand that entries have written
+//! ([`crate::demand`]), builds the state of the pool from declarations, runners and
+//! ledgers ([`placement_input`]), plans with `chestnut-place`, and writes under the
+//! pool's claim what each runner is to hold. The runners' leads carry out the plan.
 
 pub mod placement_input;
 
@@ -26,47 +26,49 @@
 use crate::planner::placement_input::PlacementInput;
 use crate::shared::Shared;
 
-/// Polls between two plans.
-const POLLS: u32 = 4;
+/// Number of poll intervals between two rounds.
+const POLLS_PER_ROUND: u32 = 4;
 
-/// The greatest number of rows in a transaction.
-const ROWS: usize = 100;
+/// Maximum number of row transactions that are merged into one.
+const MAX_MERGED_TXNS: usize = 100;
 
-/// How long a runner may be missing from the platform's list until its rows go.
+/// Time after which the rows of a runner that is missing from the platform's list are
+/// deleted.
 ///
-/// The list lags and may lose entries for a while.
-const KEPT: Duration = Duration::from_secs(600);
+/// The list lags and may omit entries for a while.
+const MISSING_RUNNER_RETENTION: Duration = Duration::from_secs(600);
 
-/// Plans for the pools that this daemon claims until the process ends.
+/// Publishes this daemon's demand and plans for the pools that it claims, until the
+/// process ends.
 pub async fn run(shared: Arc<Shared>) {
-    tokio::join!(demand::run(shared.clone()), plan_all(shared));
+    tokio::join!(demand::run(shared.clone()), run_planners(shared));
 }
 
-async fn plan_all(shared: Arc<Shared>) {
+async fn run_planners(shared: Arc<Shared>) {
     let counters = Counters::new(&shared);
     let mut planners: IndexMap<PoolName, Planner> = IndexMap::new();
     loop {
-        let claims = claimed(&shared);
+        let claims = claimed_pools(&shared);
         planners.retain(|pool, planner| claims.get(pool) == Some(&planner.claim));
         for (pool, claim) in claims {
             let planner = planners
                 .entry(pool.clone())
                 .or_insert_with(|| Planner::new(claim, shared.clock.now()));
-            if let Err(error) = planner.round(&shared, &pool, &counters).await {
+            if let Err(error) = planner.run_round(&shared, &pool, &counters).await {
                 counters.failures.inc();
                 slog::debug!(
-                    shared.log, "a plan could not be written";
+                    shared.log, "planning round failed";
                     "pool" => %pool, "error" => %error
                 );
             }
         }
-        let pause = shared.settings.times.poll * POLLS;
-        tokio::time::sleep(pause.max(orders::poll_interval(&shared))).await;
+        let interval = shared.settings.times.poll * POLLS_PER_ROUND;
+        tokio::time::sleep(interval.max(orders::poll_interval(&shared))).await;
     }
 }
 
-/// The pools that this daemon claims while its lease holds.
-fn claimed(shared: &Shared) -> IndexMap<PoolName, Claim> {
+/// The pools that this daemon claims; empty unless its lease is valid.
+fn claimed_pools(shared: &Shared) -> IndexMap<PoolName, Claim> {
     let view = shared.view();
     if !shared.lease_holds(shared.clock.now()) {
         return IndexMap::new();
@@ -79,7 +81,7 @@
     pools.collect()
 }
 
-/// What is counted about plans.
+/// Metrics of all planners of this daemon.
 struct Counters {
     rounds: Counter,
     failures: Counter,
@@ -89,84 +91,85 @@
 
 impl Counters {
     fn new(shared: &Shared) -> Self {
-        let all = Self {
+        let counters = Self {
             rounds: Counter::default(),
             failures: Counter::default(),
             replicas: Counter::default(),
             unplaced: Gauge::default(),
         };
         shared.metrics.register(|registry| {
-            registry.register("plans", "Rounds of planners", all.rounds.clone());
+            registry.register("plans", "Rounds of planners", counters.rounds.clone());
             registry.register(
                 "plan_failures",
                 "Rounds of planners that the platform failed",
-                all.failures.clone(),
+                counters.failures.clone(),
             );
             registry.register(
                 "planned_replicas",
                 "Replicas that planners have added",
-                all.replicas.clone(),
+                counters.replicas.clone(),
             );
             registry.register(
                 "unplaced",
                 "Declared models and adapters without room in planned pools",
-                all.unplaced.clone(),
+                counters.unplaced.clone(),
             );
         });
-        all
+        counters
     }
 }
 
 /// The planner of one pool.
 struct Planner {
     claim: Claim,
-    averages: IndexMap<ModelName, DemandEstimate>,
-    averaged: Instant,
-    /// The digests of entries by their row's key, and the version they were read to.
+    demand: IndexMap<ModelName, DemandEstimate>,
+    demand_updated_at: Instant,
+    /// The demand rows of entries by key.
     digests: IndexMap<String, Digest>,
+    /// The version up to which demand rows were read.
     digest_version: u64,
-    /// When a replica was first seen as wanted and not loaded.
-    awaited: IndexMap<(ServerName, ModelName), Instant>,
-    /// When a runner was first missing from the platform's list.
-    missing: IndexMap<ServerName, Instant>,
+    /// Since when each replica has been planned without being loaded.
+    pending_since: IndexMap<(ServerName, ModelName), Instant>,
+    /// Since when each runner has been missing from the platform's list.
+    missing_since: IndexMap<ServerName, Instant>,
 }
 
 impl Planner {
     fn new(claim: Claim, now: Instant) -> Self {
         Self {
             claim,
-            averages: IndexMap::new(),
-            averaged: now,
+            demand: IndexMap::new(),
+            demand_updated_at: now,
             digests: IndexMap::new(),
             digest_version: 0,
-            awaited: IndexMap::new(),
-            missing: IndexMap::new(),
+            pending_since: IndexMap::new(),
+            missing_since: IndexMap::new(),
         }
     }
 
-    async fn round(
+    async fn run_round(
         &mut self,
         shared: &Shared,
         pool: &PoolName,
         counters: &Counters,
     ) -> Result<(), PlatformError> {
         let rows = shared.rows.borrow().clone();
-        // Without the ledgers everything would look unplaced.
+        // Without the ledgers every model would appear to be unplaced.
         if rows.table_time.is_none() {
             return Ok(());
         }
-        let stale = self.read_demand(shared, pool).await?;
+        let stale_keys = self.read_demand(shared, pool).await?;
         let now = shared.clock.now();
         let catalog = shared.catalog();
         let view = shared.view();
-        let Some(scene) = PlacementInput::new(&catalog, &view, &rows, pool) else {
+        let Some(input) = PlacementInput::new(&catalog, &view, &rows, pool) else {
             return Ok(());
         };
-        let state = scene.state(&self.averages, &mut self.awaited, now);
+        let state = input.pool_state(&self.demand, &mut self.pending_since, now);
         let placement = plan_placement(&state);
         counters.rounds.inc();
         counters.replicas.inc_by(placement.added.len() as u64);
-        let (plans, unplaced) = scene.rows(&state, &placement);
+        let (plans, unplaced) = input.plan_rows(&state, &placement);
         counters.unplaced.set(unplaced.len() as i64);
         let mut txns = Vec::new();
         for (name, wanted) in plans {
@@ -176,22 +179,22 @@
                 txns.push(Txn::new().put(PLAN, name.as_str(), value));
             }
         }
-        let known = rows.unplaced.get(pool);
-        if known.map_or(!unplaced.is_empty(), |known| *known != unplaced) {
+        let previous = rows.unplaced.get(pool);
+        if previous.map_or(!unplaced.is_empty(), |previous| *previous != unplaced) {
             let value = json!(UnplacedRow { unplaced });
             txns.push(Txn::new().put(PLAN, pool_key(pool), value));
         }
-        txns.extend(stale.into_iter().map(|key| Txn::new().delete(DEMAND, key)));
-        for name in self.gone(&scene, now) {
+        txns.extend(stale_keys.into_iter().map(|key| Txn::new().delete(DEMAND, key)));
+        for name in self.expired_runners(&input, now) {
             let key = name.as_str();
             txns.push(Txn::new().delete(PLAN, key).delete(LEDGER, key));
         }
         self.commit(shared, pool, txns).await
     }
 
-    /// Takes what entries have written into the averages.
+    /// Reads the demand rows and updates the demand estimates.
     ///
-    /// Returns the keys of digests of daemons that are gone.
+    /// Returns the keys of rows whose daemon is no longer a member.
     async fn read_demand(
         &mut self,
         shared: &Shared,
@@ -209,55 +212,61 @@
             }
         }
         let view = shared.view();
-        let keys: IndexSet<String> =
+        let member_keys: IndexSet<String> =
             view.members.keys().map(|id| demand::key(pool, *id)).collect();
         let digests = std::mem::take(&mut self.digests);
-        let (kept, stale): (IndexMap<_, _>, IndexMap<_, _>) =
-            digests.into_iter().partition(|(key, _)| keys.contains(key));
-        self.digests = kept;
+        let (current, stale): (IndexMap<_, _>, IndexMap<_, _>) =
+            digests.into_iter().partition(|(key, _)| member_keys.contains(key));
+        self.digests = current;
         let scale = demand::scale(&view);
         let mut rates: IndexMap<ModelName, f64> = IndexMap::new();
         for (model, rate) in self.digests.values().flat_map(|digest| &digest.rates) {
             *rates.entry(model.clone()).or_default() += rate * scale;
         }
         let now = shared.clock.now();
-        let time = now.saturating_duration_since(self.averaged);
-        self.averaged = now;
+        let elapsed = now.saturating_duration_since(self.demand_updated_at);
+        self.demand_updated_at = now;
         for model in rates.keys() {
-            self.averages.entry(model.clone()).or_default();
+            self.demand.entry(model.clone()).or_default();
         }
-        for (model, average) in &mut self.averages {
+        for (model, estimate) in &mut self.demand {
             let rate = rates.get(model).copied().unwrap_or(0.0);
-            average.record(rate * time.as_secs_f64(), time);
+            estimate.record(rate * elapsed.as_secs_f64(), elapsed);
         }
         Ok(stale.into_keys().collect())
     }
 
-    /// Runners that are no longer on the platform's list for some time.
-    fn gone(&mut self, scene: &PlacementInput, now: Instant) -> Vec<ServerName> {
-        let absent = scene.absent();
-        self.missing.retain(|name, _| absent.contains(name));
-        for name in absent {
-            self.missing.entry(name).or_insert(now);
+    /// Runners missing from the platform's list for [`MISSING_RUNNER_RETENTION`].
+    fn expired_runners(
+        &mut self,
+        input: &PlacementInput,
+        now: Instant,
+    ) -> Vec<ServerName> {
+        let missing = input.missing_runners();
+        self.missing_since.retain(|name, _| missing.contains(name));
+        for name in missing {
+            self.missing_since.entry(name).or_insert(now);
         }
-        let old = |since: &Instant| now.saturating_duration_since(*since) >= KEPT;
-        let gone = self.missing.iter().filter(|(_, since)| old(since));
-        gone.map(|(name, _)| name.clone()).collect()
+        let is_expired = |since: &Instant| {
+            now.saturating_duration_since(*since) >= MISSING_RUNNER_RETENTION
+        };
+        let expired = self.missing_since.iter().filter(|(_, since)| is_expired(since));
+        expired.map(|(name, _)| name.clone()).collect()
     }
 
-    /// Writes rows in a few transactions, each under the pool's claim.
+    /// Merges `txns` into a few transactions and commits each under the pool's claim.
     async fn commit(
         &self,
         shared: &Shared,
         pool: &PoolName,
         txns: Vec<Txn>,
     ) -> Result<(), PlatformError> {
-        for part in txns.chunks(ROWS) {
+        for chunk in txns.chunks(MAX_MERGED_TXNS) {
             let claim = ClaimKey::Pool(pool.clone()).to_string();
             let mut txn = Txn::new().version(CLAIMS, claim, self.claim.version);
-            txn.writes = part.iter().flat_map(|txn| txn.writes.clone()).collect();
+            txn.writes = chunk.iter().flat_map(|txn| txn.writes.clone()).collect();
             if let TxnResponse::Conflict { .. } = shared.table.commit(&txn).await? {
-                // Another daemon plans for the pool now.
+                // Another daemon has claimed the pool.
                 return Ok(());
             }
         }
--- a/crates/node/src/planner/placement_input.rs
+++ b/crates/node/src/planner/placement_input.rs
@@ -1,4 +1,4 @@
-//! A pool as its planner sees it, and the plan as the leads read it.
+//! Builds the planner's input for a pool and converts the placement to plan rows.
 
 use std::collections::HashMap;
 use std::time::{Duration, Instant};
@@ -14,11 +14,12 @@
 
 use crate::orders::rows::{PlacementRows, UnplacedAsset};
 
-/// How many times its declared time a load may take until its place counts as bad.
-const COLD_TIMES: u32 = 3;
+/// A load may take this multiple of its declared time before its runner no longer
+/// counts as a place of the model.
+const LOAD_TIME_FACTOR: u32 = 3;
 
-/// What a load may take on top of that; orders may have to be sent again.
-const COLD_SLACK: Duration = Duration::from_secs(30);
+/// Additional time for a load, as its orders may have to be resent.
+const LOAD_TIME_SLACK: Duration = Duration::from_secs(30);
 
 /// A pool with its declarations, runners and ledgers.
 pub struct PlacementInput<'a> {
@@ -32,7 +33,7 @@
 }
 
 impl<'a> PlacementInput<'a> {
-    /// Looks at a pool; nothing if it is not declared.
+    /// Collects the input for a pool; absent if the pool is not declared.
     pub fn new(
         catalog: &'a Catalog,
         view: &'a View,
@@ -59,39 +60,39 @@
         })
     }
 
-    /// The state to plan from.
+    /// The pool's state, from which the placement is planned.
     ///
-    /// `awaited` keeps since when a replica is wanted and not loaded; one that
-    /// takes far too long does not count as placed.
-    pub fn state(
+    /// `pending_since` records since when each replica has been planned without being
+    /// loaded. A replica whose load takes far too long does not count as placed.
+    pub fn pool_state(
         &self,
-        averages: &IndexMap<ModelName, DemandEstimate>,
-        awaited: &mut IndexMap<(ServerName, ModelName), Instant>,
+        demand: &IndexMap<ModelName, DemandEstimate>,
+        pending_since: &mut IndexMap<(ServerName, ModelName), Instant>,
         now: Instant,
     ) -> PoolState {
         let usable = self.usable_replicas();
-        let mut waiting = IndexMap::new();
+        let mut still_pending = IndexMap::new();
         let mut models = Vec::new();
         for (name, model) in &self.models {
             let mut state = ModelState {
-                bytes: self.footprint(name, model),
+                bytes: self.replica_bytes(name, model),
                 replicas: model.replicas.max(1) as usize,
                 load_time: model.cold,
-                demand: averages.get(*name).map_or(0.0, DemandEstimate::estimate),
+                demand: demand.get(*name).map_or(0.0, DemandEstimate::estimate),
                 placed: Vec::new(),
                 loading: 0,
                 cached_on: Vec::new(),
             };
-            for runner in self.placed(name, model, &usable) {
+            for runner in self.runners_with(name, model, &usable) {
                 let server = self.runners[runner].0;
                 if self.is_loaded(runner, name, model) {
                     state.placed.push(runner);
                     continue;
                 }
                 let key = (server.clone(), (*name).clone());
-                let since = awaited.get(&key).copied().unwrap_or(now);
-                waiting.insert(key, since);
-                let limit = model.cold * COLD_TIMES + COLD_SLACK;
+                let since = pending_since.get(&key).copied().unwrap_or(now);
+                still_pending.insert(key, since);
+                let limit = model.cold * LOAD_TIME_FACTOR + LOAD_TIME_SLACK;
                 if now.saturating_duration_since(since) < limit {
                     state.placed.push(runner);
                     state.loading += 1;
@@ -99,15 +100,15 @@
             }
             models.push(state);
         }
-        *awaited = waiting;
+        *pending_since = still_pending;
         let runners = (0..self.runners.len())
             .map(|runner| self.runner_state(runner, &models, &usable))
             .collect();
-        let step = self.declared.step.as_secs_f64().max(0.001);
+        let step_s = self.declared.step.as_secs_f64().max(0.001);
         PoolState {
             runners,
             models,
-            runner_throughput: f64::from(self.declared.streams.max(1)) / step,
+            runner_throughput: f64::from(self.declared.streams.max(1)) / step_s,
             parallel_loads: self.declared.parallel_loads.max(1) as usize,
             frozen: false,
             attainment_weight: self.declared.attainment_weight,
@@ -116,13 +117,13 @@
         }
     }
 
-    /// The plan as rows for the leads, and what has no room, by name.
-    pub fn rows(
+    /// The assets planned for each runner, and what could not be placed.
+    pub fn plan_rows(
         &self,
         state: &PoolState,
         placement: &Placement,
     ) -> (Vec<(ServerName, Vec<DesiredAsset>)>, Vec<UnplacedAsset>) {
-        let mut room: Vec<u64> = state
+        let mut free_bytes: Vec<u64> = state
             .runners
             .iter()
             .map(|runner| runner.capacity.saturating_sub(runner.other_bytes))
@@ -132,7 +133,7 @@
             for runner in &placement.placed[index] {
                 let asset = Asset::model((*name).clone(), model.version.clone());
                 wanted[*runner].push(DesiredAsset { asset, bytes: model.bytes });
-                room[*runner] = room[*runner].saturating_sub(model.bytes);
+                free_bytes[*runner] = free_bytes[*runner].saturating_sub(model.bytes);
             }
         }
         let mut unplaced: Vec<UnplacedAsset> = placement
@@ -144,17 +145,23 @@
                 missing: *missing,
             })
             .collect();
-        for (index, at) in placement.placed.iter().enumerate() {
-            self.add_adapters(index, at, &mut room, &mut wanted, &mut unplaced);
+        for (index, runners) in placement.placed.iter().enumerate() {
+            self.add_adapters(
+                index,
+                runners,
+                &mut free_bytes,
+                &mut wanted,
+                &mut unplaced,
+            );
         }
         let names = self.runners.iter().map(|(name, _)| (*name).clone());
         (names.zip(wanted).collect(), unplaced)
     }
 
-    /// Runners of any pool that have rows and are not on the platform's list.
-    pub fn absent(&self) -> Vec<ServerName> {
-        let named = self.rows.ledgers.keys().chain(self.rows.plans.keys());
-        let mut names: Vec<_> = named
+    /// Runners of any pool that have rows but are not on the platform's list.
+    pub fn missing_runners(&self) -> Vec<ServerName> {
+        let with_rows = self.rows.ledgers.keys().chain(self.rows.plans.keys());
+        let mut names: Vec<_> = with_rows
             .filter(|name| !self.view.servers.contains_key(*name))
             .cloned()
             .collect();
@@ -163,12 +170,13 @@
         names
     }
 
-    /// Adds the adapters of a model wherever it is, as far as they fit.
+    /// Adds the adapters of a model on each runner where the model is placed and they
+    /// fit; an adapter that fits on none of them is unplaced.
     fn add_adapters(
         &self,
         index: usize,
-        at: &[usize],
-        room: &mut [u64],
+        runners: &[usize],
+        free_bytes: &mut [u64],
         wanted: &mut [Vec<DesiredAsset>],
         unplaced: &mut Vec<UnplacedAsset>,
     ) {
@@ -176,86 +184,88 @@
         let adapters = self.catalog.adapters.iter().filter(|(_, a)| a.model == *name);
         for (adapter, declared) in adapters {
             let mut count = 0;
-            for runner in at {
-                if room[*runner] < declared.bytes {
+            for runner in runners {
+                if free_bytes[*runner] < declared.bytes {
                     continue;
                 }
                 let version = model.version.clone();
                 let asset = Asset::adapter(name.clone(), version, adapter.clone());
                 wanted[*runner].push(DesiredAsset { asset, bytes: declared.bytes });
-                room[*runner] -= declared.bytes;
+                free_bytes[*runner] -= declared.bytes;
                 count += 1;
             }
-            if count == 0 && !at.is_empty() {
+            if count == 0 && !runners.is_empty() {
                 let (name, bytes) = (adapter.to_string(), declared.bytes);
                 unplaced.push(UnplacedAsset { name, bytes, missing: 1 });
             }
         }
     }
 
-    /// The memory of a replica with its adapters, at most a runner's.
-    fn footprint(&self, name: &ModelName, model: &Model) -> u64 {
+    /// The memory of a replica with all its adapters, limited to a runner's memory
+    /// but at least that of the model alone.
+    fn replica_bytes(&self, name: &ModelName, model: &Model) -> u64 {
         let adapters = self.catalog.adapters.values().filter(|a| a.model == *name);
-        let sum: u64 = adapters.map(|adapter| adapter.bytes).sum();
-        (model.bytes + sum).min(self.declared.memory).max(model.bytes)
+        let adapter_bytes: u64 = adapters.map(|adapter| adapter.bytes).sum();
+        (model.bytes + adapter_bytes).min(self.declared.memory).max(model.bytes)
     }
 
     fn ledger(&self, runner: usize) -> Option<&'a Ledger> {
         self.rows.ledgers.get(self.runners[runner].0).map(|(ledger, _)| ledger)
     }
 
-    /// How many staying runners can serve each model in any version.
+    /// For each model, how many runners that are not leaving can serve any version of it.
     fn usable_replicas(&self) -> HashMap<&'a ModelName, usize> {
         let mut counts = HashMap::new();
         for runner in 0..self.runners.len() {
             if self.runners[runner].1.leaving {
                 continue;
             }
-            for item in
+            for reservation in
                 self.ledger(runner).iter().flat_map(|ledger| usable_models(ledger))
             {
-                *counts.entry(&item.asset.model).or_default() += 1;
+                *counts.entry(&reservation.asset.model).or_default() += 1;
             }
         }
         counts
     }
 
-    /// The runners that hold a model or are to hold it, leaving ones included.
+    /// The runners that hold a model or are planned to, including leaving ones.
     ///
-    /// One that holds its last replica in another version counts only if both
-    /// versions fit and no adapter is on top, which can't be on both; else the
-    /// new one has to be loaded elsewhere first.
-    fn placed(
+    /// A runner that holds the model's last replica in another version counts only if
+    /// both versions fit and the model has no adapters, since an adapter can't be on
+    /// both versions. Otherwise the new version has to be loaded elsewhere first.
+    fn runners_with(
         &self,
         name: &ModelName,
         model: &Model,
         usable: &HashMap<&ModelName, usize>,
     ) -> Vec<usize> {
-        let count = usable.get(name).copied().unwrap_or(0);
-        let adapted = self.catalog.adapters.values().any(|a| a.model == *name);
+        let replicas = usable.get(name).copied().unwrap_or(0);
+        let has_adapters = self.catalog.adapters.values().any(|a| a.model == *name);
         let is_placed = |runner: &usize| {
             let (server, _) = self.runners[*runner];
             let ledger = self.ledger(*runner);
             let Some(plan) = self.rows.plans.get(server) else {
-                let items = ledger.iter().flat_map(|ledger| &ledger.reservations);
-                return items
-                    .into_iter()
-                    .any(|item| is_held(item) && item.asset.model == *name);
+                let reservations = ledger.iter().flat_map(|ledger| &ledger.reservations);
+                return reservations.into_iter().any(|reservation| {
+                    is_loading_or_ready(reservation) && reservation.asset.model == *name
+                });
             };
             let want = plan
                 .wanted
                 .iter()
                 .find(|want| want.asset.adapter.is_none() && want.asset.model == *name);
             let Some(want) = want else {
-                // A last replica stays where it is rather than being loaded anew.
+                // The last replica stays where it is rather than being loaded elsewhere.
                 let asset = Asset::model(name.clone(), model.version.clone());
                 let usable = ledger.is_some_and(|ledger| ledger.is_usable(&asset));
-                return usable && count <= 1;
+                return usable && replicas <= 1;
             };
             let held = ledger.is_some_and(|ledger| ledger.is_usable(&want.asset));
-            let last = want.asset.version != model.version && held && count <= 1;
-            !last
-                || (!adapted
+            let is_last_of_other_version =
+                want.asset.version != model.version && held && replicas <= 1;
+            !is_last_of_other_version
+                || (!has_adapters
                     && ledger.is_some_and(|held| held.free_bytes() >= model.bytes))
         };
         (0..self.runners.len()).filter(is_placed).collect()
@@ -275,56 +285,68 @@
         let (_, server) = self.runners[runner];
         let ledger = self.ledger(runner);
         let capacity = self.declared.memory;
-        let pinned = |item: &&Reservation| self.is_pinned(item, runner, models, usable);
-        let other = ledger.map_or(0, |ledger| {
-            ledger.reservations.iter().filter(pinned).map(|item| item.bytes).sum()
+        let pinned = |reservation: &&Reservation| {
+            self.is_pinned(reservation, runner, models, usable)
+        };
+        let other_bytes = ledger.map_or(0, |ledger| {
+            ledger
+                .reservations
+                .iter()
+                .filter(pinned)
+                .map(|reservation| reservation.bytes)
+                .sum()
         });
         let domain = self.domains.binary_search(&&server.domain).unwrap_or(0);
         let down = ledger.is_some_and(|ledger| ledger.down);
         RunnerState {
             domain,
             capacity,
-            other_bytes: other,
+            other_bytes,
             accepts_models: !server.leaving && !down,
             locked: false,
         }
     }
 
-    /// Whether an item takes memory that no placed model accounts for and that
+    /// Whether a reservation takes memory that no placed model accounts for and that
     /// can't be freed now.
     fn is_pinned(
         &self,
-        item: &Reservation,
+        reservation: &Reservation,
         runner: usize,
         models: &[ModelState],
         usable: &HashMap<&ModelName, usize>,
     ) -> bool {
-        let index = self.models.iter().position(|(name, _)| **name == item.asset.model);
-        let Some(index) = index else { return item.state == ReservationState::Expiring };
-        let current = self.models[index].1.version == item.asset.version;
+        let index =
+            self.models.iter().position(|(name, _)| **name == reservation.asset.model);
+        let Some(index) = index else {
+            return reservation.state == ReservationState::Expiring;
+        };
+        let current = self.models[index].1.version == reservation.asset.version;
         if current && models[index].placed.contains(&runner) {
             return false;
         }
-        match item.state {
+        match reservation.state {
             ReservationState::Expiring => true,
             ReservationState::Draining | ReservationState::Unloading => false,
-            // Loads can't be stopped and last replicas can't be dropped.
+            // A load can't be cancelled, and a last replica can't be dropped.
             ReservationState::Loading => true,
             ReservationState::Ready => {
-                usable.get(&item.asset.model).copied().unwrap_or(0) <= 1
+                usable.get(&reservation.asset.model).copied().unwrap_or(0) <= 1
             }
         }
     }
 }
 
-fn is_held(item: &Reservation) -> bool {
-    item.asset.adapter.is_none()
-        && matches!(item.state, ReservationState::Loading | ReservationState::Ready)
+fn is_loading_or_ready(reservation: &Reservation) -> bool {
+    reservation.asset.adapter.is_none()
+        && matches!(
+            reservation.state,
+            ReservationState::Loading | ReservationState::Ready
+        )
 }
 
 fn usable_models(ledger: &Ledger) -> impl Iterator<Item = &Reservation> {
-    ledger
-        .reservations
-        .iter()
-        .filter(|item| item.asset.adapter.is_none() && ledger.is_usable(&item.asset))
+    ledger.reservations.iter().filter(|reservation| {
+        reservation.asset.adapter.is_none() && ledger.is_usable(&reservation.asset)
+    })
 }
