--- a/crates/node/src/config_api.rs
+++ b/crates/node/src/config_api.rs
@@ -71,7 +71,7 @@
 ) -> Result<Response, ApiError> {
     let shared = &node.shared;
     let change = authorized_change(shared, &headers, body)?;
-    // A plan is useful during an outage too; it states the revision that it is based on.
+    // A plan is useful during an outage too; it states the revision it is based on.
     let files = match config_sync::refresh(shared).await {
         Ok(files) => files,
         Err(_) => config_sync::files(shared),
--- a/crates/node/src/config_sync.rs
+++ b/crates/node/src/config_sync.rs
@@ -65,7 +65,7 @@
 impl ConfigState {
     /// Creates an empty replica and registers its metrics.
     pub fn new(metrics: &Metrics) -> Self {
-        let conf = Self {
+        let state = Self {
             replica: Mutex::default(),
             reads: Counter::default(),
             failures: Counter::default(),
@@ -73,13 +73,13 @@
         };
         metrics.register(|registry| {
             let help = "Reads of the configuration's rows";
-            registry.register("config_reads", help, conf.reads.clone());
+            registry.register("config_reads", help, state.reads.clone());
             let help = "Failed reads of the configuration's rows";
-            registry.register("config_failures", help, conf.failures.clone());
+            registry.register("config_failures", help, state.failures.clone());
             let help = "The revision of the declarations in force";
-            registry.register("config_revision", help, conf.revision.clone());
+            registry.register("config_revision", help, state.revision.clone());
         });
-        conf
+        state
     }
 
     fn lock(&self) -> MutexGuard<'_, ReplicaState> {
@@ -222,7 +222,9 @@
     publish(shared, &mut state);
 }
 
-/// Runs a change until it is decided or can't be decided now.
+/// Applies a change.
+///
+/// The answer is undecided if the table fails or other changes keep preceding this one.
 pub async fn apply_change(shared: &Shared, change: Change) -> Answer {
     let wall_time = shared.clock.wall_time().duration_since(UNIX_EPOCH);
     let mut applier =
--- a/crates/node/src/orders.rs
+++ b/crates/node/src/orders.rs
@@ -70,7 +70,7 @@
     ChangeFeed::poll_interval(shared.settings.times.poll, shared.view().members.len())
 }
 
-/// The runners whose valid claim this daemon holds in its view.
+/// The runners that this daemon leads, by its view.
 fn led_runners(shared: &Shared) -> IndexMap<ServerName, Claim> {
     let view = shared.view();
     let led = view.servers.iter().filter_map(|(name, server)| {
--- a/crates/node/src/orders/runner.rs
+++ b/crates/node/src/orders/runner.rs
@@ -30,7 +30,7 @@
 /// How long to wait for streams that an earlier lead may have started.
 const MAX_STREAM_TIME: Duration = Duration::from_secs(120);
 
-/// The state of this daemon's lead of one runner.
+/// Drives one runner towards its plan while this daemon leads it.
 pub struct RunnerReconciler {
     shared: Arc<Shared>,
     engines: EngineClient,
@@ -68,7 +68,7 @@
 }
 
 impl RunnerReconciler {
-    /// Starts to lead a runner under a claim; the row is not read yet.
+    /// Creates the reconciler of a runner that this daemon leads under `claim`.
     pub fn new(
         shared: Arc<Shared>,
         engines: EngineClient,
@@ -97,7 +97,7 @@
     pub async fn run(mut self) {
         while let Some(server) = self.server() {
             let busy = self.reconcile_once(&server).await;
-            tokio::time::sleep(self.period(busy)).await;
+            tokio::time::sleep(self.poll_interval(busy)).await;
         }
     }
 
@@ -112,7 +112,7 @@
     ///
     /// Idle runners are polled less often the more runners this daemon leads, so
     /// that reports stay within the daemon's bandwidth.
-    fn period(&self, busy: bool) -> Duration {
+    fn poll_interval(&self, busy: bool) -> Duration {
         let poll = self.shared.settings.times.poll;
         if busy {
             return poll;
@@ -132,20 +132,20 @@
         if self.row.is_none() && self.read_row().await.is_err() {
             return true;
         }
-        let Some((held, version)) = self.row.clone() else { return true };
+        let Some((current, version)) = self.row.clone() else { return true };
         // Without the table's time it is unknown which copies may still arrive.
         let Some((earliest, _)) = self.shared.rows.borrow().table_time else {
             return true;
         };
         let Ok(report) = self.engines.fetch_report(server.address).await else {
-            self.record_failed_report(&held, version).await;
+            self.record_failed_report(&current, version).await;
             return true;
         };
         self.failed_reports = 0;
-        let mut next = held.clone();
+        let mut next = current.clone();
         let witnesses = self.update_ledger(&mut next, &report, earliest, server, pool);
-        if next != held {
-            self.commit(&held, &next, version, witnesses).await;
+        if next != current {
+            self.commit(&current, &next, version, witnesses).await;
         }
         self.send_orders(server, &next).await
     }
@@ -154,12 +154,12 @@
     ///
     /// Otherwise entries would keep sending requests to it, and other leads would drop
     /// their replicas on account of those that this runner once held.
-    async fn record_failed_report(&mut self, held: &Ledger, version: u64) {
+    async fn record_failed_report(&mut self, current: &Ledger, version: u64) {
         self.failed_reports += 1;
-        if self.failed_reports >= MAX_FAILED_REPORTS && !held.down {
+        if self.failed_reports >= MAX_FAILED_REPORTS && !current.down {
             slog::warn!(self.shared.log, "an engine does not respond"; "runner" => %self.name);
-            let next = Ledger { down: true, ..held.clone() };
-            self.commit(held, &next, version, Vec::new()).await;
+            let next = Ledger { down: true, ..current.clone() };
+            self.commit(current, &next, version, Vec::new()).await;
         }
     }
 
@@ -252,9 +252,9 @@
             && (no_earlier_streams || lead_time >= MAX_STREAM_TIME)
     }
 
-    /// Load orders of this lead no copy of which can arrive any more.
+    /// Load orders sent by this lead whose copies can no longer arrive.
     fn answered_loads(&self, ledger: &Ledger) -> Vec<OrderId> {
-        let loads = ledger.reservations.iter().flat_map(|item| &item.loads);
+        let loads = ledger.reservations.iter().flat_map(|reservation| &reservation.loads);
         loads
             .filter(|load| {
                 load.listed && !load.answered && load.order.0 > self.last_earlier_order
@@ -270,7 +270,7 @@
     /// Commits the ledger under the claim; new orders are sent only after that.
     async fn commit(
         &mut self,
-        held: &Ledger,
+        current: &Ledger,
         next: &Ledger,
         version: u64,
         witnesses: Vec<(ServerName, u64)>,
@@ -289,7 +289,7 @@
         let txn = txn.put(LEDGER, key, value);
         match self.shared.table.commit(&txn).await {
             Ok(TxnResponse::Committed { version, .. }) => {
-                self.count_new_orders(held, next);
+                self.count_new_orders(current, next);
                 self.row = Some((next.clone(), version));
                 rows::record_committed(&self.shared, &self.name, next, version);
             }
@@ -305,12 +305,15 @@
         }
     }
 
-    fn count_new_orders(&self, held: &Ledger, next: &Ledger) {
-        for item in &next.reservations {
-            let new_loads =
-                item.loads.iter().filter(|load| load.order.0 > held.last_order).count();
+    fn count_new_orders(&self, current: &Ledger, next: &Ledger) {
+        for reservation in &next.reservations {
+            let new_loads = reservation
+                .loads
+                .iter()
+                .filter(|load| load.order.0 > current.last_order)
+                .count();
             self.counters.loads.inc_by(new_loads as u64);
-            if item.unload.is_some_and(|order| order.0 > held.last_order) {
+            if reservation.unload.is_some_and(|order| order.0 > current.last_order) {
                 self.counters.unloads.inc();
             }
         }
--- a/crates/node/src/planner/placement_input.rs
+++ b/crates/node/src/planner/placement_input.rs
@@ -14,8 +14,8 @@
 
 use crate::orders::rows::{PlacementRows, UnplacedAsset};
 
-/// A load may take this multiple of its declared time before its runner no longer
-/// counts as a place of the model.
+/// Multiple of its declared time that a load may take; after that the runner no
+/// longer counts as holding the model.
 const LOAD_TIME_FACTOR: u32 = 3;
 
 /// Additional time for a load, as its orders may have to be resent.
@@ -60,7 +60,7 @@
         })
     }
 
-    /// The pool's state, from which the placement is planned.
+    /// Computes the state from which `chestnut-place` plans the pool.
     ///
     /// `pending_since` records since when each replica has been planned without being
     /// loaded. A replica whose load takes far too long does not count as placed.
--- a/crates/node/tests/feed.rs
+++ b/crates/node/tests/feed.rs
@@ -116,11 +116,11 @@
     block_on(async {
         let (_platform, table) = start().await;
         let feed = ChangeFeed::new(&TABLES);
-        feed.refresh(&table, &SystemClock, Vec::new()).await.expect("it is up");
+        feed.refresh(&table, &SystemClock, Vec::new()).await.expect("the platform is up");
         feed.record_failure(&PlatformError::Unavailable("outage".into()));
         let result = feed.scan(&table, &SystemClock, "claims", "", 1).await;
         assert!(matches!(result, Err(PlatformError::Unavailable(_))));
-        feed.refresh(&table, &SystemClock, Vec::new()).await.expect("it is up");
+        feed.refresh(&table, &SystemClock, Vec::new()).await.expect("the platform is up");
         assert!(feed.scan(&table, &SystemClock, "claims", "", 1).await.is_ok());
     });
 }
