--- a/crates/demo/src/platform/burst.rs
+++ b/crates/demo/src/platform/burst.rs
@@ -3,7 +3,7 @@
 use std::io::{Write, stderr};
 use std::time::{Duration, Instant};
 
-use chestnut_platform_stand_in::{Answer, Caller, Question};
+use chestnut_platform_stand_in::{Caller, CallerRequest, CallerResponse};
 use tokio::task::JoinSet;
 use tokio::time::sleep;
 
@@ -56,9 +56,9 @@
 /// What became of one request.
 struct Outcome {
     mix: Mix,
-    question: Question,
+    question: CallerRequest,
     /// The answers to all its attempts.
-    answers: Vec<Answer>,
+    answers: Vec<CallerResponse>,
     took: Duration,
 }
 
@@ -109,10 +109,10 @@
     printed.map_err(|error| StageError::Output(error.to_string()))
 }
 
-fn question(route: &str, what: What) -> Question {
+fn question(route: &str, what: What) -> CallerRequest {
     match what {
-        What::Stream { model, events } => Question::stream(route, model, events),
-        What::Plain => Question::plain(route),
+        What::Stream { model, events } => CallerRequest::stream(route, model, events),
+        What::Plain => CallerRequest::plain(route),
     }
 }
 
@@ -120,12 +120,12 @@
 async fn insist(
     caller: &Caller,
     entry: std::net::SocketAddr,
-    question: &Question,
-) -> Vec<Answer> {
+    question: &CallerRequest,
+) -> Vec<CallerResponse> {
     let limit = Instant::now() + PATIENCE;
     let mut answers = Vec::new();
     loop {
-        let answer = caller.ask(entry, question).await;
+        let answer = caller.send(entry, question).await;
         let pause = answer.retry_after.filter(|_| is_refused(&answer));
         answers.push(answer);
         match pause.map(Duration::from_secs_f64) {
@@ -135,12 +135,12 @@
     }
 }
 
-fn is_refused(answer: &Answer) -> bool {
+fn is_refused(answer: &CallerResponse) -> bool {
     NOT_RUN.contains(&answer.status) && !answer.signed
 }
 
 fn seen(one: &Outcome, stage: &Stage) -> Seen {
-    let runs = |answer: &Answer| stage.runs(&answer.id);
+    let runs = |answer: &CallerResponse| stage.runs(&answer.id);
     Seen {
         kind: one.mix.kind,
         end: ending(one, &runs),
@@ -151,17 +151,19 @@
     }
 }
 
-fn ending(one: &Outcome, runs: &impl Fn(&Answer) -> usize) -> Ending {
+fn ending(one: &Outcome, runs: &impl Fn(&CallerResponse) -> usize) -> Ending {
     let Some(last) = one.answers.last() else { return Ending::Broken };
     let untrue = one.answers.iter().any(|answer| is_refused(answer) && runs(answer) > 0);
     if untrue || is_refused(last) {
         return Ending::Refused { ran: untrue };
     }
-    if last.status != 200 || !last.whole {
+    if last.status != 200 || !last.complete {
         return Ending::Broken;
     }
     let own = match one.question.model {
-        Some(_) => last.events.iter().copied().eq(1..=u64::from(one.question.events)),
+        Some(_) => {
+            last.events.iter().copied().eq(1..=u64::from(one.question.event_count))
+        }
         None => last.body.contains(&last.id),
     };
     if own { Ending::Whole } else { Ending::Foreign }
--- a/crates/demo/src/platform/stage.rs
+++ b/crates/demo/src/platform/stage.rs
@@ -9,7 +9,7 @@
 use chestnut_gate::{logs, run};
 use chestnut_platform::Platform;
 use chestnut_platform_stand_in::{
-    Caller, Operator, PlainService, Question, Runner, Store, free_addr,
+    Caller, CallerRequest, Operator, PlainServer, Runner, Store, free_addr,
 };
 use tokio::task::JoinSet;
 use tokio::time::sleep;
@@ -53,7 +53,7 @@
     /// Model runners.
     pub runners: Vec<Runner>,
     /// Servers of the plain service.
-    pub servers: Vec<PlainService>,
+    pub servers: Vec<PlainServer>,
     /// Where callers ask which address to use.
     pub directories: Vec<SocketAddr>,
     /// Where daemons show metrics and their state.
@@ -75,7 +75,7 @@
         }
         let mut servers = Vec::new();
         for name in SERVERS {
-            servers.push(PlainService::start(&store, name).await);
+            servers.push(PlainServer::start(&store, name).await);
         }
         let mut stage = Self {
             runners,
@@ -108,7 +108,7 @@
     /// How often an attempt ran, by its name.
     pub fn runs(&self, id: &str) -> usize {
         let streams = self.runners.iter().flat_map(Runner::runs);
-        let plain = self.servers.iter().flat_map(PlainService::runs);
+        let plain = self.servers.iter().flat_map(PlainServer::runs);
         let streams = streams.filter(|(ran, _)| ran == id).count();
         streams + plain.filter(|(ran, _)| ran == id).count()
     }
@@ -167,9 +167,9 @@
             }
             for entry in entries {
                 let probes =
-                    RUNNERS.map(|(_, model)| Question::stream("draft", model, 1));
-                for probe in probes.iter().chain([&Question::plain("lookup")]) {
-                    if !caller.ask(entry, probe).await.whole {
+                    RUNNERS.map(|(_, model)| CallerRequest::stream("draft", model, 1));
+                for probe in probes.iter().chain([&CallerRequest::plain("lookup")]) {
+                    if !caller.send(entry, probe).await.complete {
                         return false;
                     }
                 }
--- a/tests/platform/explain.rs
+++ b/tests/platform/explain.rs
@@ -5,7 +5,7 @@
 
 use std::time::Duration;
 
-use chestnut_platform_stand_in::{Question, RunnerFault, StoreFault};
+use chestnut_platform_stand_in::{CallerRequest, RunnerFault, StoreFault};
 use serde_json::Value;
 use tokio::time::sleep;
 
@@ -44,9 +44,9 @@
     // what it said; none says that the request ran.
     let world = World::start("refused", 1).await;
     for runner in &world.runners[..2] {
-        runner.fail(RunnerFault::Full);
+        runner.set_fault(RunnerFault::Rejecting);
     }
-    let answer = world.ask(0, &Question::stream("draft", "red", 9)).await;
+    let answer = world.ask(0, &CallerRequest::stream("draft", "red", 9)).await;
     assert_eq!(answer.status, 503);
     assert!(answer.retry_after.is_some());
     let story = Story::read(&world.gates[0], &answer.id).await;
@@ -65,10 +65,10 @@
     // runner, how many events the caller has, and how the connection ended.
     let world = World::start("broken", 1).await;
     for runner in &world.runners[..2] {
-        runner.fail(RunnerFault::Break(2));
+        runner.set_fault(RunnerFault::DisconnectAfter(2));
     }
-    let answer = world.ask(0, &Question::stream("draft", "red", 9)).await;
-    assert!(!answer.whole);
+    let answer = world.ask(0, &CallerRequest::stream("draft", "red", 9)).await;
+    assert!(!answer.complete);
     let story = Story::read(&world.gates[0], &answer.id).await;
     let picked = story.lines("server picked");
     assert_eq!(picked.len(), 1);
@@ -84,9 +84,9 @@
     // the same, with how long it was held.
     let world = World::start("gave-up", 1).await;
     for runner in &world.runners[..2] {
-        runner.fail(RunnerFault::Full);
+        runner.set_fault(RunnerFault::Rejecting);
     }
-    let question = Question::stream("draft", "red", 9);
+    let question = CallerRequest::stream("draft", "red", 9);
     let asked = tokio::time::timeout(Duration::from_millis(300), world.ask(0, &question));
     assert!(asked.await.is_err(), "it was answered");
     until("its end is logged", async || {
@@ -103,10 +103,10 @@
     // than the outage, that the daemon believed in the model by an entry of before, and
     // that the runner said that it is not there.
     let world = World::start("belief", 1).await;
-    world.store.fail(StoreFault::Silent);
+    world.store.set_fault(StoreFault::Unresponsive);
     sleep(Duration::from_secs(2)).await;
     world.runners[2].restart();
-    let answer = world.ask(0, &Question::stream("draft", "blue", 9)).await;
+    let answer = world.ask(0, &CallerRequest::stream("draft", "blue", 9)).await;
     assert_eq!(answer.status, 503);
     let gate = &world.gates[0];
     let story = Story::read(gate, &answer.id).await;
@@ -117,7 +117,7 @@
     let believed = belief(&lines, &picked["server"], picked).expect("an entry");
     assert!(believed["models"].to_string().contains("blue"), "{believed}");
     assert!(believed["version"].as_u64() <= picked["registry_version"].as_u64());
-    world.store.fail(StoreFault::None);
+    world.store.set_fault(StoreFault::None);
     until("the daemon knows better", async || {
         let lines = gate.lines("server listed");
         let mut lines = lines.iter().rev();
--- a/tests/platform/look.rs
+++ b/tests/platform/look.rs
@@ -2,7 +2,7 @@
 
 use std::process::{Command, Output};
 
-use chestnut_platform_stand_in::{Question, RunnerFault};
+use chestnut_platform_stand_in::{CallerRequest, RunnerFault};
 use serde_json::Value;
 
 use crate::world::{World, until};
@@ -50,9 +50,9 @@
     // the logs alone, operators are told which runners were tried and what they said.
     let world = World::start("way", 1).await;
     for runner in &world.runners[..2] {
-        runner.fail(RunnerFault::Full);
+        runner.set_fault(RunnerFault::Rejecting);
     }
-    let answer = world.ask(0, &Question::stream("draft", "red", 9)).await;
+    let answer = world.ask(0, &CallerRequest::stream("draft", "red", 9)).await;
     assert_eq!(answer.status, 503);
     let gate = &world.gates[0];
     gate.until_ended(&answer.id).await;
--- a/tests/platform/main.rs
+++ b/tests/platform/main.rs
@@ -13,7 +13,7 @@
 
 use std::time::Duration;
 
-use chestnut_platform_stand_in::{Question, ServiceFault};
+use chestnut_platform_stand_in::{CallerRequest, ServerFault};
 use rustix::process::Signal;
 use serde_json::Value;
 
@@ -30,15 +30,15 @@
     let world = World::start("calm", 3).await;
     for gate in 0..3 {
         for model in ["red", "red/a1", "blue"] {
-            let answer = world.ask(gate, &Question::stream("draft", model, 8)).await;
-            assert_eq!((answer.status, answer.whole), (200, true), "{model}");
+            let answer = world.ask(gate, &CallerRequest::stream("draft", model, 8)).await;
+            assert_eq!((answer.status, answer.complete), (200, true), "{model}");
             assert!(answer.signed);
             assert_eq!(answer.events, numbers(8));
             assert_eq!(world.runs(&answer), 1);
         }
         for route in ["record", "lookup"] {
-            let answer = world.ask(gate, &Question::plain(route)).await;
-            assert_eq!((answer.status, answer.whole), (200, true), "{route}");
+            let answer = world.ask(gate, &CallerRequest::plain(route)).await;
+            assert_eq!((answer.status, answer.complete), (200, true), "{route}");
             assert!(answer.body.contains(&answer.id), "{}", answer.body);
             assert_eq!(world.runs(&answer), 1);
         }
@@ -51,7 +51,7 @@
     // for reserved capacity and for the memory of another request. The runner sees none
     // of them, and the time that is left, not more.
     let world = World::start("forged", 1).await;
-    let mut question = Question::stream("draft", "blue", 3);
+    let mut question = CallerRequest::stream("draft", "blue", 3);
     for (name, value) in [
         ("x-target-instance", "r1"),
         ("x-hold", "h1"),
@@ -63,14 +63,15 @@
         question.headers.push((name.into(), value.into()));
     }
     let answer = world.ask(0, &question).await;
-    assert!(answer.whole);
+    assert!(answer.complete);
     let runner = &world.runners[2];
-    assert_eq!(runner.header("x-target-instance").as_deref(), Some("r3"));
+    assert_eq!(runner.last_request_header("x-target-instance").as_deref(), Some("r3"));
     for name in ["x-hold", "x-pin-ms", "x-kv-backup", "kv-from"] {
-        assert_eq!(runner.header(name), None, "{name}");
+        assert_eq!(runner.last_request_header(name), None, "{name}");
     }
-    assert_eq!(runner.header("x-request-priority").as_deref(), Some("2"));
-    let budget = runner.header("x-time-budget-ms").and_then(|text| text.parse().ok());
+    assert_eq!(runner.last_request_header("x-request-priority").as_deref(), Some("2"));
+    let budget =
+        runner.last_request_header("x-time-budget-ms").and_then(|text| text.parse().ok());
     assert!(budget.is_some_and(|millis: u64| millis <= 15_000));
 }
 
@@ -81,8 +82,8 @@
     // there is served, and it exits by itself.
     let mut world = World::start("stop", 2).await;
     let (caller, addr) = (world.caller.clone(), world.gates[0].callers);
-    let stream = Question::stream("draft", "red", 100);
-    let running = tokio::spawn(async move { caller.ask(addr, &stream).await });
+    let stream = CallerRequest::stream("draft", "red", 100);
+    let running = tokio::spawn(async move { caller.send(addr, &stream).await });
     until("the stream runs", async || {
         world.runners.iter().any(|runner| !runner.runs().is_empty())
     })
@@ -93,10 +94,10 @@
         !world.caller.directory(world.gates[1].directory).await.contains(&gone)
     })
     .await;
-    let late = world.ask(0, &Question::plain("record")).await;
+    let late = world.ask(0, &CallerRequest::plain("record")).await;
     assert_eq!(late.status, 200);
     let answer = running.await.expect("the caller ends");
-    assert!(answer.whole);
+    assert!(answer.complete);
     assert_eq!(answer.events, numbers(100));
     until("the daemon has ended", async || world.gates[0].ended().is_some()).await;
     let ended = world.gates[0].ended().expect("the daemon has ended");
@@ -110,20 +111,20 @@
     // serves.
     let mut world = World::start("killed", 2).await;
     let (caller, addr) = (world.caller.clone(), world.gates[1].callers);
-    let stream = Question::stream("draft", "red", 100);
-    let running = tokio::spawn(async move { caller.ask(addr, &stream).await });
+    let stream = CallerRequest::stream("draft", "red", 100);
+    let running = tokio::spawn(async move { caller.send(addr, &stream).await });
     until("the stream runs", async || {
         world.runners.iter().any(|runner| !runner.runs().is_empty())
     })
     .await;
     world.gates[0].kill();
     let answer = running.await.expect("the caller ends");
-    assert!(answer.whole);
+    assert!(answer.complete);
     until("adapters are loaded by the other one", async || {
         let mut whole = true;
         for adapter in ["red/a3", "red/a4"] {
-            let question = Question::stream("draft", adapter, 3);
-            whole &= world.ask(1, &question).await.whole;
+            let question = CallerRequest::stream("draft", adapter, 3);
+            whole &= world.ask(1, &question).await.complete;
         }
         let known = world.caller.directory(world.gates[1].directory).await;
         whole && known.len() == 1
@@ -131,8 +132,8 @@
     .await;
     world.gates[0].restart();
     world.until_ready().await;
-    let answer = world.ask(0, &Question::stream("draft", "red/a5", 3)).await;
-    assert!(answer.whole);
+    let answer = world.ask(0, &CallerRequest::stream("draft", "red/a5", 3)).await;
+    assert!(answer.complete);
 }
 
 #[tokio::test]
@@ -140,9 +141,9 @@
     // A caller closes its connection after three events. The runner's run ends with it:
     // what nobody reads must not take room from others.
     let world = World::start("left", 1).await;
-    let question = Question::stream("draft", "blue", 500);
-    let answer = world.caller.ask_some(world.gates[0].callers, &question, 3).await;
-    assert!(!answer.whole);
+    let question = CallerRequest::stream("draft", "blue", 500);
+    let answer = world.caller.send_until(world.gates[0].callers, &question, 3).await;
+    assert!(!answer.complete);
     until("the run ends", async || world.runners[2].cancelled().contains(&answer.id))
         .await;
 }
@@ -153,12 +154,12 @@
     // caller has a final answer then, though it could wait longer.
     let world = World::start("late", 1).await;
     for service in &world.services {
-        service.fail(ServiceFault::Mute);
+        service.set_fault(ServerFault::Unresponsive);
     }
-    let answer = world.ask(0, &Question::plain("slow")).await;
+    let answer = world.ask(0, &CallerRequest::plain("slow")).await;
     assert_eq!(answer.status, 504);
-    assert!(answer.took >= Duration::from_millis(390), "{:?}", answer.took);
-    assert!(answer.took < Duration::from_secs(2), "{:?}", answer.took);
+    assert!(answer.elapsed >= Duration::from_millis(390), "{:?}", answer.elapsed);
+    assert!(answer.elapsed < Duration::from_secs(2), "{:?}", answer.elapsed);
 }
 
 #[tokio::test]
@@ -166,7 +167,7 @@
     // A path that no configuration knows is refused for good; a daemon that knows no
     // configuration at all says that it does not know, and when to come back.
     let world = World::start("unknown", 1).await;
-    let answer = world.ask(0, &Question::plain("nowhere")).await;
+    let answer = world.ask(0, &CallerRequest::plain("nowhere")).await;
     assert_eq!(answer.status, 404);
 }
 
@@ -175,10 +176,10 @@
     // An operator asks a daemon what it believes after it has served one stream: the
     // store's tables and their ages, who holds which runner, and how requests ended.
     let world = World::start("looked-at", 2).await;
-    let answer = world.ask(0, &Question::stream("draft", "blue", 3)).await;
+    let answer = world.ask(0, &CallerRequest::stream("draft", "blue", 3)).await;
     assert_eq!(answer.status, 200);
     let gate = &world.gates[0];
-    let state = world.caller.text(gate.metrics, "/state").await;
+    let state = world.caller.get_text(gate.metrics, "/state").await;
     let state: Value = serde_json::from_str(&state).expect("the state is JSON");
     assert_eq!(state["ready"], true);
     assert_eq!(state["members"].as_array().map(Vec::len), Some(2));
@@ -186,7 +187,7 @@
     assert!(state["claims"]["server:r3"]["fence"].as_u64() > Some(0), "{state}");
     assert!(state["tables"][0]["age_ms"].is_u64(), "{state}");
     until("the end is counted", async || {
-        let metrics = world.caller.text(gate.metrics, "/metrics").await;
+        let metrics = world.caller.get_text(gate.metrics, "/metrics").await;
         metrics.contains(r#"chestnut_requests_total{route="draft",end="answered"} 1"#)
             && metrics.contains(r#"chestnut_seconds_count{span="FirstByte"} 1"#)
             && metrics.contains(r#"chestnut_steps_total{step="Store",outcome="200"}"#)
--- a/tests/platform/members.rs
+++ b/tests/platform/members.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use chestnut_platform_stand_in::Question;
+use chestnut_platform_stand_in::CallerRequest;
 use rustix::process::Signal;
 use tokio::time::sleep;
 
@@ -32,7 +32,7 @@
     // Guards against avoiding all runners that are claimed in the name of a process that
     // has been restarted and can't join yet.
     let mut world = World::start_linked("unjoined", 2).await;
-    let rows = world.store.table("chestnut");
+    let rows = world.store.rows("chestnut");
     let holder = &rows["claim:server:r3"]["holder"];
     let held = usize::from(rows["daemon:vm0"]["member"] != *holder);
     world.links.stores[held].fail(LinkFault::Held { there: true, back: true });
@@ -43,7 +43,7 @@
     let other = 1 - held;
     for _ in 0..3 {
         // The only runner with this model is the one that the daemon held.
-        let answer = world.ask(other, &Question::stream("draft", "blue", 3)).await;
+        let answer = world.ask(other, &CallerRequest::stream("draft", "blue", 3)).await;
         assert_eq!(answer.status, 200);
     }
     let turns = world.gates[other].lines("turn");
@@ -55,9 +55,9 @@
     // Guards against sending prompts at a guessed rate after all daemons were killed.
     let mut world = World::start("learnt", 1).await;
     until("it has learnt", async || {
-        let question = Question::stream("draft", "red", 2);
+        let question = CallerRequest::stream("draft", "red", 2);
         assert_eq!(world.ask(0, &question).await.status, 200);
-        world.store.table("chestnut").keys().any(|key| key.starts_with("engine:"))
+        world.store.rows("chestnut").keys().any(|key| key.starts_with("engine:"))
     })
     .await;
     world.gates[0].kill();
--- a/tests/platform/servers.rs
+++ b/tests/platform/servers.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use chestnut_platform_stand_in::{Question, Runner, RunnerFault, ServiceFault};
+use chestnut_platform_stand_in::{CallerRequest, Runner, RunnerFault, ServerFault};
 use rustix::process::Signal;
 use serde_json::Value;
 use tokio::time::sleep;
@@ -18,14 +18,14 @@
     // runs twice.
     let world = World::start("broken", 1).await;
     for runner in &world.runners[..2] {
-        runner.fail(RunnerFault::Break(5));
+        runner.set_fault(RunnerFault::DisconnectAfter(5));
     }
-    let answer = world.ask(0, &Question::stream("draft", "red", 12)).await;
-    assert!(!answer.whole);
+    let answer = world.ask(0, &CallerRequest::stream("draft", "red", 12)).await;
+    assert!(!answer.complete);
     assert_eq!(answer.events, numbers(5));
     assert_eq!(world.runs(&answer), 1);
-    let answer = world.ask(0, &Question::stream("demand", "red", 12)).await;
-    assert!(answer.whole, "{answer:?}");
+    let answer = world.ask(0, &CallerRequest::stream("demand", "red", 12)).await;
+    assert!(answer.complete, "{answer:?}");
     assert_eq!(answer.events, numbers(12));
     assert_eq!(world.runs(&answer), 3);
 }
@@ -35,15 +35,15 @@
     // One server of the plain service rejects everything as not run. Requests that may
     // run at most once are sent to the other one, and the caller sees nothing of it.
     let world = World::start("rejected", 1).await;
-    world.services[0].fail(ServiceFault::Full);
+    world.services[0].set_fault(ServerFault::Rejecting);
     for _ in 0..6 {
-        let answer = world.ask(0, &Question::plain("record")).await;
+        let answer = world.ask(0, &CallerRequest::plain("record")).await;
         assert_eq!(answer.status, 200);
         assert_eq!(world.runs(&answer), 1);
     }
     // Both reject: the refusal says truly that nothing ran, and when to come back.
-    world.services[1].fail(ServiceFault::Full);
-    let answer = world.ask(0, &Question::plain("record")).await;
+    world.services[1].set_fault(ServerFault::Rejecting);
+    let answer = world.ask(0, &CallerRequest::plain("record")).await;
     assert_eq!(answer.status, 503);
     assert!(answer.retry_after.is_some());
     assert_eq!(world.runs(&answer), 0);
@@ -56,14 +56,14 @@
     // its tries within ten milliseconds and a good part of the service's repeats.
     let world = World::start("pause", 1).await;
     for service in &world.services {
-        service.fail(ServiceFault::Full);
+        service.set_fault(ServerFault::Rejecting);
     }
-    let question = Question::plain("record");
+    let question = CallerRequest::plain("record");
     let asked = world.ask(0, &question);
     let relieved = async {
         sleep(Duration::from_millis(100)).await;
         for service in &world.services {
-            service.fail(ServiceFault::None);
+            service.set_fault(ServerFault::None);
         }
     };
     let (answer, ()) = tokio::join!(asked, relieved);
@@ -77,13 +77,13 @@
     // other one well before its time ends, and answered; a record that may run once waits
     // for its answer to the end, and is not sent again.
     let world = World::start("silent", 1).await;
-    world.services[0].fail(ServiceFault::Mute);
+    world.services[0].set_fault(ServerFault::Unresponsive);
     for _ in 0..4 {
-        let answer = world.ask(0, &Question::plain("lookup")).await;
+        let answer = world.ask(0, &CallerRequest::plain("lookup")).await;
         assert_eq!(answer.status, 200, "{answer:?}");
     }
     for _ in 0..4 {
-        let answer = world.ask(0, &Question::plain("record")).await;
+        let answer = world.ask(0, &CallerRequest::plain("record")).await;
         assert!([200, 504].contains(&answer.status), "{answer:?}");
         assert!(world.runs(&answer) <= 1);
     }
@@ -95,10 +95,10 @@
     // then at the other, and is given up then, though there is time and the service has
     // repeats: its route allows two runs.
     let world = World::start("twice", 1).await;
-    world.services[0].fail(ServiceFault::Mute);
-    world.services[1].fail(ServiceFault::Confused);
+    world.services[0].set_fault(ServerFault::Unresponsive);
+    world.services[1].set_fault(ServerFault::WrongId);
     for _ in 0..3 {
-        let answer = world.ask(0, &Question::plain("lookup")).await;
+        let answer = world.ask(0, &CallerRequest::plain("lookup")).await;
         assert!([502, 504].contains(&answer.status), "{answer:?}");
         assert!(world.runs(&answer) <= 2, "{} runs", world.runs(&answer));
     }
@@ -109,18 +109,18 @@
     // A server runs a booking and never answers, or answers another request. Whether it
     // ran is not known: it must not run again, and no status may say that it did not.
     let world = World::start("lost", 1).await;
-    for fault in [ServiceFault::Mute, ServiceFault::Confused] {
+    for fault in [ServerFault::Unresponsive, ServerFault::WrongId] {
         for service in &world.services {
-            service.fail(fault);
+            service.set_fault(fault);
         }
-        let answer = world.ask(0, &Question::plain("record")).await;
+        let answer = world.ask(0, &CallerRequest::plain("record")).await;
         assert!([502, 504].contains(&answer.status), "{fault:?}: {}", answer.status);
         assert!(!answer.signed);
         assert_eq!(world.runs(&answer), 1);
     }
     // What may run twice is tried once more elsewhere.
-    world.services[0].fail(ServiceFault::None);
-    let answer = world.ask(0, &Question::plain("lookup")).await;
+    world.services[0].set_fault(ServerFault::None);
+    let answer = world.ask(0, &CallerRequest::plain("lookup")).await;
     assert_eq!(answer.status, 200);
 }
 
@@ -130,12 +130,12 @@
     // its signature; one that may run again was tried at two servers first.
     let world = World::start("failing", 1).await;
     for service in &world.services {
-        service.fail(ServiceFault::Failing);
+        service.set_fault(ServerFault::Failing);
     }
-    let answer = world.ask(0, &Question::plain("record")).await;
+    let answer = world.ask(0, &CallerRequest::plain("record")).await;
     assert_eq!((answer.status, answer.signed), (500, true));
     assert_eq!(world.runs(&answer), 1);
-    let answer = world.ask(0, &Question::plain("lookup")).await;
+    let answer = world.ask(0, &CallerRequest::plain("lookup")).await;
     assert_eq!((answer.status, answer.signed), (500, true));
     assert_eq!(world.runs(&answer), 2);
 }
@@ -148,14 +148,14 @@
     let world = World::start("nowhere", 1).await;
     world.runners.iter().for_each(Runner::drain);
     until("the runners are known to leave", async || {
-        let state = world.caller.text(world.gates[0].metrics, "/state").await;
+        let state = world.caller.get_text(world.gates[0].metrics, "/state").await;
         state.matches("Leaving").count() == world.runners.len()
     })
     .await;
-    let answer = world.ask(0, &Question::stream("draft", "red", 3)).await;
+    let answer = world.ask(0, &CallerRequest::stream("draft", "red", 3)).await;
     assert_eq!((answer.status, answer.signed), (503, false));
     assert_eq!(answer.retry_after, Some(1.5));
-    assert!(answer.took < Duration::from_millis(2400), "{:?}", answer.took);
+    assert!(answer.elapsed < Duration::from_millis(2400), "{:?}", answer.elapsed);
     assert_eq!(world.runs(&answer), 0);
 }
 
@@ -168,7 +168,7 @@
     let number = holder_of(&world, "pool:ledger").await;
     let other = 1 - number;
     until("the queue gives places", async || {
-        world.ask(other, &Question::plain("record")).await;
+        world.ask(other, &CallerRequest::plain("record")).await;
         let places = world.gates[other].lines("place");
         places.last().is_some_and(is_sent)
     })
@@ -176,14 +176,14 @@
     let holder = world.gates[other].lines("place").swap_remove(0)["holder"].clone();
     world.gates[number].signal(Signal::STOP);
     for _ in 0..5 {
-        let answer = world.ask(other, &Question::plain("record")).await;
+        let answer = world.ask(other, &CallerRequest::plain("record")).await;
         assert_eq!(answer.status, 200);
         assert_eq!(world.runs(&answer), 1);
     }
     let places = world.gates[other].lines("place");
     assert!(places.iter().any(|line| line["place"] == "Silent"), "{places:?}");
     until("the other one holds the queue", async || {
-        world.ask(other, &Question::plain("record")).await;
+        world.ask(other, &CallerRequest::plain("record")).await;
         let places = world.gates[other].lines("place");
         places.last().is_some_and(|line| line["holder"] != holder && is_sent(line))
     })
@@ -199,7 +199,7 @@
 /// The number of the daemon that holds a claim.
 async fn holder_of(world: &World, claim: &str) -> usize {
     for (number, gate) in world.gates.iter().enumerate() {
-        let state = world.caller.text(gate.metrics, "/state").await;
+        let state = world.caller.get_text(gate.metrics, "/state").await;
         let state: Value = serde_json::from_str(&state).expect("the state is JSON");
         if state["claims"][claim]["holder"] == state["member"] {
             return number;
@@ -216,11 +216,11 @@
     let world = World::start("again", 2).await;
     world.runners[2].restart();
     until("the model is served again", async || {
-        let answer = world.ask(0, &Question::stream("draft", "blue", 3)).await;
+        let answer = world.ask(0, &CallerRequest::stream("draft", "blue", 3)).await;
         if answer.status == 503 {
             assert!(answer.retry_after.is_some());
         }
-        answer.whole
+        answer.complete
     })
     .await;
 }
@@ -231,8 +231,8 @@
     // model; what runs there ends whole.
     let world = World::start("leaving", 1).await;
     let (caller, addr) = (world.caller.clone(), world.gates[0].callers);
-    let stream = Question::stream("draft", "red", 60);
-    let running = tokio::spawn(async move { caller.ask(addr, &stream).await });
+    let stream = CallerRequest::stream("draft", "red", 60);
+    let running = tokio::spawn(async move { caller.send(addr, &stream).await });
     until("the stream runs", async || world.runner_of("leaving").is_some()).await;
     let runner = world.runner_of("leaving").expect("a runner runs it");
     runner.drain();
@@ -245,9 +245,9 @@
     .await;
     let before = runner.runs().len();
     for _ in 0..8 {
-        let answer = world.ask(0, &Question::stream("draft", "red", 3)).await;
-        assert!(answer.whole);
+        let answer = world.ask(0, &CallerRequest::stream("draft", "red", 3)).await;
+        assert!(answer.complete);
     }
     assert_eq!(runner.runs().len(), before);
-    assert!(running.await.expect("the caller ends").whole);
+    assert!(running.await.expect("the caller ends").complete);
 }
--- a/tests/platform/soak.rs
+++ b/tests/platform/soak.rs
@@ -13,7 +13,7 @@
 use std::time::{Duration, Instant};
 
 use chestnut_platform_stand_in::{
-    Answer, Caller, Question, RunnerFault, ServiceFault, StoreFault,
+    Caller, CallerRequest, CallerResponse, RunnerFault, ServerFault, StoreFault,
 };
 use rand::rngs::SmallRng;
 use rand::seq::IndexedRandom;
@@ -46,8 +46,8 @@
 
 /// A question and what came of it.
 struct Asked {
-    question: Question,
-    answer: Answer,
+    question: CallerRequest,
+    answer: CallerResponse,
 }
 
 /// What ends a fault.
@@ -119,10 +119,13 @@
         let mut served = true;
         for gate in 0..world.gates.len() {
             for model in ["red", "blue"] {
-                served &=
-                    world.ask(gate, &Question::stream("demand", model, 3)).await.whole;
+                served &= world
+                    .ask(gate, &CallerRequest::stream("demand", model, 3))
+                    .await
+                    .complete;
             }
-            served &= world.ask(gate, &Question::plain("record")).await.status == 200;
+            served &=
+                world.ask(gate, &CallerRequest::plain("record")).await.status == 200;
         }
         served
     })
@@ -150,7 +153,7 @@
         let addr = *addresses.choose(&mut rng).expect("there are daemons");
         let mut question = question(&mut rng);
         question.budget = Duration::from_millis(rng.random_range(500..4000));
-        let answer = caller.ask(addr, &question).await;
+        let answer = caller.send(addr, &question).await;
         asked
             .lock()
             .expect("no holder of the lock panics")
@@ -159,15 +162,15 @@
     }
 }
 
-fn question(rng: &mut SmallRng) -> Question {
+fn question(rng: &mut SmallRng) -> CallerRequest {
     let models = ["red", "red/a1", "red/a2", "red/a5", "blue"];
     let model = models.choose(rng).expect("there are models");
     let events = rng.random_range(1..40);
     match rng.random_range(0..4) {
-        0 => Question::plain("record"),
-        1 => Question::plain("lookup"),
-        2 => Question::stream("draft", model, events),
-        _ => Question::stream("demand", model, events),
+        0 => CallerRequest::plain("record"),
+        1 => CallerRequest::plain("lookup"),
+        2 => CallerRequest::stream("draft", model, events),
+        _ => CallerRequest::stream("demand", model, events),
     }
 }
 
@@ -243,25 +246,27 @@
             None
         }
         4 => {
-            use StoreFault::{Busy, Lost, Silent, Slow};
-            let fault = [Busy, Silent, Slow, Lost].choose(rng).copied();
-            world.store.fail(fault.unwrap_or_default());
+            use StoreFault::{ResponseLost, Slow, Unavailable, Unresponsive};
+            let fault =
+                [Unavailable, Unresponsive, Slow, ResponseLost].choose(rng).copied();
+            world.store.set_fault(fault.unwrap_or_default());
             Some(Mend::Store)
         }
         5 => {
-            world.store.forget();
+            world.store.discard_history();
             None
         }
         6 => {
-            use RunnerFault::{Break, Full, Mute};
-            let fault = [Full, Break(2), Mute].choose(rng).copied();
-            world.runners[runner].fail(fault.unwrap_or_default());
+            use RunnerFault::{DisconnectAfter, Rejecting, Unresponsive};
+            let fault =
+                [Rejecting, DisconnectAfter(2), Unresponsive].choose(rng).copied();
+            world.runners[runner].set_fault(fault.unwrap_or_default());
             Some(Mend::Runner(runner))
         }
         7 => {
-            use ServiceFault::{Confused, Failing, Full, Mute};
-            let fault = [Full, Failing, Mute, Confused].choose(rng).copied();
-            world.services[service].fail(fault.unwrap_or_default());
+            use ServerFault::{Failing, Rejecting, Unresponsive, WrongId};
+            let fault = [Rejecting, Failing, Unresponsive, WrongId].choose(rng).copied();
+            world.services[service].set_fault(fault.unwrap_or_default());
             Some(Mend::Service(service))
         }
         // Also in place of a fault that goes on already.
@@ -321,9 +326,9 @@
             until("it has ended", async || world.gates[gate].ended().is_some()).await;
             world.gates[gate].restart();
         }
-        Mend::Store => world.store.fail(StoreFault::None),
-        Mend::Runner(runner) => world.runners[runner].fail(RunnerFault::None),
-        Mend::Service(service) => world.services[service].fail(ServiceFault::None),
+        Mend::Store => world.store.set_fault(StoreFault::None),
+        Mend::Runner(runner) => world.runners[runner].set_fault(RunnerFault::None),
+        Mend::Service(service) => world.services[service].set_fault(ServerFault::None),
         Mend::Link(spot) => link(world, spot).fail(LinkFault::None),
     }
 }
@@ -340,16 +345,23 @@
         assert!(!once || runs <= 1, "{about}");
         let numbers: Vec<u64> = (1..=answer.events.len() as u64).collect();
         assert_eq!(answer.events, numbers, "{about}");
-        if answer.status == 200 && answer.whole {
+        if answer.status == 200 && answer.complete {
             assert!(answer.signed && runs >= 1, "{about}");
             match &question.model {
-                Some(_) => assert_eq!(numbers.len(), question.events as usize, "{about}"),
+                Some(_) => {
+                    assert_eq!(numbers.len(), question.event_count as usize, "{about}")
+                }
                 None => assert!(answer.body.contains(&answer.id), "{about}"),
             }
         }
     }
     for runner in &world.runners {
-        assert_eq!(runner.overfull(), 0, "{} was given too much", runner.name);
-        assert_eq!(runner.shared_fences(), 0, "{} had two holders", runner.name);
+        assert_eq!(
+            runner.over_capacity_orders(),
+            0,
+            "{} was given too much",
+            runner.name
+        );
+        assert_eq!(runner.fence_conflicts(), 0, "{} had two holders", runner.name);
     }
 }
--- a/tests/platform/store.rs
+++ b/tests/platform/store.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use chestnut_platform_stand_in::{Question, StoreFault};
+use chestnut_platform_stand_in::{CallerRequest, StoreFault};
 use tokio::time::sleep;
 
 use crate::world::{World, until};
@@ -12,18 +12,18 @@
     // The store falls silent for seconds and returns. What is loaded is served all the
     // time; a configuration that was written meanwhile is in force soon after.
     let mut world = World::start("outage", 2).await;
-    world.store.fail(StoreFault::Silent);
+    world.store.set_fault(StoreFault::Unresponsive);
     sleep(Duration::from_secs(3)).await;
     world.operator.add_route("added");
     for gate in 0..2 {
-        let answer = world.ask(gate, &Question::stream("draft", "red", 5)).await;
-        assert!(answer.whole);
-        assert_eq!(world.ask(gate, &Question::plain("record")).await.status, 200);
+        let answer = world.ask(gate, &CallerRequest::stream("draft", "red", 5)).await;
+        assert!(answer.complete);
+        assert_eq!(world.ask(gate, &CallerRequest::plain("record")).await.status, 200);
     }
-    world.store.fail(StoreFault::None);
+    world.store.set_fault(StoreFault::None);
     for gate in 0..2 {
         until("the new route is in force", async || {
-            world.ask(gate, &Question::plain("added")).await.status == 200
+            world.ask(gate, &CallerRequest::plain("added")).await.status == 200
         })
         .await;
     }
@@ -35,17 +35,17 @@
     // routes nor others, and would refuse whoever it sent to itself; without an address
     // callers ask another daemon. Once the store is back it serves.
     let mut world = World::start("blank", 2).await;
-    world.store.fail(StoreFault::Silent);
+    world.store.set_fault(StoreFault::Unresponsive);
     world.gates[0].kill();
     world.gates[0].restart();
     until("the daemon is up", async || {
-        !world.caller.text(world.gates[0].metrics, "/metrics").await.is_empty()
+        !world.caller.get_text(world.gates[0].metrics, "/metrics").await.is_empty()
     })
     .await;
     assert_eq!(world.caller.directory(world.gates[0].directory).await, []);
     let known = world.caller.directory(world.gates[1].directory).await;
     assert!(known.contains(&world.gates[1].callers), "{known:?}");
-    world.store.fail(StoreFault::None);
+    world.store.set_fault(StoreFault::None);
     world.until_ready().await;
 }
 
@@ -54,22 +54,22 @@
     // Routes are added and removed while the store forgets its history and an old
     // configuration is written once more. No daemon goes back to what was replaced.
     let mut world = World::start("forward", 2).await;
-    let old = world.store.table("op")["config"].clone();
+    let old = world.store.rows("op")["config"].clone();
     world.operator.add_route("added");
-    world.store.forget();
+    world.store.discard_history();
     world.operator.remove_route("slow");
     for gate in 0..2 {
         until("the new route is in force", async || {
-            world.ask(gate, &Question::plain("added")).await.status == 200
-                && world.ask(gate, &Question::plain("slow")).await.status == 404
+            world.ask(gate, &CallerRequest::plain("added")).await.status == 200
+                && world.ask(gate, &CallerRequest::plain("slow")).await.status == 404
         })
         .await;
     }
     world.store.put("op", "config", Some(&old));
     sleep(Duration::from_secs(1)).await;
     for gate in 0..2 {
-        assert_eq!(world.ask(gate, &Question::plain("added")).await.status, 200);
-        assert_eq!(world.ask(gate, &Question::plain("slow")).await.status, 404);
+        assert_eq!(world.ask(gate, &CallerRequest::plain("added")).await.status, 200);
+        assert_eq!(world.ask(gate, &CallerRequest::plain("slow")).await.status, 404);
     }
 }
 
@@ -78,7 +78,7 @@
     // The registry holds an entry with an unknown state, one without an address, and
     // bytes that are no text. None of them is used, and the others hold.
     let world = World::start("foreign", 1).await;
-    let mut strange = world.store.table("servers")["s1"].clone();
+    let mut strange = world.store.rows("servers")["s1"].clone();
     strange["state"] = "asleep".into();
     world.store.put("servers", "x1", Some(&strange));
     strange["state"] = "ready".into();
@@ -90,6 +90,6 @@
     })
     .await;
     for _ in 0..8 {
-        assert_eq!(world.ask(0, &Question::plain("record")).await.status, 200);
+        assert_eq!(world.ask(0, &CallerRequest::plain("record")).await.status, 200);
     }
 }
--- a/tests/platform/world.rs
+++ b/tests/platform/world.rs
@@ -8,7 +8,8 @@
 use std::time::{Duration, Instant};
 
 use chestnut_platform_stand_in::{
-    Answer, Caller, Operator, PlainService, Question, Runner, Store, free_addr,
+    Caller, CallerRequest, CallerResponse, Operator, PlainServer, Runner, Store,
+    free_addr,
 };
 use rustix::process::{Pid, Signal, kill_process};
 use serde_json::{Value, json};
@@ -47,7 +48,7 @@
     /// Model runners; the first two hold the model `red`, the last `blue`.
     pub runners: Vec<Runner>,
     /// Servers of the plain service.
-    pub services: Vec<PlainService>,
+    pub services: Vec<PlainServer>,
     /// The daemons.
     pub gates: Vec<Gate>,
     /// A caller.
@@ -92,8 +93,8 @@
             Runner::start(&store, "r3", &["blue"]).await,
         ];
         let services = vec![
-            PlainService::start(&store, "s1").await,
-            PlainService::start(&store, "s2").await,
+            PlainServer::start(&store, "s1").await,
+            PlainServer::start(&store, "s2").await,
         ];
         let number = WORLDS.fetch_add(1, Ordering::Relaxed);
         let dir = std::env::temp_dir();
@@ -140,7 +141,7 @@
         }
         // All runners' claims are held.
         until("claims are taken", async || {
-            let rows = self.store.table("chestnut");
+            let rows = self.store.rows("chestnut");
             rows.keys().filter(|key| key.starts_with("claim:server:")).count() >= 3
         })
         .await;
@@ -150,12 +151,12 @@
     async fn link_servers(&mut self) {
         for runner in &self.runners {
             let link = Link::start(runner.addr).await;
-            runner.list_at(link.addr);
+            runner.register_at(link.addr);
             self.links.runners.push(link);
         }
         for service in &self.services {
             let link = Link::start(service.addr).await;
-            service.list_at(&self.store, link.addr);
+            service.register_at(&self.store, link.addr);
             self.links.services.push(link);
         }
     }
@@ -191,14 +192,14 @@
     }
 
     /// Sends a question to a daemon.
-    pub async fn ask(&self, gate: usize, question: &Question) -> Answer {
-        self.caller.ask(self.gates[gate].callers, question).await
+    pub async fn ask(&self, gate: usize, question: &CallerRequest) -> CallerResponse {
+        self.caller.send(self.gates[gate].callers, question).await
     }
 
     /// The runs of a request at all runners and servers.
-    pub fn runs(&self, answer: &Answer) -> usize {
+    pub fn runs(&self, answer: &CallerResponse) -> usize {
         let streams = self.runners.iter().flat_map(Runner::runs);
-        let plain = self.services.iter().flat_map(PlainService::runs);
+        let plain = self.services.iter().flat_map(PlainServer::runs);
         let streams = streams.filter(|(id, _)| *id == answer.id).count();
         streams + plain.filter(|(id, _)| *id == answer.id).count()
     }
