--- a/crates/demo/src/own/stage.rs
+++ b/crates/demo/src/own/stage.rs
@@ -117,7 +117,7 @@
     pub async fn stop(mut self) {
         let mut leaving = JoinSet::new();
         for daemon in self.daemons.drain(..) {
-            daemon.leave();
+            daemon.shut_down();
             leaving.spawn(daemon.run());
         }
         leaving.join_all().await;
@@ -155,7 +155,7 @@
             let settings = Settings::parse("the demo's settings", &text)
                 .map_err(|problems| StageError::Start(problems.to_string()))?;
             let daemon =
-                run::start(settings, Arc::new(SystemClock), logs::silent()).await;
+                run::start(settings, Arc::new(SystemClock), logs::discard()).await;
             let daemon =
                 daemon.map_err(|report| StageError::Start(format!("{report:?}")))?;
             let addresses = daemon.addresses;
--- a/crates/lab/src/config/stage.rs
+++ b/crates/lab/src/config/stage.rs
@@ -105,7 +105,7 @@
         });
         let settings = Settings::parse("the experiment's settings", &text.to_string());
         let settings = settings.expect("the settings are valid");
-        let daemon = run::start(settings, Arc::new(SystemClock), logs::silent()).await;
+        let daemon = run::start(settings, Arc::new(SystemClock), logs::discard()).await;
         let daemon = daemon.expect("the daemon starts");
         let seen: Arc<Seen> = Arc::default();
         let mut catalog = daemon.node().shared.catalog.subscribe();
--- a/crates/lab/src/slopes/state.rs
+++ b/crates/lab/src/slopes/state.rs
@@ -115,7 +115,7 @@
     let shared = world.daemons.last().expect("one was started").node().shared.clone();
     let knows = || {
         shared.view().servers.len() == size.runners
-            && shared.residence().runners().len() == size.runners
+            && shared.residency().runners().len() == size.runners
             && shared.catalog().models.len() == size.models
     };
     while !knows() && begin.elapsed() < LEARN {
--- a/crates/lab/src/slopes/world.rs
+++ b/crates/lab/src/slopes/world.rs
@@ -129,7 +129,7 @@
         });
         let settings = Settings::parse("the experiment's settings", &text.to_string())
             .map_err(|problems| WorldError(problems.to_string()))?;
-        let start = run::start(settings, Arc::new(SystemClock), logs::silent());
+        let start = run::start(settings, Arc::new(SystemClock), logs::discard());
         let daemon = self.inside.block_on(start);
         self.daemons.push(daemon.map_err(|report| WorldError(format!("{report:?}")))?);
         Ok(())
--- a/crates/node/src/command.rs
+++ b/crates/node/src/command.rs
@@ -126,6 +126,6 @@
             _ = term.recv() => {}
             _ = int.recv() => {}
         }
-        node.shared.leaving.send_replace(true);
+        node.shared.shutting_down.send_replace(true);
     });
 }
--- a/crates/node/src/entry.rs
+++ b/crates/node/src/entry.rs
@@ -24,7 +24,7 @@
 use crate::parse::{self, Parsed};
 use crate::peer::PeerError;
 use crate::relay::{self, Mode};
-use crate::slots::Slots;
+use crate::slots::JournalSlots;
 
 const FRAMES_AHEAD: usize = 64;
 
@@ -102,7 +102,7 @@
     let keep = node.shared.settings.times.keep.as_millis() as u64;
     let entries: Vec<Value> = node
         .shared
-        .entries()
+        .caller_addresses()
         .into_iter()
         .map(|addr| json!({ "address": addr.to_string(), "keep_ms": keep }))
         .collect();
@@ -170,7 +170,7 @@
     parse: fn(&Node, CallerName, &HttpCall, &HeaderMap) -> Result<Parsed, Refusal>,
 ) -> Result<(Parsed, HttpCall, Place), Refusal> {
     let shared = &node.shared;
-    shared.check_open()?;
+    shared.check_accepts_requests()?;
     let (parts, body) = request.into_parts();
     let caller = parse::caller(&shared.catalog(), &parts.headers)?;
     let limit = shared.settings.limits.body;
@@ -291,7 +291,7 @@
     out: &mpsc::Sender<PeerResponse>,
 ) {
     if holder == node.shared.me {
-        return Slots::run(node, once, out.clone()).await;
+        return JournalSlots::submit(node, once, out.clone()).await;
     }
     match node.peers.ask(addr, &PeerRequest::Once(once)).await {
         Ok(mut answer) => loop {
@@ -322,7 +322,7 @@
         return OnceState::Unreadable("the journal has no holder now; ask again".into());
     };
     if claim.holder == node.shared.me {
-        return Slots::lookup(node, &id).await;
+        return JournalSlots::lookup(node, &id).await;
     }
     match node.peers.ask_once(member.peer_addr, &PeerRequest::Lookup(id)).await {
         Ok(PeerResponse::Once(state)) => state,
--- a/crates/node/src/explain.rs
+++ b/crates/node/src/explain.rs
@@ -180,7 +180,7 @@
     model: &ModelName,
     version: &VersionName,
 ) -> Vec<String> {
-    let residence = shared.residence();
+    let residence = shared.residency();
     let found = residence.serving(model, version, route.adapter.as_ref());
     found.map(ToString::to_string).collect()
 }
--- a/crates/node/src/journal.rs
+++ b/crates/node/src/journal.rs
@@ -19,7 +19,7 @@
 use crate::engine::{self, CallEnd, Pulse};
 use crate::members::CLAIMS;
 use crate::node::Node;
-use crate::single::{self, Gather};
+use crate::single::{self, ResponseBuilder};
 use crate::slotlog;
 
 /// The table of the journal's rows.
@@ -134,7 +134,11 @@
 }
 
 /// Puts an answer's body where it is kept: small ones into the row.
-pub async fn keep(node: &Node, attempt: AttemptId, answer: &Response) -> BodyLocation {
+pub async fn store_body(
+    node: &Node,
+    attempt: AttemptId,
+    answer: &Response,
+) -> BodyLocation {
     let text = std::str::from_utf8(&answer.body).ok();
     if let Some(text) = text.filter(|text| text.len() <= INLINE) {
         return BodyLocation::Inline(text.to_owned());
@@ -151,13 +155,13 @@
 }
 
 /// Reads a kept body.
-pub async fn fetch(node: &Node, key: &str) -> Option<Bytes> {
+pub async fn fetch_body(node: &Node, key: &str) -> Option<Bytes> {
     node.shared.objects.get(key).await.ok().flatten()
 }
 
 /// Tells what the slot's log and an id's row say.
-pub async fn confirm(node: &Node, slot: SlotId, id: &RequestId) -> OnceState {
-    match slotlog::holds(&node.shared.objects, slot, id).await {
+pub async fn read_state(node: &Node, slot: SlotId, id: &RequestId) -> OnceState {
+    match slotlog::contains(&node.shared.objects, slot, id).await {
         Ok(true) => return OnceState::InDoubt,
         Ok(false) => {}
         Err(error) => return OnceState::Unreadable(error.to_string()),
@@ -173,18 +177,18 @@
     let answer = match (&summary.body, summary.inline_response()) {
         (_, Some(answer)) => Some(answer),
         (BodyLocation::Object(key), None) => {
-            fetch(node, key).await.map(|body| summary.with_body(body))
+            fetch_body(node, key).await.map(|body| summary.with_body(body))
         }
         (BodyLocation::Inline(_) | BodyLocation::NotStored, None) => None,
     };
     match answer {
-        Some(answer) => single::state(&answer),
+        Some(answer) => single::response_state(&answer),
         None => OnceState::Unreadable("the answer's body can't be read".into()),
     }
 }
 
 /// What is known of a run that an earlier daemon made.
-pub struct Sought {
+pub struct RecoveryRequest {
     /// The slot.
     pub slot: SlotId,
     /// The id.
@@ -201,7 +205,7 @@
 ///
 /// The earlier daemon may live and store it yet, the lead of the backend server
 /// may have kept it, and an engine may still have it under the attempt's id.
-pub async fn seek(node: &Arc<Node>, sought: &Sought) -> Recovered {
+pub async fn recover(node: &Arc<Node>, sought: &RecoveryRequest) -> Recovered {
     let start = node.shared.clock.now();
     loop {
         if let Some(found) = look(node, sought).await {
@@ -220,7 +224,7 @@
     }
 }
 
-async fn look(node: &Arc<Node>, sought: &Sought) -> Option<Recovered> {
+async fn look(node: &Arc<Node>, sought: &RecoveryRequest) -> Option<Recovered> {
     let key = row_key(sought.slot, &sought.id);
     if let Ok(Some(row)) = node.shared.table.get(JOURNAL, &key).await {
         let known = known(row);
@@ -228,21 +232,21 @@
             return Some(Recovered::Row { summary, version: known.version });
         }
     }
-    let answer = match single::late_answer(node, sought.attempt).await {
+    let answer = match single::read_detached_response(node, sought.attempt).await {
         Some(answer) => answer,
         None => attach(node, sought).await?,
     };
-    let kept = keep(node, sought.attempt, &answer).await;
+    let kept = store_body(node, sought.attempt, &answer).await;
     Some(Recovered::Engine { response: Arc::new(answer), body: kept })
 }
 
 /// Asks the engines that may have run the attempt for its whole answer.
-async fn attach(node: &Arc<Node>, sought: &Sought) -> Option<Response> {
+async fn attach(node: &Arc<Node>, sought: &RecoveryRequest) -> Option<Response> {
     let Target::Model { model, version, adapter } = &sought.target else {
         return None;
     };
     let view = node.shared.view();
-    let residence = node.shared.residence();
+    let residence = node.shared.residency();
     let serving = residence.serving(model, version, adapter.as_ref());
     for name in sought.server.iter().chain(serving) {
         let Some(server) = view.servers.get(name) else { continue };
@@ -271,7 +275,7 @@
         let pulse = Pulse { http: &http, address };
         engine::read_tokens(stream.bytes_stream(), 0, &out, &pulse, |_| {}).await
     });
-    let mut gather = Gather::new();
+    let mut gather = ResponseBuilder::new();
     while let Some(say) = frames.recv().await {
         if let PeerResponse::Tokens { .. } = say {
             gather.push(&say);
--- a/crates/node/src/lead.rs
+++ b/crates/node/src/lead.rs
@@ -214,7 +214,7 @@
     }
 
     fn holds(&self, run: &AttemptRequest) -> bool {
-        let residence = self.shared.residence();
+        let residence = self.shared.residency();
         match &run.request.target {
             Target::Model { model, version, adapter } => {
                 residence.serves(&run.server, model, version, adapter.as_ref())
@@ -387,7 +387,7 @@
     run: AttemptRequest,
     out: mpsc::Sender<PeerResponse>,
 ) {
-    let out = single::outlive(node, &run, out);
+    let out = single::detach_run(node, &run, out);
     if out.send(PeerResponse::Queued).await.is_err() {
         return;
     }
@@ -407,7 +407,7 @@
         }
     };
     let address = grant.address;
-    let flight = match node.poison.enter(&node.shared, &run, &out).await {
+    let flight = match node.poison.begin_dispatch(&node.shared, &run, &out).await {
         Ok(flight) => flight,
         Err(refusal) => {
             drop(
@@ -424,13 +424,13 @@
         () = preempted => {
             // The stream is free only when the engine has stopped it.
             engine::cancel(&node.http, address, &run).await;
-            flight.end(node, address, &CallEnd::Abandoned).await;
+            flight.finish(node, address, &CallEnd::Abandoned).await;
             let load = grant.finish(How::Abandoned);
             drop(out.send(PeerResponse::Preempted { load }).await);
             return;
         }
     };
-    let crashed = flight.end(node, address, &end).await;
+    let crashed = flight.finish(node, address, &end).await;
     let last = match end {
         CallEnd::Whole(reason) => {
             PeerResponse::End { reason, load: grant.finish(How::Whole) }
--- a/crates/node/src/logs.rs
+++ b/crates/node/src/logs.rs
@@ -17,7 +17,7 @@
 }
 
 /// Creates a logger that drops all lines.
-pub fn silent() -> Logger {
+pub fn discard() -> Logger {
     Logger::root(slog::Discard, o!())
 }
 
--- a/crates/node/src/members.rs
+++ b/crates/node/src/members.rs
@@ -57,7 +57,8 @@
     /// The start of the daemon that is meant.
     pub member: MemberId,
     /// Who gave the order.
-    pub by: String,
+    #[serde(rename = "by")]
+    pub requested_by: String,
 }
 
 /// Where this daemon can be reached, as it was bound.
@@ -82,7 +83,7 @@
         let pause = members.pause();
         tokio::select! {
             () = tokio::time::sleep(pause) => {}
-            () = members.shared.wake.notified() => {}
+            () = members.shared.poll_now.notified() => {}
         }
     }
 }
@@ -153,7 +154,7 @@
     /// Whether this daemon has read who is there and what is resident where, and
     /// one of the others trusts it.
     async fn is_trusted(&mut self, node: &Node) -> bool {
-        if !self.joined || !self.shared.knows_residence() {
+        if !self.joined || !self.shared.has_read_residency() {
             return false;
         }
         let mut others = others(&self.shared);
@@ -207,7 +208,7 @@
     /// Joins if this daemon has no row, else renews the lease when it is due.
     async fn renew(&mut self) -> Result<(), PlatformError> {
         let now = self.shared.clock.now();
-        let leaving = self.shared.is_leaving() || !self.admitted;
+        let leaving = self.shared.is_shutting_down() || !self.admitted;
         let own = self.known.own_row(&self.shared.settings.vm, self.shared.me);
         let written = own.filter(|(row, _)| row.leaving == leaving);
         if self.joined && written.is_some() && now < self.renew_at {
@@ -227,7 +228,7 @@
         if let TxnResponse::Committed { .. } = answer {
             own_lease.record_renewal(now);
             if !leaving {
-                self.shared.listed.store(true, Ordering::Release);
+                self.shared.listed_as_serving.store(true, Ordering::Release);
             }
             self.counters.renewals.inc();
             self.joined = true;
@@ -281,7 +282,12 @@
     /// Putting the view together takes milliseconds at thousands of runners, and
     /// most polls bring nothing new.
     fn publish(&mut self) {
-        let left = self.shared.left.lock().expect("no holder of the list panics").clone();
+        let left = self
+            .shared
+            .announced_shutdowns
+            .lock()
+            .expect("no holder of the list panics")
+            .clone();
         if !self.changed && left == self.known.leaving {
             return;
         }
@@ -293,7 +299,7 @@
 }
 
 /// Removes the rows of this start of the daemon, if they still stand.
-pub async fn resign(shared: &Shared) -> Result<(), PlatformError> {
+pub async fn remove_own_rows(shared: &Shared) -> Result<(), PlatformError> {
     let vm = shared.settings.vm.as_str();
     let row = shared.table.get(MEMBERS, vm).await?;
     let own = |row: &Row| {
--- a/crates/node/src/members/claims.rs
+++ b/crates/node/src/members/claims.rs
@@ -10,7 +10,7 @@
 impl Members {
     pub(super) async fn take_claims(&mut self) -> Result<(), PlatformError> {
         let now = self.shared.clock.now();
-        if !self.shared.lease_holds(now) {
+        if !self.shared.is_lease_valid(now) {
             return Ok(());
         }
         // Time alone changes little: only that a member has been there for long.
--- a/crates/node/src/members/tables.rs
+++ b/crates/node/src/members/tables.rs
@@ -86,7 +86,7 @@
             row.key == vm && drain.is_ok_and(|drain| drain.member == self.shared.me)
         };
         if rows.iter().any(meant) {
-            self.shared.leaving.send_replace(true);
+            self.shared.shutting_down.send_replace(true);
         }
         Ok(())
     }
--- a/crates/node/src/members/vms.rs
+++ b/crates/node/src/members/vms.rs
@@ -41,7 +41,10 @@
                 && !row.leaving
                 && vm != self.shared.settings.vm
             {
-                let drain = DrainRow { member: row.member, by: "the list of VMs".into() };
+                let drain = DrainRow {
+                    member: row.member,
+                    requested_by: "the list of VMs".into(),
+                };
                 txn = txn.put(DRAINS, vm.as_str(), json!(drain));
             }
         }
@@ -59,7 +62,7 @@
     fn follow_own(&self, list: &[VmRow]) {
         let vm = &self.shared.settings.vm;
         if leaving_entries(list).any(|leaving| leaving == *vm) {
-            self.shared.leaving.send_replace(true);
+            self.shared.shutting_down.send_replace(true);
         }
     }
 }
--- a/crates/node/src/ops.rs
+++ b/crates/node/src/ops.rs
@@ -38,13 +38,13 @@
         "vm": settings.vm,
         "domain": settings.domain,
         "member": shared.me.to_string(),
-        "leaving": shared.is_leaving(),
-        "closed": *shared.closed.borrow(),
-        "fresh": shared.is_fresh(),
-        "lease_holds": shared.lease_holds(now),
+        "leaving": shared.is_shutting_down(),
+        "closed": *shared.intake_closed.borrow(),
+        "fresh": shared.is_config_fresh(),
+        "lease_holds": shared.is_lease_valid(now),
         "revision": shared.catalog().revision,
         "requests": node.intake.held(),
-        "serving": node.serving.load(std::sync::atomic::Ordering::SeqCst),
+        "serving": node.active_jobs.load(std::sync::atomic::Ordering::SeqCst),
         "limits": {
             "body": settings.limits.body,
             "requests": settings.limits.requests,
@@ -53,7 +53,7 @@
         },
         "leads": leads(node),
         "retries_left": node.picker.retries_left(),
-        "journal": node.slots.state(),
+        "journal": node.slots.status(),
         "poison": poison(node),
         "view": view(node),
         "residence": residence(node),
@@ -101,7 +101,7 @@
 
 /// What is resident where.
 fn residence(node: &Node) -> Value {
-    let residence = node.shared.residence();
+    let residence = node.shared.residency();
     let runners: serde_json::Map<String, Value> = residence
         .runners()
         .iter()
--- a/crates/node/src/opsconf.rs
+++ b/crates/node/src/opsconf.rs
@@ -285,7 +285,7 @@
     };
     // The row names the daemon's start, so that a VM that is replaced under the
     // same name does not leave at once.
-    let row = DrainRow { member, by: format!("{} ({team})", drain.author) };
+    let row = DrainRow { member, requested_by: format!("{} ({team})", drain.author) };
     let txn = Txn::new().put(DRAINS, drain.vm.as_str(), json!(row));
     match shared.table.commit(&txn).await {
         Ok(_) => {
--- a/crates/node/src/opsrows.rs
+++ b/crates/node/src/opsrows.rs
@@ -137,7 +137,7 @@
 }
 
 fn residents(shared: &Shared) -> Vec<Row> {
-    let residence = shared.residence();
+    let residence = shared.residency();
     let mut rows = Vec::new();
     for (server, held) in residence.runners() {
         for (model, version) in &held.models {
--- a/crates/node/src/orders/rows.rs
+++ b/crates/node/src/orders/rows.rs
@@ -135,7 +135,7 @@
 pub fn publish(shared: &Shared) {
     let view = shared.view();
     let rows = shared.rows.borrow().clone();
-    let old = shared.residence();
+    let old = shared.residency();
     let runners =
         rows.ledgers.iter().filter(|(name, _)| view.servers.contains_key(*name)).map(
             |(name, (ledger, _))| {
@@ -145,7 +145,7 @@
             },
         );
     let residence = Residency::new(runners.collect());
-    shared.residence.send_if_modified(|old| {
+    shared.residency.send_if_modified(|old| {
         let changed = **old != residence;
         if changed {
             *old = Arc::new(residence);
--- a/crates/node/src/orders/runner.rs
+++ b/crates/node/src/orders/runner.rs
@@ -325,7 +325,7 @@
     /// and counts with their copies. Without them an engine that restarts while
     /// the table is down would stay empty until the end of the outage.
     fn may_send(&self, order: &Order) -> bool {
-        let holds = self.shared.lease_holds(self.shared.clock.now());
+        let holds = self.shared.is_lease_valid(self.shared.clock.now());
         self.server().is_some() && (holds || order.kind == OrderKind::Load)
     }
 
--- a/crates/node/src/pick.rs
+++ b/crates/node/src/pick.rs
@@ -258,7 +258,7 @@
     };
     match &work.target {
         Target::Model { model, version, adapter } => shared
-            .residence()
+            .residency()
             .serving(model, version, adapter.as_ref())
             .filter_map(option)
             .collect(),
--- a/crates/node/src/planner.rs
+++ b/crates/node/src/planner.rs
@@ -68,7 +68,7 @@
 /// The pools that this daemon claims while its lease holds.
 fn claimed(shared: &Shared) -> IndexMap<PoolName, Claim> {
     let view = shared.view();
-    if !shared.lease_holds(shared.clock.now()) {
+    if !shared.is_lease_valid(shared.clock.now()) {
         return IndexMap::new();
     }
     let catalog = shared.catalog();
--- a/crates/node/src/poison.rs
+++ b/crates/node/src/poison.rs
@@ -62,7 +62,7 @@
 const SPREAD_LIMIT: usize = 64;
 
 /// Who is suspect and who is refused, as this daemon knows it.
-pub struct Poison {
+pub struct PoisonGuard {
     suspects: Mutex<CrashTracker>,
     /// Told when a suspect is through, so that the next may run.
     through: Notify,
@@ -87,13 +87,13 @@
 }
 
 /// A request in flight at a backend server; dropping it takes it out.
-pub struct Flight {
-    poison: Arc<Poison>,
+pub struct DispatchGuard {
+    poison: Arc<PoisonGuard>,
     server: ServerName,
     id: DispatchId,
 }
 
-impl Poison {
+impl PoisonGuard {
     /// Creates the state of a daemon that suspects nothing.
     pub fn new(shared: &Shared) -> Self {
         Self {
@@ -109,7 +109,7 @@
     /// Refuses a request that crashed backend servers before.
     ///
     /// Entries ask it for idempotent requests only: of the others the journal knows
-    /// better whether they ran, and [`Self::enter`] refuses those that did not.
+    /// better whether they ran, and [`Self::begin_dispatch`] refuses those that did not.
     pub fn check(&self, digest: Digest, now: Instant) -> Result<(), Refusal> {
         if self.lock().status(digest, now) != Some(DigestStatus::Blocked) {
             return Ok(());
@@ -122,17 +122,17 @@
     ///
     /// A suspect waits until the crash is a while ago and no other suspect runs on the
     /// backend server, or until nobody waits for it any more.
-    pub async fn enter(
+    pub async fn begin_dispatch(
         self: &Arc<Self>,
         shared: &Shared,
         run: &AttemptRequest,
         out: &mpsc::Sender<PeerResponse>,
-    ) -> Result<Flight, Refusal> {
+    ) -> Result<DispatchGuard, Refusal> {
         let end = shared.clock.now() + run.request.budget;
         if run.suspect {
             // The news of the crash may not have come here yet.
             let blame = CrashSuspect { digest: run.request.digest, confirmed: false };
-            self.learn(&[blame], shared.clock.now());
+            self.apply_reports(&[blame], shared.clock.now());
         }
         loop {
             let through = self.through.notified();
@@ -141,7 +141,7 @@
             match self.lock().try_dispatch(&run.server, run.request.digest, now) {
                 DispatchDecision::Dispatch(id) => {
                     let server = run.server.clone();
-                    return Ok(Flight { poison: self.clone(), server, id });
+                    return Ok(DispatchGuard { poison: self.clone(), server, id });
                 }
                 DispatchDecision::Refuse => {
                     self.counters.refused.inc();
@@ -163,7 +163,7 @@
     }
 
     /// Takes in what another daemon found out.
-    pub fn learn(&self, blames: &[CrashSuspect], now: Instant) {
+    pub fn apply_reports(&self, blames: &[CrashSuspect], now: Instant) {
         let mut suspects = self.lock();
         for blame in blames {
             let evidence = match blame.confirmed {
@@ -196,9 +196,9 @@
     }
 }
 
-impl Flight {
+impl DispatchGuard {
     /// Ends the flight by how its call ended; whether the backend server crashed.
-    pub async fn end(self, node: &Node, address: SocketAddr, end: &CallEnd) -> bool {
+    pub async fn finish(self, node: &Node, address: SocketAddr, end: &CallEnd) -> bool {
         match end {
             CallEnd::Whole(_) => {
                 let verdict = self.leave(true);
@@ -249,7 +249,7 @@
     }
 }
 
-impl Drop for Flight {
+impl Drop for DispatchGuard {
     fn drop(&mut self) {
         self.leave(false);
     }
--- a/crates/node/src/relay.rs
+++ b/crates/node/src/relay.rs
@@ -211,7 +211,7 @@
         let catalog = self.node.shared.catalog();
         let Some(declared) = catalog.models.get(model) else { return };
         if self.have.tokens == 0 {
-            let residence = self.node.shared.residence();
+            let residence = self.node.shared.residency();
             *version =
                 residence.servable_version(model, &declared.version, adapter.as_ref());
         }
@@ -252,7 +252,7 @@
 
     fn number(&self) -> AttemptId {
         match self.mode {
-            Mode::Many => self.node.shared.attempt(),
+            Mode::Many => self.node.shared.next_attempt_id(),
             Mode::Single(attempt) => attempt,
         }
     }
--- a/crates/node/src/run.rs
+++ b/crates/node/src/run.rs
@@ -22,9 +22,9 @@
 use crate::node::Node;
 use crate::peer::{self, Peers};
 use crate::pick::Picker;
-use crate::poison::Poison;
+use crate::poison::PoisonGuard;
 use crate::shared::Shared;
-use crate::slots::Slots;
+use crate::slots::JournalSlots;
 use crate::{confsync, engine, ops, orders, planner, poison, slots, tls};
 
 /// How often a leaving daemon looks whether all its work is done.
@@ -88,7 +88,7 @@
     tasks.spawn(confsync::run(node.clone()));
     tasks.spawn(orders::run(node.shared.clone()));
     tasks.spawn(poison::run(node.clone()));
-    tasks.spawn(slots::keep(node.clone()));
+    tasks.spawn(slots::run(node.clone()));
     tasks.spawn(planner::run(node.shared.clone()));
     tasks.spawn(serve(callers, entry::router(node.clone()), listeners.clone()));
     // Operators look at a daemon until it is gone.
@@ -99,8 +99,8 @@
 
 impl Daemon {
     /// Tells the daemon to leave.
-    pub fn leave(&self) {
-        self.node.shared.leaving.send_replace(true);
+    pub fn shut_down(&self) {
+        self.node.shared.shutting_down.send_replace(true);
     }
 
     /// The parts of the daemon, to look at.
@@ -115,14 +115,14 @@
     /// flight. Nothing is cut off.
     pub async fn run(mut self) {
         let shared = self.node.shared.clone();
-        let mut leaving = shared.leaving.subscribe();
+        let mut leaving = shared.shutting_down.subscribe();
         // The sender lives in `shared`, so that waiting can't fail.
         drop(leaving.wait_for(|leaving| *leaving).await);
         info!(shared.log, "leaving");
-        shared.note_leaving(shared.me);
+        shared.record_shutdown(shared.me);
         self.tell_others().await;
         tokio::time::sleep(shared.settings.times.leave).await;
-        shared.closed.send_replace(true);
+        shared.intake_closed.send_replace(true);
         self.listeners.cancel();
         while !self.node.is_idle() {
             tokio::time::sleep(LEAVE_CHECK).await;
@@ -154,7 +154,7 @@
     /// Removes the own rows, so that nobody waits for the lease to lapse.
     async fn resign(&self) {
         let shared = &self.node.shared;
-        if let Err(error) = members::resign(shared).await {
+        if let Err(error) = members::remove_own_rows(shared).await {
             let why = error.to_string();
             warn!(shared.log, "the own rows remain until the lease lapses"; "error" => why);
         }
@@ -180,13 +180,13 @@
     Ok(Node {
         leads: Leads::new(shared.clone()),
         picker: Picker::new(shared.clock.clone(), shared.me.0),
-        slots: Slots::new(),
-        poison: Arc::new(Poison::new(&shared)),
+        slots: JournalSlots::new(),
+        poison: Arc::new(PoisonGuard::new(&shared)),
         intake: Intake::new(limits.requests, limits.memory),
         peers,
         http,
         shared,
-        serving: Arc::default(),
+        active_jobs: Arc::default(),
     })
 }
 
--- a/crates/node/src/shared.rs
+++ b/crates/node/src/shared.rs
@@ -65,7 +65,7 @@
     /// Members, servers and claims, written by [`crate::members`].
     pub view: watch::Sender<Arc<View>>,
     /// What is resident where, written by [`crate::orders`].
-    pub residence: watch::Sender<Arc<Residency>>,
+    pub residency: watch::Sender<Arc<Residency>>,
     /// The ledger's and the plan's rows, written by [`crate::orders`].
     pub rows: watch::Sender<Arc<Rows>>,
     /// What callers ask of each model, read by [`crate::demand`].
@@ -73,18 +73,18 @@
     /// Which requests use which asset of the runners that this daemon leads.
     pub usage: Usage,
     /// Whether this daemon is leaving, written by [`crate::run`].
-    pub leaving: watch::Sender<bool>,
+    pub shutting_down: watch::Sender<bool>,
     /// Whether this daemon takes no new requests any more, written by [`crate::run`].
-    pub closed: watch::Sender<bool>,
+    pub intake_closed: watch::Sender<bool>,
     /// The own lease, written by [`crate::members`].
     pub lease: Mutex<Lease>,
     /// Members that said that they are leaving, ahead of the table's rows.
-    pub left: Mutex<IndexSet<MemberId>>,
+    pub announced_shutdowns: Mutex<IndexSet<MemberId>>,
     /// Wakes [`crate::members`] before its next poll is due.
-    pub wake: Notify,
+    pub poll_now: Notify,
     /// Whether the own row has said once that this daemon takes work, written by
     /// [`crate::members`]; never unset.
-    pub listed: AtomicBool,
+    pub listed_as_serving: AtomicBool,
     attempts: AtomicU64,
 }
 
@@ -116,16 +116,16 @@
             catalog: watch::Sender::new(Arc::default()),
             conf,
             view: watch::Sender::new(Arc::default()),
-            residence: watch::Sender::new(Arc::default()),
+            residency: watch::Sender::new(Arc::default()),
             rows: watch::Sender::new(Arc::default()),
             demand: Asked::default(),
             usage: Usage::default(),
-            leaving: watch::Sender::new(false),
-            closed: watch::Sender::new(false),
+            shutting_down: watch::Sender::new(false),
+            intake_closed: watch::Sender::new(false),
             lease: Mutex::new(Lease::new(term)),
-            left: Mutex::default(),
-            wake: Notify::new(),
-            listed: AtomicBool::new(false),
+            announced_shutdowns: Mutex::default(),
+            poll_now: Notify::new(),
+            listed_as_serving: AtomicBool::new(false),
             attempts: AtomicU64::new(0),
         }
     }
@@ -151,23 +151,23 @@
     }
 
     /// What is known to be resident.
-    pub fn residence(&self) -> Arc<Residency> {
-        self.residence.borrow().clone()
+    pub fn residency(&self) -> Arc<Residency> {
+        self.residency.borrow().clone()
     }
 
     /// Whether the daemon is leaving.
-    pub fn is_leaving(&self) -> bool {
-        *self.leaving.borrow()
+    pub fn is_shutting_down(&self) -> bool {
+        *self.shutting_down.borrow()
     }
 
     /// Whether the own lease holds, so that orders may rest on the own claims.
-    pub fn lease_holds(&self, now: Instant) -> bool {
+    pub fn is_lease_valid(&self, now: Instant) -> bool {
         self.lease.lock().expect("no holder of the lease panics").is_valid(now)
     }
 
     /// Refuses requests while this daemon must not take any.
-    pub fn check_open(&self) -> Result<(), Refusal> {
-        let elsewhere = self.entries();
+    pub fn check_accepts_requests(&self) -> Result<(), Refusal> {
+        let elsewhere = self.caller_addresses();
         let others = |text: &str| {
             let list: Vec<String> = elsewhere.iter().map(SocketAddr::to_string).collect();
             let text = match list[..] {
@@ -176,23 +176,23 @@
             };
             Refusal::not_run(RefusalCode::Leaving, text).with_retry_after(Duration::ZERO)
         };
-        if *self.closed.borrow() {
+        if *self.intake_closed.borrow() {
             return Err(others("this daemon is leaving"));
         }
-        if !self.is_fresh() {
+        if !self.is_config_fresh() {
             return Err(others("this daemon can't confirm its configuration")
                 .with_retry_after(Duration::from_secs(1)));
         }
         // Operators wait for the daemons whose rows say that they take work. One that
         // served before would be left out: its callers could meet the old declarations
         // after an operator read that the new ones are in force everywhere.
-        if !self.listed.load(Ordering::Acquire) {
+        if !self.listed_as_serving.load(Ordering::Acquire) {
             return Err(others("this daemon is joining")
                 .with_retry_after(self.settings.times.renewal));
         }
         // Otherwise a daemon that joined just before an outage of the table would
         // refuse every model as not resident for as long as the outage lasts.
-        if !self.knows_residence() {
+        if !self.has_read_residency() {
             return Err(others("this daemon does not know yet what is resident where")
                 .with_retry_after(Duration::from_secs(1)));
         }
@@ -200,19 +200,19 @@
     }
 
     /// Whether it was read at least once what is resident where.
-    pub fn knows_residence(&self) -> bool {
+    pub fn has_read_residency(&self) -> bool {
         self.rows.borrow().now.is_some()
     }
 
     /// Whether the declarations in force are recent enough to serve by.
-    pub fn is_fresh(&self) -> bool {
+    pub fn is_config_fresh(&self) -> bool {
         confsync::is_fresh(self, self.clock.now())
     }
 
     /// The addresses that callers may use, this daemon's domain first.
     ///
     /// None of them belongs to a daemon that is leaving or whose lease lapsed.
-    pub fn entries(&self) -> Vec<SocketAddr> {
+    pub fn caller_addresses(&self) -> Vec<SocketAddr> {
         let view = self.view();
         let mut members: Vec<_> =
             view.members.iter().filter(|(_, member)| !member.leaving).collect();
@@ -222,8 +222,11 @@
     }
 
     /// Takes note that a member is leaving, before its row in the table says so.
-    pub fn note_leaving(&self, member: MemberId) {
-        self.left.lock().expect("no holder of the list panics").insert(member);
+    pub fn record_shutdown(&self, member: MemberId) {
+        self.announced_shutdowns
+            .lock()
+            .expect("no holder of the list panics")
+            .insert(member);
         self.view.send_if_modified(|view| {
             let known = view.members.get(&member).is_some_and(|row| !row.leaving);
             if known && let Some(row) = Arc::make_mut(view).members.get_mut(&member) {
@@ -231,11 +234,11 @@
             }
             known
         });
-        self.wake.notify_one();
+        self.poll_now.notify_one();
     }
 
     /// A number for a new attempt.
-    pub fn attempt(&self) -> AttemptId {
+    pub fn next_attempt_id(&self) -> AttemptId {
         let number = self.attempts.fetch_add(1, Ordering::Relaxed);
         AttemptId { member: self.me, number }
     }
--- a/crates/node/src/single.rs
+++ b/crates/node/src/single.rs
@@ -29,7 +29,7 @@
 
 /// Collects the frames of an answer.
 #[derive(Debug, Default)]
-pub struct Gather {
+pub struct ResponseBuilder {
     status: u16,
     content_type: String,
     tokens: Option<u32>,
@@ -38,7 +38,7 @@
     over: bool,
 }
 
-impl Gather {
+impl ResponseBuilder {
     /// Creates an empty answer.
     pub fn new() -> Self {
         Self { status: 200, content_type: "text/plain".into(), ..Self::default() }
@@ -96,7 +96,7 @@
     let relay = tokio::spawn(async move {
         relay::run(&job, once.request, once.call, Mode::Single(attempt), out).await;
     });
-    let mut gather = Gather::new();
+    let mut gather = ResponseBuilder::new();
     while let Some(say) = frames.recv().await {
         match say {
             PeerResponse::End { reason, .. } => {
@@ -130,20 +130,20 @@
     node: &Node,
     id: RequestId,
     attempt: AttemptId,
-    gather: Gather,
+    gather: ResponseBuilder,
     reason: String,
 ) -> Event {
     let over = gather.over;
     let answer = gather.finish(reason);
     let kept = match over {
         true => chestnut_once::BodyLocation::NotStored,
-        false => journal::keep(node, attempt, &answer).await,
+        false => journal::store_body(node, attempt, &answer).await,
     };
     Event::RunFinished { id, attempt, response: Arc::new(answer), body: kept }
 }
 
 /// The frames that give a stored answer again.
-pub fn frames(answer: &Response) -> Vec<PeerResponse> {
+pub fn response_frames(answer: &Response) -> Vec<PeerResponse> {
     let mut frames = Vec::new();
     match answer.tokens {
         Some(count) => {
@@ -156,12 +156,12 @@
             frames.push(PeerResponse::Chunk(answer.body.clone()));
         }
     }
-    frames.push(end(answer));
+    frames.push(end_frame(answer));
     frames
 }
 
 /// The end mark of an answer.
-pub fn end(answer: &Response) -> PeerResponse {
+pub fn end_frame(answer: &Response) -> PeerResponse {
     PeerResponse::End {
         reason: answer.finish_reason.clone(),
         load: ServerLoad::default(),
@@ -169,7 +169,7 @@
 }
 
 /// A stored answer as the state of its request.
-pub fn state(answer: &Response) -> OnceState {
+pub fn response_state(answer: &Response) -> OnceState {
     OnceState::Done {
         status: answer.status,
         content_type: answer.content_type.clone(),
@@ -182,7 +182,7 @@
 /// The lead of the server learns that the lead of the slot died by its frames
 /// going nowhere. If it broke the call off then, a booking could be made and its
 /// answer lost. So it reads on and keeps the whole answer under the attempt.
-pub fn outlive(
+pub fn detach_run(
     node: &Arc<Node>,
     run: &AttemptRequest,
     out: mpsc::Sender<PeerResponse>,
@@ -201,8 +201,8 @@
     mut frames: mpsc::Receiver<PeerResponse>,
     out: mpsc::Sender<PeerResponse>,
 ) {
-    let _busy = node.busy();
-    let mut gather = Gather::new();
+    let _busy = node.start_job();
+    let mut gather = ResponseBuilder::new();
     let mut sent = false;
     while let Some(say) = frames.recv().await {
         gather.push(&say);
@@ -224,7 +224,7 @@
 
 async fn keep_late(node: &Node, attempt: AttemptId, answer: &Response) {
     let mut bytes = Vec::new();
-    for say in frames(answer) {
+    for say in response_frames(answer) {
         let Ok(frame) = encode(&say) else { return };
         bytes.extend(frame);
     }
@@ -233,11 +233,11 @@
 }
 
 /// The answer of an attempt whose asker was gone when it ended, if it was kept.
-pub async fn late_answer(node: &Node, attempt: AttemptId) -> Option<Response> {
+pub async fn read_detached_response(node: &Node, attempt: AttemptId) -> Option<Response> {
     let bytes = node.shared.objects.get(&late_key(attempt)).await.ok().flatten()?;
     let mut frames = FrameDecoder::new();
     frames.push(&bytes);
-    let mut gather = Gather::new();
+    let mut gather = ResponseBuilder::new();
     while let Some(say) = frames.decode::<PeerResponse>().ok().flatten() {
         if let PeerResponse::End { reason, .. } = say {
             return Some(gather.finish(reason));
--- a/crates/node/src/slotlog.rs
+++ b/crates/node/src/slotlog.rs
@@ -70,7 +70,7 @@
 }
 
 /// Whether the log holds a record of the id.
-pub async fn holds(
+pub async fn contains(
     objects: &ObjectStore,
     slot: SlotId,
     id: &RequestId,
--- a/crates/node/src/slots.rs
+++ b/crates/node/src/slots.rs
@@ -25,7 +25,7 @@
 /// A quarter of a daemon's 64 MB; the entries hold the bodies a second time.
 const BODIES: usize = 16 << 20;
 
-/// Slots that are read at the same time.
+/// JournalSlots that are read at the same time.
 ///
 /// A daemon that starts or takes over has about ten to read; their rows are held
 /// twice for a moment.
@@ -35,19 +35,19 @@
 const IDLE: Duration = Duration::from_secs(1);
 
 /// The slots of the journal that this daemon leads.
-pub struct Slots {
+pub struct JournalSlots {
     inbox: UnboundedSender<Told>,
     told: Mutex<Option<UnboundedReceiver<Told>>>,
     bodies: Arc<AtomicUsize>,
     /// Bounds the slots that are read at the same time.
     loads: Semaphore,
-    state: Mutex<SlotsState>,
+    state: Mutex<JournalStatus>,
 }
 
 /// How the journal of a daemon is, to look at.
 #[derive(Debug, Clone, Default, Serialize)]
-pub struct SlotsState {
-    /// Slots of which requests are taken.
+pub struct JournalStatus {
+    /// JournalSlots of which requests are taken.
     pub open: usize,
     /// Ids in memory.
     pub ids: usize,
@@ -71,7 +71,7 @@
     Done(Event),
 }
 
-impl Slots {
+impl JournalSlots {
     /// Creates the slots of a daemon that leads none yet.
     pub fn new() -> Self {
         let (inbox, told) = mpsc::unbounded_channel();
@@ -86,7 +86,7 @@
 
     /// Runs a non-idempotent request at most once, and sends the frames of its
     /// one answer.
-    pub async fn run(
+    pub async fn submit(
         node: &Arc<Node>,
         once: OnceRequest,
         out: mpsc::Sender<PeerResponse>,
@@ -122,13 +122,13 @@
     }
 
     /// How the journal is.
-    pub fn state(&self) -> SlotsState {
+    pub fn status(&self) -> JournalStatus {
         self.state.lock().expect("no holder of the state panics").clone()
     }
 
     /// Whether no request runs and no answer waits to be recorded.
     pub fn is_idle(&self) -> bool {
-        self.state().running == 0
+        self.status().running == 0
     }
 
     fn take_bodies(&self, size: usize) -> Option<Bodies> {
@@ -138,7 +138,7 @@
     }
 }
 
-impl Default for Slots {
+impl Default for JournalSlots {
     fn default() -> Self {
         Self::new()
     }
@@ -157,7 +157,7 @@
 }
 
 /// Keeps the journal until the daemon stops.
-pub async fn keep(node: Arc<Node>) {
+pub async fn run(node: Arc<Node>) {
     let told = node.slots.told.lock().expect("no holder of the inbox panics").take();
     if let Some(told) = told {
         Keeper::new(node).run(told).await;
--- a/crates/node/src/slots/keeper.rs
+++ b/crates/node/src/slots/keeper.rs
@@ -15,8 +15,8 @@
 use tokio::sync::mpsc::{UnboundedReceiver, UnboundedSender};
 use tokio::sync::oneshot;
 
-use super::{IDLE, SlotsState, Told, refused, stopped};
-use crate::journal::{self, Sought};
+use super::{IDLE, JournalStatus, Told, refused, stopped};
+use crate::journal::{self, RecoveryRequest};
 use crate::node::Node;
 use crate::shared::Shared;
 use crate::{single, slotlog};
@@ -133,7 +133,7 @@
                 let slot = self.slot(&id);
                 let digest = once.request.digest;
                 let target = once.request.target.clone();
-                let attempt = self.node.shared.attempt();
+                let attempt = self.node.shared.next_attempt_id();
                 let ticket = self.wait(Waiter::Caller { once: Some(once), out });
                 self.tell(Event::Submit {
                     waiter: ticket,
@@ -197,9 +197,9 @@
                     });
                 }
                 Effect::RecoverResponse { slot, id, attempt, target, server } => {
-                    let sought = Sought { slot, id, attempt, target, server };
+                    let sought = RecoveryRequest { slot, id, attempt, target, server };
                     self.spawn(move |node| async move {
-                        let found = journal::seek(&node, &sought).await;
+                        let found = journal::recover(&node, &sought).await;
                         Event::RecoveryFinished {
                             id: sought.id,
                             attempt,
@@ -208,7 +208,7 @@
                     });
                 }
                 Effect::FetchBody { id, key } => self.spawn(move |node| async move {
-                    let body = journal::fetch(&node, &key).await;
+                    let body = journal::fetch_body(&node, &key).await;
                     Event::BodyFetched { id, body }
                 }),
                 Effect::AppendToLog { slot, number, position: place, records } => {
@@ -277,7 +277,7 @@
         };
         let node = self.node.clone();
         tokio::spawn(async move {
-            let state = journal::confirm(&node, slot, &id).await;
+            let state = journal::read_state(&node, slot, &id).await;
             // Whoever asked may be gone; then nobody needs the answer.
             drop(reply.send(state));
         });
@@ -299,7 +299,7 @@
 
     fn publish(&mut self) {
         self.counters.ids.set(self.journal.id_count() as i64);
-        let state = SlotsState {
+        let state = JournalStatus {
             open: self.journal.open_slots(),
             ids: self.journal.id_count(),
             answers: self.journal.cached_bytes(),
@@ -341,15 +341,15 @@
 /// What a caller gets; one that has the parts already gets the end mark.
 fn caller_frames(streamed: bool, reply: Reply) -> Vec<PeerResponse> {
     match reply {
-        Reply::Response(answer) if streamed => vec![single::end(&answer)],
-        Reply::Response(answer) => single::frames(&answer),
+        Reply::Response(answer) if streamed => vec![single::end_frame(&answer)],
+        Reply::Response(answer) => single::response_frames(&answer),
         Reply::Refused(refusal) => vec![refused(refusal)],
         Reply::Running => vec![refused(stopped())],
     }
 }
 
 fn lookup_state(reply: Reply) -> OnceState {
-    let done = |answer: Arc<Response>| single::state(&answer);
+    let done = |answer: Arc<Response>| single::response_state(&answer);
     match reply {
         Reply::Response(answer) => done(answer),
         Reply::Running => OnceState::Running,
