--- a/crates/node/src/journal.rs
+++ b/crates/node/src/journal.rs
@@ -1,4 +1,4 @@
-//! Carries out what the journal wants of the platform's services.
+//! Carries out the journal's effects on the table, the object store and engines.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -25,37 +25,38 @@
 /// The table of the journal's rows.
 pub const JOURNAL: &str = "journal";
 
-/// The largest body that is kept in a row, in bytes.
+/// The largest body that is stored in its row, in bytes.
 ///
 /// Most letters and all bookings are smaller; a batch of 128 such rows stays
 /// below 1 MB.
-const INLINE: usize = 8 * 1024;
+const MAX_INLINE_BYTES: usize = 8 * 1024;
 
-/// The largest body that is kept in a row if the object store can't take it.
-const INLINE_AT_NEED: usize = 64 * 1024;
+/// The largest body that is stored in its row if the object store is unavailable.
+const MAX_FALLBACK_INLINE_BYTES: usize = 64 * 1024;
 
-/// How long the answer of an earlier daemon's run is looked for.
+/// How long to try to recover the response of another daemon's run.
 ///
-/// Short, as the caller hears nothing meanwhile; it is told when to ask again, and
-/// then it is looked for again.
-const SEEK_TIME: Duration = Duration::from_secs(1);
+/// Short, as the caller gets no response meanwhile. It then gets a retry delay, and
+/// its retry starts another recovery.
+const RECOVERY_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// How long it is looked for while the earlier daemon still is a member.
+/// How long to try while the daemon that made the run is still a member.
 ///
-/// After a planned handover the earlier lead finishes the run and stores its
-/// answer. Whoever asks hears nothing meanwhile, so that this stays below the few
-/// seconds after which callers give up; they come back as told, and each time it
-/// is looked for again. With 10 s, callers that gave up after 4 s never heard a
-/// word about a letter that was in doubt.
-const SEEK_LIVING: Duration = Duration::from_secs(3);
+/// After a planned handover the former lead finishes the run and stores its
+/// response. The caller gets no response meanwhile, so this stays below the few
+/// seconds after which callers time out; each retry starts another recovery. With
+/// 10 s, callers that timed out after 4 s never learned that a letter was in doubt.
+const MEMBER_RECOVERY_TIMEOUT: Duration = Duration::from_secs(3);
 
-/// The pause between two looks; each costs the platform two reads.
-const SEEK_PAUSE: Duration = Duration::from_millis(400);
+/// The mean interval between two attempts; each costs the platform two reads.
+const RECOVERY_INTERVAL: Duration = Duration::from_millis(400);
 
-/// How long an engine may be silent about a request that is asked for.
-const ATTACH_WAIT: Duration = Duration::from_secs(2);
+/// The timeout for an engine's response head when it is queried for an attempt.
+const ENGINE_QUERY_TIMEOUT: Duration = Duration::from_secs(2);
 
 /// Seals a slot's log and reads the slot's rows with their ages.
+///
+/// `version` is that of the slot's claim.
 pub async fn load(
     table: &TableClient,
     objects: &ObjectStore,
@@ -63,17 +64,18 @@
     version: u64,
     me: MemberId,
 ) -> Event {
-    let mark = format!("{me}/{version}");
-    let log = slotlog::seal(objects, slot, &mark).await;
-    // The rows are read after the log: what is moved from there meanwhile is seen.
-    let rows = rows(table, slot).await;
+    let seal_id = format!("{me}/{version}");
+    let log = slotlog::seal(objects, slot, &seal_id).await;
+    // Read after the log, so that records that move from the log to the table
+    // meanwhile are not missed.
+    let rows = read_rows(table, slot).await;
     match (log, rows) {
         (Ok(log), Ok(rows)) => Event::SlotLoaded { slot, version, rows, log },
         _ => Event::LoadFailed { slot, version },
     }
 }
 
-async fn rows(
+async fn read_rows(
     table: &TableClient,
     slot: SlotId,
 ) -> Result<Vec<(JournalRow, Duration)>, PlatformError> {
@@ -83,19 +85,22 @@
         let now = delta.now;
         rows.extend(delta.rows.into_iter().map(|row| {
             let age = Duration::from_millis(now.saturating_sub(row.modified));
-            (known(row), age)
+            (journal_row(row), age)
         }));
     }
     Ok(rows)
 }
 
-/// Commits a batch.
+/// Commits a batch in one transaction.
 pub async fn commit(table: &TableClient, batch: &Batch) -> CommitResult {
     match table.commit(&transaction(batch)).await {
         Ok(TxnResponse::Committed { version, .. }) => CommitResult::Committed { version },
         Ok(TxnResponse::Conflict { check, row }) => {
             let row = row.filter(|row| row.table == JOURNAL);
-            CommitResult::Conflict { condition: check, row: row.map(known).map(Box::new) }
+            CommitResult::Conflict {
+                condition: check,
+                row: row.map(journal_row).map(Box::new),
+            }
         }
         Err(PlatformError::Unavailable(_)) => CommitResult::Unavailable,
         Err(PlatformError::OutcomeUnknown(_) | PlatformError::Protocol(_)) => {
@@ -129,37 +134,37 @@
     txn
 }
 
-fn known(row: Row) -> JournalRow {
+fn journal_row(row: Row) -> JournalRow {
     JournalRow { record: Record::from_value(row.value), version: row.version }
 }
 
-/// Puts an answer's body where it is kept: small ones into the row.
+/// Stores a response's body, or returns it for the row if it is small.
 pub async fn store_body(
     node: &Node,
     attempt: AttemptId,
-    answer: &Response,
+    response: &Response,
 ) -> BodyLocation {
-    let text = std::str::from_utf8(&answer.body).ok();
-    if let Some(text) = text.filter(|text| text.len() <= INLINE) {
+    let text = std::str::from_utf8(&response.body).ok();
+    if let Some(text) = text.filter(|text| text.len() <= MAX_INLINE_BYTES) {
         return BodyLocation::Inline(text.to_owned());
     }
     let key = format!("once/body/{attempt}");
-    let put = node.shared.objects.put(&key, answer.body.clone(), false).await;
+    let put = node.shared.objects.put(&key, response.body.clone(), false).await;
     match (put, text) {
         (Ok(_), _) => BodyLocation::Object(key),
-        (Err(_), Some(text)) if text.len() <= INLINE_AT_NEED => {
+        (Err(_), Some(text)) if text.len() <= MAX_FALLBACK_INLINE_BYTES => {
             BodyLocation::Inline(text.to_owned())
         }
         (Err(_), _) => BodyLocation::NotStored,
     }
 }
 
-/// Reads a kept body.
+/// Reads a body from the object store; none if it is missing or can't be read.
 pub async fn fetch_body(node: &Node, key: &str) -> Option<Bytes> {
     node.shared.objects.get(key).await.ok().flatten()
 }
 
-/// Tells what the slot's log and an id's row say.
+/// Reads a request's state from the slot's log and the request's row.
 pub async fn read_state(node: &Node, slot: SlotId, id: &RequestId) -> OnceState {
     match slotlog::contains(&node.shared.objects, slot, id).await {
         Ok(true) => return OnceState::InDoubt,
@@ -167,122 +172,122 @@
         Err(error) => return OnceState::Unreadable(error.to_string()),
     }
     let row = match node.shared.table.get(JOURNAL, &row_key(slot, id)).await {
-        Ok(Some(row)) => known(row),
+        Ok(Some(row)) => journal_row(row),
         Ok(None) => return OnceState::Unknown,
         Err(error) => return OnceState::Unreadable(error.to_string()),
     };
     let Some(summary) = row.record.and_then(|record| record.response) else {
         return OnceState::InDoubt;
     };
-    let answer = match (&summary.body, summary.inline_response()) {
-        (_, Some(answer)) => Some(answer),
+    let response = match (&summary.body, summary.inline_response()) {
+        (_, Some(response)) => Some(response),
         (BodyLocation::Object(key), None) => {
             fetch_body(node, key).await.map(|body| summary.with_body(body))
         }
         (BodyLocation::Inline(_) | BodyLocation::NotStored, None) => None,
     };
-    match answer {
-        Some(answer) => single::response_state(&answer),
-        None => OnceState::Unreadable("the answer's body can't be read".into()),
+    match response {
+        Some(response) => single::response_state(&response),
+        None => OnceState::Unreadable("the response's body can't be read".into()),
     }
 }
 
-/// What is known of a run that an earlier daemon made.
+/// A run that another daemon may have made, whose response is to be recovered.
 pub struct RecoveryRequest {
-    /// The slot.
+    /// The slot of the request.
     pub slot: SlotId,
-    /// The id.
+    /// The id that the caller gave the request.
     pub id: RequestId,
-    /// The attempt.
+    /// The attempt, which names the daemon that made the run.
     pub attempt: AttemptId,
-    /// What the request was sent to.
+    /// The model or service that the request is for.
     pub target: Target,
-    /// The backend server, if known.
+    /// The backend server that ran it, if known.
     pub server: Option<ServerName>,
 }
 
-/// Looks for the answer of a run that an earlier daemon made, for a while.
+/// Tries to recover the response of another daemon's run until a timeout.
 ///
-/// The earlier daemon may live and store it yet, the lead of the backend server
-/// may have kept it, and an engine may still have it under the attempt's id.
-pub async fn recover(node: &Arc<Node>, sought: &RecoveryRequest) -> Recovered {
+/// That daemon may be alive and still store the response, the lead of the backend
+/// server may have stored it, and an engine may still hold it under the attempt's id.
+pub async fn recover(node: &Arc<Node>, request: &RecoveryRequest) -> Recovered {
     let start = node.shared.clock.now();
     loop {
-        if let Some(found) = look(node, sought).await {
-            return found;
+        if let Some(recovered) = try_recover(node, request).await {
+            return recovered;
         }
-        // Its own runs this daemon knows itself; waiting for itself, it would leave
-        // whoever asks again without an answer for ten seconds each time.
-        let earlier = sought.attempt.member != node.shared.me;
-        let lives =
-            earlier && node.shared.view().members.contains_key(&sought.attempt.member);
-        let time = if lives { SEEK_LIVING } else { SEEK_TIME };
-        if node.shared.clock.now() >= start + time {
+        // This daemon knows its own runs. If it waited for itself, each retry of the
+        // caller would take the longer timeout without a response.
+        let foreign = request.attempt.member != node.shared.me;
+        let is_member =
+            foreign && node.shared.view().members.contains_key(&request.attempt.member);
+        let timeout = if is_member { MEMBER_RECOVERY_TIMEOUT } else { RECOVERY_TIMEOUT };
+        if node.shared.clock.now() >= start + timeout {
             return Recovered::Nothing;
         }
-        sleep(SEEK_PAUSE.mul_f64(rand::random_range(0.75..1.25))).await;
+        sleep(RECOVERY_INTERVAL.mul_f64(rand::random_range(0.75..1.25))).await;
     }
 }
 
-async fn look(node: &Arc<Node>, sought: &RecoveryRequest) -> Option<Recovered> {
-    let key = row_key(sought.slot, &sought.id);
+async fn try_recover(node: &Arc<Node>, request: &RecoveryRequest) -> Option<Recovered> {
+    let key = row_key(request.slot, &request.id);
     if let Ok(Some(row)) = node.shared.table.get(JOURNAL, &key).await {
-        let known = known(row);
-        if let Some(summary) = known.record.and_then(|record| record.response) {
-            return Some(Recovered::Row { summary, version: known.version });
+        let row = journal_row(row);
+        if let Some(summary) = row.record.and_then(|record| record.response) {
+            return Some(Recovered::Row { summary, version: row.version });
         }
     }
-    let answer = match single::read_detached_response(node, sought.attempt).await {
-        Some(answer) => answer,
-        None => attach(node, sought).await?,
+    let response = match single::read_detached_response(node, request.attempt).await {
+        Some(response) => response,
+        None => query_engines(node, request).await?,
     };
-    let kept = store_body(node, sought.attempt, &answer).await;
-    Some(Recovered::Engine { response: Arc::new(answer), body: kept })
+    let body = store_body(node, request.attempt, &response).await;
+    Some(Recovered::Engine { response: Arc::new(response), body })
 }
 
-/// Asks the engines that may have run the attempt for its whole answer.
-async fn attach(node: &Arc<Node>, sought: &RecoveryRequest) -> Option<Response> {
-    let Target::Model { model, version, adapter } = &sought.target else {
+/// Queries the engines that may have run the attempt for its whole response.
+async fn query_engines(node: &Arc<Node>, request: &RecoveryRequest) -> Option<Response> {
+    let Target::Model { model, version, adapter } = &request.target else {
         return None;
     };
     let view = node.shared.view();
-    let residence = node.shared.residency();
-    let serving = residence.serving(model, version, adapter.as_ref());
-    for name in sought.server.iter().chain(serving) {
+    let residency = node.shared.residency();
+    let serving = residency.serving(model, version, adapter.as_ref());
+    for name in request.server.iter().chain(serving) {
         let Some(server) = view.servers.get(name) else { continue };
-        let answer = read_engine(node, server.address, sought.attempt).await;
-        if answer.is_some() {
-            return answer;
+        let response = query_engine(node, server.address, request.attempt).await;
+        if response.is_some() {
+            return response;
         }
     }
     None
 }
 
-async fn read_engine(
+async fn query_engine(
     node: &Arc<Node>,
     address: SocketAddr,
     attempt: AttemptId,
 ) -> Option<Response> {
     let url = format!("http://{address}/v1/requests/{attempt}");
     let call = node.http.get(url).query(&[("from", 0)]).send();
-    let stream = tokio::time::timeout(ATTACH_WAIT, call).await.ok()?.ok()?;
-    if !stream.status().is_success() {
+    let response = tokio::time::timeout(ENGINE_QUERY_TIMEOUT, call).await.ok()?.ok()?;
+    if !response.status().is_success() {
         return None;
     }
     let (out, mut frames) = mpsc::channel(64);
     let http = node.http.clone();
     let read = tokio::spawn(async move {
         let pulse = Pulse { http: &http, address };
-        engine::read_tokens(stream.bytes_stream(), 0, &out, &pulse, |_| {}).await
+        engine::read_tokens(response.bytes_stream(), 0, &out, &pulse, |_| {}).await
     });
-    let mut gather = ResponseBuilder::new();
-    while let Some(say) = frames.recv().await {
-        if let PeerResponse::Tokens { .. } = say {
-            gather.push(&say);
+    let mut builder = ResponseBuilder::new();
+    while let Some(frame) = frames.recv().await {
+        if let PeerResponse::Tokens { .. } = frame {
+            builder.push(&frame);
         }
     }
     match read.await {
-        Ok(CallEnd::Whole(reason)) => Some(gather.finish(reason)),
+        Ok(CallEnd::Whole(reason)) => Some(builder.finish(reason)),
         _ => None,
     }
 }
--- a/crates/node/src/single.rs
+++ b/crates/node/src/single.rs
@@ -1,8 +1,8 @@
-//! The one run of a non-idempotent request.
+//! The single run of a non-idempotent request.
 //!
-//! The run goes on when those who asked for it are gone: what was handed to a
-//! backend server is not taken back, and its answer is kept for whoever asks
-//! again under the same id.
+//! The run continues when its caller disconnects: a request that was dispatched to a
+//! backend server is not cancelled, and its response is stored for retries with the
+//! same id.
 
 use std::sync::Arc;
 
@@ -19,48 +19,47 @@
 use crate::node::Node;
 use crate::relay::{self, Mode};
 
-const FRAMES_AHEAD: usize = 64;
+const FRAME_BUFFER: usize = 64;
 
-/// The largest answer that is kept for those who ask again, in bytes.
+/// The largest response body that is stored for retries, in bytes.
 ///
-/// As much as two frames between daemons; a larger one is streamed to the first
-/// asker only.
-const ANSWER_LIMIT: usize = 8 * 1024 * 1024;
+/// Two frames between daemons; a larger body is streamed to the first caller only.
+const MAX_RESPONSE_BYTES: usize = 8 * 1024 * 1024;
 
-/// Collects the frames of an answer.
+/// Builds a response from its frames.
 #[derive(Debug, Default)]
 pub struct ResponseBuilder {
     status: u16,
     content_type: String,
     tokens: Option<u32>,
     body: Vec<u8>,
-    /// Whether the answer is larger than is kept.
-    over: bool,
+    /// Whether the body exceeded [`MAX_RESPONSE_BYTES`] and was dropped.
+    too_large: bool,
 }
 
 impl ResponseBuilder {
-    /// Creates an empty answer.
+    /// Starts a response with status 200, an empty body and content type `text/plain`.
     pub fn new() -> Self {
         Self { status: 200, content_type: "text/plain".into(), ..Self::default() }
     }
 
-    /// Adds a frame.
-    pub fn push(&mut self, say: &PeerResponse) {
-        match say {
+    /// Adds a frame; those without status or content change nothing.
+    pub fn push(&mut self, frame: &PeerResponse) {
+        match frame {
             PeerResponse::Head { status, content_type } => {
                 self.status = *status;
                 self.content_type.clone_from(content_type);
             }
             PeerResponse::Tokens { count, text, .. } => {
                 self.tokens = Some(self.tokens.unwrap_or(0) + count);
-                self.add(text.as_bytes());
+                self.append(text.as_bytes());
             }
-            PeerResponse::Chunk(bytes) => self.add(bytes),
+            PeerResponse::Chunk(bytes) => self.append(bytes),
             _ => {}
         }
     }
 
-    /// The whole answer.
+    /// Builds the response; `reason` is the finish reason of its end frame.
     pub fn finish(self, reason: String) -> Response {
         Response {
             status: self.status,
@@ -71,9 +70,9 @@
         }
     }
 
-    fn add(&mut self, bytes: &[u8]) {
-        self.over |= self.body.len() + bytes.len() > ANSWER_LIMIT;
-        if self.over {
+    fn append(&mut self, bytes: &[u8]) {
+        self.too_large |= self.body.len() + bytes.len() > MAX_RESPONSE_BYTES;
+        if self.too_large {
             self.body = Vec::new();
         } else {
             self.body.extend_from_slice(bytes);
@@ -81,26 +80,28 @@
     }
 }
 
-/// Makes the run, streams it to the asker and tells the journal how it ended.
+/// Runs the request, streams its frames to the caller and returns the outcome for the
+/// journal.
 ///
-/// The end mark is not streamed: it follows when the answer is recorded.
+/// The end frame is not streamed: it is sent once the response is recorded.
 pub async fn run(
     node: Arc<Node>,
     once: OnceRequest,
     attempt: AttemptId,
-    asker: Option<UnboundedSender<PeerResponse>>,
+    caller: Option<UnboundedSender<PeerResponse>>,
 ) -> Event {
     let id = once.request.id.clone().expect("the journal runs only requests with an id");
-    let (out, mut frames) = mpsc::channel(FRAMES_AHEAD);
-    let job = node.clone();
+    let (out, mut frames) = mpsc::channel(FRAME_BUFFER);
+    let relay_node = node.clone();
     let relay = tokio::spawn(async move {
-        relay::run(&job, once.request, once.call, Mode::Single(attempt), out).await;
+        relay::run(&relay_node, once.request, once.call, Mode::Single(attempt), out)
+            .await;
     });
-    let mut gather = ResponseBuilder::new();
-    while let Some(say) = frames.recv().await {
-        match say {
+    let mut builder = ResponseBuilder::new();
+    while let Some(frame) = frames.recv().await {
+        match frame {
             PeerResponse::End { reason, .. } => {
-                return ended(&node, id, attempt, gather, reason).await;
+                return finish_run(&node, id, attempt, builder, reason).await;
             }
             PeerResponse::Refused { refusal, .. }
                 if refusal.outcome == Outcome::NotRun =>
@@ -110,78 +111,79 @@
             PeerResponse::Refused { refusal, .. } => {
                 return Event::RunInterrupted { id, attempt, refusal };
             }
-            say => {
-                gather.push(&say);
-                if let Some(asker) = &asker {
-                    // The asker may be gone; the run goes on without it.
-                    drop(asker.send(say));
+            frame => {
+                builder.push(&frame);
+                if let Some(caller) = &caller {
+                    // The caller may have disconnected; the run continues.
+                    drop(caller.send(frame));
                 }
             }
         }
     }
-    // Without a last frame nobody knows whether the request was handed over.
+    // Without a final frame it is unknown whether the request was dispatched.
     let why = relay.await.err().map_or_else(String::new, |error| error.to_string());
-    let text = format!("the run ended without an answer {why}; ask for its outcome");
+    let text = format!("the run ended without a response {why}; look up its state");
     let refusal = Refusal::in_doubt(RefusalCode::Internal, text);
     Event::RunInterrupted { id, attempt, refusal }
 }
 
-async fn ended(
+async fn finish_run(
     node: &Node,
     id: RequestId,
     attempt: AttemptId,
-    gather: ResponseBuilder,
+    builder: ResponseBuilder,
     reason: String,
 ) -> Event {
-    let over = gather.over;
-    let answer = gather.finish(reason);
-    let kept = match over {
+    let too_large = builder.too_large;
+    let response = builder.finish(reason);
+    let body = match too_large {
         true => chestnut_once::BodyLocation::NotStored,
-        false => journal::store_body(node, attempt, &answer).await,
+        false => journal::store_body(node, attempt, &response).await,
     };
-    Event::RunFinished { id, attempt, response: Arc::new(answer), body: kept }
+    Event::RunFinished { id, attempt, response: Arc::new(response), body }
 }
 
-/// The frames that give a stored answer again.
-pub fn response_frames(answer: &Response) -> Vec<PeerResponse> {
+/// The frames of a stored response.
+pub fn response_frames(response: &Response) -> Vec<PeerResponse> {
     let mut frames = Vec::new();
-    match answer.tokens {
+    match response.tokens {
         Some(count) => {
-            let text = String::from_utf8_lossy(&answer.body).into_owned();
+            let text = String::from_utf8_lossy(&response.body).into_owned();
             frames.push(PeerResponse::Tokens { first: 0, count, text });
         }
         None => {
-            let content_type = answer.content_type.clone();
-            frames.push(PeerResponse::Head { status: answer.status, content_type });
-            frames.push(PeerResponse::Chunk(answer.body.clone()));
+            let content_type = response.content_type.clone();
+            frames.push(PeerResponse::Head { status: response.status, content_type });
+            frames.push(PeerResponse::Chunk(response.body.clone()));
         }
     }
-    frames.push(end_frame(answer));
+    frames.push(end_frame(response));
     frames
 }
 
-/// The end mark of an answer.
-pub fn end_frame(answer: &Response) -> PeerResponse {
+/// The end frame of a stored response; its load report is empty.
+pub fn end_frame(response: &Response) -> PeerResponse {
     PeerResponse::End {
-        reason: answer.finish_reason.clone(),
+        reason: response.finish_reason.clone(),
         load: ServerLoad::default(),
     }
 }
 
-/// A stored answer as the state of its request.
-pub fn response_state(answer: &Response) -> OnceState {
+/// The state of a request with a stored response.
+pub fn response_state(response: &Response) -> OnceState {
     OnceState::Done {
-        status: answer.status,
-        content_type: answer.content_type.clone(),
-        body: answer.body.clone(),
+        status: response.status,
+        content_type: response.content_type.clone(),
+        body: response.body.clone(),
     }
 }
 
-/// Lets a non-idempotent run at a backend server outlive the daemon that asked.
+/// Lets a non-idempotent run at a backend server outlive the daemon that requested it.
 ///
-/// The lead of the server learns that the lead of the slot died by its frames
-/// going nowhere. If it broke the call off then, a booking could be made and its
-/// answer lost. So it reads on and keeps the whole answer under the attempt.
+/// If the lead of the slot dies, the frames that the lead of the server sends can't be
+/// delivered. If the call were cancelled then, a booking could be made and its response
+/// lost. Instead all frames that are sent to the returned sender are read, and the whole
+/// response is stored under the attempt.
 pub fn detach_run(
     node: &Arc<Node>,
     run: &AttemptRequest,
@@ -190,9 +192,9 @@
     if run.request.idempotent {
         return out;
     }
-    let (inner, frames) = mpsc::channel(FRAMES_AHEAD);
+    let (sender, frames) = mpsc::channel(FRAME_BUFFER);
     tokio::spawn(forward(node.clone(), run.attempt, frames, out));
-    inner
+    sender
 }
 
 async fn forward(
@@ -201,52 +203,53 @@
     mut frames: mpsc::Receiver<PeerResponse>,
     out: mpsc::Sender<PeerResponse>,
 ) {
-    let _busy = node.start_job();
-    let mut gather = ResponseBuilder::new();
-    let mut sent = false;
-    while let Some(say) = frames.recv().await {
-        gather.push(&say);
-        sent |= say == PeerResponse::Dispatched;
-        let end = match &say {
+    let _job = node.start_job();
+    let mut builder = ResponseBuilder::new();
+    let mut dispatched = false;
+    while let Some(frame) = frames.recv().await {
+        builder.push(&frame);
+        dispatched |= frame == PeerResponse::Dispatched;
+        let finish_reason = match &frame {
             PeerResponse::End { reason, .. } => Some(reason.clone()),
             _ => None,
         };
-        let gone = out.send(say).await.is_err();
-        if gone && !sent {
-            // Nothing was handed over: dropping the frames takes the request back.
+        let disconnected = out.send(frame).await.is_err();
+        if disconnected && !dispatched {
+            // Not dispatched yet: dropping the receiver cancels the request.
             return;
         }
-        if gone && let Some(reason) = end {
-            return keep_late(&node, attempt, &gather.finish(reason)).await;
+        if disconnected && let Some(reason) = finish_reason {
+            return store_detached_response(&node, attempt, &builder.finish(reason))
+                .await;
         }
     }
 }
 
-async fn keep_late(node: &Node, attempt: AttemptId, answer: &Response) {
+async fn store_detached_response(node: &Node, attempt: AttemptId, response: &Response) {
     let mut bytes = Vec::new();
-    for say in response_frames(answer) {
-        let Ok(frame) = encode(&say) else { return };
-        bytes.extend(frame);
+    for frame in response_frames(response) {
+        let Ok(encoded) = encode(&frame) else { return };
+        bytes.extend(encoded);
     }
-    // If the store is down the request stays in doubt, which is true.
-    drop(node.shared.objects.put(&late_key(attempt), bytes.into(), false).await);
+    // If the object store is down, the request correctly stays in doubt.
+    drop(node.shared.objects.put(&detached_key(attempt), bytes.into(), false).await);
 }
 
-/// The answer of an attempt whose asker was gone when it ended, if it was kept.
+/// Reads the response of an attempt whose requester had disconnected when it ended.
 pub async fn read_detached_response(node: &Node, attempt: AttemptId) -> Option<Response> {
-    let bytes = node.shared.objects.get(&late_key(attempt)).await.ok().flatten()?;
+    let bytes = node.shared.objects.get(&detached_key(attempt)).await.ok().flatten()?;
     let mut frames = FrameDecoder::new();
     frames.push(&bytes);
-    let mut gather = ResponseBuilder::new();
-    while let Some(say) = frames.decode::<PeerResponse>().ok().flatten() {
-        if let PeerResponse::End { reason, .. } = say {
-            return Some(gather.finish(reason));
+    let mut builder = ResponseBuilder::new();
+    while let Some(frame) = frames.decode::<PeerResponse>().ok().flatten() {
+        if let PeerResponse::End { reason, .. } = frame {
+            return Some(builder.finish(reason));
         }
-        gather.push(&say);
+        builder.push(&frame);
     }
     None
 }
 
-fn late_key(attempt: AttemptId) -> String {
+fn detached_key(attempt: AttemptId) -> String {
     format!("once/late/{attempt}")
 }
--- a/crates/node/src/slotlog.rs
+++ b/crates/node/src/slotlog.rs
@@ -1,8 +1,8 @@
-//! The log of a slot in the object store, for when the table can't be written.
+//! A slot's log in the object store, used while the table can't be written.
 //!
-//! Each place of the log is an object that is written only if it does not exist.
-//! The last place is never removed, so that whoever led the slot before finds
-//! either its place taken or a later one there.
+//! Each position of the log is an object, written only if it does not exist. The
+//! last position is never removed, so that a former lead of the slot finds either
+//! the position that it writes to taken or a later one present.
 
 use bytes::Bytes;
 use chestnut_base::{RequestId, SlotId};
@@ -10,36 +10,36 @@
 use chestnut_plat::{ObjectStore, PlatformError};
 use serde_json::{Value, json};
 
-/// How often the seal is tried when other leads write at the same time.
-const SEAL_TRIES: usize = 4;
+/// Limit on attempts to seal a log that other leads write to at the same time.
+const MAX_SEAL_ATTEMPTS: usize = 4;
 
-/// Reads the log and takes its next place for the seal.
+/// Reads the log and writes a seal to its next position.
 ///
-/// `mark` tells this lead's seal from another's.
+/// `seal_id` tells this lead's seal from those of other leads.
 pub async fn seal(
     objects: &ObjectStore,
     slot: SlotId,
-    mark: &str,
+    seal_id: &str,
 ) -> Result<SlotLog, PlatformError> {
-    for _ in 0..SEAL_TRIES {
-        let (records, next) = read(objects, slot).await?;
-        if put(objects, slot, next, body(mark, &[])).await? {
-            return Ok(SlotLog { records, next_position: next + 1 });
+    for _ in 0..MAX_SEAL_ATTEMPTS {
+        let (records, next_position) = read(objects, slot).await?;
+        if put(objects, slot, next_position, encode(seal_id, &[])).await? {
+            return Ok(SlotLog { records, next_position: next_position + 1 });
         }
     }
     Err(PlatformError::OutcomeUnknown(
-        "other daemons write the slot's log; read it again".into(),
+        "other daemons write to the slot's log; load the slot again".into(),
     ))
 }
 
-/// Writes records to a place that nobody else has.
+/// Writes records to a position, if no other lead has written to it.
 pub async fn append(
     objects: &ObjectStore,
     slot: SlotId,
-    place: u64,
+    position: u64,
     records: &[Record],
 ) -> AppendResult {
-    match put(objects, slot, place, body("", records)).await {
+    match put(objects, slot, position, encode("", records)).await {
         Ok(true) => {}
         Ok(false) => return AppendResult::Conflict,
         Err(PlatformError::Unavailable(_)) => return AppendResult::Unavailable,
@@ -47,29 +47,29 @@
             return AppendResult::Unknown;
         }
     }
-    // The place may be free because the log was trimmed beyond it since.
-    match places(objects, slot).await {
-        Ok(places) if places.last() == Some(&place) => AppendResult::Appended,
+    // The position may have been free only because the log was trimmed past it.
+    match positions(objects, slot).await {
+        Ok(positions) if positions.last() == Some(&position) => AppendResult::Appended,
         Ok(_) => AppendResult::Conflict,
         Err(_) => AppendResult::Unknown,
     }
 }
 
-/// Removes the places before `place`.
+/// Removes the positions before `position`.
 pub async fn trim(
     objects: &ObjectStore,
     slot: SlotId,
-    place: u64,
+    position: u64,
 ) -> Result<(), PlatformError> {
-    for old in places(objects, slot).await? {
-        if old < place {
-            objects.delete(&key(slot, old)).await?;
+    for stored in positions(objects, slot).await? {
+        if stored < position {
+            objects.delete(&key(slot, stored)).await?;
         }
     }
     Ok(())
 }
 
-/// Whether the log holds a record of the id.
+/// Whether the log holds a record of the request id.
 pub async fn contains(
     objects: &ObjectStore,
     slot: SlotId,
@@ -83,57 +83,64 @@
     objects: &ObjectStore,
     slot: SlotId,
 ) -> Result<(Vec<Record>, u64), PlatformError> {
-    let places = places(objects, slot).await?;
+    let positions = positions(objects, slot).await?;
     let mut records = Vec::new();
-    for place in &places {
-        // A place that was trimmed meanwhile is in the table.
-        if let Some(bytes) = objects.get(&key(slot, *place)).await? {
+    for position in &positions {
+        // The records of a position that was trimmed meanwhile are in the table.
+        if let Some(bytes) = objects.get(&key(slot, *position)).await? {
             records.extend(parse(&bytes)?);
         }
     }
-    Ok((records, places.last().map_or(0, |place| place + 1)))
+    Ok((records, positions.last().map_or(0, |position| position + 1)))
 }
 
-/// Puts an object that does not exist, or finds that it was put by this very call.
+/// Writes a position that does not exist. Also true if it already has this content,
+/// so that a write whose acknowledgement was lost can be retried.
 async fn put(
     objects: &ObjectStore,
     slot: SlotId,
-    place: u64,
+    position: u64,
     body: Bytes,
 ) -> Result<bool, PlatformError> {
-    let key = key(slot, place);
+    let key = key(slot, position);
     if objects.put(&key, body.clone(), true).await? {
         return Ok(true);
     }
-    Ok(objects.get(&key).await?.is_some_and(|held| held == body))
+    Ok(objects.get(&key).await?.is_some_and(|stored| stored == body))
 }
 
-async fn places(objects: &ObjectStore, slot: SlotId) -> Result<Vec<u64>, PlatformError> {
+async fn positions(
+    objects: &ObjectStore,
+    slot: SlotId,
+) -> Result<Vec<u64>, PlatformError> {
     let prefix = prefix(slot);
     let keys = objects.list(&prefix).await?;
-    let mut places: Vec<u64> =
+    let mut positions: Vec<u64> =
         keys.iter().filter_map(|key| key.strip_prefix(&prefix)?.parse().ok()).collect();
-    places.sort_unstable();
-    Ok(places)
+    positions.sort_unstable();
+    Ok(positions)
 }
 
-fn body(mark: &str, records: &[Record]) -> Bytes {
+fn encode(seal_id: &str, records: &[Record]) -> Bytes {
     let records: Vec<Value> = records.iter().map(Record::to_value).collect();
-    Bytes::from(json!({ "seal": mark, "records": records }).to_string())
+    Bytes::from(json!({ "seal": seal_id, "records": records }).to_string())
 }
 
-/// Reads a place; one that can't be read may hold starts, so that it is an error.
+/// Parses a position. Malformed content is an error, as it may hold started runs.
 fn parse(bytes: &[u8]) -> Result<Vec<Record>, PlatformError> {
-    let bad = || PlatformError::Protocol("a slot's log is malformed".into());
-    let value: Value = serde_json::from_slice(bytes).map_err(|_| bad())?;
-    let records = value["records"].as_array().ok_or_else(bad)?;
-    records.iter().map(|one| Record::from_value(one.clone()).ok_or_else(bad)).collect()
+    let malformed = || PlatformError::Protocol("a slot's log is malformed".into());
+    let value: Value = serde_json::from_slice(bytes).map_err(|_| malformed())?;
+    let records = value["records"].as_array().ok_or_else(malformed)?;
+    records
+        .iter()
+        .map(|value| Record::from_value(value.clone()).ok_or_else(malformed))
+        .collect()
 }
 
 fn prefix(slot: SlotId) -> String {
     format!("once/log/{}/", slot.0)
 }
 
-fn key(slot: SlotId, place: u64) -> String {
-    format!("{}{place:016}", prefix(slot))
+fn key(slot: SlotId, position: u64) -> String {
+    format!("{}{position:016}", prefix(slot))
 }
--- a/crates/node/src/slots.rs
+++ b/crates/node/src/slots.rs
@@ -1,10 +1,10 @@
-//! The slots of the journal that this daemon leads.
+//! The journal slots that this daemon leads.
 //!
-//! One task owns the journal and is told everything; it hands what takes time to
-//! tasks of their own, which tell it the outcome. Streams of answers do not pass
-//! through it.
+//! One task, the driver, owns the journal and processes all messages to it. I/O and
+//! runs have tasks of their own, which report their results to the driver. The
+//! response frames of a run go to the caller directly.
 
-mod keeper;
+mod driver;
 
 use std::sync::atomic::{AtomicUsize, Ordering};
 use std::sync::{Arc, Mutex};
@@ -17,124 +17,133 @@
 use tokio::sync::mpsc::{self, UnboundedReceiver, UnboundedSender};
 use tokio::sync::{Semaphore, oneshot};
 
-use self::keeper::Keeper;
+use self::driver::Driver;
 use crate::node::Node;
 
-/// Bytes of bodies that wait for the journal at the same time.
+/// Limit on the request bodies that wait for the journal at the same time, in bytes.
 ///
-/// A quarter of a daemon's 64 MB; the entries hold the bodies a second time.
-const BODIES: usize = 16 << 20;
+/// A quarter of a daemon's 64 MB of memory: the entries hold the bodies a second time.
+const MAX_WAITING_BODY_BYTES: usize = 16 << 20;
 
-/// JournalSlots that are read at the same time.
+/// Limit on the slots that are loaded at the same time.
 ///
-/// A daemon that starts or takes over has about ten to read; their rows are held
-/// twice for a moment.
-const LOADS: usize = 2;
+/// A daemon that starts or takes over loads about ten slots; their rows are held in
+/// memory twice while they load.
+const MAX_PARALLEL_LOADS: usize = 2;
 
-/// How often the journal is looked after when nothing happens.
-const IDLE: Duration = Duration::from_secs(1);
+/// The longest time between two ticks of the journal, and the retry delay that
+/// callers are sent.
+const TICK_INTERVAL: Duration = Duration::from_secs(1);
 
-/// The slots of the journal that this daemon leads.
+/// Access to the journal of this daemon.
 pub struct JournalSlots {
-    inbox: UnboundedSender<Told>,
-    told: Mutex<Option<UnboundedReceiver<Told>>>,
-    bodies: Arc<AtomicUsize>,
-    /// Bounds the slots that are read at the same time.
-    loads: Semaphore,
-    state: Mutex<JournalStatus>,
+    sender: UnboundedSender<Message>,
+    /// Taken by the driver when it starts.
+    receiver: Mutex<Option<UnboundedReceiver<Message>>>,
+    body_bytes: Arc<AtomicUsize>,
+    /// Limits the slots that are loaded at the same time.
+    load_permits: Semaphore,
+    status: Mutex<JournalStatus>,
 }
 
-/// How the journal of a daemon is, to look at.
+/// The journal's state, shown to operators.
 #[derive(Debug, Clone, Default, Serialize)]
 pub struct JournalStatus {
-    /// JournalSlots of which requests are taken.
-    pub open: usize,
-    /// Ids in memory.
-    pub ids: usize,
-    /// Bytes of answers in memory.
-    pub answers: usize,
-    /// Changes that wait to be written.
-    pub queued: usize,
-    /// Requests that run or whose answer is not recorded yet.
+    /// Slots that accept requests.
+    #[serde(rename = "open")]
+    pub open_slots: usize,
+    /// Request ids in memory.
+    #[serde(rename = "ids")]
+    pub id_count: usize,
+    /// Bytes of responses in memory.
+    #[serde(rename = "answers")]
+    pub cached_bytes: usize,
+    /// Row changes that wait to be written.
+    #[serde(rename = "queued")]
+    pub queued_changes: usize,
+    /// Requests that run or whose response is not recorded yet.
     pub running: usize,
-    /// Whether the table service answered last.
-    pub up: bool,
+    /// Whether the last call to the table service succeeded.
+    #[serde(rename = "up")]
+    pub is_table_up: bool,
 }
 
-/// What the owner of the journal is told.
-enum Told {
-    /// A request came.
-    Run { once: Box<OnceRequest>, out: UnboundedSender<PeerResponse> },
-    /// Somebody wants to know what became of an id.
+/// A message to the driver.
+enum Message {
+    /// A request to run.
+    Submit { once: Box<OnceRequest>, out: UnboundedSender<PeerResponse> },
+    /// A query for the state of a request.
     Lookup { id: RequestId, reply: oneshot::Sender<OnceState> },
-    /// Something that was to be done is done.
-    Done(Event),
+    /// The result of an effect.
+    Event(Event),
 }
 
 impl JournalSlots {
     /// Creates the slots of a daemon that leads none yet.
     pub fn new() -> Self {
-        let (inbox, told) = mpsc::unbounded_channel();
+        let (sender, receiver) = mpsc::unbounded_channel();
         Self {
-            inbox,
-            told: Mutex::new(Some(told)),
-            bodies: Arc::default(),
-            loads: Semaphore::new(LOADS),
-            state: Mutex::default(),
+            sender,
+            receiver: Mutex::new(Some(receiver)),
+            body_bytes: Arc::default(),
+            load_permits: Semaphore::new(MAX_PARALLEL_LOADS),
+            status: Mutex::default(),
         }
     }
 
-    /// Runs a non-idempotent request at most once, and sends the frames of its
-    /// one answer.
+    /// Runs a non-idempotent request at most once and sends the frames of its
+    /// response.
     pub async fn submit(
         node: &Arc<Node>,
         once: OnceRequest,
         out: mpsc::Sender<PeerResponse>,
     ) {
-        let Some(_bodies) = node.slots.take_bodies(once.call.body.len()) else {
+        let Some(_body) = node.slots.reserve_body(once.call.body.len()) else {
             return drop(out.send(refused(full())).await);
         };
-        let (asker, mut frames) = mpsc::unbounded_channel();
-        let told = Told::Run { once: Box::new(once), out: asker };
-        if node.slots.inbox.send(told).is_err() {
+        let (frame_sender, mut frames) = mpsc::unbounded_channel();
+        let message = Message::Submit { once: Box::new(once), out: frame_sender };
+        if node.slots.sender.send(message).is_err() {
             return drop(out.send(refused(stopped())).await);
         }
         loop {
-            let say = tokio::select! {
-                say = frames.recv() => say.unwrap_or_else(|| refused(stopped())),
+            let response = tokio::select! {
+                frame = frames.recv() => frame.unwrap_or_else(|| refused(stopped())),
                 () = out.closed() => return,
             };
-            let last = say.is_final();
-            if out.send(say).await.is_err() || last {
+            let last = response.is_final();
+            if out.send(response).await.is_err() || last {
                 return;
             }
         }
     }
 
-    /// Tells what became of a non-idempotent request.
+    /// Returns the state of a non-idempotent request.
     pub async fn lookup(node: &Arc<Node>, id: &RequestId) -> OnceState {
         let (reply, state) = oneshot::channel();
-        let told = Told::Lookup { id: id.clone(), reply };
-        // Whether the owner is gone shows when the state is awaited.
-        drop(node.slots.inbox.send(told));
-        let gone = || OnceState::Unreadable("the daemon stops; ask another".into());
-        state.await.unwrap_or_else(|_| gone())
+        let message = Message::Lookup { id: id.clone(), reply };
+        // If the driver has stopped, `reply` is dropped and awaiting the state fails.
+        drop(node.slots.sender.send(message));
+        let stopped = || {
+            OnceState::Unreadable("the daemon is shutting down; use another one".into())
+        };
+        state.await.unwrap_or_else(|_| stopped())
     }
 
-    /// How the journal is.
+    /// The journal's state after the driver's last step.
     pub fn status(&self) -> JournalStatus {
-        self.state.lock().expect("no holder of the state panics").clone()
+        self.status.lock().expect("no holder of the status panics").clone()
     }
 
-    /// Whether no request runs and no answer waits to be recorded.
+    /// Whether no request runs and no response waits to be recorded.
     pub fn is_idle(&self) -> bool {
         self.status().running == 0
     }
 
-    fn take_bodies(&self, size: usize) -> Option<Bodies> {
-        let held = self.bodies.fetch_add(size, Ordering::SeqCst);
-        let bodies = Bodies { held: self.bodies.clone(), size };
-        (held + size <= BODIES).then_some(bodies)
+    fn reserve_body(&self, size: usize) -> Option<BodyReservation> {
+        let reserved = self.body_bytes.fetch_add(size, Ordering::SeqCst);
+        let reservation = BodyReservation { total: self.body_bytes.clone(), size };
+        (reserved + size <= MAX_WAITING_BODY_BYTES).then_some(reservation)
     }
 }
 
@@ -144,23 +153,23 @@
     }
 }
 
-/// Room that a body takes; dropping it frees the room.
-struct Bodies {
-    held: Arc<AtomicUsize>,
+/// Memory reserved for a request body, released on drop.
+struct BodyReservation {
+    total: Arc<AtomicUsize>,
     size: usize,
 }
 
-impl Drop for Bodies {
+impl Drop for BodyReservation {
     fn drop(&mut self) {
-        self.held.fetch_sub(self.size, Ordering::SeqCst);
+        self.total.fetch_sub(self.size, Ordering::SeqCst);
     }
 }
 
-/// Keeps the journal until the daemon stops.
+/// Runs the journal until the daemon stops.
 pub async fn run(node: Arc<Node>) {
-    let told = node.slots.told.lock().expect("no holder of the inbox panics").take();
-    if let Some(told) = told {
-        Keeper::new(node).run(told).await;
+    let receiver = node.slots.receiver.lock().expect("no holder panics").take();
+    if let Some(receiver) = receiver {
+        Driver::new(node).run(receiver).await;
     }
 }
 
@@ -169,12 +178,13 @@
 }
 
 fn full() -> Refusal {
-    let text = "the journal holds as many bodies as it may; send it again with the \
-                same key";
-    Refusal::in_doubt(RefusalCode::EntryFull, text).with_retry_after(IDLE)
+    let text = "too many request bodies wait for the journal; send the request again \
+                with the same key";
+    Refusal::in_doubt(RefusalCode::EntryFull, text).with_retry_after(TICK_INTERVAL)
 }
 
 fn stopped() -> Refusal {
-    let text = "the journal's daemon stops; send the request again with the same key";
-    Refusal::in_doubt(RefusalCode::Unavailable, text).with_retry_after(IDLE)
+    let text = "the journal's daemon is shutting down; send the request again with the \
+                same key";
+    Refusal::in_doubt(RefusalCode::Unavailable, text).with_retry_after(TICK_INTERVAL)
 }
--- a/crates/node/src/slots/keeper.rs
+++ b/crates/node/src/slots/driver.rs
@@ -1,4 +1,4 @@
-//! The owner of the journal: takes in what it is told, and does what the journal decides.
+//! Owns the journal: passes messages to it as events and carries out its effects.
 
 use std::sync::Arc;
 
@@ -15,22 +15,22 @@
 use tokio::sync::mpsc::{UnboundedReceiver, UnboundedSender};
 use tokio::sync::oneshot;
 
-use super::{IDLE, JournalStatus, Told, refused, stopped};
+use super::{JournalStatus, Message, TICK_INTERVAL, refused, stopped};
 use crate::journal::{self, RecoveryRequest};
 use crate::node::Node;
 use crate::shared::Shared;
 use crate::{single, slotlog};
 
-/// Who waits for the journal.
+/// A request or query that waits for a reply of the journal.
 enum Waiter {
-    /// A caller's request; its parts are needed until it runs.
+    /// A caller's request; `once` is taken when the run starts.
     Caller { once: Option<Box<OnceRequest>>, out: UnboundedSender<PeerResponse> },
-    /// Somebody who wants to know what became of an id.
+    /// A query for the state of a request.
     Lookup(oneshot::Sender<OnceState>),
 }
 
-/// What the journal counts.
-struct Counters {
+/// The journal's metrics.
+struct Metrics {
     batches: Counter,
     changes: Counter,
     failures: Counter,
@@ -39,56 +39,61 @@
     ids: Gauge,
 }
 
-/// The owner of the journal.
-pub(super) struct Keeper {
+/// The task that owns the journal.
+pub(super) struct Driver {
     node: Arc<Node>,
     journal: Journal,
     waiters: IndexMap<WaiterId, Waiter>,
-    /// The slots that the view says are this daemon's, with the claims' versions.
-    led: IndexMap<SlotId, u64>,
-    tickets: u64,
-    counters: Counters,
+    /// The slots that this daemon holds by the current view, with the versions of
+    /// their claims.
+    led_slots: IndexMap<SlotId, u64>,
+    last_waiter: u64,
+    metrics: Metrics,
 }
 
-impl Keeper {
+impl Driver {
     pub(super) fn new(node: Arc<Node>) -> Self {
         let shared = &node.shared;
         let journal = Journal::new(Limits::default(), shared.me.0, shared.clock.now());
-        let counters = Counters::register(shared);
-        let (waiters, led) = (IndexMap::new(), IndexMap::new());
-        Self { node, journal, waiters, led, tickets: 0, counters }
+        let metrics = Metrics::register(shared);
+        let (waiters, led_slots) = (IndexMap::new(), IndexMap::new());
+        Self { node, journal, waiters, led_slots, last_waiter: 0, metrics }
     }
 
-    pub(super) async fn run(mut self, mut told: UnboundedReceiver<Told>) {
+    pub(super) async fn run(mut self, mut receiver: UnboundedReceiver<Message>) {
         let mut view = self.node.shared.view.subscribe();
-        self.follow();
+        self.update_slots();
         loop {
             let now = self.node.shared.clock.now();
-            let wake = self.journal.next_deadline().unwrap_or(now + IDLE).min(now + IDLE);
-            let event = tokio::select! {
-                event = told.recv() => event,
+            let deadline = self
+                .journal
+                .next_deadline()
+                .unwrap_or(now + TICK_INTERVAL)
+                .min(now + TICK_INTERVAL);
+            let message = tokio::select! {
+                message = receiver.recv() => message,
                 changed = view.changed() => {
                     if changed.is_err() {
                         return;
                     }
-                    self.follow();
+                    self.update_slots();
                     None
                 }
-                () = tokio::time::sleep_until(wake.into()) => None,
+                () = tokio::time::sleep_until(deadline.into()) => None,
             };
-            self.note_lease();
-            if let Some(event) = event {
-                self.take(event);
+            self.update_lease();
+            if let Some(message) = message {
+                self.handle_message(message);
             }
             self.journal.tick(self.node.shared.clock.now());
-            self.act();
-            self.publish();
+            self.run_effects();
+            self.publish_status();
         }
     }
 
-    /// Tells the journal which slots are this daemon's.
-    fn follow(&mut self) {
-        self.note_lease();
+    /// Reports gained and lost slots to the journal.
+    fn update_slots(&mut self) {
+        self.update_lease();
         let view = self.node.shared.view();
         let mut holders: IndexSet<MemberId> = IndexSet::new();
         let mut led = IndexMap::new();
@@ -100,43 +105,45 @@
             }
         }
         self.journal.set_batch_interval(batch_interval(holders.len()));
-        let old = std::mem::replace(&mut self.led, led.clone());
+        let old = std::mem::replace(&mut self.led_slots, led.clone());
         for slot in old.keys().filter(|slot| !led.contains_key(*slot)) {
-            self.tell(Event::ClaimLost(*slot));
+            self.handle_event(Event::ClaimLost(*slot));
         }
         for (slot, version) in led {
             if old.get(&slot) != Some(&version) {
-                self.tell(Event::SlotClaimed { slot, version });
+                self.handle_event(Event::SlotClaimed { slot, version });
             }
         }
     }
 
-    fn note_lease(&mut self) {
+    fn update_lease(&mut self) {
         let shared = &self.node.shared;
         let lease = *shared.lease.lock().expect("no holder of the lease panics");
-        let until = lease.expires_at().unwrap_or_else(|| shared.clock.now());
-        self.tell(Event::LeaseExpiry(until));
+        let expires_at = lease.expires_at().unwrap_or_else(|| shared.clock.now());
+        self.handle_event(Event::LeaseExpiry(expires_at));
     }
 
-    fn tell(&mut self, event: Event) {
+    fn handle_event(&mut self, event: Event) {
         self.journal.handle(event, self.node.shared.clock.now());
     }
 
-    fn take(&mut self, told: Told) {
-        match told {
-            Told::Run { once, out } => {
+    fn handle_message(&mut self, message: Message) {
+        match message {
+            Message::Submit { once, out } => {
                 let Some(id) = once.request.id.clone() else {
-                    let refusal =
-                        Refusal::not_run(RefusalCode::BadRequest, "an id is missing");
+                    let refusal = Refusal::not_run(
+                        RefusalCode::BadRequest,
+                        "a non-idempotent request needs an id",
+                    );
                     return drop(out.send(refused(refusal)));
                 };
-                let slot = self.slot(&id);
+                let slot = self.slot_of(&id);
                 let digest = once.request.digest;
                 let target = once.request.target.clone();
                 let attempt = self.node.shared.next_attempt_id();
-                let ticket = self.wait(Waiter::Caller { once: Some(once), out });
-                self.tell(Event::Submit {
-                    waiter: ticket,
+                let waiter = self.add_waiter(Waiter::Caller { once: Some(once), out });
+                self.handle_event(Event::Submit {
+                    waiter,
                     slot,
                     id,
                     digest,
@@ -144,96 +151,91 @@
                     target,
                 });
             }
-            Told::Lookup { id, reply } => {
-                let slot = self.slot(&id);
-                let ticket = self.wait(Waiter::Lookup(reply));
-                self.tell(Event::Lookup { waiter: ticket, slot, id });
+            Message::Lookup { id, reply } => {
+                let slot = self.slot_of(&id);
+                let waiter = self.add_waiter(Waiter::Lookup(reply));
+                self.handle_event(Event::Lookup { waiter, slot, id });
             }
-            Told::Done(event) => self.tell(event),
+            Message::Event(event) => self.handle_event(event),
         }
     }
 
-    fn slot(&self, id: &RequestId) -> SlotId {
+    fn slot_of(&self, id: &RequestId) -> SlotId {
         slot_of(id, self.node.shared.settings.limits.slots)
     }
 
-    fn wait(&mut self, waiter: Waiter) -> WaiterId {
-        self.tickets += 1;
-        let ticket = WaiterId(self.tickets);
-        self.waiters.insert(ticket, waiter);
-        ticket
+    fn add_waiter(&mut self, waiter: Waiter) -> WaiterId {
+        self.last_waiter += 1;
+        let id = WaiterId(self.last_waiter);
+        self.waiters.insert(id, waiter);
+        id
     }
 
-    /// Carries out what the journal wants.
-    fn act(&mut self) {
+    /// Carries out the effects that the journal asks for.
+    fn run_effects(&mut self) {
         while let Some(effect) = self.journal.next_effect() {
             match effect {
-                Effect::Reply { waiter: ticket, reply } => self.reply(ticket, reply),
-                Effect::Run { waiter: ticket, id, attempt } => {
-                    self.start(ticket, id, attempt)
-                }
+                Effect::Reply { waiter, reply } => self.reply(waiter, reply),
+                Effect::Run { waiter, id, attempt } => self.start(waiter, id, attempt),
                 Effect::LoadSlot { slot, version } => {
                     self.spawn(move |node| async move {
-                        let _turn = node.slots.loads.acquire().await;
+                        let _permit = node.slots.load_permits.acquire().await;
                         let shared = &node.shared;
                         let (table, objects) = (&shared.table, &shared.objects);
                         journal::load(table, objects, slot, version, shared.me).await
                     })
                 }
                 Effect::Commit(batch) => {
-                    self.counters.batches.inc();
-                    self.counters.changes.inc_by(batch.changes.len() as u64);
-                    let failures = self.counters.failures.clone();
+                    self.metrics.batches.inc();
+                    self.metrics.changes.inc_by(batch.changes.len() as u64);
+                    let failures = self.metrics.failures.clone();
                     self.spawn(move |node| async move {
-                        let stored = journal::commit(&node.shared.table, &batch).await;
+                        let result = journal::commit(&node.shared.table, &batch).await;
                         if matches!(
-                            stored,
+                            result,
                             chestnut_once::CommitResult::Unavailable
                                 | chestnut_once::CommitResult::Unknown
                         ) {
                             failures.inc();
                         }
-                        Event::CommitFinished { number: batch.number, result: stored }
+                        Event::CommitFinished { number: batch.number, result }
                     });
                 }
                 Effect::RecoverResponse { slot, id, attempt, target, server } => {
-                    let sought = RecoveryRequest { slot, id, attempt, target, server };
+                    let request = RecoveryRequest { slot, id, attempt, target, server };
                     self.spawn(move |node| async move {
-                        let found = journal::recover(&node, &sought).await;
-                        Event::RecoveryFinished {
-                            id: sought.id,
-                            attempt,
-                            recovered: found,
-                        }
+                        let recovered = journal::recover(&node, &request).await;
+                        Event::RecoveryFinished { id: request.id, attempt, recovered }
                     });
                 }
                 Effect::FetchBody { id, key } => self.spawn(move |node| async move {
                     let body = journal::fetch_body(&node, &key).await;
                     Event::BodyFetched { id, body }
                 }),
-                Effect::AppendToLog { slot, number, position: place, records } => {
-                    self.counters.appends.inc();
+                Effect::AppendToLog { slot, number, position, records } => {
+                    self.metrics.appends.inc();
                     self.spawn(move |node| async move {
                         let objects = &node.shared.objects;
-                        let appended =
-                            slotlog::append(objects, slot, place, &records).await;
-                        Event::AppendFinished { slot, number, result: appended }
+                        let result =
+                            slotlog::append(objects, slot, position, &records).await;
+                        Event::AppendFinished { slot, number, result }
                     });
                 }
-                Effect::TrimLog { slot, position: place } => {
+                Effect::TrimLog { slot, position } => {
                     let node = self.node.clone();
                     tokio::spawn(async move {
-                        // What stays is read again by the next lead, to no harm.
-                        drop(slotlog::trim(&node.shared.objects, slot, place).await);
+                        // Entries that remain are read again by the next lead, without
+                        // effect.
+                        drop(slotlog::trim(&node.shared.objects, slot, position).await);
                     });
                 }
-                Effect::ReadState { waiter: ticket, slot, id } => {
-                    self.confirm(ticket, slot, id)
+                Effect::ReadState { waiter, slot, id } => {
+                    self.read_state(waiter, slot, id)
                 }
                 Effect::DeleteBody(key) => {
                     let node = self.node.clone();
                     tokio::spawn(async move {
-                        // What stays in the store harms nothing but its size.
+                        // A body that remains only takes space in the store.
                         drop(node.shared.objects.delete(&key).await);
                     });
                 }
@@ -241,28 +243,28 @@
         }
     }
 
-    /// Does something that takes time and tells the journal the outcome.
+    /// Runs a job in a task of its own and passes its event to the journal.
     fn spawn<F>(&self, job: impl FnOnce(Arc<Node>) -> F)
     where
         F: Future<Output = Event> + Send + 'static,
     {
         let job = job(self.node.clone());
-        let inbox = self.node.slots.inbox.clone();
+        let sender = self.node.slots.sender.clone();
         tokio::spawn(async move {
             let event = job.await;
-            // The owner is gone only when the daemon stops.
-            drop(inbox.send(Told::Done(event)));
+            // Sending fails only when the daemon stops.
+            drop(sender.send(Message::Event(event)));
         });
     }
 
     fn start(
         &mut self,
-        ticket: WaiterId,
+        waiter: WaiterId,
         id: RequestId,
         attempt: chestnut_base::AttemptId,
     ) {
-        self.counters.runs.inc();
-        let Some(Waiter::Caller { once, out }) = self.waiters.get_mut(&ticket) else {
+        self.metrics.runs.inc();
+        let Some(Waiter::Caller { once, out }) = self.waiters.get_mut(&waiter) else {
             return;
         };
         let Some(once) = once.take() else { return };
@@ -271,49 +273,49 @@
         self.spawn(move |node| single::run(node, *once, attempt, Some(out)));
     }
 
-    fn confirm(&mut self, ticket: WaiterId, slot: SlotId, id: RequestId) {
-        let Some(Waiter::Lookup(reply)) = self.waiters.swap_remove(&ticket) else {
+    fn read_state(&mut self, waiter: WaiterId, slot: SlotId, id: RequestId) {
+        let Some(Waiter::Lookup(reply)) = self.waiters.swap_remove(&waiter) else {
             return;
         };
         let node = self.node.clone();
         tokio::spawn(async move {
             let state = journal::read_state(&node, slot, &id).await;
-            // Whoever asked may be gone; then nobody needs the answer.
+            // The query may have been cancelled.
             drop(reply.send(state));
         });
     }
 
-    fn reply(&mut self, ticket: WaiterId, reply: Reply) {
-        match self.waiters.swap_remove(&ticket) {
+    fn reply(&mut self, waiter: WaiterId, reply: Reply) {
+        match self.waiters.swap_remove(&waiter) {
             Some(Waiter::Caller { once, out }) => {
-                for say in caller_frames(once.is_none(), reply) {
-                    // The caller may be gone; then nobody needs the answer.
-                    drop(out.send(say));
+                for frame in caller_frames(once.is_none(), reply) {
+                    // The caller may have disconnected.
+                    drop(out.send(frame));
                 }
             }
-            // Whoever asked may be gone; then nobody needs the answer.
+            // The query may have been cancelled.
             Some(Waiter::Lookup(out)) => drop(out.send(lookup_state(reply))),
             None => {}
         }
     }
 
-    fn publish(&mut self) {
-        self.counters.ids.set(self.journal.id_count() as i64);
-        let state = JournalStatus {
-            open: self.journal.open_slots(),
-            ids: self.journal.id_count(),
-            answers: self.journal.cached_bytes(),
-            queued: self.journal.queued(),
+    fn publish_status(&mut self) {
+        self.metrics.ids.set(self.journal.id_count() as i64);
+        let status = JournalStatus {
+            open_slots: self.journal.open_slots(),
+            id_count: self.journal.id_count(),
+            cached_bytes: self.journal.cached_bytes(),
+            queued_changes: self.journal.queued(),
             running: self.journal.running(),
-            up: self.journal.is_table_up(),
+            is_table_up: self.journal.is_table_up(),
         };
-        *self.node.slots.state.lock().expect("no holder of the state panics") = state;
+        *self.node.slots.status.lock().expect("no holder of the status panics") = status;
     }
 }
 
-impl Counters {
+impl Metrics {
     fn register(shared: &Shared) -> Self {
-        let counters = Self {
+        let metrics = Self {
             batches: Counter::default(),
             changes: Counter::default(),
             failures: Counter::default(),
@@ -325,33 +327,41 @@
             let mut add = |name, help, counter: &Counter| {
                 registry.register(name, help, counter.clone());
             };
-            add("journal_batches", "Transactions sent by the journal", &counters.batches);
-            add("journal_changes", "Rows changed by them", &counters.changes);
-            add("journal_failures", "Transactions not answered", &counters.failures);
-            add("journal_runs", "Non-idempotent requests handed on", &counters.runs);
+            add("journal_batches", "Transactions sent by the journal", &metrics.batches);
+            add(
+                "journal_changes",
+                "Rows changed by transactions of the journal",
+                &metrics.changes,
+            );
+            add(
+                "journal_failures",
+                "Transactions of the journal without a known result",
+                &metrics.failures,
+            );
+            add("journal_runs", "Runs of non-idempotent requests started", &metrics.runs);
             let help = "Appends to slots' logs while the table was down";
-            add("journal_appends", help, &counters.appends);
+            add("journal_appends", help, &metrics.appends);
             let help = "Ids that the journal holds in memory";
-            registry.register("journal_ids", help, counters.ids.clone());
+            registry.register("journal_ids", help, metrics.ids.clone());
         });
-        counters
+        metrics
     }
 }
 
-/// What a caller gets; one that has the parts already gets the end mark.
+/// The frames for a reply; if the body was streamed already, only the end frame.
 fn caller_frames(streamed: bool, reply: Reply) -> Vec<PeerResponse> {
     match reply {
-        Reply::Response(answer) if streamed => vec![single::end_frame(&answer)],
-        Reply::Response(answer) => single::response_frames(&answer),
+        Reply::Response(response) if streamed => vec![single::end_frame(&response)],
+        Reply::Response(response) => single::response_frames(&response),
         Reply::Refused(refusal) => vec![refused(refusal)],
         Reply::Running => vec![refused(stopped())],
     }
 }
 
 fn lookup_state(reply: Reply) -> OnceState {
-    let done = |answer: Arc<Response>| single::response_state(&answer);
+    let done = |response: Arc<Response>| single::response_state(&response);
     match reply {
-        Reply::Response(answer) => done(answer),
+        Reply::Response(response) => done(response),
         Reply::Running => OnceState::Running,
         Reply::Refused(refusal) if refusal.outcome == Outcome::InDoubt => {
             OnceState::InDoubt
