--- a/crates/node/src/members.rs
+++ b/crates/node/src/members.rs
@@ -1,8 +1,11 @@
-//! Membership and claims: renews the lease, reads changes, takes claims.
+//! Membership and claims of this daemon.
 //!
-//! - [`tables`] reads what changed,
+//! One task polls the platform's table: it renews the lease, reads changes and publishes
+//! them as a view, removes daemons whose lease expired, and updates claims.
+//!
+//! - [`tables`] reads changed rows,
 //! - [`vms`] writes the platform's [`list`] of VMs into the table,
-//! - [`claims`] takes claims.
+//! - [`claims`] takes claims and hands them over.
 
 mod claims;
 mod counters;
@@ -30,130 +33,131 @@
 use crate::node::Node;
 use crate::shared::Shared;
 
-/// The table of daemons, written when one joins, leaves or is removed.
+/// The table of daemons, current when one joins, shuts down or is removed.
 pub const MEMBERS: &str = "members";
-/// The table of leases, rewritten at each renewal and not read by all.
+/// The table of leases, rewritten at each renewal; a daemon reads only those it watches.
 pub const LEASES: &str = "leases";
-/// The table of claims.
+/// The table of claims, which name the holder of a slot, server, pool or the VM list.
 pub const CLAIMS: &str = "claims";
-/// The table of backend servers, kept by the holder of [`ClaimKey::Vms`].
+/// The table of backend servers, current by the holder of the claim on the VM list.
 pub const SERVERS: &str = "servers";
-/// The table of operators' orders to drain a VM.
+/// The table of requests to drain a VM.
 pub const DRAINS: &str = "drain";
 
-/// After how many polls without news the claims are looked at all the same.
+/// The number of polls without changes after which claims are planned all the same.
 ///
-/// Looking through all claims takes milliseconds at thousands of runners.
-const IDLE_POLLS: u32 = 4;
+/// Planning reads all claims, which takes milliseconds at thousands of runners.
+const IDLE_POLL_LIMIT: u32 = 4;
 
-/// How many other daemons are asked whether they trust this one.
+/// The number of other daemons that are contacted to check that they trust this one.
 ///
 /// More than one, since some may have died; few, since thousands may start in a day.
-const GREETED: usize = 3;
+const TRUST_CHECK_PEERS: usize = 3;
 
-/// An order that a daemon leave.
+/// A request that a daemon shut down.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub struct DrainRow {
-    /// The start of the daemon that is meant.
+    /// The incarnation of the daemon that is to shut down.
     pub member: MemberId,
-    /// Who gave the order.
+    /// The operator and team, or the platform's list of VMs.
     #[serde(rename = "by")]
     pub requested_by: String,
 }
 
-/// Where this daemon can be reached, as it was bound.
+/// The addresses that this daemon listens on.
 #[derive(Debug, Clone, Copy)]
 pub struct Addresses {
-    /// Where callers connect.
+    /// For callers.
     pub caller: SocketAddr,
-    /// Where other daemons connect.
+    /// For other daemons.
     pub peer: SocketAddr,
-    /// Where operators connect.
+    /// For operators.
     pub ops: SocketAddr,
 }
 
-/// Keeps the daemon a member until the process ends.
+/// Polls the table and keeps this daemon a member until the process ends.
 pub async fn run(node: Arc<Node>, addresses: Addresses) {
-    let mut members = Members::new(node.shared.clone(), addresses);
+    let mut membership = Membership::new(node.shared.clone(), addresses);
     loop {
-        if !members.admitted {
-            members.admitted = members.is_trusted(&node).await;
+        if !membership.trusted {
+            membership.trusted = membership.check_trust(&node).await;
         }
-        members.poll().await;
-        let pause = members.pause();
+        membership.poll().await;
+        let interval = membership.poll_interval();
         tokio::select! {
-            () = tokio::time::sleep(pause) => {}
-            () = members.shared.poll_now.notified() => {}
+            () = tokio::time::sleep(interval) => {}
+            () = membership.shared.poll_now.notified() => {}
         }
     }
 }
 
-/// What the loop keeps between polls.
-struct Members {
+/// The state between polls.
+struct Membership {
     shared: Arc<Shared>,
     addresses: Addresses,
-    known: MembershipRows,
+    rows: MembershipRows,
     leases: IndexMap<VmName, LeaseRow>,
-    /// The versions up to which each table was read.
-    read: IndexMap<&'static str, u64>,
+    /// The version up to which each table was read.
+    read_versions: IndexMap<&'static str, u64>,
     /// The table's clock at the last read, in milliseconds.
-    now: u64,
+    store_time_ms: u64,
+    /// Whether this daemon is a member, by its last renewal.
     joined: bool,
-    /// Whether another daemon has answered this one, or there is no other.
+    /// Whether another daemon has responded to this one, or there is no other.
     ///
-    /// Until then the own row says that it takes no work. A daemon whose keys the
-    /// others don't trust can write to the table all the same; if it took claims
-    /// or callers, what it leads could not be reached.
-    admitted: bool,
-    /// Whether no other daemon answered when it was last tried.
-    refused: bool,
-    /// Whether anything changed that was not published yet.
+    /// Until then this daemon's row says that it accepts no work. A daemon whose keys
+    /// the others don't trust can still write to the table; if it took claims or
+    /// callers, the servers and slots that it leads could not be reached.
+    trusted: bool,
+    /// Whether the last trust check failed; its warning is logged once.
+    trust_check_failed: bool,
+    /// Whether rows changed that are not published yet.
     changed: bool,
-    /// Whether anything was published after the claims were looked at last.
-    unplanned: bool,
-    /// Polls since the claims were looked at last.
+    /// Whether claims may have to change since they were planned last.
+    needs_planning: bool,
+    /// Polls since the claims were planned last.
     idle_polls: u32,
     renew_at: std::time::Instant,
-    reachable: bool,
+    table_reachable: bool,
     counters: Counters,
 }
 
-impl Members {
+impl Membership {
     fn new(shared: Arc<Shared>, addresses: Addresses) -> Self {
         let renew_at = shared.clock.now();
         let counters = Counters::register(&shared);
         Self {
             shared,
             addresses,
-            known: MembershipRows::default(),
+            rows: MembershipRows::default(),
             leases: IndexMap::new(),
-            read: IndexMap::new(),
-            now: 0,
+            read_versions: IndexMap::new(),
+            store_time_ms: 0,
             joined: false,
-            admitted: false,
-            refused: false,
+            trusted: false,
+            trust_check_failed: false,
             changed: true,
-            unplanned: true,
+            needs_planning: true,
             idle_polls: 0,
             renew_at,
-            reachable: true,
+            table_reachable: true,
             counters,
         }
     }
 
     /// The time to the next poll, jittered so that daemons don't poll in step.
     ///
-    /// After an outage of the table all daemons come back within one such pause
-    /// and no faster than they always poll, so that the return is no stampede.
-    fn pause(&self) -> Duration {
+    /// After an outage of the table all daemons return within one such interval, at
+    /// their usual poll rate, so that recovery causes no thundering herd.
+    fn poll_interval(&self) -> Duration {
         let poll = self.shared.settings.times.poll;
-        let pace = Feed::pace(poll, self.known.members.len());
-        pace.mul_f64(rand::random_range(0.75..1.25))
+        let interval = Feed::pace(poll, self.rows.members.len());
+        interval.mul_f64(rand::random_range(0.75..1.25))
     }
 
-    /// Whether this daemon has read who is there and what is resident where, and
-    /// one of the others trusts it.
-    async fn is_trusted(&mut self, node: &Node) -> bool {
+    /// Whether this daemon has read members and residency, and another daemon, if there
+    /// is one, responds to it.
+    async fn check_trust(&mut self, node: &Node) -> bool {
         if !self.joined || !self.shared.has_read_residency() {
             return false;
         }
@@ -162,70 +166,71 @@
             return true;
         }
         others.shuffle(&mut rand::rng());
-        others.truncate(GREETED);
+        others.truncate(TRUST_CHECK_PEERS);
         let calls = others
             .iter()
             .map(|(_, addr)| node.peers.ask_once(*addr, &PeerRequest::Status));
-        let answers = futures::future::join_all(calls).await;
-        let trusted = answers.iter().any(Result::is_ok);
-        if !trusted && !self.refused {
-            let text = "no other daemon answers; check `tls` and `peer_addr`";
+        let responses = futures::future::join_all(calls).await;
+        let trusted = responses.iter().any(Result::is_ok);
+        if !trusted && !self.trust_check_failed {
+            let text = "no other daemon responds; check `tls` and `peer_addr`";
             warn!(self.shared.log, "{}", text);
         }
-        self.refused = !trusted;
+        self.trust_check_failed = !trusted;
         trusted
     }
 
     async fn poll(&mut self) {
-        let outcome = self.step().await;
-        let reachable = outcome.is_ok();
-        if let Err(error) = outcome {
+        let result = self.poll_table().await;
+        let reachable = result.is_ok();
+        if let Err(error) = result {
             self.counters.failures.inc();
-            // Also when the renewal failed before anything was read: those who
-            // follow the feed must not take old rows for confirmed ones.
+            // Also if the renewal failed before anything was read, so that users of the
+            // feed don't take cached rows for confirmed ones.
             self.shared.feed.note_failure(&error);
-            if self.reachable {
+            if self.table_reachable {
                 let why = error.to_string();
-                warn!(self.shared.log, "the table can't be used"; "error" => why);
+                warn!(self.shared.log, "the table is unavailable"; "error" => why);
             }
-        } else if !self.reachable {
-            info!(self.shared.log, "the table can be used again");
+        } else if !self.table_reachable {
+            info!(self.shared.log, "the table is available again");
         }
-        self.reachable = reachable;
+        self.table_reachable = reachable;
     }
 
-    async fn step(&mut self) -> Result<(), PlatformError> {
+    async fn poll_table(&mut self) -> Result<(), PlatformError> {
         self.renew().await?;
         self.read_all().await?;
         self.publish();
-        self.remove_lapsed().await?;
-        self.list_vms().await?;
-        self.take_claims().await?;
+        self.remove_expired().await?;
+        self.sync_vms().await?;
+        self.update_claims().await?;
         self.publish();
         Ok(())
     }
 
-    /// Joins if this daemon has no row, else renews the lease when it is due.
+    /// Renews the lease when it is due, and writes this daemon's row if it is missing or
+    /// outdated.
     async fn renew(&mut self) -> Result<(), PlatformError> {
         let now = self.shared.clock.now();
-        let leaving = self.shared.is_shutting_down() || !self.admitted;
-        let own = self.known.own_row(&self.shared.settings.vm, self.shared.me);
-        let written = own.filter(|(row, _)| row.leaving == leaving);
-        if self.joined && written.is_some() && now < self.renew_at {
+        let leaving = self.shared.is_shutting_down() || !self.trusted;
+        let own = self.rows.own_row(&self.shared.settings.vm, self.shared.me);
+        let current = own.filter(|(row, _)| row.leaving == leaving);
+        if self.joined && current.is_some() && now < self.renew_at {
             return Ok(());
         }
         let vm = self.shared.settings.vm.as_str();
         let revision = self.shared.catalog().revision;
         let lease = LeaseRow { member: self.shared.me, revision, modified: 0 };
         let mut txn = Txn::new().put(LEASES, vm, json!(lease));
-        match written {
-            // A daemon whose row was removed finds out here and joins again.
+        match current {
+            // Conflicts if this daemon's row was removed; it then joins again.
             Some((_, version)) => txn = txn.version(MEMBERS, vm, version),
-            None => txn = txn.put(MEMBERS, vm, json!(self.row(leaving))),
+            None => txn = txn.put(MEMBERS, vm, json!(self.own_row(leaving))),
         }
-        let answer = self.shared.table.commit(&txn).await?;
+        let response = self.shared.table.commit(&txn).await?;
         let mut own_lease = self.shared.lease.lock().expect("no holder panics");
-        if let TxnResponse::Committed { .. } = answer {
+        if let TxnResponse::Committed { .. } = response {
             own_lease.record_renewal(now);
             if !leaving {
                 self.shared.listed_as_serving.store(true, Ordering::Release);
@@ -236,12 +241,15 @@
         } else {
             own_lease.revoke();
             self.joined = false;
-            warn!(self.shared.log, "the lease lapsed and others removed this daemon");
+            warn!(
+                self.shared.log,
+                "the lease expired and another daemon removed this one"
+            );
         }
         Ok(())
     }
 
-    fn row(&self, leaving: bool) -> MemberRow {
+    fn own_row(&self, leaving: bool) -> MemberRow {
         MemberRow {
             member: self.shared.me,
             domain: self.shared.settings.domain.clone(),
@@ -253,11 +261,11 @@
         }
     }
 
-    /// Removes the rows of watched daemons whose lease lapsed.
-    async fn remove_lapsed(&mut self) -> Result<(), PlatformError> {
+    /// Removes the rows of watched daemons whose lease expired.
+    async fn remove_expired(&mut self) -> Result<(), PlatformError> {
         let term = self.shared.settings.times.lease;
-        for vm in expired(&self.known, &self.leases, self.now, term) {
-            let Some((_, version)) = self.known.members.get(&vm) else {
+        for vm in expired(&self.rows, &self.leases, self.store_time_ms, term) {
+            let Some((_, version)) = self.rows.members.get(&vm) else {
                 continue;
             };
             let key = vm.as_str();
@@ -268,37 +276,37 @@
                 .delete(LEASES, key);
             if let TxnResponse::Committed { .. } = self.shared.table.commit(&txn).await? {
                 self.counters.removals.inc();
-                info!(self.shared.log, "a daemon's lease lapsed"; "vm" => key);
+                info!(self.shared.log, "removed a daemon whose lease expired"; "vm" => key);
                 self.changed = true;
-                self.known.members.swap_remove(&vm);
+                self.rows.members.swap_remove(&vm);
                 self.leases.swap_remove(&vm);
             }
         }
         Ok(())
     }
 
-    /// Publishes what is known if any of it changed.
+    /// Publishes a new view if rows or announced shutdowns changed.
     ///
-    /// Putting the view together takes milliseconds at thousands of runners, and
-    /// most polls bring nothing new.
+    /// Building the view takes milliseconds at thousands of runners, and most polls
+    /// read no changes.
     fn publish(&mut self) {
-        let left = self
+        let announced = self
             .shared
             .announced_shutdowns
             .lock()
             .expect("no holder of the list panics")
             .clone();
-        if !self.changed && left == self.known.leaving {
+        if !self.changed && announced == self.rows.leaving {
             return;
         }
-        self.known.leaving = left;
+        self.rows.leaving = announced;
         self.changed = false;
-        self.unplanned = true;
-        self.shared.view.send_replace(Arc::new(self.known.view()));
+        self.needs_planning = true;
+        self.shared.view.send_replace(Arc::new(self.rows.view()));
     }
 }
 
-/// Removes the rows of this start of the daemon, if they still stand.
+/// Removes the rows of this incarnation of the daemon, if they still exist.
 pub async fn remove_own_rows(shared: &Shared) -> Result<(), PlatformError> {
     let vm = shared.settings.vm.as_str();
     let row = shared.table.get(MEMBERS, vm).await?;
@@ -306,7 +314,7 @@
         serde_json::from_value::<MemberRow>(row.value.clone())
             .is_ok_and(|member| member.member == shared.me)
     };
-    // The VM's next daemon may have joined already; its rows must stay.
+    // The VM's next daemon may have joined already; its rows must remain.
     let Some(row) = row.filter(own) else {
         return Ok(());
     };
@@ -317,7 +325,7 @@
     shared.table.commit(&txn).await.map(drop)
 }
 
-/// The members that stay, without `me`, and where they answer.
+/// The other members and their addresses for daemons.
 pub fn others(shared: &Shared) -> Vec<(MemberId, SocketAddr)> {
     let view = shared.view();
     let others = view.members.iter().filter(|(id, _)| **id != shared.me);
--- a/crates/node/src/members/claims.rs
+++ b/crates/node/src/members/claims.rs
@@ -1,41 +1,36 @@
-//! Takes claims, and hands them over.
+//! Takes claims and hands them over.
 
 use chestnut_base::SlotId;
 use chestnut_member::{ClaimChange, ClaimKey, plan_claims};
 use chestnut_plat::{PlatformError, Txn, TxnResponse};
 use serde_json::json;
 
-use super::{CLAIMS, IDLE_POLLS, Members};
+use super::{CLAIMS, IDLE_POLL_LIMIT, Membership};
 
-impl Members {
-    pub(super) async fn take_claims(&mut self) -> Result<(), PlatformError> {
+impl Membership {
+    pub(super) async fn update_claims(&mut self) -> Result<(), PlatformError> {
         let now = self.shared.clock.now();
         if !self.shared.is_lease_valid(now) {
             return Ok(());
         }
-        // Time alone changes little: only that a member has been there for long.
+        // Without new rows only the time since members joined changes the plan.
         self.idle_polls += 1;
-        if !self.unplanned && self.idle_polls < IDLE_POLLS {
+        if !self.needs_planning && self.idle_polls < IDLE_POLL_LIMIT {
             return Ok(());
         }
         self.idle_polls = 0;
-        let keys = self.keys();
-        let steps = plan_claims(
-            &self.known,
-            &self.shared.settings.vm,
-            self.shared.me,
-            &keys,
-            now,
-        )
-        .changes;
-        self.unplanned = !steps.is_empty();
-        if steps.is_empty() {
+        let keys = self.claim_keys();
+        let changes =
+            plan_claims(&self.rows, &self.shared.settings.vm, self.shared.me, &keys, now)
+                .changes;
+        self.needs_planning = !changes.is_empty();
+        if changes.is_empty() {
             return Ok(());
         }
-        if !self.commit_claims(&steps).await? {
-            // One of them changed meanwhile; the others must not wait for it.
-            for step in &steps {
-                self.commit_claims(std::slice::from_ref(step)).await?;
+        if !self.commit_claims(&changes).await? {
+            // At least one claim changed meanwhile; the others are committed without it.
+            for change in &changes {
+                self.commit_claims(std::slice::from_ref(change)).await?;
             }
         }
         Ok(())
@@ -43,37 +38,37 @@
 
     async fn commit_claims(
         &mut self,
-        steps: &[ClaimChange],
+        changes: &[ClaimChange],
     ) -> Result<bool, PlatformError> {
         let mut txn = Txn::new();
-        for step in steps {
-            let key = step.key.to_string();
-            txn = match step.expected_version {
+        for change in changes {
+            let key = change.key.to_string();
+            txn = match change.expected_version {
                 0 => txn.absent(CLAIMS, key.clone()),
                 version => txn.version(CLAIMS, key.clone(), version),
             };
-            txn = txn.put(CLAIMS, key, json!(step.row));
+            txn = txn.put(CLAIMS, key, json!(change.row));
         }
         let TxnResponse::Committed { version, .. } =
             self.shared.table.commit(&txn).await?
         else {
             return Ok(false);
         };
-        for step in steps {
-            self.known.claims.insert(step.key.clone(), (step.row, version));
+        for change in changes {
+            self.rows.claims.insert(change.key.clone(), (change.row, version));
             self.changed = true;
             self.counters.claims.inc();
         }
         Ok(true)
     }
 
-    /// Everything that some daemon must hold.
-    pub(super) fn keys(&self) -> Vec<ClaimKey> {
+    /// All claims that some daemon has to hold.
+    pub(super) fn claim_keys(&self) -> Vec<ClaimKey> {
         let mut keys = vec![ClaimKey::Vms];
         keys.extend(
             (0..self.shared.settings.limits.slots).map(|n| ClaimKey::Slot(SlotId(n))),
         );
-        keys.extend(self.known.servers.keys().cloned().map(ClaimKey::Server));
+        keys.extend(self.rows.servers.keys().cloned().map(ClaimKey::Server));
         keys.extend(self.shared.catalog().pools.keys().cloned().map(ClaimKey::Pool));
         keys
     }
--- a/crates/node/src/members/counters.rs
+++ b/crates/node/src/members/counters.rs
@@ -1,18 +1,18 @@
-//! What membership counts.
+//! Counters of membership.
 
 use prometheus_client::metrics::counter::Counter;
 
 use crate::shared::Shared;
 
-/// What the loop counts.
+/// Counters of the polling task.
 pub struct Counters {
-    /// Renewals of the own lease.
+    /// Renewals of this daemon's lease.
     pub renewals: Counter,
-    /// Polls that the table failed.
+    /// Polls that failed because the table was unavailable.
     pub failures: Counter,
     /// Claims taken or handed over.
     pub claims: Counter,
-    /// Lapsed daemons removed.
+    /// Daemons removed after their lease expired.
     pub removals: Counter,
 }
 
@@ -29,14 +29,18 @@
             let mut add = |name, help, counter: &Counter| {
                 registry.register(name, help, counter.clone());
             };
-            add("lease_renewals", "Renewals of the own lease", &counters.renewals);
+            add("lease_renewals", "Renewals of this daemon's lease", &counters.renewals);
             add(
                 "member_poll_failures",
-                "Polls that the table failed",
+                "Polls that failed because the table was unavailable",
                 &counters.failures,
             );
             add("claim_changes", "Claims taken or handed over", &counters.claims);
-            add("member_removals", "Lapsed daemons removed", &counters.removals);
+            add(
+                "member_removals",
+                "Daemons removed after their lease expired",
+                &counters.removals,
+            );
         });
         counters
     }
--- a/crates/node/src/members/list.rs
+++ b/crates/node/src/members/list.rs
@@ -1,12 +1,12 @@
-//! What the platform's list of VMs says of daemons and backend servers.
+//! Daemons and backend servers in the platform's list of VMs.
 
 use chestnut_base::{ServerName, VmName};
 use chestnut_member::{Server, ServerRole};
 use chestnut_plat::{VmRole, VmRow, VmState};
 use indexmap::IndexSet;
 
-/// The backend server that an entry of the list stands for, if it does.
-pub fn server(row: &VmRow) -> Option<(ServerName, Server)> {
+/// The backend server that a VM runs; none for an entry VM or a malformed name.
+pub fn backend_server(row: &VmRow) -> Option<(ServerName, Server)> {
     let role = match &row.role {
         VmRole::Entry => return None,
         VmRole::Runner { pool } => ServerRole::Runner(pool.clone()),
@@ -22,8 +22,8 @@
     Some((name, server))
 }
 
-/// The entry VMs that are leaving.
-pub fn leaving_entries(list: &[VmRow]) -> impl Iterator<Item = VmName> + '_ {
+/// The entry VMs that the platform drains, each once.
+pub fn draining_entries(list: &[VmRow]) -> impl Iterator<Item = VmName> + '_ {
     let mut seen = IndexSet::new();
     list.iter()
         .filter(|row| row.role == VmRole::Entry && row.state == VmState::Draining)
--- a/crates/node/src/members/vms.rs
+++ b/crates/node/src/members/vms.rs
@@ -6,38 +6,37 @@
 use indexmap::IndexMap;
 use serde_json::json;
 
-use super::list::{leaving_entries, server};
-use super::{CLAIMS, DRAINS, DrainRow, Members, SERVERS};
+use super::list::{backend_server, draining_entries};
+use super::{CLAIMS, DRAINS, DrainRow, Membership, SERVERS};
 
-impl Members {
-    /// Writes changes of the platform's list of VMs into the table.
+impl Membership {
+    /// Writes changes of the platform's list of VMs into the table, if this daemon holds
+    /// the claim on the list.
     ///
-    /// Only the holder of the claim reads the whole list, the others read what
-    /// changed; at full size the list has some 14,000 entries.
-    pub(super) async fn list_vms(&mut self) -> Result<(), PlatformError> {
-        let Some((claim, version)) = self.known.claims.get(&ClaimKey::Vms).copied()
-        else {
+    /// Only the holder reads the whole list, which has some 14,000 entries at full size;
+    /// the other daemons read the changed rows.
+    pub(super) async fn sync_vms(&mut self) -> Result<(), PlatformError> {
+        let Some((claim, version)) = self.rows.claims.get(&ClaimKey::Vms).copied() else {
             return Ok(());
         };
         if claim.holder != Some(self.shared.me) {
             return Ok(());
         }
         let list = self.shared.vms.read().await?;
-        self.follow_own(&list);
+        self.check_own_vm(&list);
         let servers: IndexMap<ServerName, Server> =
-            list.iter().filter_map(server).collect();
+            list.iter().filter_map(backend_server).collect();
         let mut txn = Txn::new().version(CLAIMS, ClaimKey::Vms.to_string(), version);
         for (name, server) in &servers {
-            if self.known.servers.get(name) != Some(server) {
+            if self.rows.servers.get(name) != Some(server) {
                 txn = txn.put(SERVERS, name.as_str(), json!(server));
             }
         }
-        for name in self.known.servers.keys().filter(|name| !servers.contains_key(*name))
-        {
+        for name in self.rows.servers.keys().filter(|name| !servers.contains_key(*name)) {
             txn = txn.delete(SERVERS, name.as_str());
         }
-        for vm in leaving_entries(&list) {
-            if let Some((row, _)) = self.known.members.get(&vm)
+        for vm in draining_entries(&list) {
+            if let Some((row, _)) = self.rows.members.get(&vm)
                 && !row.leaving
                 && vm != self.shared.settings.vm
             {
@@ -52,16 +51,16 @@
             return Ok(());
         }
         if let TxnResponse::Committed { .. } = self.shared.table.commit(&txn).await? {
-            self.known.servers = servers;
+            self.rows.servers = servers;
             self.changed = true;
         }
         Ok(())
     }
 
-    /// Starts leaving if the platform's list says that this VM does.
-    fn follow_own(&self, list: &[VmRow]) {
+    /// Starts the shutdown if the platform drains this VM.
+    fn check_own_vm(&self, list: &[VmRow]) {
         let vm = &self.shared.settings.vm;
-        if leaving_entries(list).any(|leaving| leaving == *vm) {
+        if draining_entries(list).any(|draining| draining == *vm) {
             self.shared.shutting_down.send_replace(true);
         }
     }
--- a/crates/node/src/poison.rs
+++ b/crates/node/src/poison.rs
@@ -1,9 +1,9 @@
-//! Requests that crash backend servers: who is suspect, who is refused.
+//! Isolates and blocks requests that crash backend servers.
 //!
-//! The lead of a backend server registers what it hands over and attributes a
-//! crash. Before it reports the crash to whoever waits, it tells the other
-//! daemons, so that a caller that sends the request again meets a daemon that
-//! knows. The platform's table keeps the same for daemons that were not reached
+//! The lead of a backend server registers the requests that it dispatches and
+//! attributes crashes to them. It notifies the other daemons before it reports the
+//! crash to the callers, so that a caller that retries reaches a daemon that knows the
+//! suspects. The platform's table stores the suspects for daemons that were not reached
 //! or start later.
 
 use std::net::SocketAddr;
@@ -32,49 +32,51 @@
 use crate::node::Node;
 use crate::shared::Shared;
 
-/// The table of what is held against digests.
+/// The table of suspect and blocked digests.
 pub const POISON: &str = "poison";
 
-/// The start of the keys of suspects; the others are convicted.
+/// The key prefix of suspects; keys without it are of blocked digests.
 ///
-/// Two rows, so that a late suspicion does not overwrite a conviction.
-const SUSPECT: &str = "suspect/";
+/// A digest has a row for each status, so that a late write of a suspect does not
+/// overwrite that it is blocked.
+const SUSPECT_PREFIX: &str = "suspect/";
 
-/// How long a backend server may take to accept a connection before it counts as
-/// crashed. A VM that lives accepts within a millisecond or two, also when busy.
-const PROBE: Duration = Duration::from_millis(500);
+/// The timeout for connecting to a backend server before it counts as crashed.
+///
+/// A VM that is alive accepts within a millisecond or two, also when busy.
+const CONNECT_TIMEOUT: Duration = Duration::from_millis(500);
 
-/// How long a fresh connection must stay open to show that the server lives.
+/// How long a new connection must stay open to show that the server is alive.
 ///
-/// Some hundred times what a dying process takes to close its port, and short
-/// against the retry that waits for it. No server closes an idle connection so soon.
-const WATCH: Duration = Duration::from_millis(200);
+/// Some hundred times what a dying process takes to close its port, and short compared
+/// to the retry that waits for it. No server closes an idle connection so soon.
+const LIVENESS_WINDOW: Duration = Duration::from_millis(200);
 
-/// How long the other daemons may take to learn of a crash.
+/// The timeout for notifying the other daemons of a crash.
 ///
-/// They are a few milliseconds apart; one that is frozen must not hold up the
-/// bystanders' retries.
-const SPREAD: Duration = Duration::from_millis(250);
+/// They are a few milliseconds apart; a frozen daemon must not delay the retries of
+/// requests that were in flight at the crash.
+const NOTIFY_TIMEOUT: Duration = Duration::from_millis(250);
 
-/// The greatest number of daemons that are told of a crash directly.
+/// The largest number of other daemons that are notified of a crash directly.
 ///
-/// Beyond it a crash would cost thousands of messages; then the table tells them.
-const SPREAD_LIMIT: usize = 64;
+/// With more, a crash would cost thousands of messages, and they read the table instead.
+const MAX_NOTIFIED_DAEMONS: usize = 64;
 
-/// Who is suspect and who is refused, as this daemon knows it.
+/// The suspect and blocked requests known to this daemon.
 pub struct PoisonGuard {
-    suspects: Mutex<CrashTracker>,
-    /// Told when a suspect is through, so that the next may run.
-    through: Notify,
-    /// Held while a crash is attributed and the other daemons are told.
+    tracker: Mutex<CrashTracker>,
+    /// Notified when a dispatch finishes, so that the next suspect may run.
+    finished: Notify,
+    /// Held while a crash is attributed and the other daemons are notified.
     ///
-    /// Each flight that a crash cut reports it. Were the second report passed on
-    /// at once, its request would be retried at a daemon that does not know it for
-    /// a suspect yet, together with others, and the next crash would name nobody.
-    telling: tokio::sync::Mutex<()>,
-    /// What is to be written into the table.
+    /// Each dispatch that a crash interrupted reports the crash. If the second report
+    /// did not wait, its request would be retried at a daemon that does not know it as a
+    /// suspect yet, together with others, and the next crash could not be attributed.
+    attribution: tokio::sync::Mutex<()>,
+    /// Changes to write to the table; `None` deletes the suspect's row.
     unsaved: Mutex<IndexMap<Digest, Option<DigestStatus>>>,
-    /// Told when there is something to write.
+    /// Notified when there are changes to write.
     changed: Notify,
     counters: Counters,
 }
@@ -82,11 +84,11 @@
 struct Counters {
     crashes: Counter,
     suspects: Counter,
-    convicted: Counter,
+    blocked: Counter,
     refused: Counter,
 }
 
-/// A request in flight at a backend server; dropping it takes it out.
+/// A request in flight at a backend server, registered until it is dropped.
 pub struct DispatchGuard {
     poison: Arc<PoisonGuard>,
     server: ServerName,
@@ -94,50 +96,51 @@
 }
 
 impl PoisonGuard {
-    /// Creates the state of a daemon that suspects nothing.
+    /// Creates the state of a daemon that knows of no crashes.
     pub fn new(shared: &Shared) -> Self {
         Self {
-            suspects: Mutex::default(),
-            through: Notify::new(),
-            telling: tokio::sync::Mutex::default(),
+            tracker: Mutex::default(),
+            finished: Notify::new(),
+            attribution: tokio::sync::Mutex::default(),
             unsaved: Mutex::default(),
             changed: Notify::new(),
             counters: Counters::register(shared),
         }
     }
 
-    /// Refuses a request that crashed backend servers before.
+    /// Refuses a request that is blocked because it crashed backend servers.
     ///
-    /// Entries ask it for idempotent requests only: of the others the journal knows
-    /// better whether they ran, and [`Self::begin_dispatch`] refuses those that did not.
+    /// Entries check idempotent requests only: for the others the journal knows whether
+    /// they ran, and [`Self::begin_dispatch`] refuses those that did not.
     pub fn check(&self, digest: Digest, now: Instant) -> Result<(), Refusal> {
         if self.lock().status(digest, now) != Some(DigestStatus::Blocked) {
             return Ok(());
         }
         self.counters.refused.inc();
-        Err(poisonous())
+        Err(blocked())
     }
 
-    /// Registers a request that is about to be handed over.
+    /// Registers a request that is about to be dispatched.
     ///
-    /// A suspect waits until the crash is a while ago and no other suspect runs on the
-    /// backend server, or until nobody waits for it any more.
+    /// A suspect waits until some time has passed since the crash and no other suspect
+    /// runs on the backend server. It is refused when its time budget ends or its caller
+    /// disconnects first.
     pub async fn begin_dispatch(
         self: &Arc<Self>,
         shared: &Shared,
         run: &AttemptRequest,
         out: &mpsc::Sender<PeerResponse>,
     ) -> Result<DispatchGuard, Refusal> {
-        let end = shared.clock.now() + run.request.budget;
+        let deadline = shared.clock.now() + run.request.budget;
         if run.suspect {
-            // The news of the crash may not have come here yet.
-            let blame = CrashSuspect { digest: run.request.digest, confirmed: false };
-            self.apply_reports(&[blame], shared.clock.now());
+            // The notification of the crash may not have arrived yet.
+            let suspect = CrashSuspect { digest: run.request.digest, confirmed: false };
+            self.apply_reports(&[suspect], shared.clock.now());
         }
         loop {
-            let through = self.through.notified();
+            let finished = self.finished.notified();
             let now = shared.clock.now();
-            let mut next = end;
+            let mut wake_at = deadline;
             match self.lock().try_dispatch(&run.server, run.request.digest, now) {
                 DispatchDecision::Dispatch(id) => {
                     let server = run.server.clone();
@@ -145,113 +148,113 @@
                 }
                 DispatchDecision::Refuse => {
                     self.counters.refused.inc();
-                    return Err(poisonous());
+                    return Err(blocked());
                 }
-                DispatchDecision::WaitUntil(settled) if settled >= end => {
+                DispatchDecision::WaitUntil(settled) if settled >= deadline => {
                     return Err(isolated());
                 }
-                DispatchDecision::Wait if now >= end => return Err(isolated()),
-                DispatchDecision::WaitUntil(settled) => next = settled,
+                DispatchDecision::Wait if now >= deadline => return Err(isolated()),
+                DispatchDecision::WaitUntil(settled) => wake_at = settled,
                 DispatchDecision::Wait => {}
             }
             tokio::select! {
-                () = through => {}
-                () = tokio::time::sleep_until(next.into()) => {}
+                () = finished => {}
+                () = tokio::time::sleep_until(wake_at.into()) => {}
                 () = out.closed() => return Err(isolated()),
             }
         }
     }
 
-    /// Takes in what another daemon found out.
-    pub fn apply_reports(&self, blames: &[CrashSuspect], now: Instant) {
-        let mut suspects = self.lock();
-        for blame in blames {
-            let evidence = match blame.confirmed {
+    /// Applies the suspects that another daemon reported.
+    pub fn apply_reports(&self, suspects: &[CrashSuspect], now: Instant) {
+        let mut tracker = self.lock();
+        for suspect in suspects {
+            let status = match suspect.confirmed {
                 true => DigestStatus::Blocked,
                 false => DigestStatus::Suspect,
             };
-            suspects.apply(
-                StatusChange { digest: blame.digest, status: Some(evidence) },
+            tracker.apply(
+                StatusChange { digest: suspect.digest, status: Some(status) },
                 now,
             );
         }
     }
 
-    /// The number of suspects and of convicted digests.
+    /// The number of suspect and of blocked digests.
     pub fn counts(&self) -> (usize, usize) {
         self.lock().counts()
     }
 
-    fn save(&self, verdicts: &[StatusChange]) {
+    fn save(&self, changes: &[StatusChange]) {
         let mut unsaved = self.unsaved.lock().expect("no holder of the list panics");
-        for verdict in verdicts {
-            unsaved.insert(verdict.digest, verdict.status);
+        for change in changes {
+            unsaved.insert(change.digest, change.status);
         }
         drop(unsaved);
         self.changed.notify_one();
     }
 
     fn lock(&self) -> std::sync::MutexGuard<'_, CrashTracker> {
-        self.suspects.lock().expect("no holder of the suspects panics")
+        self.tracker.lock().expect("no holder of the tracker panics")
     }
 }
 
 impl DispatchGuard {
-    /// Ends the flight by how its call ended; whether the backend server crashed.
+    /// Finishes the dispatch; returns whether the backend server crashed.
     pub async fn finish(self, node: &Node, address: SocketAddr, end: &CallEnd) -> bool {
         match end {
             CallEnd::Whole(_) => {
-                let verdict = self.leave(true);
-                self.poison.save(verdict.as_slice());
+                let change = self.unregister(true);
+                self.poison.save(change.as_slice());
                 false
             }
-            CallEnd::Broken { cut: true, .. } if is_dead(address).await => {
-                self.attribute(node).await;
+            CallEnd::Broken { cut: true, .. } if has_crashed(address).await => {
+                self.attribute_crash(node).await;
                 true
             }
             _ => false,
         }
     }
 
-    /// Attributes a crash, unless another flight's report of it came first.
-    async fn attribute(&self, node: &Node) {
-        let _telling = self.poison.telling.lock().await;
+    /// Attributes a crash, unless another dispatch has reported it already.
+    async fn attribute_crash(&self, node: &Node) {
+        let _guard = self.poison.attribution.lock().await;
         let now = node.shared.clock.now();
-        let verdicts = {
-            let mut suspects = self.poison.lock();
-            if !suspects.is_in_flight(&self.server, self.id) {
+        let changes = {
+            let mut tracker = self.poison.lock();
+            if !tracker.is_in_flight(&self.server, self.id) {
                 return;
             }
-            suspects.record_crash(&self.server, now)
+            tracker.record_crash(&self.server, now)
         };
-        self.poison.through.notify_waiters();
+        self.poison.finished.notify_waiters();
         let counters = &self.poison.counters;
         counters.crashes.inc();
-        counters.suspects.inc_by(verdicts.len() as u64);
+        counters.suspects.inc_by(changes.len() as u64);
         warn!(node.shared.log, "a backend server crashed"; "server" => self.server.as_str(),
-            "in_flight" => verdicts.len());
-        for verdict in &verdicts {
-            if verdict.status == Some(DigestStatus::Blocked) {
-                counters.convicted.inc();
-                let (digest, server) = (verdict.digest.to_string(), self.server.as_str());
+            "in_flight" => changes.len());
+        for change in &changes {
+            if change.status == Some(DigestStatus::Blocked) {
+                counters.blocked.inc();
+                let (digest, server) = (change.digest.to_string(), self.server.as_str());
                 warn!(node.shared.log, "a request crashed a second backend server \
-                    and is refused from now on"; "digest" => digest, "server" => server);
+                    and is blocked"; "digest" => digest, "server" => server);
             }
         }
-        self.poison.save(&verdicts);
-        spread(node, &verdicts).await;
+        self.poison.save(&changes);
+        notify_daemons(node, &changes).await;
     }
 
-    fn leave(&self, whole: bool) -> Option<StatusChange> {
-        let verdict = self.poison.lock().finish(&self.server, self.id, whole);
-        self.poison.through.notify_waiters();
-        verdict
+    fn unregister(&self, completed: bool) -> Option<StatusChange> {
+        let change = self.poison.lock().finish(&self.server, self.id, completed);
+        self.poison.finished.notify_waiters();
+        change
     }
 }
 
 impl Drop for DispatchGuard {
     fn drop(&mut self) {
-        self.leave(false);
+        self.unregister(false);
     }
 }
 
@@ -260,103 +263,114 @@
         let counters = Self {
             crashes: Counter::default(),
             suspects: Counter::default(),
-            convicted: Counter::default(),
+            blocked: Counter::default(),
             refused: Counter::default(),
         };
         shared.metrics.register(|registry| {
             let mut add = |name, help, counter: &Counter| {
                 registry.register(name, help, counter.clone());
             };
-            add("server_crashes", "Crashes of led backend servers", &counters.crashes);
+            add(
+                "server_crashes",
+                "Crashes of backend servers that this daemon leads",
+                &counters.crashes,
+            );
             add("suspect_requests", "Requests in flight at crashes", &counters.suspects);
-            add("poison_convicted", "Requests convicted of crashes", &counters.convicted);
-            add("poison_refused", "Requests refused as convicted", &counters.refused);
+            add(
+                "poison_convicted",
+                "Requests blocked after a second crash",
+                &counters.blocked,
+            );
+            add(
+                "poison_refused",
+                "Requests refused because they are blocked",
+                &counters.refused,
+            );
         });
         counters
     }
 }
 
-/// Whether a backend server whose connection was cut crashed.
+/// Whether a backend server that cut a stream has crashed.
 ///
-/// A cut stream alone proves no crash: the network may have lost a connection. A
-/// server that dies may cut its streams a moment before its port closes, so that
-/// a connection that it still accepts is watched for a while.
-async fn is_dead(address: SocketAddr) -> bool {
-    let connected = timeout(PROBE, TcpStream::connect(address)).await;
+/// A cut stream is no proof: the network may have lost the connection. A dying server
+/// may cut its streams a moment before it closes its port, so a connection that it still
+/// accepts has to stay open for [`LIVENESS_WINDOW`].
+async fn has_crashed(address: SocketAddr) -> bool {
+    let connected = timeout(CONNECT_TIMEOUT, TcpStream::connect(address)).await;
     let Ok(Ok(mut stream)) = connected else { return true };
     let mut byte = [0];
-    timeout(WATCH, stream.read(&mut byte)).await.is_ok()
+    timeout(LIVENESS_WINDOW, stream.read(&mut byte)).await.is_ok()
 }
 
-/// Tells the other daemons before the crash is reported to whoever waits.
-async fn spread(node: &Node, verdicts: &[StatusChange]) {
+/// Notifies the other daemons of suspects, before the crash is reported to callers.
+async fn notify_daemons(node: &Node, changes: &[StatusChange]) {
     let others = members::others(&node.shared);
-    if others.len() > SPREAD_LIMIT {
+    if others.len() > MAX_NOTIFIED_DAEMONS {
         return;
     }
-    let blame = |verdict: &StatusChange| {
-        let convicted = verdict.status? == DigestStatus::Blocked;
-        Some(CrashSuspect { digest: verdict.digest, confirmed: convicted })
+    let suspect = |change: &StatusChange| {
+        let confirmed = change.status? == DigestStatus::Blocked;
+        Some(CrashSuspect { digest: change.digest, confirmed })
     };
-    let ask = PeerRequest::ReportSuspects(verdicts.iter().filter_map(blame).collect());
-    let calls = others.iter().map(|(_, addr)| node.peers.ask_once(*addr, &ask));
-    // One that is not reached in time learns it from the table.
-    drop(timeout(SPREAD, futures::future::join_all(calls)).await);
+    let request =
+        PeerRequest::ReportSuspects(changes.iter().filter_map(suspect).collect());
+    let calls = others.iter().map(|(_, addr)| node.peers.ask_once(*addr, &request));
+    // A daemon that is not reached in time reads it from the table.
+    drop(timeout(NOTIFY_TIMEOUT, futures::future::join_all(calls)).await);
 }
 
-/// Keeps the table and this daemon's knowledge alike until the daemon stops.
+/// Syncs the table and this daemon's tracker until the daemon stops.
 pub async fn run(node: Arc<Node>) {
     let mut since = 0;
     loop {
-        // A platform that does not answer is asked again at the next turn.
-        if let Ok(version) = exchange(&node, since).await {
+        // After an error the same versions are read again in the next round.
+        if let Ok(version) = sync(&node, since).await {
             since = version;
         }
         tokio::select! {
-            () = tokio::time::sleep(pause(&node.shared)) => {}
+            () = tokio::time::sleep(poll_interval(&node.shared)) => {}
             () = node.poison.changed.notified() => {}
         }
     }
 }
 
-fn pause(shared: &Shared) -> Duration {
+fn poll_interval(shared: &Shared) -> Duration {
     let members = shared.view().members.len();
-    let pace = Feed::pace(shared.settings.times.poll, members);
-    pace.mul_f64(rand::random_range(0.75..1.25))
+    let interval = Feed::pace(shared.settings.times.poll, members);
+    interval.mul_f64(rand::random_range(0.75..1.25))
 }
 
-async fn exchange(node: &Node, since: u64) -> Result<u64, PlatformError> {
+async fn sync(node: &Node, since: u64) -> Result<u64, PlatformError> {
     let shared = &node.shared;
-    write(node).await?;
+    write_changes(node).await?;
     let (delta, _) = shared.changes(POISON, "", since).await?;
     let now = shared.clock.now();
-    let mut old = Txn::new();
+    let mut removals = Txn::new();
     for row in &delta.rows {
-        let Some((digest, evidence)) = parse(&row.key) else { continue };
-        let time = match evidence {
+        let Some((digest, status)) = parse(&row.key) else { continue };
+        let duration = match status {
             DigestStatus::Suspect => SUSPECT_DURATION,
             DigestStatus::Blocked => BLOCK_DURATION,
         };
         let age = Duration::from_millis(delta.now.saturating_sub(row.modified));
-        if age < time {
-            node.poison
-                .lock()
-                .apply(StatusChange { digest, status: Some(evidence) }, now);
+        if age < duration {
+            node.poison.lock().apply(StatusChange { digest, status: Some(status) }, now);
         } else {
-            old = remove(old, row);
+            removals = remove(removals, row);
         }
     }
     for key in &delta.deleted {
-        if let Some((digest, evidence)) = parse(key) {
-            let mut suspects = node.poison.lock();
-            if suspects.status(digest, now) == Some(evidence) {
-                suspects.apply(StatusChange { digest, status: None }, now);
+        if let Some((digest, status)) = parse(key) {
+            let mut tracker = node.poison.lock();
+            if tracker.status(digest, now) == Some(status) {
+                tracker.apply(StatusChange { digest, status: None }, now);
             }
         }
     }
-    if !old.writes.is_empty() {
-        // Whoever is first removes them; a conflict means that they are gone.
-        shared.table.commit(&old).await?;
+    if !removals.writes.is_empty() {
+        // A conflict means that another daemon has removed them.
+        shared.table.commit(&removals).await?;
     }
     Ok(delta.version)
 }
@@ -365,45 +379,45 @@
     txn.version(POISON, &row.key, row.version).delete(POISON, &row.key)
 }
 
-async fn write(node: &Node) -> Result<(), PlatformError> {
+async fn write_changes(node: &Node) -> Result<(), PlatformError> {
     let list = || node.poison.unsaved.lock().expect("no holder of the list panics");
     let unsaved = list().clone();
     if unsaved.is_empty() {
         return Ok(());
     }
     let mut txn = Txn::new();
-    for (digest, evidence) in &unsaved {
-        let suspect = format!("{SUSPECT}{digest}");
-        txn = match evidence {
+    for (digest, status) in &unsaved {
+        let suspect = format!("{SUSPECT_PREFIX}{digest}");
+        txn = match status {
             Some(DigestStatus::Suspect) => txn.put(POISON, suspect, json!({})),
             Some(DigestStatus::Blocked) => txn.put(POISON, digest.to_string(), json!({})),
             None => txn.delete(POISON, suspect),
         };
     }
     node.shared.table.commit(&txn).await?;
-    // What changed meanwhile stays on the list.
-    list().retain(|digest, evidence| unsaved.get(digest) != Some(evidence));
+    // Changes made during the commit stay in the list.
+    list().retain(|digest, status| unsaved.get(digest) != Some(status));
     Ok(())
 }
 
 fn parse(key: &str) -> Option<(Digest, DigestStatus)> {
-    let (text, evidence) = match key.strip_prefix(SUSPECT) {
+    let (text, status) = match key.strip_prefix(SUSPECT_PREFIX) {
         Some(text) => (text, DigestStatus::Suspect),
         None => (key, DigestStatus::Blocked),
     };
     let digest = u128::from_str_radix(text, 16).ok()?;
-    Some((Digest(digest), evidence))
+    Some((Digest(digest), status))
 }
 
-fn poisonous() -> Refusal {
-    let text = "the request crashed two backend servers and is not run any more; \
-                change it, or ask the operators to look into it";
+fn blocked() -> Refusal {
+    let text = "the request crashed two backend servers and is blocked; change it, or ask \
+                the operators to investigate";
     Refusal::not_run(RefusalCode::Poison, text)
 }
 
 fn isolated() -> Refusal {
-    let text = "the request was in flight at a crash and must run apart from others; \
-                send it again";
+    let text = "the request was in flight when a backend server crashed and has to run \
+                in isolation; send it again";
     Refusal::not_run(RefusalCode::Overloaded, text)
         .with_retry_after(Duration::from_secs(1))
 }
