--- a/crates/node/src/command.rs
+++ b/crates/node/src/command.rs
@@ -14,16 +14,16 @@
 use crate::logs;
 use crate::run::{self, Daemon};
 
-/// The exit code for settings that can't be used.
-const BAD_SETTINGS: u8 = 2;
+/// The exit code for invalid settings.
+const EXIT_INVALID_SETTINGS: u8 = 2;
 
 /// The exit code of a daemon that could not start.
-const NOT_STARTED: u8 = 1;
+const EXIT_START_FAILED: u8 = 1;
 
 /// Serves many bursty models from fewer accelerators: the daemon of an entry VM.
 ///
-/// Exit codes: 0 after a planned stop, 1 if it could not start, 2 if the settings
-/// can't be used.
+/// Exit codes: 0 after a planned shutdown, 1 if it could not start, 2 if the settings
+/// are invalid.
 #[derive(Debug, Clone, Bpaf)]
 #[bpaf(options, version)]
 enum Options {
@@ -43,33 +43,33 @@
     },
 }
 
-/// Runs the daemon's command line.
+/// Runs the daemon's command line and returns the exit code of the process.
 pub fn main() -> ExitCode {
     match options().run() {
-        Options::Check { file } => match read(&file) {
+        Options::Check { file } => match read_settings(&file) {
             Ok(settings) => {
                 println!("{}: fine, for {}", file.display(), settings.vm);
                 ExitCode::SUCCESS
             }
             Err(code) => code,
         },
-        Options::Run { file } => match read(&file) {
+        Options::Run { file } => match read_settings(&file) {
             Ok(settings) => serve(settings),
             Err(code) => code,
         },
     }
 }
 
-fn read(file: &Path) -> Result<Settings, ExitCode> {
-    let bad = ExitCode::from(BAD_SETTINGS);
+fn read_settings(file: &Path) -> Result<Settings, ExitCode> {
+    let invalid = ExitCode::from(EXIT_INVALID_SETTINGS);
     let name = file.display().to_string();
     let text = std::fs::read_to_string(file).map_err(|error| {
         eprintln!("{name} can't be read ({error}); name an existing file");
-        bad
+        invalid
     })?;
     Settings::parse(&name, &text).map_err(|problems| {
         eprintln!("{problems}");
-        bad
+        invalid
     })
 }
 
@@ -78,7 +78,7 @@
         Ok(runtime) => runtime,
         Err(error) => {
             eprintln!("the runtime can't start ({error}); free memory or threads");
-            return ExitCode::from(NOT_STARTED);
+            return ExitCode::from(EXIT_START_FAILED);
         }
     };
     runtime.block_on(serve_until_signal(settings))
@@ -90,20 +90,20 @@
         Ok(daemon) => daemon,
         Err(report) => {
             eprintln!("{report:?}");
-            return ExitCode::from(NOT_STARTED);
+            return ExitCode::from(EXIT_START_FAILED);
         }
     };
-    leave_on_signal(&daemon);
-    if let Err(error) = announce(&daemon) {
+    shut_down_on_signal(&daemon);
+    if let Err(error) = print_addresses(&daemon) {
         eprintln!("the addresses can't be printed ({error}); connect standard output");
-        return ExitCode::from(NOT_STARTED);
+        return ExitCode::from(EXIT_START_FAILED);
     }
     daemon.run().await;
     ExitCode::SUCCESS
 }
 
-/// Prints the addresses that were bound, for whoever started the process.
-fn announce(daemon: &Daemon) -> std::io::Result<()> {
+/// Prints the bound addresses as one line of JSON, for the process that started this one.
+fn print_addresses(daemon: &Daemon) -> std::io::Result<()> {
     let addresses = daemon.addresses;
     let line = json!({
         "caller": addresses.caller.to_string(),
@@ -115,16 +115,18 @@
     out.flush()
 }
 
-fn leave_on_signal(daemon: &Daemon) {
+fn shut_down_on_signal(daemon: &Daemon) {
     let node = daemon.node().clone();
-    // Set before the addresses are printed: a signal that came earlier would kill
-    // the process and every request in flight.
-    let mut term = signal(SignalKind::terminate()).expect("handlers can be set");
-    let mut int = signal(SignalKind::interrupt()).expect("handlers can be set");
+    // Installed before the addresses are printed: without handlers a signal would kill
+    // the process and all requests in flight.
+    let mut sigterm =
+        signal(SignalKind::terminate()).expect("signal handlers can be installed");
+    let mut sigint =
+        signal(SignalKind::interrupt()).expect("signal handlers can be installed");
     tokio::spawn(async move {
         tokio::select! {
-            _ = term.recv() => {}
-            _ = int.recv() => {}
+            _ = sigterm.recv() => {}
+            _ = sigint.recv() => {}
         }
         node.shared.shutting_down.send_replace(true);
     });
--- a/crates/node/src/lib.rs
+++ b/crates/node/src/lib.rs
@@ -2,17 +2,17 @@
 //!
 //! A request passes through these stages:
 //!
-//! 1. [`entry`] takes it, [`parse`] turns it into checked work,
-//! 2. [`pick`] chooses a backend server, [`relay`] hands the request to its lead,
-//!    retries and resumes; a non-idempotent request goes through [`slots`] first,
-//! 3. [`peer`] carries it to the daemon that leads the backend server,
+//! 1. [`entry`] accepts it, [`parse`] validates it,
+//! 2. [`pick`] chooses a backend server, [`relay`] sends the request to its lead, retries
+//!    and resumes; a non-idempotent request goes through [`slots`] first,
+//! 3. [`peer`] sends it to the daemon that leads the backend server,
 //! 4. [`lead`] admits, queues and dispatches it,
-//! 5. [`engine`] calls the backend server; the answer streams back and
-//!    [`answer`] gives it the form that the caller expects.
+//! 5. [`engine`] calls the backend server; the response streams back and [`answer`]
+//!    writes it in the format that the caller expects.
 //!
-//! Beside them run [`members`] (leases and claims), [`confsync`] (declarations),
-//! [`planner`] and [`orders`] (which model is resident where). They meet in
-//! [`shared`]; [`run`] starts and stops them.
+//! Independent of requests run [`members`] (leases and claims), [`confsync`]
+//! (declarations), [`planner`] and [`orders`] (residency of models). They exchange state
+//! through [`shared`]; [`run`] starts and stops them.
 
 pub mod answer;
 mod command;
--- a/crates/node/src/logs.rs
+++ b/crates/node/src/logs.rs
@@ -1,17 +1,17 @@
-//! Structured logs: one JSON object a line on standard error.
+//! Structured logs: one JSON object per line on standard error.
 
 use std::io;
 
 use chestnut_config::settings::LogLevel;
 use slog::{Drain, Level, Logger, o};
 
-/// Lines that may wait to be written before new ones are dropped and counted.
-const WAITING_LINES: usize = 1024;
+/// The number of unwritten lines beyond which new lines are dropped and counted.
+const MAX_BUFFERED_LINES: usize = 1024;
 
-/// Creates the process's logger.
+/// Creates the logger of a daemon; each line names its VM.
 pub fn logger(level: LogLevel, vm: &str) -> Logger {
     let json = slog_json::Json::new(io::stderr()).add_default_keys().build();
-    let lines = slog_async::Async::new(json.fuse()).chan_size(WAITING_LINES).build();
+    let lines = slog_async::Async::new(json.fuse()).chan_size(MAX_BUFFERED_LINES).build();
     let filtered = lines.filter_level(severity(level)).fuse();
     Logger::root(filtered, o!("vm" => vm.to_owned()))
 }
--- a/crates/node/src/members/tables.rs
+++ b/crates/node/src/members/tables.rs
@@ -109,7 +109,8 @@
     ) -> Vec<(K, V, &'a Row)> {
         let parse_row = |row: &'a Row| {
             let value = V::deserialize(&row.value).map_err(|error| error.to_string());
-            let key = key(&row.key).ok_or_else(|| "the key is not a valid name".to_owned());
+            let key =
+                key(&row.key).ok_or_else(|| "the key is not a valid name".to_owned());
             match key.and_then(|key| Ok((key, value?))) {
                 Ok((key, value)) => Some((key, value, row)),
                 Err(reason) => {
--- a/crates/node/src/node.rs
+++ b/crates/node/src/node.rs
@@ -1,4 +1,4 @@
-//! The parts of a daemon that requests pass through.
+//! The parts of a daemon that handle requests.
 
 use std::sync::Arc;
 use std::sync::atomic::{AtomicUsize, Ordering};
@@ -16,32 +16,37 @@
 use crate::shared::Shared;
 use crate::slots::JournalSlots;
 
-/// The parts of a daemon that requests pass through.
+/// The parts of a daemon that handle requests.
 pub struct Node {
-    /// What all parts share.
+    /// State shared by all parts.
     pub shared: Arc<Shared>,
-    /// The connections to other daemons.
+    /// Connections to other daemons.
     pub peers: Peers,
-    /// The queues of the backend servers that this daemon leads.
+    /// Admission and queues of the backend servers that this daemon leads.
     pub leads: Leads,
-    /// The choice of backend servers.
+    /// Chooses backend servers for requests.
     pub picker: Picker,
-    /// The slots of the journal that this daemon leads.
+    /// The journal slots that this daemon leads.
     pub slots: JournalSlots,
-    /// The requests that crash backend servers.
+    /// Isolates requests that crash backend servers.
     pub poison: Arc<PoisonGuard>,
-    /// The requests that the entry holds.
+    /// Admission of callers' requests at this entry.
     pub intake: Intake,
-    /// The client for calls to backend servers.
+    /// The HTTP client for calls to backend servers.
     pub http: Client,
-    /// Questions of other daemons that are being carried out.
+    /// The number of jobs that have to finish before the daemon stops: requests of other
+    /// daemons and detached runs.
     pub active_jobs: Arc<AtomicUsize>,
 }
 
 impl Serve for Node {
-    async fn serve(self: Arc<Self>, ask: PeerRequest, out: mpsc::Sender<PeerResponse>) {
-        let _busy = ActiveJob::new(&self.active_jobs);
-        let say = match ask {
+    async fn serve(
+        self: Arc<Self>,
+        request: PeerRequest,
+        out: mpsc::Sender<PeerResponse>,
+    ) {
+        let _job = ActiveJob::new(&self.active_jobs);
+        let response = match request {
             PeerRequest::Run(run) => return lead::serve(&self, run, out).await,
             PeerRequest::Once(once) => {
                 return JournalSlots::submit(&self, once, out).await;
@@ -49,12 +54,12 @@
             PeerRequest::Lookup(id) => {
                 PeerResponse::Once(JournalSlots::lookup(&self, &id).await)
             }
-            PeerRequest::Config(have) => {
-                PeerResponse::Config(Some(confsync::tell(&self.shared, have)))
+            PeerRequest::Config(held) => {
+                PeerResponse::Config(Some(confsync::tell(&self.shared, held)))
             }
             PeerRequest::Status => PeerResponse::Status(self.status()),
-            PeerRequest::ReportSuspects(blames) => {
-                self.poison.apply_reports(&blames, self.shared.clock.now());
+            PeerRequest::ReportSuspects(suspects) => {
+                self.poison.apply_reports(&suspects, self.shared.clock.now());
                 PeerResponse::Acknowledged
             }
             PeerRequest::ShuttingDown(member) => {
@@ -62,12 +67,12 @@
                 PeerResponse::Acknowledged
             }
         };
-        // The daemon that asked may be gone; then nobody needs the answer.
-        drop(out.send(say).await);
+        // The requesting daemon may have disconnected.
+        drop(out.send(response).await);
     }
 }
 
-/// Counts a piece of work while it is being carried out.
+/// A job that counts as active until it is dropped.
 pub struct ActiveJob(Arc<AtomicUsize>);
 
 impl ActiveJob {
@@ -84,19 +89,19 @@
 }
 
 impl Node {
-    /// Counts a piece of work that the daemon must not leave behind when it stops.
+    /// Registers a job that has to finish before the daemon stops.
     pub fn start_job(&self) -> ActiveJob {
         ActiveJob::new(&self.active_jobs)
     }
 
-    /// Whether no caller and no other daemon waits for anything from this one.
+    /// Whether no request of a caller and no job is active.
     pub fn is_idle(&self) -> bool {
         self.intake.held() == 0
             && self.active_jobs.load(Ordering::SeqCst) == 0
             && self.slots.is_idle()
     }
 
-    /// How this daemon is.
+    /// The status that is sent to other daemons.
     pub fn status(&self) -> DaemonStatus {
         DaemonStatus {
             vm: self.shared.settings.vm.clone(),
--- a/crates/node/src/run.rs
+++ b/crates/node/src/run.rs
@@ -27,17 +27,17 @@
 use crate::slots::JournalSlots;
 use crate::{confsync, engine, ops, orders, planner, poison, slots, tls};
 
-/// How often a leaving daemon looks whether all its work is done.
-const LEAVE_CHECK: Duration = Duration::from_millis(50);
+/// How often a daemon that is shutting down checks whether its work is finished.
+const IDLE_CHECK_INTERVAL: Duration = Duration::from_millis(50);
 
-/// A daemon that could not be started.
+/// Why a daemon could not be started.
 #[derive(Debug)]
 pub enum StartError {
-    /// An address can't be bound.
+    /// An address that can't be bound.
     Bind(SocketAddr),
-    /// Keys or trust between daemons can't be used.
+    /// Certificates or keys for connections between daemons that can't be used.
     Tls,
-    /// A client can't be set up.
+    /// An HTTP client that can't be created.
     Client,
 }
 
@@ -47,8 +47,10 @@
             Self::Bind(addr) => {
                 write!(f, "{addr} can't be bound; choose a free address in the settings")
             }
-            Self::Tls => write!(f, "the keys between daemons can't be used"),
-            Self::Client => write!(f, "the HTTP clients can't be set up"),
+            Self::Tls => {
+                write!(f, "the certificates or keys for other daemons can't be used")
+            }
+            Self::Client => write!(f, "the HTTP clients can't be created"),
         }
     }
 }
@@ -57,21 +59,21 @@
 
 /// A running daemon.
 pub struct Daemon {
-    /// Where it can be reached.
+    /// The addresses that it listens on, with the ports that were bound.
     pub addresses: Addresses,
     node: Arc<Node>,
     tasks: JoinSet<()>,
-    listeners: CancellationToken,
+    stop_listeners: CancellationToken,
 }
 
-/// Starts a daemon.
+/// Starts a daemon and its tasks; its listeners are bound when this returns.
 pub async fn start(
     settings: Settings,
     clock: Arc<dyn Clock>,
     log: Logger,
 ) -> Result<Daemon, Report<StartError>> {
-    let (callers, caller) = bind(settings.caller_addr).await?;
-    let (operators, ops) = bind(settings.ops_addr).await?;
+    let (caller_listener, caller) = bind(settings.caller_addr).await?;
+    let (ops_listener, ops) = bind(settings.ops_addr).await?;
     let tls = tls::load(&settings.tls).change_context(StartError::Tls)?;
     let peer_addr = settings.peer_addr;
     let peers =
@@ -81,7 +83,7 @@
     let node = Arc::new(build(settings, clock, log, peers)?);
 
     let mut tasks = JoinSet::new();
-    let listeners = CancellationToken::new();
+    let stop_listeners = CancellationToken::new();
     let endpoint = node.peers.endpoint().clone();
     tasks.spawn(peer::accept(endpoint, node.clone()));
     tasks.spawn(members::run(node.clone(), addresses));
@@ -90,73 +92,78 @@
     tasks.spawn(poison::run(node.clone()));
     tasks.spawn(slots::run(node.clone()));
     tasks.spawn(planner::run(node.shared.clone()));
-    tasks.spawn(serve(callers, entry::router(node.clone()), listeners.clone()));
-    // Operators look at a daemon until it is gone.
-    tasks.spawn(serve(operators, ops::router(node.clone()), CancellationToken::new()));
+    tasks.spawn(serve(
+        caller_listener,
+        entry::router(node.clone()),
+        stop_listeners.clone(),
+    ));
+    // Operators can inspect the daemon until its tasks end.
+    tasks.spawn(serve(ops_listener, ops::router(node.clone()), CancellationToken::new()));
     info!(node.shared.log, "started"; "caller" => caller.to_string(), "ops" => ops.to_string());
-    Ok(Daemon { addresses, node, tasks, listeners })
+    Ok(Daemon { addresses, node, tasks, stop_listeners })
 }
 
 impl Daemon {
-    /// Tells the daemon to leave.
+    /// Starts the shutdown, which [`Self::run`] carries out.
     pub fn shut_down(&self) {
         self.node.shared.shutting_down.send_replace(true);
     }
 
-    /// The parts of the daemon, to look at.
+    /// The parts of the daemon, for inspection.
     pub fn node(&self) -> &Arc<Node> {
         &self.node
     }
 
-    /// Runs until the daemon was told to leave and has finished all its work.
+    /// Runs until the daemon was told to shut down and has finished all its work.
     ///
-    /// It takes requests for a while that callers send to an address they hold,
-    /// and passes them on; then it closes its listener and finishes what is in
-    /// flight. Nothing is cut off.
+    /// For a while it still accepts requests from callers that use its address, and
+    /// forwards them. Then it closes its listener and finishes all requests in flight;
+    /// none is cancelled.
     pub async fn run(mut self) {
         let shared = self.node.shared.clone();
-        let mut leaving = shared.shutting_down.subscribe();
-        // The sender lives in `shared`, so that waiting can't fail.
-        drop(leaving.wait_for(|leaving| *leaving).await);
+        let mut shutting_down = shared.shutting_down.subscribe();
+        // Waiting can't fail, as `shared` holds the sender.
+        drop(shutting_down.wait_for(|requested| *requested).await);
         info!(shared.log, "leaving");
         shared.record_shutdown(shared.me);
-        self.tell_others().await;
+        self.announce_shutdown().await;
         tokio::time::sleep(shared.settings.times.leave).await;
         shared.intake_closed.send_replace(true);
-        self.listeners.cancel();
+        self.stop_listeners.cancel();
         while !self.node.is_idle() {
-            tokio::time::sleep(LEAVE_CHECK).await;
+            tokio::time::sleep(IDLE_CHECK_INTERVAL).await;
         }
-        self.resign().await;
+        self.remove_own_rows().await;
         self.tasks.shutdown().await;
         info!(shared.log, "left");
     }
 
-    /// Stops at once, as if the process had been killed.
+    /// Stops at once, as if the process were killed.
     pub async fn kill(mut self) {
         self.tasks.shutdown().await;
         self.node.peers.endpoint().close(1u32.into(), b"killed");
     }
 
-    /// Tells the other daemons, so that they take over before the next poll.
-    async fn tell_others(&self) {
-        let ask = PeerRequest::ShuttingDown(self.node.shared.me);
+    /// Announces the shutdown to the other daemons, so that they take over before their
+    /// next poll.
+    async fn announce_shutdown(&self) {
+        let request = PeerRequest::ShuttingDown(self.node.shared.me);
         let mut calls = JoinSet::new();
         for (_, addr) in members::others(&self.node.shared) {
             let node = self.node.clone();
-            let ask = ask.clone();
-            // One that is not reached learns it from the table.
-            calls.spawn(async move { drop(node.peers.ask_once(addr, &ask).await) });
+            let request = request.clone();
+            // A daemon that is not reached reads it from the table.
+            calls.spawn(async move { drop(node.peers.ask_once(addr, &request).await) });
         }
         calls.join_all().await;
     }
 
-    /// Removes the own rows, so that nobody waits for the lease to lapse.
-    async fn resign(&self) {
+    /// Removes this daemon's rows, so that the others don't wait for its lease to expire.
+    async fn remove_own_rows(&self) {
         let shared = &self.node.shared;
         if let Err(error) = members::remove_own_rows(shared).await {
             let why = error.to_string();
-            warn!(shared.log, "the own rows remain until the lease lapses"; "error" => why);
+            warn!(shared.log, "this daemon's rows remain until its lease expires"; "error" => why);
         }
     }
 }
@@ -168,8 +175,8 @@
     peers: Peers,
 ) -> Result<Node, Report<StartError>> {
     let wait = settings.times.platform;
-    let client = StartError::Client;
-    let table = TableClient::new(&settings.table_url, wait).change_context(client)?;
+    let error = StartError::Client;
+    let table = TableClient::new(&settings.table_url, wait).change_context(error)?;
     let objects = ObjectStore::new(&settings.object_url, wait)
         .change_context(StartError::Client)?;
     let vms = VmList::new(&settings.vms_url, wait).change_context(StartError::Client)?;
@@ -191,14 +198,14 @@
 }
 
 async fn bind(addr: SocketAddr) -> Result<(TcpListener, SocketAddr), Report<StartError>> {
-    let fail = StartError::Bind(addr);
-    let listener = TcpListener::bind(addr).await.change_context(fail)?;
+    let error = StartError::Bind(addr);
+    let listener = TcpListener::bind(addr).await.change_context(error)?;
     let bound = listener.local_addr().change_context(StartError::Bind(addr))?;
     Ok((listener, bound))
 }
 
 async fn serve(listener: TcpListener, router: Router, stop: CancellationToken) {
     let stopped = async move { stop.cancelled().await };
-    // Serving ends with an error only if the listener is gone, and then so is this.
+    // Serving fails only if the listener is closed, and then the task ends as well.
     drop(axum::serve(listener, router).with_graceful_shutdown(stopped).await);
 }
--- a/crates/node/src/shared.rs
+++ b/crates/node/src/shared.rs
@@ -1,4 +1,4 @@
-//! What the parts of a daemon share.
+//! State shared by the parts of a daemon.
 
 use std::net::SocketAddr;
 use std::sync::atomic::{AtomicBool, AtomicU64, Ordering};
@@ -22,8 +22,8 @@
 use crate::orders::usage::Usage;
 use crate::{members, orders, poison};
 
-/// The tables that every daemon follows.
-const FOLLOWED: [&str; 8] = [
+/// The tables whose changes every daemon reads.
+const SYNCED_TABLES: [&str; 8] = [
     members::MEMBERS,
     members::CLAIMS,
     members::SERVERS,
@@ -34,62 +34,64 @@
     poison::POISON,
 ];
 
-/// What the parts of a daemon share.
+/// State shared by the parts of a daemon.
 ///
-/// Each of the watched values has one writer, which the field names; everyone
-/// else reads snapshots.
+/// Each watched value but `shutting_down` has one writer, named in the field's comment;
+/// all other parts read snapshots.
 pub struct Shared {
-    /// The checked settings.
+    /// The validated settings.
     pub settings: Settings,
     /// The source of time.
     pub clock: Arc<dyn Clock>,
-    /// This start of the daemon.
+    /// The id of this incarnation of the daemon.
     pub me: MemberId,
-    /// Where changes of state are logged.
+    /// The logger; it adds the VM's name to each line.
     pub log: Logger,
-    /// The counters.
+    /// The registry of metrics.
     pub metrics: Metrics,
-    /// The table service.
+    /// The client of the table service.
     pub table: TableClient,
-    /// The changes of the tables that every daemon follows, read by
+    /// Changes of the tables that every daemon reads, refreshed by
     /// [`crate::members`].
     pub feed: Feed,
-    /// The object store.
+    /// The client of the object store.
     pub objects: ObjectStore,
-    /// The platform's list of VMs.
+    /// The client of the platform's list of VMs.
     pub vms: VmList,
     /// The declarations in force, written by [`crate::confsync`].
     pub catalog: watch::Sender<Arc<Catalog>>,
-    /// What is kept of the configuration's rows, and how fresh it is.
+    /// The replica of the configuration's rows, and how fresh it is.
     pub conf: Conf,
     /// Members, servers and claims, written by [`crate::members`].
     pub view: watch::Sender<Arc<View>>,
-    /// What is resident where, written by [`crate::orders`].
+    /// The models and adapters resident at each runner, written by [`crate::orders`].
     pub residency: watch::Sender<Arc<Residency>>,
     /// The ledger's and the plan's rows, written by [`crate::orders`].
     pub rows: watch::Sender<Arc<Rows>>,
-    /// What callers ask of each model, read by [`crate::demand`].
+    /// Demand of callers for each model, read by [`crate::demand`].
     pub demand: Asked,
-    /// Which requests use which asset of the runners that this daemon leads.
+    /// The requests that use each asset of the runners that this daemon leads.
     pub usage: Usage,
-    /// Whether this daemon is leaving, written by [`crate::run`].
+    /// Whether this daemon is shutting down. Set by a signal, an operator or the
+    /// platform; never unset.
     pub shutting_down: watch::Sender<bool>,
-    /// Whether this daemon takes no new requests any more, written by [`crate::run`].
+    /// Whether this daemon refuses new requests because it is shutting down, written by
+    /// [`crate::run`].
     pub intake_closed: watch::Sender<bool>,
-    /// The own lease, written by [`crate::members`].
+    /// This daemon's lease, written by [`crate::members`].
     pub lease: Mutex<Lease>,
-    /// Members that said that they are leaving, ahead of the table's rows.
+    /// Members that announced their shutdown, before their rows in the table say so.
     pub announced_shutdowns: Mutex<IndexSet<MemberId>>,
-    /// Wakes [`crate::members`] before its next poll is due.
+    /// Makes [`crate::members`] poll the table before its next poll is due.
     pub poll_now: Notify,
-    /// Whether the own row has said once that this daemon takes work, written by
+    /// Whether this daemon's row has ever said that it accepts work, written by
     /// [`crate::members`]; never unset.
     pub listed_as_serving: AtomicBool,
-    attempts: AtomicU64,
+    next_attempt: AtomicU64,
 }
 
 impl Shared {
-    /// Creates the shared state of a daemon that knows nothing yet.
+    /// Creates the state of a daemon that has read nothing yet.
     #[allow(clippy::too_many_arguments)]
     pub fn new(
         settings: Settings,
@@ -110,7 +112,7 @@
             log,
             metrics,
             table,
-            feed: Feed::new(&FOLLOWED),
+            feed: Feed::new(&SYNCED_TABLES),
             objects,
             vms,
             catalog: watch::Sender::new(Arc::default()),
@@ -126,11 +128,11 @@
             announced_shutdowns: Mutex::default(),
             poll_now: Notify::new(),
             listed_as_serving: AtomicBool::new(false),
-            attempts: AtomicU64::new(0),
+            next_attempt: AtomicU64::new(0),
         }
     }
 
-    /// The changes of a followed table after a version, and when they were read.
+    /// The changes of a table after version `since`, and when they were read.
     pub async fn changes(
         &self,
         table: &str,
@@ -145,31 +147,33 @@
         self.catalog.borrow().clone()
     }
 
-    /// What is known of members, servers and claims.
+    /// Members, servers and claims, as last read from the table.
     pub fn view(&self) -> Arc<View> {
         self.view.borrow().clone()
     }
 
-    /// What is known to be resident.
+    /// The models and adapters resident at each runner, as last read.
     pub fn residency(&self) -> Arc<Residency> {
         self.residency.borrow().clone()
     }
 
-    /// Whether the daemon is leaving.
+    /// Whether this daemon is shutting down.
     pub fn is_shutting_down(&self) -> bool {
         *self.shutting_down.borrow()
     }
 
-    /// Whether the own lease holds, so that orders may rest on the own claims.
+    /// Whether this daemon's lease is valid, so that it may act on its claims.
     pub fn is_lease_valid(&self, now: Instant) -> bool {
         self.lease.lock().expect("no holder of the lease panics").is_valid(now)
     }
 
-    /// Refuses requests while this daemon must not take any.
+    /// Refuses requests while this daemon must not accept any.
+    ///
+    /// The refusal names the addresses that callers may use instead.
     pub fn check_accepts_requests(&self) -> Result<(), Refusal> {
-        let elsewhere = self.caller_addresses();
-        let others = |text: &str| {
-            let list: Vec<String> = elsewhere.iter().map(SocketAddr::to_string).collect();
+        let addresses = self.caller_addresses();
+        let refusal = |text: &str| {
+            let list: Vec<String> = addresses.iter().map(SocketAddr::to_string).collect();
             let text = match list[..] {
                 [] => format!("{text}; use another address"),
                 _ => format!("{text}; use one of: {}", list.join(", ")),
@@ -177,41 +181,44 @@
             Refusal::not_run(RefusalCode::Leaving, text).with_retry_after(Duration::ZERO)
         };
         if *self.intake_closed.borrow() {
-            return Err(others("this daemon is leaving"));
+            return Err(refusal("this daemon is shutting down"));
         }
         if !self.is_config_fresh() {
-            return Err(others("this daemon can't confirm its configuration")
+            return Err(refusal("this daemon can't confirm its configuration")
                 .with_retry_after(Duration::from_secs(1)));
         }
-        // Operators wait for the daemons whose rows say that they take work. One that
-        // served before would be left out: its callers could meet the old declarations
-        // after an operator read that the new ones are in force everywhere.
+        // An operator's change waits for the daemons whose rows say that they accept
+        // work. If a daemon served before its row says so, its callers could get old
+        // declarations after the operator was told that the new ones are in force.
         if !self.listed_as_serving.load(Ordering::Acquire) {
-            return Err(others("this daemon is joining")
+            return Err(refusal("this daemon is joining")
                 .with_retry_after(self.settings.times.renewal));
         }
         // Otherwise a daemon that joined just before an outage of the table would
-        // refuse every model as not resident for as long as the outage lasts.
+        // refuse every model as not resident until the outage ends.
         if !self.has_read_residency() {
-            return Err(others("this daemon does not know yet what is resident where")
-                .with_retry_after(Duration::from_secs(1)));
+            return Err(refusal(
+                "this daemon has not read yet which models are resident",
+            )
+            .with_retry_after(Duration::from_secs(1)));
         }
         Ok(())
     }
 
-    /// Whether it was read at least once what is resident where.
+    /// Whether residency was read at least once.
     pub fn has_read_residency(&self) -> bool {
         self.rows.borrow().now.is_some()
     }
 
-    /// Whether the declarations in force are recent enough to serve by.
+    /// Whether the declarations were confirmed recently enough to serve requests.
     pub fn is_config_fresh(&self) -> bool {
         confsync::is_fresh(self, self.clock.now())
     }
 
-    /// The addresses that callers may use, this daemon's domain first.
+    /// The addresses that callers may use, those in this daemon's failure domain first.
     ///
-    /// None of them belongs to a daemon that is leaving or whose lease lapsed.
+    /// Daemons that are shutting down or were removed after their lease expired are left
+    /// out.
     pub fn caller_addresses(&self) -> Vec<SocketAddr> {
         let view = self.view();
         let mut members: Vec<_> =
@@ -221,25 +228,25 @@
         members.into_iter().map(|(_, member)| member.caller_addr).collect()
     }
 
-    /// Takes note that a member is leaving, before its row in the table says so.
+    /// Records that a member announced its shutdown, before its row in the table says so.
     pub fn record_shutdown(&self, member: MemberId) {
         self.announced_shutdowns
             .lock()
             .expect("no holder of the list panics")
             .insert(member);
         self.view.send_if_modified(|view| {
-            let known = view.members.get(&member).is_some_and(|row| !row.leaving);
-            if known && let Some(row) = Arc::make_mut(view).members.get_mut(&member) {
+            let changed = view.members.get(&member).is_some_and(|row| !row.leaving);
+            if changed && let Some(row) = Arc::make_mut(view).members.get_mut(&member) {
                 row.leaving = true;
             }
-            known
+            changed
         });
         self.poll_now.notify_one();
     }
 
-    /// A number for a new attempt.
+    /// An id for a new attempt, unique across daemons and incarnations.
     pub fn next_attempt_id(&self) -> AttemptId {
-        let number = self.attempts.fetch_add(1, Ordering::Relaxed);
+        let number = self.next_attempt.fetch_add(1, Ordering::Relaxed);
         AttemptId { member: self.me, number }
     }
 }
--- a/crates/node/src/tls.rs
+++ b/crates/node/src/tls.rs
@@ -1,9 +1,9 @@
-//! Keys and trust between daemons.
+//! Mutual TLS between daemons.
 //!
-//! Both sides of a connection show a certificate that one of the trusted
-//! authorities signed. Without it a process on the network could hand out
-//! requests or pose as a lead; a daemon whose certificate is not trusted is
-//! refused in the handshake, before it can send a message.
+//! Both sides of a connection present a certificate that a trusted authority signed.
+//! Without it any process on the network could send requests or pose as a lead. A daemon
+//! whose certificate is not trusted is refused in the handshake, before it can send a
+//! message.
 
 use std::fmt::{self, Display, Formatter};
 use std::path::Path;
@@ -19,22 +19,22 @@
 use rustls_pki_types::pem::PemObject;
 use rustls_pki_types::{CertificateDer, PrivateKeyDer};
 
-/// The name that every daemon's certificate must carry.
+/// The DNS name that every daemon's certificate has to contain.
 pub const PEER_NAME: &str = "chestnutlane";
 
-/// The protocol name in the handshake; it changes when messages do.
+/// The protocol name in the handshake; its number changes when messages do.
 const ALPN: &[u8] = b"chestnutlane/1";
 
-/// How long an unused connection between daemons is kept.
+/// How long an idle connection between daemons stays open.
 ///
-/// Connections send nothing while unused, so that thousands of them cost no
-/// traffic; whether a peer lives shows in the answers to requests.
-const IDLE: Duration = Duration::from_secs(60);
+/// Idle connections send no keep-alives, so that thousands of them cost no traffic;
+/// unresponsive peers are detected by their responses to requests.
+const IDLE_TIMEOUT: Duration = Duration::from_secs(60);
 
-/// Streams that a peer may have open to this daemon at the same time.
-const STREAMS: u32 = 4096;
+/// The number of streams that a peer may have open on a connection at the same time.
+const MAX_STREAMS: u32 = 4096;
 
-/// Keys or trust that can't be used.
+/// A file with certificates or keys that can't be used.
 #[derive(Debug)]
 pub struct TlsError(String);
 
@@ -46,7 +46,7 @@
 
 impl std::error::Error for TlsError {}
 
-/// The two configurations of a QUIC endpoint.
+/// The QUIC configurations of a daemon's endpoint.
 pub struct PeerTls {
     /// For connections from other daemons.
     pub server: ServerConfig,
@@ -54,43 +54,45 @@
     pub client: ClientConfig,
 }
 
-/// Reads keys and trust from the files that the settings name.
+/// Reads certificates, trusted authorities and the key from the files in the settings.
 pub fn load(tls: &Tls) -> Result<PeerTls, Report<TlsError>> {
     let chain = certs(&tls.cert)?;
     let mut roots = RootCertStore::empty();
     for cert in certs(&tls.trust)? {
-        roots.add(cert).change_context_lazy(|| fault("is no authority", &tls.trust))?;
+        roots.add(cert).change_context_lazy(|| {
+            tls_error("holds a certificate that is no authority", &tls.trust)
+        })?;
     }
     let roots = Arc::new(roots);
     let key = PrivateKeyDer::from_pem_file(&tls.key)
-        .change_context_lazy(|| fault("holds no private key", &tls.key))?;
-    let refused = || fault("does not fit its key", &tls.cert);
+        .change_context_lazy(|| tls_error("holds no private key", &tls.key))?;
+    let mismatch = || tls_error("does not match its key", &tls.cert);
 
     let provider = Arc::new(rustls::crypto::ring::default_provider());
     let verifier =
         WebPkiClientVerifier::builder_with_provider(roots.clone(), provider.clone())
             .build()
-            .change_context_lazy(|| fault("holds no authority", &tls.trust))?;
+            .change_context_lazy(|| tls_error("holds no authority", &tls.trust))?;
     let mut server = rustls::ServerConfig::builder_with_provider(provider.clone())
         .with_protocol_versions(&[&rustls::version::TLS13])
-        .change_context_lazy(refused)?
+        .change_context_lazy(mismatch)?
         .with_client_cert_verifier(verifier)
         .with_single_cert(chain.clone(), key.clone_key())
-        .change_context_lazy(refused)?;
+        .change_context_lazy(mismatch)?;
     server.alpn_protocols = vec![ALPN.to_vec()];
     let mut client = rustls::ClientConfig::builder_with_provider(provider)
         .with_protocol_versions(&[&rustls::version::TLS13])
-        .change_context_lazy(refused)?
+        .change_context_lazy(mismatch)?
         .with_root_certificates(roots)
         .with_client_auth_cert(chain, key)
-        .change_context_lazy(refused)?;
+        .change_context_lazy(mismatch)?;
     client.alpn_protocols = vec![ALPN.to_vec()];
 
     let transport = Arc::new(transport());
-    let server = QuicServerConfig::try_from(server).change_context_lazy(refused)?;
+    let server = QuicServerConfig::try_from(server).change_context_lazy(mismatch)?;
     let mut server = ServerConfig::with_crypto(Arc::new(server));
     server.transport_config(transport.clone());
-    let client = QuicClientConfig::try_from(client).change_context_lazy(refused)?;
+    let client = QuicClientConfig::try_from(client).change_context_lazy(mismatch)?;
     let mut client = ClientConfig::new(Arc::new(client));
     client.transport_config(transport);
     Ok(PeerTls { server, client })
@@ -98,24 +100,25 @@
 
 fn transport() -> TransportConfig {
     let mut transport = TransportConfig::default();
-    let idle = IdleTimeout::try_from(IDLE).expect("a minute fits");
+    let idle = IdleTimeout::try_from(IDLE_TIMEOUT)
+        .expect("the timeout is within the range of a varint");
     transport.max_idle_timeout(Some(idle));
-    transport.max_concurrent_bidi_streams(VarInt::from_u32(STREAMS));
+    transport.max_concurrent_bidi_streams(VarInt::from_u32(MAX_STREAMS));
     transport
 }
 
 fn certs(path: &Path) -> Result<Vec<CertificateDer<'static>>, Report<TlsError>> {
-    let read = CertificateDer::pem_file_iter(path)
-        .change_context_lazy(|| fault("can't be read", path))?;
-    let certs: Vec<_> = read
+    let items = CertificateDer::pem_file_iter(path)
+        .change_context_lazy(|| tls_error("can't be read", path))?;
+    let certs: Vec<_> = items
         .collect::<Result<_, _>>()
-        .change_context_lazy(|| fault("holds a broken certificate", path))?;
+        .change_context_lazy(|| tls_error("holds a malformed certificate", path))?;
     if certs.is_empty() {
-        return Err(Report::new(fault("holds no certificate", path)));
+        return Err(Report::new(tls_error("holds no certificate", path)));
     }
     Ok(certs)
 }
 
-fn fault(what: &str, path: &Path) -> TlsError {
-    TlsError(format!("{} {what}", path.display()))
+fn tls_error(problem: &str, path: &Path) -> TlsError {
+    TlsError(format!("{} {problem}", path.display()))
 }
