--- a/crates/node/src/poison.rs
+++ b/crates/node/src/poison.rs
@@ -150,11 +150,11 @@
                     self.counters.refused.inc();
                     return Err(blocked());
                 }
-                DispatchDecision::WaitUntil(settled) if settled >= deadline => {
+                DispatchDecision::WaitUntil(ready_at) if ready_at >= deadline => {
                     return Err(isolated());
                 }
                 DispatchDecision::Wait if now >= deadline => return Err(isolated()),
-                DispatchDecision::WaitUntil(settled) => wake_at = settled,
+                DispatchDecision::WaitUntil(ready_at) => wake_at = ready_at,
                 DispatchDecision::Wait => {}
             }
             tokio::select! {
