--- a/crates/node/src/explain.rs
+++ b/crates/node/src/explain.rs
@@ -190,7 +190,7 @@
     model: &ModelName,
     version: &VersionName,
 ) -> Vec<String> {
-    let residence = shared.residence();
+    let residence = shared.residency();
     let runners = residence.serving(model, version, route.adapter.as_ref());
     runners.map(ToString::to_string).collect()
 }
--- a/crates/node/src/node.rs
+++ b/crates/node/src/node.rs
@@ -1,4 +1,4 @@
-//! The parts of a daemon that requests pass through.
+//! The parts of a daemon that handle requests.
 
 use std::sync::Arc;
 use std::sync::atomic::{AtomicUsize, Ordering};
@@ -12,95 +12,102 @@
 use crate::lead::{self, Leads};
 use crate::peer::{Peers, Serve};
 use crate::pick::Picker;
-use crate::poison::Poison;
+use crate::poison::PoisonGuard;
 use crate::shared::Shared;
-use crate::slots::Slots;
+use crate::slots::JournalSlots;
 
-/// The parts of a daemon that requests pass through.
+/// The parts of a daemon that handle requests.
 pub struct Node {
-    /// What all parts share.
+    /// State shared by all parts.
     pub shared: Arc<Shared>,
-    /// The connections to other daemons.
+    /// Connections to other daemons.
     pub peers: Peers,
-    /// The queues of the backend servers that this daemon leads.
+    /// Admission and queues of the backend servers that this daemon leads.
     pub leads: Leads,
-    /// The choice of backend servers.
+    /// Chooses backend servers for requests.
     pub picker: Picker,
-    /// The slots of the journal that this daemon leads.
-    pub slots: Slots,
-    /// The requests that crash backend servers.
-    pub poison: Arc<Poison>,
-    /// The requests that the entry holds.
+    /// The journal slots that this daemon leads.
+    pub slots: JournalSlots,
+    /// Isolates requests that crash backend servers.
+    pub poison: Arc<PoisonGuard>,
+    /// Admission of callers' requests at this entry.
     pub intake: Intake,
-    /// The client for calls to backend servers.
+    /// The HTTP client for calls to backend servers.
     pub http: Client,
-    /// Questions of other daemons that are being carried out.
-    pub serving: Arc<AtomicUsize>,
+    /// The number of jobs that have to finish before the daemon stops: requests of other
+    /// daemons and detached runs.
+    pub active_jobs: Arc<AtomicUsize>,
 }
 
 impl Serve for Node {
-    async fn serve(self: Arc<Self>, ask: PeerRequest, out: mpsc::Sender<PeerResponse>) {
-        let _busy = Busy::new(&self.serving);
-        let say = match ask {
+    async fn serve(
+        self: Arc<Self>,
+        request: PeerRequest,
+        out: mpsc::Sender<PeerResponse>,
+    ) {
+        let _job = ActiveJob::new(&self.active_jobs);
+        let response = match request {
             PeerRequest::Run(run) => return lead::serve(&self, run, out).await,
-            PeerRequest::Once(once) => return Slots::run(&self, once, out).await,
+            PeerRequest::Once(once) => {
+                return JournalSlots::submit(&self, once, out).await;
+            }
             PeerRequest::Lookup(id) => {
-                PeerResponse::Once(Slots::lookup(&self, &id).await)
+                PeerResponse::Once(JournalSlots::lookup(&self, &id).await)
             }
-            PeerRequest::Config(have) => {
-                PeerResponse::Config(Some(config_sync::handover(&self.shared, have)))
+            PeerRequest::Config(held) => {
+                PeerResponse::Config(Some(config_sync::handover(&self.shared, held)))
             }
             PeerRequest::Status => PeerResponse::Status(self.status()),
-            PeerRequest::ReportSuspects(blames) => {
-                self.poison.learn(&blames, self.shared.clock.now());
+            PeerRequest::ReportSuspects(suspects) => {
+                self.poison.apply_reports(&suspects, self.shared.clock.now());
                 PeerResponse::Acknowledged
             }
             PeerRequest::ShuttingDown(member) => {
-                self.shared.note_leaving(member);
+                self.shared.record_shutdown(member);
                 PeerResponse::Acknowledged
             }
         };
-        // The daemon that asked may be gone; then nobody needs the answer.
-        drop(out.send(say).await);
+        // The requesting daemon may have disconnected.
+        drop(out.send(response).await);
     }
 }
 
-/// Counts a piece of work while it is being carried out.
-pub struct Busy(Arc<AtomicUsize>);
+/// A job that counts as active until it is dropped.
+pub struct ActiveJob(Arc<AtomicUsize>);
 
-impl Busy {
+impl ActiveJob {
     fn new(count: &Arc<AtomicUsize>) -> Self {
         count.fetch_add(1, Ordering::SeqCst);
         Self(count.clone())
     }
 }
 
-impl Drop for Busy {
+impl Drop for ActiveJob {
     fn drop(&mut self) {
         self.0.fetch_sub(1, Ordering::SeqCst);
     }
 }
 
 impl Node {
-    /// Counts a piece of work that the daemon must not leave behind when it stops.
-    pub fn busy(&self) -> Busy {
-        Busy::new(&self.serving)
+    /// Registers a job that has to finish before the daemon stops.
+    pub fn start_job(&self) -> ActiveJob {
+        ActiveJob::new(&self.active_jobs)
     }
 
-    /// Whether no caller and no other daemon waits for anything from this one.
+    /// Whether no request of a caller and no job is active.
     pub fn is_idle(&self) -> bool {
         self.intake.held() == 0
-            && self.serving.load(Ordering::SeqCst) == 0
+            && self.active_jobs.load(Ordering::SeqCst) == 0
             && self.slots.is_idle()
     }
 
-    /// How this daemon is.
+    /// The status that is sent to other daemons.
     pub fn status(&self) -> DaemonStatus {
         DaemonStatus {
             vm: self.shared.settings.vm.clone(),
             member: self.shared.me,
             revision: self.shared.catalog().revision,
-            shutting_down: self.shared.is_leaving(),
+            shutting_down: self.shared.is_shutting_down(),
             requests: self.intake.held() as u32,
         }
     }
--- a/crates/node/src/orders/rows.rs
+++ b/crates/node/src/orders/rows.rs
@@ -142,7 +142,7 @@
 pub fn publish_residency(shared: &Shared) {
     let view = shared.view();
     let rows = shared.rows.borrow().clone();
-    let previous = shared.residence();
+    let previous = shared.residency();
     let runners = rows
         .ledgers
         .iter()
@@ -153,7 +153,7 @@
             (name.clone(), unchanged.cloned().unwrap_or_else(|| Arc::new(assets)))
         });
     let residence = Residency::new(runners.collect());
-    shared.residence.send_if_modified(|old| {
+    shared.residency.send_if_modified(|old| {
         let changed = **old != residence;
         if changed {
             *old = Arc::new(residence);
--- a/crates/node/src/orders/runner.rs
+++ b/crates/node/src/orders/runner.rs
@@ -342,7 +342,7 @@
     /// engine that restarts while the table is down would stay empty until the end of
     /// the outage.
     fn may_send(&self, order: &Order) -> bool {
-        let lease_valid = self.shared.lease_holds(self.shared.clock.now());
+        let lease_valid = self.shared.is_lease_valid(self.shared.clock.now());
         self.server().is_some() && (lease_valid || order.kind == OrderKind::Load)
     }
 
--- a/crates/node/src/planner.rs
+++ b/crates/node/src/planner.rs
@@ -70,7 +70,7 @@
 /// The pools that this daemon claims; empty unless its lease is valid.
 fn claimed_pools(shared: &Shared) -> IndexMap<PoolName, Claim> {
     let view = shared.view();
-    if !shared.lease_holds(shared.clock.now()) {
+    if !shared.is_lease_valid(shared.clock.now()) {
         return IndexMap::new();
     }
     let catalog = shared.catalog();
--- a/crates/node/src/show_rows.rs
+++ b/crates/node/src/show_rows.rs
@@ -138,7 +138,7 @@
 }
 
 fn resident_rows(shared: &Shared) -> Vec<Row> {
-    let residence = shared.residence();
+    let residence = shared.residency();
     let mut rows = Vec::new();
     for (server, assets) in residence.runners() {
         for (model, version) in &assets.models {
