--- a/crates/gate/src/attempt.rs
+++ b/crates/gate/src/attempt.rs
@@ -14,10 +14,10 @@
 use hyper::body::Incoming;
 use tokio::time::{timeout, timeout_at};
 
-use crate::client::{Connection, SendFault};
-use crate::enqueue::Ticket;
+use crate::client::{Connection, SendError};
 use crate::job::Job;
-use crate::message::Begun;
+use crate::message::FirstEvent;
+use crate::permit::Permit;
 use crate::shared::Shared;
 use crate::{planner, sums};
 
@@ -33,40 +33,48 @@
     /// The server.
     pub key: ServerKey,
     flight: InFlightRequest,
-    sent: Instant,
+    sent_at: Instant,
     /// The place in a plain service's queue that it was sent by.
-    place: Option<Ticket>,
+    permit: Option<Permit>,
     /// What came of it.
     outcome: PermitOutcome,
     /// The service and the model that it asks for, if it is a generation.
-    target: Option<(ServiceName, ModelName)>,
+    model: Option<(ServiceName, ModelName)>,
 }
 
 impl InFlight {
     /// Counts a request.
-    pub fn new(job: &Job, place: &Place) -> Self {
+    pub fn new(job: &Job, target: &Target) -> Self {
         let shared = job.shared.clone();
-        let flight = InFlightRequest { size: job.size(), responding: false };
-        let key = place.key;
+        let flight = InFlightRequest { size: job.estimated_size(), responding: false };
+        let key = target.key;
         shared.fleet().begin_request(key, flight);
         sums::tell(&shared, key, job.call.target.clone(), None);
-        let sent = shared.now();
-        let plain = place.number.filter(|_| job.call.target.is_none());
-        let place = plain.map(|number| Ticket { service: job.service.clone(), number });
-        let target = job.call.target.as_ref();
-        let target = target.map(|target| (job.service.clone(), target.model.clone()));
-        Self { shared, key, flight, sent, place, outcome: PermitOutcome::Unused, target }
+        let sent_at = shared.now();
+        let plain = target.number.filter(|_| job.call.target.is_none());
+        let permit = plain.map(|number| Permit { service: job.service.clone(), number });
+        let model = job.call.target.as_ref();
+        let model = model.map(|target| (job.service.clone(), target.model.clone()));
+        Self {
+            shared,
+            key,
+            flight,
+            sent_at,
+            permit,
+            outcome: PermitOutcome::Unused,
+            model,
+        }
     }
 
     /// Takes note that the answer broke off.
-    pub fn broke(&mut self) {
+    pub fn record_interruption(&mut self) {
         self.outcome = PermitOutcome::Failed;
     }
 
     /// Takes note that the server has begun to answer.
     ///
     /// `number` names the request to the runner's holder.
-    pub fn begun(&mut self, number: Option<u64>) {
+    pub fn record_first_event(&mut self, number: Option<u64>) {
         if self.flight.responding {
             return;
         }
@@ -77,8 +85,8 @@
             fleet.begin_request(self.key, self.flight);
         }
         let after_ms =
-            self.shared.now().saturating_duration_since(self.sent).as_millis() as u32;
-        let begun = number.map(|number| Begun { number, after_ms });
+            self.shared.now().saturating_duration_since(self.sent_at).as_millis() as u32;
+        let begun = number.map(|number| FirstEvent { number, after_ms });
         sums::tell(&self.shared, self.key, None, begun);
     }
 }
@@ -88,9 +96,9 @@
         self.shared.fleet().end_request(self.key, self.flight);
         sums::tell(&self.shared, self.key, None, None);
         if let Some((service, model)) =
-            self.target.as_ref().filter(|_| self.flight.responding)
+            self.model.as_ref().filter(|_| self.flight.responding)
         {
-            let stay = self.shared.now().saturating_duration_since(self.sent);
+            let stay = self.shared.now().saturating_duration_since(self.sent_at);
             let ended = DemandCounts {
                 finished: 1.0,
                 service_s: stay.as_secs_f64(),
@@ -99,53 +107,53 @@
             planner::note(&self.shared, service, model, ended);
             self.shared.speeds().record_service_time(stay);
         }
-        if let Some(place) = self.place.take() {
-            place.give_back(&self.shared, self.outcome);
+        if let Some(permit) = self.permit.take() {
+            permit.release(&self.shared, self.outcome);
         }
     }
 }
 
 /// Where a request is sent.
 #[derive(Debug, Clone)]
-pub struct Place {
+pub struct Target {
     /// The server.
     pub key: ServerKey,
     /// Its name.
     pub name: ServerName,
     /// When its present run began, in Unix milliseconds.
-    pub born: Option<u64>,
+    pub started_at: Option<u64>,
     /// Where it listens.
     pub addr: std::net::SocketAddr,
     /// Names the request to the holder of the server or its queue, if that was asked.
     pub number: Option<u64>,
 }
 
-impl Place {
+impl Target {
     /// The server's present run.
-    pub fn run(&self) -> Incarnation {
-        Incarnation { server: self.name.clone(), started_at: self.born }
+    pub fn incarnation(&self) -> Incarnation {
+        Incarnation { server: self.name.clone(), started_at: self.started_at }
     }
 }
 
 /// An answer whose head has arrived.
-pub struct Answered {
+pub struct ServerResponse {
     /// The head.
     pub head: response::Parts,
     /// What it says.
-    pub reply: ResponseHead,
+    pub metadata: ResponseHead,
     /// The rest.
     pub body: Incoming,
     /// The connection that it comes on.
     pub connection: Connection,
     /// The server that answers.
-    pub place: Place,
+    pub target: Target,
     /// The count in flight.
-    pub flight: InFlight,
+    pub in_flight: InFlight,
 }
 
 /// Why an attempt brought no answer.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub enum Missed {
+pub enum AttemptError {
     /// No byte was sent: the server could not be connected to.
     Unreachable(String),
     /// The server said that it did not run the request and never will.
@@ -158,9 +166,9 @@
     Late,
 }
 
-impl Missed {
+impl AttemptError {
     /// Its name in metrics.
-    pub fn name(&self) -> &'static str {
+    pub fn label(&self) -> &'static str {
         match self {
             Self::Unreachable(_) => "unreachable",
             Self::Rejected(_) => "rejected",
@@ -171,7 +179,7 @@
     }
 
     /// What it says of the request.
-    pub fn ended(&self) -> AttemptOutcome {
+    pub fn outcome(&self) -> AttemptOutcome {
         match self {
             Self::Unreachable(_) => AttemptOutcome::NotSent,
             Self::Rejected(_) => AttemptOutcome::Rejected,
@@ -185,75 +193,90 @@
 /// Sends a request to a server and waits for the head of its answer.
 pub async fn attempt(
     job: &Job,
-    place: &Place,
+    target: &Target,
     resume_after: Option<u64>,
-) -> Result<Answered, Missed> {
+) -> Result<ServerResponse, AttemptError> {
     let shared = &job.shared;
-    let mut flight = InFlight::new(job, place);
-    let result = exchange(job, place, resume_after).await;
+    let mut in_flight = InFlight::new(job, target);
+    let result = exchange(job, target, resume_after).await;
     let now = shared.now();
-    flight.outcome = match &result {
+    in_flight.outcome = match &result {
         Ok((head, ..)) if head.status.is_server_error() => PermitOutcome::Failed,
         Ok(_) => PermitOutcome::Answered,
-        Err(Missed::Unreachable(_)) => PermitOutcome::Unreachable,
-        Err(Missed::Lost(_) | Missed::Silent | Missed::Late) => PermitOutcome::Failed,
-        Err(Missed::Rejected(_)) => PermitOutcome::Rejected,
+        Err(AttemptError::Unreachable(_)) => PermitOutcome::Unreachable,
+        Err(AttemptError::Lost(_) | AttemptError::Silent | AttemptError::Late) => {
+            PermitOutcome::Failed
+        }
+        Err(AttemptError::Rejected(_)) => PermitOutcome::Rejected,
     };
-    if let Some(server) = shared.fleet().get_mut(place.key) {
+    if let Some(server) = shared.fleet().get_mut(target.key) {
         match &result {
             Ok((head, ..)) if head.status.is_server_error() => {
                 server.health.record_failure(now)
             }
             Ok(_) => server.health.record_success(now),
-            Err(Missed::Unreachable(_)) => server.health.record_connection_failure(now),
-            Err(Missed::Lost(_) | Missed::Silent) => server.health.record_failure(now),
-            Err(Missed::Rejected(_) | Missed::Late) => {}
+            Err(AttemptError::Unreachable(_)) => {
+                server.health.record_connection_failure(now)
+            }
+            Err(AttemptError::Lost(_) | AttemptError::Silent) => {
+                server.health.record_failure(now)
+            }
+            Err(AttemptError::Rejected(_) | AttemptError::Late) => {}
         }
     }
-    let (head, reply, body, connection) = result?;
-    Ok(Answered { head, reply, body, connection, place: place.clone(), flight })
+    let (head, metadata, body, connection) = result?;
+    Ok(ServerResponse {
+        head,
+        metadata,
+        body,
+        connection,
+        target: target.clone(),
+        in_flight,
+    })
 }
 
 type Exchanged = (response::Parts, ResponseHead, Incoming, Connection);
 
 async fn exchange(
     job: &Job,
-    place: &Place,
+    target: &Target,
     resume_after: Option<u64>,
-) -> Result<Exchanged, Missed> {
+) -> Result<Exchanged, AttemptError> {
     let shared = &job.shared;
     let deadline = tokio::time::Instant::from_std(job.deadline);
-    let connected = timeout_at(deadline, shared.client.connect(place.addr)).await;
-    let connected = connected.map_err(|_| Missed::Unreachable("no time left".into()))?;
-    let connection = connected.map_err(|fault| Missed::Unreachable(fault.to_string()))?;
-    let request = write(job, place, resume_after);
+    let connected = timeout_at(deadline, shared.client.connect(target.addr)).await;
+    let connected =
+        connected.map_err(|_| AttemptError::Unreachable("no time left".into()))?;
+    let connection =
+        connected.map_err(|fault| AttemptError::Unreachable(fault.to_string()))?;
+    let request = write(job, target, resume_after);
     let mut sending = pin!(connection.send(request));
     let mut early = None;
     if let Some(patience) = patience(job) {
         early = timeout(patience, &mut sending).await.ok();
         // It goes on waiting where there is no repeat to be had.
         if early.is_none() && job.shared.take_repeat(&job.service) {
-            return Err(Missed::Silent);
+            return Err(AttemptError::Silent);
         }
     }
     let answer = match early {
         Some(answer) => answer,
-        None => timeout_at(deadline, sending).await.map_err(|_| Missed::Late)?,
+        None => timeout_at(deadline, sending).await.map_err(|_| AttemptError::Late)?,
     };
     let (response, connection) = match answer {
         Ok(answer) => answer,
-        Err(SendFault::NotSent(why)) => return Err(Missed::Unreachable(why)),
-        Err(SendFault::Lost(why)) => return Err(Missed::Lost(why)),
+        Err(SendError::NotSent(why)) => return Err(AttemptError::Unreachable(why)),
+        Err(SendError::Lost(why)) => return Err(AttemptError::Lost(why)),
     };
     let (head, body) = response.into_parts();
     let reply = shared.dialect.read_response_head(&head);
     if reply.id.is_some() && reply.id != job.call.id {
         // An answer to an earlier request on this connection; what became of this
         // one is not known.
-        return Err(Missed::Lost("the answer is another request's".into()));
+        return Err(AttemptError::Lost("the answer is another request's".into()));
     }
     if reply.not_run || reply.misdirected {
-        return Err(Missed::Rejected(head.status.as_u16()));
+        return Err(AttemptError::Rejected(head.status.as_u16()));
     }
     Ok((head, reply, body, connection))
 }
@@ -267,14 +290,14 @@
     if !job.attempts.may_abandon() {
         return None;
     }
-    let limit = job.arrived + route.objective * SILENCE;
+    let limit = job.arrived_at + route.objective * SILENCE;
     let patience = limit.saturating_duration_since(job.shared.now());
     (limit < job.deadline && !patience.is_zero()).then_some(patience)
 }
 
-fn write(job: &Job, place: &Place, resume_after: Option<u64>) -> Request<Bytes> {
+fn write(job: &Job, target: &Target, resume_after: Option<u64>) -> Request<Bytes> {
     let attempt = Attempt {
-        server: place.name.clone(),
+        server: target.name.clone(),
         budget: job.deadline.saturating_duration_since(job.shared.now()),
         priority: job.route().priority.min(9),
         resume_after,
--- a/crates/gate/src/backoff.rs
+++ b/crates/gate/src/backoff.rs
@@ -38,13 +38,13 @@
 
 impl Backoff {
     /// Takes in that a call failed.
-    pub fn failed(&mut self, now: Instant) {
+    pub fn record_failure(&mut self, now: Instant) {
         self.failures = self.failures.saturating_add(1);
         self.at = Some(now);
     }
 
     /// Takes in that a call was answered.
-    pub fn answered(&mut self) {
+    pub fn record_success(&mut self) {
         *self = Self::default();
     }
 
@@ -53,7 +53,7 @@
     ///
     /// A daemon that is cut off from the others comes first by that, and must not sit out
     /// a pause that counted on them: its copy would be old while the store can be read.
-    pub fn is_over(&self, rank: usize, now: Instant) -> bool {
+    pub fn may_call(&self, rank: usize, now: Instant) -> bool {
         self.at.is_none_or(|at| now >= at + self.pause(rank))
     }
 
--- a/crates/gate/src/ask.rs
+++ b/crates/gate/src/bidding.rs
@@ -23,9 +23,9 @@
 use crate::grant::{self, Question};
 use crate::holder::{self, Holder};
 use crate::job::Job;
-use crate::message::{Message, Verdict};
+use crate::message::{AdmissionVerdict, Message};
 use crate::metrics::{Span, Step};
-use crate::peers::Reply;
+use crate::peers::ReplyTo;
 use crate::shared::Shared;
 
 /// How long other daemons may take to answer.
@@ -80,7 +80,7 @@
     if runners.is_empty() {
         return None;
     }
-    let want = job.want()?;
+    let want = job.generation_request()?;
     let engine = job.engine()?;
     let mut bids = ask(&job.shared, &runners, &want, &engine).await;
     let cost = |runner: &Runner| {
@@ -200,8 +200,8 @@
     servers: Vec<ServerName>,
     want: &GenerationRequest,
 ) -> Vec<(ServerName, Bid)> {
-    let (number, mut answer) = shared.peers.expect();
-    let message = Message::Ask { number, servers, want: want.clone() };
+    let (number, mut answer) = shared.peers.open_request();
+    let message = Message::BidRequest { number, servers, request: want.clone() };
     shared.peers.send(addr, message);
     match timeout(BID_TIME, answer.recv()).await {
         Ok(Some(Message::Bids { bids, .. })) => bids,
@@ -211,7 +211,7 @@
 }
 
 /// Answers another daemon's question.
-pub fn answer(
+pub fn local_bids(
     shared: &Shared,
     servers: Vec<ServerName>,
     want: &GenerationRequest,
@@ -228,7 +228,7 @@
 
 /// What came of asking to send a request to a runner.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Turn {
+pub enum Admission {
     /// It is to be sent now; the number names it to the runner's holder.
     Send(u64),
     /// It can't be sent to this runner.
@@ -242,7 +242,7 @@
     Again,
 }
 
-impl Turn {
+impl Admission {
     /// Its name in metrics.
     fn name(self) -> &'static str {
         match self {
@@ -258,9 +258,13 @@
 /// Waits for a request's turn at a runner.
 ///
 /// `missed` says that the runner has just said that it lacks the adapter.
-pub async fn turn(job: &Job, server: &ServerName, missed: bool) -> Turn {
+pub async fn request_admission(
+    job: &Job,
+    server: &ServerName,
+    missed: bool,
+) -> Admission {
     let began = job.shared.now();
-    let (number, receiver) = job.shared.peers.expect();
+    let (number, receiver) = job.shared.peers.open_request();
     let place = Place { job, server, number, settled: false };
     let turn = match job.shared.holder(server) {
         Some(holder) => place.here(&holder, missed).await,
@@ -284,20 +288,22 @@
 }
 
 impl Place<'_> {
-    async fn here(mut self, holder: &Arc<Holder>, missed: bool) -> Turn {
+    async fn here(mut self, holder: &Arc<Holder>, missed: bool) -> Admission {
         let shared = &self.job.shared;
         let (sender, receiver) = oneshot::channel();
-        let Some(want) = self.job.want() else { return Turn::Denied };
+        let Some(want) = self.job.generation_request() else { return Admission::Denied };
         let asker = (shared.peers.me, self.number);
         let question = Question { asker, want, missed };
-        grant::take(shared, holder, question, Reply::Here(sender));
-        let Ok(verdict) = timeout(LOOK_AGAIN, receiver).await else { return Turn::Again };
+        grant::take(shared, holder, question, ReplyTo::Local(sender));
+        let Ok(verdict) = timeout(LOOK_AGAIN, receiver).await else {
+            return Admission::Again;
+        };
         self.settled = true;
         match verdict {
-            Ok(Verdict::Send) => Turn::Send(self.number),
-            Ok(Verdict::Denied | Verdict::Queued) => Turn::Denied,
+            Ok(AdmissionVerdict::Send) => Admission::Send(self.number),
+            Ok(AdmissionVerdict::Denied | AdmissionVerdict::Queued) => Admission::Denied,
             // The claim was lost.
-            Ok(Verdict::Moved) | Err(_) => Turn::Moved,
+            Ok(AdmissionVerdict::Moved) | Err(_) => Admission::Moved,
         }
     }
 
@@ -305,39 +311,53 @@
         mut self,
         mut receiver: mpsc::UnboundedReceiver<Message>,
         missed: bool,
-    ) -> Turn {
+    ) -> Admission {
         let shared = &self.job.shared;
         let mut silent = 0;
         let limit = shared.now() + LOOK_AGAIN;
         while silent < TAKE_TRIES {
             if shared.now() >= limit {
-                return Turn::Again;
+                return Admission::Again;
             }
-            let Some(want) = self.job.want() else { return Turn::Denied };
+            let Some(want) = self.job.generation_request() else {
+                return Admission::Denied;
+            };
             let Some(addr) = holder::addr(shared, self.server) else { break };
             let (number, server) = (self.number, self.server.clone());
-            shared.peers.send(addr, Message::Take { number, server, want, missed });
+            shared.peers.send(
+                addr,
+                Message::AdmissionRequest {
+                    number,
+                    server,
+                    request: want,
+                    adapter_missing: missed,
+                },
+            );
             let mut wait = TAKE_TIME;
             loop {
                 let answer = timeout(wait, receiver.recv()).await;
-                let Ok(Some(Message::Taken { verdict, .. })) = answer else { break };
+                let Ok(Some(Message::AdmissionResponse { verdict, .. })) = answer else {
+                    break;
+                };
                 silent = 0;
                 match verdict {
-                    Verdict::Queued => {
+                    AdmissionVerdict::Queued => {
                         wait =
                             limit.saturating_duration_since(shared.now()).min(QUEUE_TIME);
                     }
-                    Verdict::Send => return self.settle(Turn::Send(number)),
-                    Verdict::Denied => return self.settle(Turn::Denied),
-                    Verdict::Moved => return self.settle(Turn::Moved),
+                    AdmissionVerdict::Send => {
+                        return self.settle(Admission::Send(number));
+                    }
+                    AdmissionVerdict::Denied => return self.settle(Admission::Denied),
+                    AdmissionVerdict::Moved => return self.settle(Admission::Moved),
                 }
             }
             silent += 1;
         }
-        Turn::Silent
+        Admission::Silent
     }
 
-    fn settle(&mut self, turn: Turn) -> Turn {
+    fn settle(&mut self, turn: Admission) -> Admission {
         self.settled = true;
         turn
     }
@@ -353,7 +373,7 @@
         if let Some(holder) = shared.holder(&server) {
             grant::leave(&holder, (shared.peers.me, number));
         } else if let Some(addr) = holder::addr(shared, &server) {
-            shared.peers.send(addr, Message::Leave { number, server });
+            shared.peers.send(addr, Message::Withdrawal { number, server });
         }
     }
 }
--- a/crates/gate/src/claims.rs
+++ b/crates/gate/src/claims.rs
@@ -14,7 +14,7 @@
 
 use crate::follow::{self, Follower, OWN};
 use crate::shared::Shared;
-use crate::{holder, metrics, queue, store};
+use crate::{holder, metrics, permit_queue, store};
 
 /// How keys of claims' rows begin; the claim follows.
 pub const PREFIX: &str = "claim:";
@@ -65,7 +65,7 @@
     fn settled(&mut self) {
         self.0.own_read.send_replace(true);
         holder::follow_claims(&self.0);
-        queue::follow_claims(&self.0);
+        permit_queue::sync_claims(&self.0);
     }
 }
 
@@ -115,7 +115,7 @@
                 took(shared, step, version, fresh);
             }
             holder::follow_claims(shared);
-            queue::follow_claims(shared);
+            permit_queue::sync_claims(shared);
         }
         Ok(TransactionOutcome::Conflict) => {
             info!(shared.log, "claims changed meanwhile"; "steps" => steps.len());
--- a/crates/gate/src/client.rs
+++ b/crates/gate/src/client.rs
@@ -51,14 +51,14 @@
 
 /// A request that brought no answer.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub enum SendFault {
+pub enum SendError {
     /// No byte of it was handed to a connection.
     NotSent(String),
     /// It was sent, and may have been taken.
     Lost(String),
 }
 
-impl Display for SendFault {
+impl Display for SendError {
     fn fmt(&self, f: &mut Formatter<'_>) -> fmt::Result {
         match self {
             Self::NotSent(why) => write!(f, "not sent: {why}"),
@@ -67,7 +67,7 @@
     }
 }
 
-impl std::error::Error for SendFault {}
+impl std::error::Error for SendError {}
 
 /// An open connection; dropping it closes it.
 pub struct Connection {
@@ -102,7 +102,7 @@
     }
 
     /// Takes a kept connection or opens one.
-    pub async fn connect(&self, addr: SocketAddr) -> Result<Connection, SendFault> {
+    pub async fn connect(&self, addr: SocketAddr) -> Result<Connection, SendError> {
         match self.take_idle(addr) {
             Some(connection) => Ok(connection),
             None => open(addr).await,
@@ -113,7 +113,12 @@
     ///
     /// The newest are used first, so that those in use stay fresh and the rest runs
     /// out.
-    pub fn keep(&self, addr: SocketAddr, connection: Connection, hold: Option<Duration>) {
+    pub fn release(
+        &self,
+        addr: SocketAddr,
+        connection: Connection,
+        hold: Option<Duration>,
+    ) {
         // The peer closes after its own time; a margin avoids sending into a close.
         let hold = hold.map_or(IDLE_TIME, |hold| hold.mul_f64(0.7));
         let until = self.clock.now() + hold;
@@ -126,7 +131,7 @@
     }
 
     /// Closes idle connections whose time is over.
-    pub fn tidy(&self) {
+    pub fn close_expired(&self) {
         let now = self.clock.now();
         let mut pools = self.idle.lock().expect("no holder of the lock panics");
         for pool in pools.values_mut() {
@@ -144,9 +149,9 @@
         request: Request<Bytes>,
         limit: usize,
         wait: Duration,
-    ) -> Result<Response<Bytes>, SendFault> {
+    ) -> Result<Response<Bytes>, SendError> {
         let late = |what, wait: Duration| {
-            SendFault::Lost(format!("no {what} within {} ms", wait.as_millis()))
+            SendError::Lost(format!("no {what} within {} ms", wait.as_millis()))
         };
         let head = timeout(wait, self.call_head(addr, request)).await;
         let (response, connection) =
@@ -154,8 +159,8 @@
         let (head, body) = response.into_parts();
         let body = timeout(BODY_TIME, Limited::new(body, limit).collect()).await;
         let body = body.map_err(|_| late("end of the answer", BODY_TIME))?;
-        let body = body.map_err(|error| SendFault::Lost(error.to_string()))?;
-        self.keep(addr, connection, None);
+        let body = body.map_err(|error| SendError::Lost(error.to_string()))?;
+        self.release(addr, connection, None);
         Ok(Response::from_parts(head, body.to_bytes()))
     }
 
@@ -163,7 +168,7 @@
         &self,
         addr: SocketAddr,
         request: Request<Bytes>,
-    ) -> Result<Answer, SendFault> {
+    ) -> Result<Answer, SendError> {
         let connection = self.connect(addr).await?;
         connection.send(with_host(request, addr)).await
     }
@@ -180,25 +185,25 @@
 
 impl Connection {
     /// Sends a request and waits for the head of the answer.
-    pub async fn send(mut self, request: Request<Bytes>) -> Result<Answer, SendFault> {
+    pub async fn send(mut self, request: Request<Bytes>) -> Result<Answer, SendError> {
         let request = request.map(Full::new);
         match self.sender.try_send_request(request).await {
             Ok(response) => Ok((response, self)),
             Err(mut fault) => {
                 let unsent = fault.take_message().is_some();
                 let why = fault.into_error().to_string();
-                Err(if unsent { SendFault::NotSent(why) } else { SendFault::Lost(why) })
+                Err(if unsent { SendError::NotSent(why) } else { SendError::Lost(why) })
             }
         }
     }
 }
 
-async fn open(addr: SocketAddr) -> Result<Connection, SendFault> {
-    let fault = |why: String| SendFault::NotSent(format!("connecting to {addr}: {why}"));
+async fn open(addr: SocketAddr) -> Result<Connection, SendError> {
+    let fault = |why: String| SendError::NotSent(format!("connecting to {addr}: {why}"));
     let stream = timeout(CONNECT_TIME, TcpStream::connect(addr)).await;
     let stream = stream.map_err(|_| fault("no answer".into()))?;
     let stream = stream.map_err(|error| fault(error.to_string()))?;
-    guard(&stream);
+    configure_socket(&stream);
     let shaken = http1::handshake(TokioIo::new(stream)).await;
     let (sender, driver) = shaken.map_err(|error| fault(error.to_string()))?;
     // The driver ends with its connection; whoever waits on the sender gets the error.
@@ -209,7 +214,7 @@
 /// Makes a connection notice a peer that is gone without a reset.
 ///
 /// The options are a help only: requests have deadlines of their own.
-pub fn guard(stream: &TcpStream) {
+pub fn configure_socket(stream: &TcpStream) {
     let socket = SockRef::from(stream);
     let alive = TcpKeepalive::new().with_time(PROBE_IDLE).with_interval(PROBE_IDLE);
     let _ = socket.set_tcp_nodelay(true);
--- a/crates/gate/src/events.rs
+++ b/crates/gate/src/events.rs
@@ -19,7 +19,7 @@
 
 /// Bytes that arrived and form no whole event yet.
 #[derive(Debug, Default)]
-pub struct Events {
+pub struct EventDecoder {
     pending: BytesMut,
 }
 
@@ -34,7 +34,7 @@
 
 /// An event that the caller has already.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Repeated {
+pub struct DuplicateEvent {
     /// Its number.
     pub id: u64,
     /// The last one that the caller has.
@@ -53,11 +53,11 @@
     }
 
     /// Takes in that an event is passed on; fails if the caller has it.
-    pub fn pass(&mut self, event: &Event) -> Result<(), Repeated> {
+    pub fn accept(&mut self, event: &Event) -> Result<(), DuplicateEvent> {
         if let (Some(last), Some(id)) = (self.last, event.id)
             && id <= last
         {
-            return Err(Repeated { id, last });
+            return Err(DuplicateEvent { id, last });
         }
         self.last = event.id.or(self.last);
         Ok(())
@@ -66,18 +66,18 @@
 
 /// An event that is too large to be one.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct TooLarge;
+pub struct EventTooLarge;
 
-impl Events {
+impl EventDecoder {
     /// Adds bytes that arrived.
-    pub fn push(&mut self, bytes: &[u8]) -> Result<(), TooLarge> {
+    pub fn push(&mut self, bytes: &[u8]) -> Result<(), EventTooLarge> {
         self.pending.extend_from_slice(bytes);
         let limit = self.pending.len() > EVENT_LIMIT && self.end().is_none();
-        if limit { Err(TooLarge) } else { Ok(()) }
+        if limit { Err(EventTooLarge) } else { Ok(()) }
     }
 
     /// Takes the next whole event.
-    pub fn take_next(&mut self) -> Option<Event> {
+    pub fn next_event(&mut self) -> Option<Event> {
         let end = self.end()?;
         let bytes = self.pending.split_to(end).freeze();
         let id = read_id(&bytes);
@@ -85,12 +85,12 @@
     }
 
     /// Whether part of an event has arrived.
-    pub fn is_partial(&self) -> bool {
+    pub fn has_partial_event(&self) -> bool {
         !self.pending.is_empty()
     }
 
     /// Forgets part of an event, before another server goes on.
-    pub fn reset(&mut self) {
+    pub fn discard_partial(&mut self) {
         self.pending.clear();
     }
 
--- a/crates/gate/src/follow.rs
+++ b/crates/gate/src/follow.rs
@@ -19,7 +19,7 @@
 use tokio::time::{sleep, timeout};
 
 use crate::backoff::Backoff;
-use crate::message::TableNews;
+use crate::message::TableFreshness;
 use crate::mirror::{Changes, Mirror};
 use crate::shared::Shared;
 use crate::store::{self, Fetch, StoreFault};
@@ -116,7 +116,7 @@
 
     /// What this daemon says of the table in its beats: the version, and how many
     /// milliseconds ago the store confirmed it.
-    pub fn news(&self, now: Instant) -> TableNews {
+    pub fn news(&self, now: Instant) -> TableFreshness {
         let age = self.age(now)?;
         Some((self.mirror().version()?, age.as_millis() as u32))
     }
@@ -204,7 +204,7 @@
     fn source(&self) -> Source {
         let now = self.shared.now();
         let rank = rank(&self.shared, self.table.name);
-        let may_call = self.backoff.is_over(rank, now);
+        let may_call = self.backoff.may_call(rank, now);
         if self.table.mirror().version().is_none() {
             let first = Source::Store(Duration::ZERO);
             return if may_call { first } else { Source::Nobody };
@@ -280,8 +280,8 @@
     async fn read_store(&mut self, hold: Duration) -> Result<(), StoreFault> {
         let result = self.ask_store(hold).await;
         match &result {
-            Ok(()) => self.backoff.answered(),
-            Err(_) => self.backoff.failed(self.shared.now()),
+            Ok(()) => self.backoff.record_success(),
+            Err(_) => self.backoff.record_failure(self.shared.now()),
         }
         result
     }
@@ -387,13 +387,13 @@
 }
 
 /// What this daemon says of its tables to others.
-pub fn news(shared: &Shared) -> Vec<TableNews> {
+pub fn news(shared: &Shared) -> Vec<TableFreshness> {
     let now = shared.now();
     tables(shared).into_iter().map(|table| table.news(now)).collect()
 }
 
 /// Takes in what another daemon says of its tables.
-pub fn hear(shared: &Shared, from: MemberId, news: &[TableNews]) {
+pub fn hear(shared: &Shared, from: MemberId, news: &[TableFreshness]) {
     if shared.is_waking() {
         // It may have waited in the socket for as long as the daemon stood still.
         return;
--- a/crates/gate/src/grant.rs
+++ b/crates/gate/src/grant.rs
@@ -18,8 +18,8 @@
 use tokio::time::timeout_at;
 
 use crate::holder::Holder;
-use crate::message::{Begun, Message, Verdict};
-use crate::peers::Reply;
+use crate::message::{AdmissionVerdict, FirstEvent, Message};
+use crate::peers::ReplyTo;
 use crate::shared::Shared;
 
 /// How long a question that was answered is remembered.
@@ -62,23 +62,23 @@
     /// Whether that number is known; the runner may keep parts from before this holder.
     sure: bool,
     /// Where the answer goes; nothing once a request of this daemon has it.
-    reply: Option<Reply<Verdict>>,
+    reply: Option<ReplyTo<AdmissionVerdict>>,
     /// What became of it and when, once it is decided.
-    decided: Option<(Verdict, Instant)>,
+    decided: Option<(AdmissionVerdict, Instant)>,
 }
 
 impl Desk {
     /// What became of a request that was asked for before.
-    fn verdict(&self, asker: RequestKey) -> Option<Verdict> {
+    fn verdict(&self, asker: RequestKey) -> Option<AdmissionVerdict> {
         let entry = self.open.get(&asker)?;
-        Some(entry.decided.map_or(Verdict::Queued, |(verdict, _)| verdict))
+        Some(entry.decided.map_or(AdmissionVerdict::Queued, |(verdict, _)| verdict))
     }
 
     fn enter(
         &mut self,
         asker: RequestKey,
         want: GenerationRequest,
-        reply: Reply<Verdict>,
+        reply: ReplyTo<AdmissionVerdict>,
         now: Instant,
     ) -> Ticket {
         let fresh = |at: Instant| now.saturating_duration_since(at) < MEMORY;
@@ -108,7 +108,7 @@
     shared: &Arc<Shared>,
     holder: &Arc<Holder>,
     question: Question,
-    reply: Reply<Verdict>,
+    reply: ReplyTo<AdmissionVerdict>,
 ) {
     let Question { asker, want, missed } = question;
     let known = holder.desk().verdict(asker);
@@ -116,10 +116,13 @@
         return answer(shared, asker.1, reply, verdict);
     }
     let Some(engine) = shared.engine_of(&holder.server) else {
-        return answer(shared, asker.1, reply, Verdict::Denied);
+        return answer(shared, asker.1, reply, AdmissionVerdict::Denied);
     };
-    if let Reply::There(addr) = &reply {
-        let message = Message::Taken { number: asker.1, verdict: Verdict::Queued };
+    if let ReplyTo::Remote(addr) = &reply {
+        let message = Message::AdmissionResponse {
+            number: asker.1,
+            verdict: AdmissionVerdict::Queued,
+        };
         shared.peers.send(*addr, message);
     }
     let now = shared.now();
@@ -183,7 +186,7 @@
         Some(ready) => {
             holder.state().prefill_queue.set_adapter_ready(ticket, shared.now() + ready)
         }
-        None => decide(shared, holder, ticket, Verdict::Denied),
+        None => decide(shared, holder, ticket, AdmissionVerdict::Denied),
     }
     holder.changed.notify_one();
 }
@@ -196,7 +199,7 @@
 }
 
 /// Takes in the first event of a request that was sent in its turn.
-pub fn begun(shared: &Shared, holder: &Holder, from: MemberId, begun: Begun) {
+pub fn begun(shared: &Shared, holder: &Holder, from: MemberId, begun: FirstEvent) {
     let (ticket, model, unread, sure) = {
         let desk = holder.desk();
         let Some(entry) = desk.open.get(&(from, begun.number)) else { return };
@@ -232,10 +235,10 @@
     let next = holder.state().prefill_queue.next_action(room, now);
     match next {
         PrefillAction::Send(waiting) => {
-            decide(shared, holder, waiting.ticket, Verdict::Send)
+            decide(shared, holder, waiting.ticket, AdmissionVerdict::Send)
         }
         PrefillAction::Expired(waiting) => {
-            decide(shared, holder, waiting.ticket, Verdict::Denied)
+            decide(shared, holder, waiting.ticket, AdmissionVerdict::Denied)
         }
         PrefillAction::WaitUntil(until) => return Some(until.min(later)),
         PrefillAction::Idle => return Some(later),
@@ -250,26 +253,26 @@
 fn deny_all(shared: &Shared, holder: &Holder) {
     let waiting = holder.desk().undecided();
     for ticket in waiting {
-        decide(shared, holder, ticket, Verdict::Denied);
+        decide(shared, holder, ticket, AdmissionVerdict::Denied);
     }
 }
 
 /// Decides what becomes of a request and tells who asked.
-fn decide(shared: &Shared, holder: &Holder, ticket: Ticket, verdict: Verdict) {
+fn decide(shared: &Shared, holder: &Holder, ticket: Ticket, verdict: AdmissionVerdict) {
     let now = shared.now();
     let (asker, reply, want) = {
         let mut desk = holder.desk();
         let Some((asker, entry)) = desk.find(ticket) else { return };
         entry.decided = Some((verdict, now));
         let reply = match &entry.reply {
-            Some(Reply::There(addr)) => Some(Reply::There(*addr)),
+            Some(ReplyTo::Remote(addr)) => Some(ReplyTo::Remote(*addr)),
             _ => entry.reply.take(),
         };
         (asker, reply, entry.want.clone())
     };
     match verdict {
-        Verdict::Send => note_sent(shared, holder, ticket, &want),
-        Verdict::Denied | Verdict::Queued | Verdict::Moved => {
+        AdmissionVerdict::Send => note_sent(shared, holder, ticket, &want),
+        AdmissionVerdict::Denied | AdmissionVerdict::Queued | AdmissionVerdict::Moved => {
             holder.state().prefill_queue.remove(ticket);
             info!(shared.log, "turn denied"; "server" => holder.server.to_string(),
                 "daemon" => asker.0.to_string(), "number" => asker.1);
@@ -296,8 +299,16 @@
     }
 }
 
-fn answer(shared: &Shared, number: u64, reply: Reply<Verdict>, verdict: Verdict) {
-    reply.send(&shared.peers, verdict, |verdict| Message::Taken { number, verdict });
+fn answer(
+    shared: &Shared,
+    number: u64,
+    reply: ReplyTo<AdmissionVerdict>,
+    verdict: AdmissionVerdict,
+) {
+    reply.send(&shared.peers, verdict, |verdict| Message::AdmissionResponse {
+        number,
+        verdict,
+    });
 }
 
 /// What the runner has room for; nothing if it takes no new requests.
--- a/crates/gate/src/holder.rs
+++ b/crates/gate/src/holder.rs
@@ -140,7 +140,7 @@
 
 fn tell_failed(shared: &Shared, change: Move, planner: Option<SocketAddr>) {
     match planner {
-        Some(addr) => shared.peers.send(addr, Message::Failed(change)),
+        Some(addr) => shared.peers.send(addr, Message::MoveFailed(change)),
         None => planner::fail(shared, &change),
     }
 }
--- a/crates/gate/src/front.rs
+++ b/crates/gate/src/listener.rs
@@ -14,7 +14,7 @@
 use tokio::net::{TcpListener, TcpStream};
 use tokio::time::sleep;
 
-use crate::client::guard;
+use crate::client::configure_socket;
 use crate::serve;
 use crate::shared::Shared;
 
@@ -60,7 +60,7 @@
     let idle = idle.unwrap_or_default() + IDLE_SLACK;
     let answer = {
         let shared = shared.clone();
-        move |request| serve::answer(shared.clone(), request)
+        move |request| serve::handle(shared.clone(), request)
     };
     serve_http(stream, idle, answer).await;
 }
@@ -75,7 +75,7 @@
     B::Error: std::error::Error + Send + Sync,
     F: Future<Output = Result<Response<B>, Infallible>>,
 {
-    guard(&stream);
+    configure_socket(&stream);
     let mut server = http1::Builder::new();
     server.timer(TokioTimer::new()).header_read_timeout(idle);
     let connection = server.serve_connection(TokioIo::new(stream), service_fn(answer));
--- a/crates/gate/src/members.rs
+++ b/crates/gate/src/members.rs
@@ -18,7 +18,7 @@
 use tokio::time::sleep;
 
 use crate::follow::{self, Follower, OWN};
-use crate::message::{Beat, Message};
+use crate::message::{Heartbeat, Message};
 use crate::shared::Shared;
 use crate::{claims, store};
 
@@ -186,14 +186,14 @@
 /// Tells others that the daemon lives.
 fn beat(shared: &Shared) {
     let now = shared.now();
-    let beat = Beat {
-        leaving: *shared.leaving.borrow(),
-        heard: shared.peers.alive(now),
+    let beat = Heartbeat {
+        shutting_down: *shared.leaving.borrow(),
+        heard_from: shared.peers.alive_members(now),
         tables: follow::news(shared),
     };
     let addrs: Vec<SocketAddr> = shared.neighbours().addrs.values().copied().collect();
     for addr in addrs {
-        shared.peers.send(addr, Message::Beat(beat.clone()));
+        shared.peers.send(addr, Message::Heartbeat(beat.clone()));
     }
 }
 
@@ -206,20 +206,20 @@
     let news = follow::news(shared);
     let lacking: Vec<SocketAddr> = {
         let neighbours = shared.neighbours();
-        let lacks = |member: MemberId| shared.peers.lacks(member, &news);
+        let lacks = |member: MemberId| shared.peers.is_behind(member, &news);
         let addrs = neighbours.addrs.iter();
         addrs.filter(|(member, _)| lacks(**member)).map(|(_, addr)| *addr).collect()
     };
     for addr in lacking.into_iter().sample(&mut rand::rng(), FAN_OUT) {
-        shared.peers.send(addr, Message::News(news.clone()));
+        shared.peers.send(addr, Message::TableUpdate(news.clone()));
     }
 }
 
 /// Tells all daemons that this one leaves, so that none sends callers to it.
 pub fn say_leaving(shared: &Shared) {
-    let beat = Beat { leaving: true, ..Beat::default() };
+    let beat = Heartbeat { shutting_down: true, ..Heartbeat::default() };
     for (_, addr) in others(shared) {
-        shared.peers.send(addr, Message::Beat(beat.clone()));
+        shared.peers.send(addr, Message::Heartbeat(beat.clone()));
     }
 }
 
@@ -273,10 +273,10 @@
 }
 
 /// Takes in a beat of another daemon.
-pub fn heard(shared: &Shared, from: MemberId, beat: &Beat) {
+pub fn heard(shared: &Shared, from: MemberId, beat: &Heartbeat) {
     follow::hear(shared, from, &beat.tables);
     let mut known = shared.known();
-    match beat.leaving {
+    match beat.shutting_down {
         true => drop(known.leaving.insert(from)),
         false => drop(known.leaving.swap_remove(&from)),
     }
@@ -321,8 +321,8 @@
     let now = shared.now();
     let peers = &shared.peers;
     let known = shared.known();
-    let quiet = |member| match peers.heard(member) {
-        Some(heard) => now.saturating_duration_since(heard.at) > SILENCE,
+    let quiet = |member| match peers.peer_state(member) {
+        Some(heard) => now.saturating_duration_since(heard.last_heard) > SILENCE,
         // It has just joined, or was gone before this daemon started.
         None => known.is_stable(member, now, SILENCE * 2),
     };
@@ -330,7 +330,7 @@
         .into_iter()
         .filter_map(|vm| {
             let (row, version) = known.members.get(&vm)?;
-            let gone = quiet(row.member) && !peers.is_vouched_for(row.member, now);
+            let gone = quiet(row.member) && !peers.is_heard_by_others(row.member, now);
             gone.then(|| (vm, row.clone(), *version))
         })
         .collect()
--- a/crates/gate/src/message.rs
+++ b/crates/gate/src/message.rs
@@ -28,9 +28,11 @@
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub enum Message {
     /// The daemon lives.
-    Beat(Beat),
+    #[serde(rename = "Beat")]
+    Heartbeat(Heartbeat),
     /// What the daemon has in flight at a runner that the receiver holds.
-    Sum {
+    #[serde(rename = "Sum")]
+    UsageReport {
         /// The runner.
         server: ServerName,
         /// All that the daemon has in flight there.
@@ -38,16 +40,19 @@
         /// The model of a request that was just sent.
         target: Option<TargetModel>,
         /// The first event of a request that was asked for with `Take`.
-        begun: Option<Begun>,
+        #[serde(rename = "begun")]
+        first_event: Option<FirstEvent>,
     },
     /// Asks how soon runners that the receiver holds would answer.
-    Ask {
+    #[serde(rename = "Ask")]
+    BidRequest {
         /// Names the question in the answer.
         number: u64,
         /// The runners.
         servers: Vec<ServerName>,
         /// What the request needs.
-        want: GenerationRequest,
+        #[serde(rename = "want")]
+        request: GenerationRequest,
     },
     /// Answers `Ask`.
     Bids {
@@ -59,25 +64,30 @@
     /// Asks when a runner that the receiver holds can be sent a request.
     ///
     /// Repeated while the answer is awaited; the number names the request.
-    Take {
+    #[serde(rename = "Take")]
+    AdmissionRequest {
         /// Names the request.
         number: u64,
         /// The runner.
         server: ServerName,
         /// What the request needs.
-        want: GenerationRequest,
+        #[serde(rename = "want")]
+        request: GenerationRequest,
         /// Whether the runner has just said that it does not have the adapter.
-        missed: bool,
+        #[serde(rename = "missed")]
+        adapter_missing: bool,
     },
     /// Answers `Take`.
-    Taken {
+    #[serde(rename = "Taken")]
+    AdmissionResponse {
         /// The request's number.
         number: u64,
         /// What became of it.
-        verdict: Verdict,
+        verdict: AdmissionVerdict,
     },
     /// A request that was asked for with `Take` is not sent after all.
-    Leave {
+    #[serde(rename = "Leave")]
+    Withdrawal {
         /// The request's number.
         number: u64,
         /// The runner.
@@ -86,23 +96,27 @@
     /// Asks for a place at a server of a plain service whose queue the receiver holds.
     ///
     /// Repeated while the answer is awaited; the number names the request.
-    Enqueue {
+    #[serde(rename = "Enqueue")]
+    PermitRequest {
         /// Names the request.
         number: u64,
         /// The service.
         service: ServiceName,
         /// What the request needs.
-        want: PlainRequest,
+        #[serde(rename = "want")]
+        request: PlainRequest,
     },
     /// Answers `Enqueue`.
-    Dequeued {
+    #[serde(rename = "Dequeued")]
+    PermitResponse {
         /// The request's number.
         number: u64,
         /// What became of it.
-        verdict: Placed,
+        verdict: PermitVerdict,
     },
     /// A request that was asked for with `Enqueue` needs its place no more.
-    Finished {
+    #[serde(rename = "Finished")]
+    PermitRelease {
         /// The request's number.
         number: u64,
         /// The service.
@@ -112,29 +126,35 @@
     },
     /// What callers have asked of a service's models, to the planner; in parts, since all
     /// models may be too many for a datagram.
-    Demand {
+    #[serde(rename = "Demand")]
+    DemandReport {
         /// The service.
         service: ServiceName,
         /// The number of the part.
         part: usize,
         /// What was asked for since the daemon's start, by model.
-        asked: Vec<(ModelName, DemandCounts)>,
+        #[serde(rename = "asked")]
+        demand: Vec<(ModelName, DemandCounts)>,
         /// Servers that the daemon can't connect to.
-        lost: Vec<ServerName>,
+        #[serde(rename = "lost")]
+        unreachable: Vec<ServerName>,
         /// What it has learnt of its runners since it last told.
-        learnt: Option<LearnedTimings>,
+        #[serde(rename = "learnt")]
+        learned: Option<LearnedTimings>,
     },
     /// The planner asks a runner's holder to change what the runner holds.
     Move(Move),
     /// The holder could not make a move.
-    Failed(Move),
+    #[serde(rename = "Failed")]
+    MoveFailed(Move),
     /// What the daemon knows of the store's tables, when that has just changed.
-    News(Vec<TableNews>),
+    #[serde(rename = "News")]
+    TableUpdate(Vec<TableFreshness>),
 }
 
 /// The first event of a request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Begun {
+pub struct FirstEvent {
     /// The request's number.
     pub number: u64,
     /// How long after its sending the event came, in milliseconds.
@@ -143,7 +163,7 @@
 
 /// What becomes of a request that waits to be sent to a runner.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
-pub enum Verdict {
+pub enum AdmissionVerdict {
     /// It waits.
     Queued,
     /// It is to be sent now.
@@ -156,7 +176,7 @@
 
 /// What becomes of a request that waits for a place at a plain service.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub enum Placed {
+pub enum PermitVerdict {
     /// It waits.
     Queued,
     /// It is to be sent to this server now.
@@ -171,18 +191,20 @@
 
 /// The daemon lives.
 #[derive(Debug, Clone, Default, PartialEq, Serialize, Deserialize)]
-pub struct Beat {
+pub struct Heartbeat {
     /// Whether it was told to stop.
-    pub leaving: bool,
+    #[serde(rename = "leaving")]
+    pub shutting_down: bool,
     /// The daemons that it has heard from lately.
     ///
     /// All of them: daemons that have lately been cut off from the store differ in who
     /// watches whom, and would remove each other's rows without the word of the rest.
-    pub heard: Vec<MemberId>,
+    #[serde(rename = "heard")]
+    pub heard_from: Vec<MemberId>,
     /// What it knows of the store's tables.
-    pub tables: Vec<TableNews>,
+    pub tables: Vec<TableFreshness>,
 }
 
 /// What a daemon knows of one of the store's tables: the version, and how many
 /// milliseconds ago the store confirmed it.
-pub type TableNews = Option<(u64, u32)>;
+pub type TableFreshness = Option<(u64, u32)>;
--- a/crates/gate/src/metrics.rs
+++ b/crates/gate/src/metrics.rs
@@ -95,7 +95,7 @@
     }
 
     /// Counts a request's end.
-    pub fn ended(&self, route: &str, end: &str) {
+    pub fn record_end(&self, route: &str, end: &str) {
         let labels = EndLabels { route: route.into(), end: end.into() };
         self.ends.get_or_create(&labels).inc();
     }
--- a/crates/gate/src/observe.rs
+++ b/crates/gate/src/observe.rs
@@ -152,7 +152,7 @@
         queues: shared
             .queues()
             .iter()
-            .map(|(service, queue)| (service.clone(), queue.waiting()))
+            .map(|(service, queue)| (service.clone(), queue.queued_count()))
             .collect(),
     }
 }
--- a/crates/gate/src/peers.rs
+++ b/crates/gate/src/peers.rs
@@ -10,25 +10,25 @@
 use tokio::net::UdpSocket;
 use tokio::sync::{mpsc, oneshot};
 
-use crate::message::{Beat, Message, Packet, TableNews};
+use crate::message::{Heartbeat, Message, Packet, TableFreshness};
 
 /// The largest datagram that is read, in bytes.
-pub const PACKET_LIMIT: usize = 16 * 1024;
+pub const MAX_PACKET_BYTES: usize = 16 * 1024;
 
 /// How long a daemon that was heard from counts as alive.
 ///
 /// Three beats: datagrams are lost now and then.
-pub const ALIVE_TIME: Duration = Duration::from_millis(900);
+pub const HEARTBEAT_TIMEOUT: Duration = Duration::from_millis(900);
 
 /// What was last heard from a daemon.
 #[derive(Debug, Clone)]
-pub struct Heard {
+pub struct PeerState {
     /// When anything was heard.
-    pub at: Instant,
+    pub last_heard: Instant,
     /// Its last beat.
-    pub beat: Option<Beat>,
+    pub heartbeat: Option<Heartbeat>,
     /// What it last said of the store's tables.
-    pub tables: Vec<TableNews>,
+    pub tables: Vec<TableFreshness>,
 }
 
 /// Datagrams to and from other daemons.
@@ -38,25 +38,25 @@
     socket: UdpSocket,
     clock: Arc<dyn Clock>,
     log: Logger,
-    heard: Mutex<IndexMap<MemberId, Heard>>,
+    heard: Mutex<IndexMap<MemberId, PeerState>>,
     waiting: Mutex<Waiting>,
 }
 
 /// Where the answer to a question goes.
-pub enum Reply<T> {
+pub enum ReplyTo<T> {
     /// To a request of this daemon.
-    Here(oneshot::Sender<T>),
+    Local(oneshot::Sender<T>),
     /// To another daemon.
-    There(SocketAddr),
+    Remote(SocketAddr),
 }
 
-impl<T> Reply<T> {
+impl<T> ReplyTo<T> {
     /// Answers; `write` puts the answer into a message.
     pub fn send(self, peers: &Peers, answer: T, write: impl FnOnce(T) -> Message) {
         match self {
             // Whoever asked may have given up.
-            Self::Here(sender) => drop(sender.send(answer)),
-            Self::There(addr) => peers.send(addr, write(answer)),
+            Self::Local(sender) => drop(sender.send(answer)),
+            Self::Remote(addr) => peers.send(addr, write(answer)),
         }
     }
 }
@@ -97,7 +97,7 @@
 
     /// Receives the next datagram that can be read.
     pub async fn receive(&self) -> (Packet, SocketAddr) {
-        let mut buffer = vec![0; PACKET_LIMIT];
+        let mut buffer = vec![0; MAX_PACKET_BYTES];
         loop {
             let Ok((len, from)) = self.socket.recv_from(&mut buffer).await else {
                 // A reset of an earlier datagram shows here; the next may be fine.
@@ -113,7 +113,7 @@
     /// Draws a number for a question; answers come to the receiver.
     ///
     /// A question gets one answer, or one for each time that it is repeated.
-    pub fn expect(&self) -> (u64, mpsc::UnboundedReceiver<Message>) {
+    pub fn open_request(&self) -> (u64, mpsc::UnboundedReceiver<Message>) {
         let (sender, receiver) = mpsc::unbounded_channel();
         let mut waiting = self.waiting.lock().expect("no holder of the lock panics");
         waiting.last += 1;
@@ -124,7 +124,7 @@
     }
 
     /// Hands an answer to whoever waits for it.
-    pub fn answer(&self, number: u64, message: Message) {
+    pub fn deliver_response(&self, number: u64, message: Message) {
         let waiting = self.waiting.lock().expect("no holder of the lock panics");
         if let Some(sender) = waiting.senders.get(&number) {
             // Whoever asked may have given up.
@@ -133,39 +133,45 @@
     }
 
     /// What was last heard from a daemon.
-    pub fn heard(&self, member: MemberId) -> Option<Heard> {
+    pub fn peer_state(&self, member: MemberId) -> Option<PeerState> {
         let heard = self.heard.lock().expect("no holder of the lock panics");
         heard.get(&member).cloned()
     }
 
     /// Whether a daemon was heard from lately.
     pub fn is_alive(&self, member: MemberId, now: Instant) -> bool {
-        let heard = self.heard(member);
-        heard.is_some_and(|heard| now.saturating_duration_since(heard.at) < ALIVE_TIME)
+        let heard = self.peer_state(member);
+        heard.is_some_and(|heard| {
+            now.saturating_duration_since(heard.last_heard) < HEARTBEAT_TIMEOUT
+        })
     }
 
     /// Whether a daemon is not known to have all that `news` tells of the tables.
-    pub fn lacks(&self, member: MemberId, news: &[TableNews]) -> bool {
+    pub fn is_behind(&self, member: MemberId, news: &[TableFreshness]) -> bool {
         let heard = self.heard.lock().expect("no holder of the lock panics");
         let Some(heard) = heard.get(&member) else { return true };
-        let version = |table: &TableNews| table.map(|(version, _)| version);
+        let version = |table: &TableFreshness| table.map(|(version, _)| version);
         let known = heard.tables.iter().chain(std::iter::repeat(&None));
         news.iter().zip(known).any(|(new, known)| version(known) < version(new))
     }
 
     /// The daemons that were heard from lately.
-    pub fn alive(&self, now: Instant) -> Vec<MemberId> {
+    pub fn alive_members(&self, now: Instant) -> Vec<MemberId> {
         let heard = self.heard.lock().expect("no holder of the lock panics");
-        let fresh = |heard: &Heard| now.saturating_duration_since(heard.at) < ALIVE_TIME;
+        let fresh = |heard: &PeerState| {
+            now.saturating_duration_since(heard.last_heard) < HEARTBEAT_TIMEOUT
+        };
         heard.iter().filter(|(_, heard)| fresh(heard)).map(|(id, _)| *id).collect()
     }
 
     /// Whether a daemon that was heard from lately has itself heard from `member`.
-    pub fn is_vouched_for(&self, member: MemberId, now: Instant) -> bool {
+    pub fn is_heard_by_others(&self, member: MemberId, now: Instant) -> bool {
         let heard = self.heard.lock().expect("no holder of the lock panics");
         heard.iter().any(|(id, heard)| {
-            let fresh = now.saturating_duration_since(heard.at) < ALIVE_TIME;
-            let names = heard.beat.as_ref().is_some_and(|b| b.heard.contains(&member));
+            let fresh =
+                now.saturating_duration_since(heard.last_heard) < HEARTBEAT_TIMEOUT;
+            let names =
+                heard.heartbeat.as_ref().is_some_and(|b| b.heard_from.contains(&member));
             *id != member && fresh && names
         })
     }
@@ -173,22 +179,22 @@
     fn note(&self, packet: &Packet) {
         let mut heard = self.heard.lock().expect("no holder of the lock panics");
         let now = self.clock.now();
-        let entry = heard.entry(packet.from).or_insert(Heard {
-            at: now,
-            beat: None,
+        let entry = heard.entry(packet.from).or_insert(PeerState {
+            last_heard: now,
+            heartbeat: None,
             tables: Vec::new(),
         });
-        entry.at = now;
+        entry.last_heard = now;
         match &packet.message {
-            Message::Beat(beat) => {
+            Message::Heartbeat(beat) => {
                 entry.tables.clone_from(&beat.tables);
-                entry.beat = Some(beat.clone());
+                entry.heartbeat = Some(beat.clone());
             }
-            Message::News(tables) => entry.tables.clone_from(tables),
+            Message::TableUpdate(tables) => entry.tables.clone_from(tables),
             _ => {}
         }
         // Restarted daemons have new numbers; the old ones fade.
         let limit = Duration::from_secs(60);
-        heard.retain(|_, heard| now.saturating_duration_since(heard.at) < limit);
+        heard.retain(|_, heard| now.saturating_duration_since(heard.last_heard) < limit);
     }
 }
--- a/crates/gate/src/enqueue.rs
+++ b/crates/gate/src/permit.rs
@@ -16,10 +16,10 @@
 
 use crate::claims::pool_key;
 use crate::job::Job;
-use crate::message::{Message, Placed};
+use crate::message::{Message, PermitVerdict};
 use crate::metrics::{Span, Step};
-use crate::peers::Reply;
-use crate::queue;
+use crate::peers::ReplyTo;
+use crate::permit_queue;
 use crate::shared::Shared;
 
 /// How long the holder of a queue may take to answer.
@@ -49,7 +49,7 @@
 
 /// What came of waiting.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub enum Queued {
+pub enum PermitDecision {
     /// It is to be sent to this server now; the number names its place.
     Send(u64, ServerName),
     /// There is room only after its caller has left.
@@ -60,7 +60,7 @@
     Silent,
 }
 
-impl Queued {
+impl PermitDecision {
     /// Its name in metrics.
     fn name(&self) -> &'static str {
         match self {
@@ -74,23 +74,23 @@
 
 /// Names a request's place to the holder of its service's queue.
 #[derive(Debug, Clone)]
-pub struct Ticket {
+pub struct Permit {
     /// The service.
     pub service: ServiceName,
     /// The request's number.
     pub number: u64,
 }
 
-impl Ticket {
+impl Permit {
     /// Tells the queue that the request needs its place no more.
-    pub fn give_back(self, shared: &Arc<Shared>, outcome: PermitOutcome) {
+    pub fn release(self, shared: &Arc<Shared>, outcome: PermitOutcome) {
         let Self { service, number } = self;
         match holder(shared, &service) {
             Some((member, _)) if member == shared.peers.me => {
-                queue::finish(shared, &service, (member, number), outcome);
+                permit_queue::release(shared, &service, (member, number), outcome);
             }
             Some((_, addr)) => {
-                let message = Message::Finished { number, service, outcome };
+                let message = Message::PermitRelease { number, service, outcome };
                 shared.peers.send(addr, message.clone());
                 let shared = shared.clone();
                 tokio::spawn(async move {
@@ -112,24 +112,24 @@
 }
 
 /// Waits for a place; servers on `avoid` did not serve the request.
-pub async fn wait(job: &Job, avoid: &[ServerName]) -> Queued {
+pub async fn request_permit(job: &Job, avoid: &[ServerName]) -> PermitDecision {
     let shared = &job.shared;
     let began = shared.now();
     if shared.is_silent(&job.service, began) {
-        return Queued::Silent;
+        return PermitDecision::Silent;
     }
     let Some((member, addr)) = holder(shared, &job.service) else {
-        return Queued::Silent;
+        return PermitDecision::Silent;
     };
-    let (number, receiver) = shared.peers.expect();
+    let (number, receiver) = shared.peers.open_request();
     let want = want(job, avoid);
     let mut asked = Asked { job, number, placed: false };
     let queued = match member == shared.peers.me {
         true => asked.here(want).await,
         false => asked.there(addr, receiver, want).await,
     };
-    asked.placed = matches!(queued, Queued::Send(..));
-    if queued == Queued::Silent {
+    asked.placed = matches!(queued, PermitDecision::Send(..));
+    if queued == PermitDecision::Silent {
         shared.note_silent(&job.service, shared.now() + SILENT_TIME);
     }
     shared.metrics.count(Step::Turn, queued.name());
@@ -146,7 +146,7 @@
     let ours = fleet.iter().filter(|(_, server)| server.entry.service == job.service);
     let shut = ours.filter(|(_, server)| !fleet.accepts_requests(server, now));
     let shut = shut.map(|(_, server)| server.entry.name.clone());
-    let on_time = job.arrived + job.route().objective;
+    let on_time = job.arrived_at + job.route().objective;
     PlainRequest {
         urgency: job.route().priority,
         target_time: on_time.saturating_duration_since(now),
@@ -164,15 +164,21 @@
 }
 
 impl Asked<'_> {
-    async fn here(&self, want: PlainRequest) -> Queued {
+    async fn here(&self, want: PlainRequest) -> PermitDecision {
         let shared = &self.job.shared;
         let (sender, receiver) = oneshot::channel();
         let asker = (shared.peers.me, self.number);
-        queue::take(shared, &self.job.service, asker, want, Reply::Here(sender));
+        permit_queue::enqueue(
+            shared,
+            &self.job.service,
+            asker,
+            want,
+            ReplyTo::Local(sender),
+        );
         match receiver.await {
-            Ok(placed) => self.read(placed).unwrap_or(Queued::Silent),
+            Ok(placed) => self.read(placed).unwrap_or(PermitDecision::Silent),
             // The claim was lost.
-            Err(_) => Queued::Silent,
+            Err(_) => PermitDecision::Silent,
         }
     }
 
@@ -181,18 +187,22 @@
         addr: SocketAddr,
         mut receiver: mpsc::UnboundedReceiver<Message>,
         want: PlainRequest,
-    ) -> Queued {
+    ) -> PermitDecision {
         let (shared, number) = (&self.job.shared, self.number);
         let service = &self.job.service;
         let mut silent = 0;
         while silent < TRIES {
             let (service, want) = (service.clone(), want.clone());
-            shared.peers.send(addr, Message::Enqueue { number, service, want });
+            shared
+                .peers
+                .send(addr, Message::PermitRequest { number, service, request: want });
             silent += 1;
             let mut wait = ANSWER_TIME;
             loop {
                 let answer = timeout(wait, receiver.recv()).await;
-                let Ok(Some(Message::Dequeued { verdict, .. })) = answer else { break };
+                let Ok(Some(Message::PermitResponse { verdict, .. })) = answer else {
+                    break;
+                };
                 let Some(queued) = self.read(verdict) else {
                     // It waits, and is asked for again as often as need be.
                     (silent, wait) = (0, QUEUE_TIME);
@@ -201,19 +211,21 @@
                 return queued;
             }
         }
-        Queued::Silent
+        PermitDecision::Silent
     }
 
     /// What an answer means; nothing while the request waits.
-    fn read(&self, placed: Placed) -> Option<Queued> {
+    fn read(&self, placed: PermitVerdict) -> Option<PermitDecision> {
         match placed {
-            Placed::Queued => None,
-            Placed::Send(server) => Some(Queued::Send(self.number, server)),
-            Placed::Full(millis) => {
-                Some(Queued::Full(Duration::from_millis(millis.into())))
+            PermitVerdict::Queued => None,
+            PermitVerdict::Send(server) => {
+                Some(PermitDecision::Send(self.number, server))
+            }
+            PermitVerdict::Full(millis) => {
+                Some(PermitDecision::Full(Duration::from_millis(millis.into())))
             }
-            Placed::Nowhere => Some(Queued::Nowhere),
-            Placed::Moved => Some(Queued::Silent),
+            PermitVerdict::Nowhere => Some(PermitDecision::Nowhere),
+            PermitVerdict::Moved => Some(PermitDecision::Silent),
         }
     }
 }
@@ -222,7 +234,7 @@
     fn drop(&mut self) {
         if !self.placed {
             let (service, number) = (self.job.service.clone(), self.number);
-            Ticket { service, number }.give_back(&self.job.shared, PermitOutcome::Unused);
+            Permit { service, number }.release(&self.job.shared, PermitOutcome::Unused);
         }
     }
 }
--- a/crates/gate/src/queue.rs
+++ b/crates/gate/src/permit_queue.rs
@@ -16,8 +16,8 @@
 use tokio::time::timeout_at;
 
 use crate::claims::pool_key;
-use crate::message::{Message, Placed};
-use crate::peers::Reply;
+use crate::message::{Message, PermitVerdict};
+use crate::peers::ReplyTo;
 use crate::shared::Shared;
 
 /// How long the queue sleeps at most while requests wait.
@@ -40,7 +40,7 @@
 struct State {
     queue: PermitQueue,
     /// Where answers to requests that wait go.
-    replies: IndexMap<RequestKey, Reply<Placed>>,
+    replies: IndexMap<RequestKey, ReplyTo<PermitVerdict>>,
     /// The change of the registry that the servers were listed at, and when.
     listed: Option<(u64, Instant)>,
 }
@@ -56,20 +56,20 @@
         &mut self,
         asker: RequestKey,
         want: PlainRequest,
-        reply: Reply<Placed>,
+        reply: ReplyTo<PermitVerdict>,
         now: Instant,
-    ) -> Option<(Reply<Placed>, Placed)> {
+    ) -> Option<(ReplyTo<PermitVerdict>, PermitVerdict)> {
         if let Some(server) = self.queue.permit(asker) {
-            return Some((reply, Placed::Send(server.clone())));
+            return Some((reply, PermitVerdict::Send(server.clone())));
         }
         self.queue.push(asker, want, now);
         // Whoever asks again has to know that the queue is there.
         let again = match (&reply, self.replies.contains_key(&asker)) {
-            (Reply::There(addr), true) => Some(Reply::There(*addr)),
+            (ReplyTo::Remote(addr), true) => Some(ReplyTo::Remote(*addr)),
             _ => None,
         };
         self.replies.insert(asker, reply);
-        again.map(|reply| (reply, Placed::Queued))
+        again.map(|reply| (reply, PermitVerdict::Queued))
     }
 }
 
@@ -79,13 +79,13 @@
     }
 
     /// The requests that wait.
-    pub fn waiting(&self) -> usize {
+    pub fn queued_count(&self) -> usize {
         self.state().queue.len()
     }
 }
 
 /// Starts and ends queues as claims come and go.
-pub fn follow_claims(shared: &Arc<Shared>) {
+pub fn sync_claims(shared: &Arc<Shared>) {
     let held = held(shared);
     let lost: Vec<Arc<ServiceQueue>> = {
         let mut queues = shared.queues();
@@ -99,7 +99,7 @@
         // Who waits asks the next holder.
         let replies = std::mem::take(&mut queue.state().replies);
         for (asker, reply) in replies {
-            answer(shared, asker, reply, Placed::Moved);
+            answer(shared, asker, reply, PermitVerdict::Moved);
         }
     }
 }
@@ -124,15 +124,15 @@
 }
 
 /// Takes in that a daemon wants a place.
-pub fn take(
+pub fn enqueue(
     shared: &Shared,
     service: &ServiceName,
     asker: RequestKey,
     want: PlainRequest,
-    reply: Reply<Placed>,
+    reply: ReplyTo<PermitVerdict>,
 ) {
     let Some(queue) = shared.queues().get(service).cloned() else {
-        return answer(shared, asker, reply, Placed::Moved);
+        return answer(shared, asker, reply, PermitVerdict::Moved);
     };
     let now = shared.now();
     let told = queue.state().take(asker, want, reply, now);
@@ -144,7 +144,7 @@
 }
 
 /// Takes in that a request needs its place no more, or does not wait any longer.
-pub fn finish(
+pub fn release(
     shared: &Shared,
     service: &ServiceName,
     asker: RequestKey,
@@ -181,11 +181,13 @@
             let mut state = queue.state();
             let Some(step) = state.queue.next_decision(now) else { return };
             let (asker, placed) = match step {
-                QueueDecision::Grant(asker, server) => (asker, Placed::Send(server)),
+                QueueDecision::Grant(asker, server) => {
+                    (asker, PermitVerdict::Send(server))
+                }
                 QueueDecision::Full(asker, wait) => {
-                    (asker, Placed::Full(wait.as_millis() as u32))
+                    (asker, PermitVerdict::Full(wait.as_millis() as u32))
                 }
-                QueueDecision::NoServer(asker) => (asker, Placed::Nowhere),
+                QueueDecision::NoServer(asker) => (asker, PermitVerdict::Nowhere),
             };
             (asker, state.replies.swap_remove(&asker), placed)
         };
@@ -218,7 +220,15 @@
     state.listed = Some((version, now));
 }
 
-fn answer(shared: &Shared, asker: RequestKey, reply: Reply<Placed>, placed: Placed) {
+fn answer(
+    shared: &Shared,
+    asker: RequestKey,
+    reply: ReplyTo<PermitVerdict>,
+    placed: PermitVerdict,
+) {
     let number = asker.1;
-    reply.send(&shared.peers, placed, |verdict| Message::Dequeued { number, verdict });
+    reply.send(&shared.peers, placed, |verdict| Message::PermitResponse {
+        number,
+        verdict,
+    });
 }
--- a/crates/gate/src/pick.rs
+++ b/crates/gate/src/pick.rs
@@ -13,10 +13,10 @@
 use slog::info;
 use tokio::time::{Instant, timeout_at};
 
-use crate::ask::{self, Turn};
-use crate::attempt::Place;
-use crate::enqueue::{self, Queued};
+use crate::attempt::Target;
+use crate::bidding::{self, Admission};
 use crate::job::Job;
+use crate::permit::{self, PermitDecision};
 
 /// The pause before a server is asked for the second time; it doubles then.
 ///
@@ -40,9 +40,9 @@
 
 /// Why no server was picked.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum NoPlace {
+pub enum PickError {
     /// No server can take the request.
-    Nowhere,
+    NoServer,
     /// Those that could have room in this time, after the caller's patience has ended.
     Full(Duration),
 }
@@ -55,31 +55,31 @@
     job: &Job,
     lacking: Option<ServerName>,
     tried: &[ServerName],
-) -> Result<Place, NoPlace> {
+) -> Result<Target, PickError> {
     let limit = Instant::from_std(residence_limit(job));
     let mut listed = job.shared.listed.subscribe();
     let mut avoid = tried.to_vec();
     loop {
         listed.borrow_and_update();
         match pick_now(job, &mut avoid, lacking.as_ref()).await {
-            Err(NoPlace::Nowhere) if job.call.target.is_some() => avoid.clear(),
+            Err(PickError::NoServer) if job.call.target.is_some() => avoid.clear(),
             decided => return decided,
         }
         let changed = timeout_at(limit, listed.changed()).await;
         if !matches!(changed, Ok(Ok(()))) {
-            return Err(NoPlace::Nowhere);
+            return Err(PickError::NoServer);
         }
     }
 }
 
 /// Until when a request waits for a server with its model.
 fn residence_limit(job: &Job) -> std::time::Instant {
-    if job.begun {
+    if job.response_started {
         // Its caller has a part of the answer and can't be told to come back.
-        return job.patience();
+        return job.wait_deadline();
     }
-    let patience = job.patience().saturating_duration_since(job.arrived);
-    job.arrived + RESIDENCE_WAIT.min(patience.mul_f64(RESIDENCE_PART))
+    let patience = job.wait_deadline().saturating_duration_since(job.arrived_at);
+    job.arrived_at + RESIDENCE_WAIT.min(patience.mul_f64(RESIDENCE_PART))
 }
 
 /// Picks a server that can take the request now; those whose adapter can't be
@@ -88,52 +88,52 @@
     job: &Job,
     avoid: &mut Vec<ServerName>,
     lacking: Option<&ServerName>,
-) -> Result<Place, NoPlace> {
+) -> Result<Target, PickError> {
     loop {
         if job.call.target.is_none() {
             return pick_plain(job, avoid).await;
         }
-        let chosen = ask::pick(job, avoid).await.ok_or(NoPlace::Nowhere)?;
+        let chosen = bidding::pick(job, avoid).await.ok_or(PickError::NoServer)?;
         let wait = Duration::from_secs_f64(chosen.bid.wait_ms.max(0.0) / 1000.0);
-        if job.shared.now() + wait > job.patience() {
-            return Err(NoPlace::Full(wait));
+        if job.shared.now() + wait > job.wait_deadline() {
+            return Err(PickError::Full(wait));
         }
-        let mut place = place(job, chosen).ok_or(NoPlace::Nowhere)?;
+        let mut place = place(job, chosen).ok_or(PickError::NoServer)?;
         let missed = lacking == Some(&place.name);
-        match ask::turn(job, &place.name, missed).await {
-            Turn::Send(number) => {
+        match bidding::request_admission(job, &place.name, missed).await {
+            Admission::Send(number) => {
                 place.number = Some(number);
                 return Ok(place);
             }
             // Nobody knows what is in flight there but this daemon; avoided, runners whose
             // holders have just started would get nothing until these have joined.
-            Turn::Silent | Turn::Moved => return Ok(place),
-            Turn::Denied => avoid.push(place.name),
-            Turn::Again if job.shared.now() < job.patience() => {}
-            Turn::Again => return Err(NoPlace::Nowhere),
+            Admission::Silent | Admission::Moved => return Ok(place),
+            Admission::Denied => avoid.push(place.name),
+            Admission::Again if job.shared.now() < job.wait_deadline() => {}
+            Admission::Again => return Err(PickError::NoServer),
         }
     }
 }
 
 /// Waits for a place in the service's queue; goes by the own counts where none is given.
-async fn pick_plain(job: &Job, avoid: &mut Vec<ServerName>) -> Result<Place, NoPlace> {
+async fn pick_plain(job: &Job, avoid: &mut Vec<ServerName>) -> Result<Target, PickError> {
     // Each round leaves one server out that this daemon knows to be leaving.
     for _ in 0..ROUNDS {
-        match enqueue::wait(job, avoid).await {
-            Queued::Send(number, server) => match granted(job, number, &server) {
+        match permit::request_permit(job, avoid).await {
+            PermitDecision::Send(number, server) => match granted(job, number, &server) {
                 Some(place) => return Ok(place),
                 None => avoid.push(server),
             },
-            Queued::Full(wait) => return Err(NoPlace::Full(wait)),
-            Queued::Nowhere | Queued::Silent => break,
+            PermitDecision::Full(wait) => return Err(PickError::Full(wait)),
+            PermitDecision::Nowhere | PermitDecision::Silent => break,
         }
     }
-    let chosen = pick_by_own(job, avoid).ok_or(NoPlace::Nowhere)?;
-    place(job, chosen).ok_or(NoPlace::Nowhere)
+    let chosen = pick_by_own(job, avoid).ok_or(PickError::NoServer)?;
+    place(job, chosen).ok_or(PickError::NoServer)
 }
 
 /// The place that a service's queue has given, unless the server takes no requests.
-fn granted(job: &Job, number: u64, server: &ServerName) -> Option<Place> {
+fn granted(job: &Job, number: u64, server: &ServerName) -> Option<Target> {
     let now = job.shared.now();
     let chosen = {
         let fleet = job.shared.fleet();
@@ -147,10 +147,10 @@
     };
     let place = chosen.and_then(|chosen| place(job, chosen));
     if place.is_none() {
-        enqueue::Ticket { service: job.service.clone(), number }
-            .give_back(&job.shared, PermitOutcome::Unused);
+        permit::Permit { service: job.service.clone(), number }
+            .release(&job.shared, PermitOutcome::Unused);
     }
-    Some(Place { number: Some(number), ..place? })
+    Some(Target { number: Some(number), ..place? })
 }
 
 /// The server with the least in flight by this daemon's own counts.
@@ -164,10 +164,10 @@
     choose(fresh, domain, now).or_else(|| choose(open(), domain, now))
 }
 
-fn place(job: &Job, chosen: Candidate) -> Option<Place> {
+fn place(job: &Job, chosen: Candidate) -> Option<Target> {
     let fleet = job.shared.fleet();
     let server = fleet.get(chosen.key)?;
-    let (name, born) = (server.entry.name.clone(), server.entry.started_at_ms);
+    let (name, started_at) = (server.entry.name.clone(), server.entry.started_at_ms);
     let addr = server.entry.address;
     let registry = job.shared.tables.servers.news(job.shared.now());
     info!(job.shared.log, "server picked"; "id" => job.id(), "server" => name.to_string(),
@@ -175,7 +175,7 @@
         "cost_ms" => chosen.bid.cost_ms as u64, "requests" => chosen.bid.requests,
         "registry_version" => registry.map(|(version, _)| version),
         "registry_age_ms" => registry.map(|(_, age)| age));
-    Some(Place { key: chosen.key, name, born, addr, number: None })
+    Some(Target { key: chosen.key, name, started_at, addr, number: None })
 }
 
 /// Waits before a server that did not serve the request is asked once more.
@@ -184,7 +184,7 @@
 /// request uses up its tries, and a part of all callers' repeats, within milliseconds.
 ///
 /// It keeps its place meanwhile: a server that rejects runs nothing that could use it.
-pub async fn pause_before(server: &ServerName, tried: &[ServerName]) {
+pub async fn wait_before_retry(server: &ServerName, tried: &[ServerName]) {
     let before = tried.iter().filter(|one| *one == server).count() as u32;
     if let Some(doublings) = before.checked_sub(1) {
         tokio::time::sleep(FIRST_PAUSE * 2u32.pow(doublings)).await;
--- a/crates/gate/src/planner.rs
+++ b/crates/gate/src/planner.rs
@@ -119,12 +119,12 @@
     for part in 0..parts {
         let from = part * PART_MODELS;
         let to = asked.len().min(from + PART_MODELS);
-        let message = Message::Demand {
+        let message = Message::DemandReport {
             service: service.clone(),
             part,
-            asked: asked[from..to].to_vec(),
-            lost: lost.to_vec(),
-            learnt: learnt.take(),
+            demand: asked[from..to].to_vec(),
+            unreachable: lost.to_vec(),
+            learned: learnt.take(),
         };
         shared.peers.send(planner, message);
     }
--- a/crates/gate/src/read.rs
+++ b/crates/gate/src/read.rs
@@ -16,9 +16,9 @@
 use slog::info;
 use tokio::time::timeout;
 
-use crate::answer::OutBody;
 use crate::job::Job;
-use crate::serve::whole;
+use crate::relay::ResponseBody;
+use crate::serve::full_body;
 use crate::shared::Shared;
 
 /// How long a daemon that has just started looks for what it needs, and how long a
@@ -31,39 +31,39 @@
 const STORE_TIME: Duration = Duration::from_secs(1);
 
 /// A request that is refused before it has a route.
-pub struct Unread {
+pub struct EarlyRefusal {
     refusal: Refusal,
     id: Option<String>,
 }
 
-impl Unread {
+impl EarlyRefusal {
     /// The answer to the caller.
-    pub fn response(&self, shared: &Shared) -> Response<OutBody> {
+    pub fn response(&self, shared: &Shared) -> Response<ResponseBody> {
         let code = format!("{:?}", self.refusal.code);
-        shared.metrics.ended("", &code);
+        shared.metrics.record_end("", &code);
         info!(shared.log, "request refused"; "id" => self.id.as_deref().unwrap_or("-"),
             "code" => code, "why" => &self.refusal.message);
         let id = self.id.as_deref();
-        shared.dialect.write_refusal(&self.refusal, id).map(whole)
+        shared.dialect.write_refusal(&self.refusal, id).map(full_body)
     }
 }
 
 /// Reads a request whole.
-pub async fn job(
+pub async fn read_job(
     shared: Arc<Shared>,
     head: request::Parts,
     body: Incoming,
-) -> Result<Job, Unread> {
+) -> Result<Job, EarlyRefusal> {
     let arrived = shared.now();
     let active = shared.active.enter();
     let call = match shared.dialect.read_call(&head) {
         Ok(call) => call,
         Err(fault) => {
             let refusal = Refusal::not_run(RefusalCode::BadRequest, fault.to_string());
-            return Err(Unread { refusal, id: None });
+            return Err(EarlyRefusal { refusal, id: None });
         }
     };
-    let refused = |refusal| Unread { refusal, id: call.id.clone() };
+    let refused = |refusal| EarlyRefusal { refusal, id: call.id.clone() };
     if shared.is_closing() {
         return Err(refused(closing()));
     }
@@ -81,16 +81,16 @@
         head,
         body,
         call,
-        declared,
+        declarations: declared,
         route,
         service,
         active,
-        arrived,
+        arrived_at: arrived,
         deadline,
-        sent: arrived,
+        sent_at: arrived,
         attempts,
-        begun: false,
-        done: AtomicBool::new(false),
+        response_started: false,
+        end_recorded: AtomicBool::new(false),
     })
 }
 
--- a/crates/gate/src/receive.rs
+++ b/crates/gate/src/receive.rs
@@ -4,72 +4,81 @@
 use std::sync::Arc;
 
 use crate::grant::{self, Question};
-use crate::message::{Message, Packet, Verdict};
-use crate::peers::Reply;
+use crate::message::{AdmissionVerdict, Message, Packet};
+use crate::peers::ReplyTo;
 use crate::shared::Shared;
-use crate::{ask, follow, members, planner, queue, sums};
+use crate::{bidding, follow, members, permit_queue, planner, sums};
 
 /// Takes in datagrams for as long as the daemon runs.
 pub async fn run(shared: Arc<Shared>) {
     loop {
         let (packet, from) = shared.peers.receive().await;
-        take(&shared, packet, from);
+        dispatch(&shared, packet, from);
     }
 }
 
-fn take(shared: &Arc<Shared>, packet: Packet, from: SocketAddr) {
+fn dispatch(shared: &Arc<Shared>, packet: Packet, from: SocketAddr) {
     match packet.message {
-        Message::Beat(beat) => members::heard(shared, packet.from, &beat),
-        Message::News(tables) => follow::hear(shared, packet.from, &tables),
-        Message::Sum { server, usage, target, begun } => {
-            sums::take(shared, packet.from, &server, usage, target.as_ref(), begun);
+        Message::Heartbeat(beat) => members::heard(shared, packet.from, &beat),
+        Message::TableUpdate(tables) => follow::hear(shared, packet.from, &tables),
+        Message::UsageReport { server, usage, target, first_event } => {
+            sums::take(shared, packet.from, &server, usage, target.as_ref(), first_event);
         }
-        Message::Ask { number, servers, want } => {
-            let bids = ask::answer(shared, servers, &want);
+        Message::BidRequest { number, servers, request } => {
+            let bids = bidding::local_bids(shared, servers, &request);
             shared.peers.send(from, Message::Bids { number, bids });
         }
-        Message::Take { number, server, want, missed } => {
-            let reply = Reply::There(from);
+        Message::AdmissionRequest { number, server, request, adapter_missing } => {
+            let reply = ReplyTo::Remote(from);
             match shared.holder(&server) {
                 Some(holder) => {
                     let asker = (packet.from, number);
-                    let question = Question { asker, want, missed };
+                    let question =
+                        Question { asker, want: request, missed: adapter_missing };
                     grant::take(shared, &holder, question, reply);
                 }
                 None => {
-                    let verdict = Verdict::Moved;
-                    shared.peers.send(from, Message::Taken { number, verdict });
+                    let verdict = AdmissionVerdict::Moved;
+                    shared
+                        .peers
+                        .send(from, Message::AdmissionResponse { number, verdict });
                 }
             }
         }
-        Message::Leave { number, server } => {
+        Message::Withdrawal { number, server } => {
             if let Some(holder) = shared.holder(&server) {
                 grant::leave(&holder, (packet.from, number));
             }
         }
-        Message::Enqueue { number, service, want } => {
-            let reply = Reply::There(from);
-            queue::take(shared, &service, (packet.from, number), want, reply);
+        Message::PermitRequest { number, service, request } => {
+            let reply = ReplyTo::Remote(from);
+            permit_queue::enqueue(
+                shared,
+                &service,
+                (packet.from, number),
+                request,
+                reply,
+            );
         }
-        Message::Finished { number, service, outcome } => {
-            queue::finish(shared, &service, (packet.from, number), outcome);
+        Message::PermitRelease { number, service, outcome } => {
+            permit_queue::release(shared, &service, (packet.from, number), outcome);
         }
         Message::Bids { number, .. }
-        | Message::Taken { number, .. }
-        | Message::Dequeued { number, .. } => {
-            shared.peers.answer(number, packet.message);
+        | Message::AdmissionResponse { number, .. }
+        | Message::PermitResponse { number, .. } => {
+            shared.peers.deliver_response(number, packet.message);
         }
-        Message::Demand { service, part, asked, lost, learnt } => {
-            if let Some(learnt) = learnt {
-                shared.speeds().merge(&learnt);
+        Message::DemandReport { service, part, demand, unreachable, learned } => {
+            if let Some(learned) = learned {
+                shared.speeds().merge(&learned);
             }
-            planner::take(shared, packet.from, (service, part), asked, lost);
+            planner::take(shared, packet.from, (service, part), demand, unreachable);
         }
         Message::Move(change) => {
             if let Some(holder) = shared.holder(&change.server) {
                 holder.change(change, Some(from), shared.now());
             }
         }
-        Message::Failed(change) => planner::fail(shared, &change),
+        Message::MoveFailed(change) => planner::fail(shared, &change),
     }
 }
--- a/crates/gate/src/answer.rs
+++ b/crates/gate/src/relay.rs
@@ -17,15 +17,15 @@
 use slog::info;
 use tokio::time::timeout_at;
 
-use crate::attempt::{Answered, Missed, attempt};
-use crate::events::{Event, Events, Repeated, Sequence};
-use crate::job::{End, Job, StreamPace};
+use crate::attempt::{AttemptError, ServerResponse, attempt};
+use crate::events::{DuplicateEvent, Event, EventDecoder, Sequence};
+use crate::job::{Job, RequestEnd, StreamTiming};
 use crate::metrics::{Span, Step};
 use crate::pick::pick;
-use crate::serve::whole;
+use crate::serve::full_body;
 
 /// The body of an answer to a caller.
-pub type OutBody = UnsyncBoxBody<Bytes, Cut>;
+pub type ResponseBody = UnsyncBoxBody<Bytes, Cut>;
 
 /// An answer that breaks off: the connection to the caller is cut.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -46,8 +46,8 @@
 /// Passes an answer on.
 pub async fn forward(
     job: Box<Job>,
-    answered: Answered,
-) -> Result<Response<OutBody>, (Refusal, Box<Job>)> {
+    answered: ServerResponse,
+) -> Result<Response<ResponseBody>, (Refusal, Box<Job>)> {
     job.shared.metrics.observe(Span::FirstByte, job.age());
     if is_event_stream(&answered.head) {
         let head = answered.head.clone();
@@ -61,24 +61,29 @@
 
 async fn forward_plain(
     job: Box<Job>,
-    mut answered: Answered,
-) -> Result<Response<OutBody>, (Refusal, Box<Job>)> {
+    mut answered: ServerResponse,
+) -> Result<Response<ResponseBody>, (Refusal, Box<Job>)> {
     let deadline = tokio::time::Instant::from_std(job.deadline);
     let read = timeout_at(deadline, read_whole(&mut answered.body)).await;
     let fault = match read {
         Ok(Ok(bytes)) => {
-            let server = answered.place.name.to_string();
+            let server = answered.target.name.to_string();
             let why = answered.head.status.as_str();
-            job.ended(End { how: "answered", server: &server, why, pace: None });
+            job.record_end(RequestEnd {
+                outcome: "answered",
+                server: &server,
+                reason: why,
+                timing: None,
+            });
             let headers = job.shared.dialect.write_response_headers(&answered.head);
-            let (addr, hold) = (answered.place.addr, answered.reply.keep_alive);
-            job.shared.client.keep(addr, answered.connection, hold);
-            return Ok(respond(&answered.head, headers, whole(bytes)));
+            let (addr, hold) = (answered.target.addr, answered.metadata.keep_alive);
+            job.shared.client.release(addr, answered.connection, hold);
+            return Ok(respond(&answered.head, headers, full_body(bytes)));
         }
         Ok(Err(why)) => {
-            answered.flight.broke();
+            answered.in_flight.record_interruption();
             let now = job.shared.now();
-            if let Some(server) = job.shared.fleet().get_mut(answered.place.key) {
+            if let Some(server) = job.shared.fleet().get_mut(answered.target.key) {
                 server.health.record_failure(now);
             }
             let message = format!("the server's answer broke off ({why})");
@@ -109,8 +114,8 @@
 fn respond(
     head: &response::Parts,
     headers: http::HeaderMap,
-    body: OutBody,
-) -> Response<OutBody> {
+    body: ResponseBody,
+) -> Response<ResponseBody> {
     let mut response = Response::new(body);
     *response.status_mut() = head.status;
     *response.headers_mut() = headers;
@@ -127,13 +132,13 @@
 struct Relay {
     job: Box<Job>,
     /// The server's answer; nothing once it has ended.
-    source: Option<Answered>,
+    source: Option<ServerResponse>,
     /// The server that answered last.
     server: ServerName,
-    events: Events,
+    events: EventDecoder,
     /// What the caller has of it.
     sequence: Sequence,
-    pace: StreamPace,
+    timing: StreamTiming,
     /// The tokens of an event, if an engine makes them.
     event_tokens: Option<u32>,
     /// When the last event was passed on.
@@ -150,18 +155,18 @@
 }
 
 impl Relay {
-    fn new(job: Box<Job>, answered: Answered) -> Self {
+    fn new(job: Box<Job>, answered: ServerResponse) -> Self {
         let sequence = Sequence::after(job.call.resume_after);
         let at = job.shared.now();
-        let events = Events::default();
+        let events = EventDecoder::default();
         let event_tokens = job.engine().map(|engine| engine.event_tokens);
         Self {
             job,
-            server: answered.place.name.clone(),
+            server: answered.target.name.clone(),
             source: Some(answered),
             events,
             sequence,
-            pace: StreamPace::default(),
+            timing: StreamTiming::default(),
             event_tokens,
             at,
             ended: false,
@@ -198,7 +203,7 @@
     async fn next(&mut self) -> Next {
         let deadline = tokio::time::Instant::from_std(self.job.deadline);
         loop {
-            if let Some(event) = self.events.take_next() {
+            if let Some(event) = self.events.next_event() {
                 return self.take(event);
             }
             let Some(source) = &mut self.source else {
@@ -209,14 +214,14 @@
                 Err(_) => return Next::Late,
             };
             match frame {
-                None if self.events.is_partial() => {
+                None if self.events.has_partial_event() => {
                     return Next::Broken("it ended within an event".into());
                 }
                 None => return Next::End,
                 Some(Err(error)) => return Next::Broken(error.to_string()),
                 Some(Ok(frame)) => {
                     let Some(data) = frame.data_ref() else { continue };
-                    source.flight.begun(source.place.number);
+                    source.in_flight.record_first_event(source.target.number);
                     if self.events.push(data).is_err() {
                         return Next::Broken("an event is too large".into());
                     }
@@ -227,25 +232,26 @@
 
     /// Passes an event on unless the caller has it.
     fn take(&mut self, event: Event) -> Next {
-        if let Err(Repeated { id, last }) = self.sequence.pass(&event) {
+        if let Err(DuplicateEvent { id, last }) = self.sequence.accept(&event) {
             return Next::Broken(format!("event {id} after event {last}"));
         }
         let now = self.job.shared.now();
-        match self.pace.first {
+        match self.timing.first_after_send {
             None => {
-                self.pace.first = Some(now.saturating_duration_since(self.job.sent));
-                self.pace.begun = Some(self.job.age());
+                self.timing.first_after_send =
+                    Some(now.saturating_duration_since(self.job.sent_at));
+                self.timing.first_after_arrival = Some(self.job.age());
             }
             Some(_) => {
                 let pause = now.saturating_duration_since(self.at);
-                self.pace.pause = self.pace.pause.max(pause);
+                self.timing.max_event_gap = self.timing.max_event_gap.max(pause);
                 if let Some(tokens) = self.event_tokens {
                     self.job.shared.speeds().record_event_gap(pause, tokens);
                 }
             }
         }
         self.at = now;
-        self.pace.events += 1;
+        self.timing.events += 1;
         Next::Event(event.bytes)
     }
 
@@ -254,13 +260,13 @@
         let old = self.source.take();
         if let Some(old) = &old {
             let now = self.job.shared.now();
-            if let Some(server) = self.job.shared.fleet().get_mut(old.place.key) {
+            if let Some(server) = self.job.shared.fleet().get_mut(old.target.key) {
                 server.health.record_failure(now);
             }
         }
-        self.job.begun = true;
-        self.events.reset();
-        let run = old.as_ref().map(|old| old.place.run());
+        self.job.response_started = true;
+        self.events.discard_partial();
+        let run = old.as_ref().map(|old| old.target.incarnation());
         // The old run ends with its connection, before the new one begins.
         drop(old);
         let follow =
@@ -275,12 +281,15 @@
             let Ok(place) = pick(&self.job, None, &[]).await else { return false };
             match attempt(&self.job, &place, self.sequence.last()).await {
                 Ok(answered) if is_event_stream(&answered.head) => {
-                    self.server = answered.place.name.clone();
+                    self.server = answered.target.name.clone();
                     self.source = Some(answered);
                     return true;
                 }
-                Ok(_) | Err(Missed::Late) => return false,
-                Err(error) => drop(self.job.attempts.record(place.run(), error.ended())),
+                Ok(_) | Err(AttemptError::Late) => return false,
+                Err(error) => {
+                    let _ =
+                        self.job.attempts.record(place.incarnation(), error.outcome());
+                }
             }
         }
         false
@@ -288,8 +297,8 @@
 
     fn keep(&mut self) {
         if let Some(source) = self.source.take() {
-            let (addr, hold) = (source.place.addr, source.reply.keep_alive);
-            self.job.shared.client.keep(addr, source.connection, hold);
+            let (addr, hold) = (source.target.addr, source.metadata.keep_alive);
+            self.job.shared.client.release(addr, source.connection, hold);
         }
     }
 
@@ -297,8 +306,13 @@
         if std::mem::replace(&mut self.ended, true) {
             return;
         }
-        let pace = Some(&self.pace);
-        self.job.ended(End { how: end, server: self.server.as_str(), why, pace });
+        let timing = Some(&self.timing);
+        self.job.record_end(RequestEnd {
+            outcome: end,
+            server: self.server.as_str(),
+            reason: why,
+            timing,
+        });
     }
 }
 
--- a/crates/gate/src/run.rs
+++ b/crates/gate/src/run.rs
@@ -22,7 +22,7 @@
 use crate::registry::{Declarations, Servers};
 use crate::settings::Settings;
 use crate::shared::Shared;
-use crate::{directory, follow, front, members, observe, planner, receive, sums};
+use crate::{directory, follow, listener, members, observe, planner, receive, sums};
 
 /// How long a leaving daemon takes requests that callers send to addresses they hold.
 ///
@@ -95,7 +95,7 @@
     tokio::spawn(members::run_beats(shared.clone()));
     tokio::spawn(sums::repeat(shared.clone()));
     tokio::spawn(planner::run(shared.clone()));
-    tokio::spawn(front::run(shared.clone(), callers));
+    tokio::spawn(listener::run(shared.clone(), callers));
     tokio::spawn(serve(readiness, directory::readiness(shared.clone())));
     tokio::spawn(serve(directory, directory::directory(shared.clone())));
     tokio::spawn(serve(rows, directory::rows(shared.clone())));
@@ -169,7 +169,7 @@
 async fn tidy(shared: Arc<Shared>) {
     loop {
         sleep(TIDY_PERIOD).await;
-        shared.client.tidy();
+        shared.client.close_expired();
         shared.fleet().remove_missing(shared.now());
     }
 }
--- a/crates/gate/src/serve.rs
+++ b/crates/gate/src/serve.rs
@@ -16,11 +16,11 @@
 use hyper::body::Incoming;
 use slog::info;
 
-use crate::answer::{self, OutBody};
-use crate::attempt::{Answered, Missed, attempt};
+use crate::attempt::{AttemptError, ServerResponse, attempt};
 use crate::job::Job;
 use crate::metrics::Step;
-use crate::pick::{NoPlace, pause_before, pick};
+use crate::pick::{PickError, pick, wait_before_retry};
+use crate::relay::{self, ResponseBody};
 use crate::shared::Shared;
 use crate::{planner, read};
 
@@ -45,29 +45,32 @@
 const LONGEST_AWAY: Duration = Duration::from_secs(3);
 
 /// Serves one request.
-pub async fn answer(
+pub async fn handle(
     shared: Arc<Shared>,
     request: Request<Incoming>,
-) -> Result<Response<OutBody>, Infallible> {
+) -> Result<Response<ResponseBody>, Infallible> {
     let (head, body) = request.into_parts();
-    let job = match read::job(shared.clone(), head, body).await {
+    let job = match read::read_job(shared.clone(), head, body).await {
         Ok(job) => job,
         Err(refused) => return Ok(refused.response(&shared)),
     };
     let response = match run(job).await {
         Ok(response) => response,
         Err((refusal, job)) => {
-            job.refused(&refusal);
+            job.record_refusal(&refusal);
             let id = job.call.id.as_deref();
             let response = shared.dialect.write_refusal(&refusal, id);
-            response.map(whole)
+            response.map(full_body)
         }
     };
     Ok(closing(&shared, response))
 }
 
 /// Asks callers to open another connection, elsewhere, if the daemon is leaving.
-fn closing(shared: &Shared, mut response: Response<OutBody>) -> Response<OutBody> {
+fn closing(
+    shared: &Shared,
+    mut response: Response<ResponseBody>,
+) -> Response<ResponseBody> {
     if *shared.leaving.borrow() {
         let close = http::HeaderValue::from_static("close");
         response.headers_mut().insert(http::header::CONNECTION, close);
@@ -77,11 +80,11 @@
 
 type Refused = (Refusal, Box<Job>);
 
-async fn run(job: Job) -> Result<Response<OutBody>, Refused> {
+async fn run(job: Job) -> Result<Response<ResponseBody>, Refused> {
     let mut job = Box::new(job);
     job.shared.note_request(&job.service);
     if let Some(target) = &job.call.target {
-        planner::note(&job.shared, &job.service, &target.model, job.asked());
+        planner::note(&job.shared, &job.service, &target.model, job.demand());
     }
     let mut tried = Vec::new();
     let mut lacking: Option<ServerName> = None;
@@ -89,35 +92,35 @@
     for _ in 0..TRIES {
         let place = match pick(&job, lacking.take(), &tried).await {
             Ok(place) => place,
-            Err(NoPlace::Nowhere) => return Err((no_server(&job), job)),
-            Err(NoPlace::Full(wait)) => return Err((full(&job, wait), job)),
+            Err(PickError::NoServer) => return Err((no_server(&job), job)),
+            Err(PickError::Full(wait)) => return Err((full(&job, wait), job)),
         };
-        pause_before(&place.name, &tried).await;
-        job.sent = job.shared.now();
+        wait_before_retry(&place.name, &tried).await;
+        job.sent_at = job.shared.now();
         let missed = match attempt(&job, &place, job.call.resume_after).await {
             Ok(answered) => match again(&mut job, &answered) {
                 true => {
                     tried.push(place.name);
                     continue;
                 }
-                false => return answer::forward(job, answered).await,
+                false => return relay::forward(job, answered).await,
             },
             Err(missed) => missed,
         };
-        job.shared.metrics.count(Step::Missed, missed.name());
+        job.shared.metrics.count(Step::Missed, missed.label());
         info!(job.shared.log, "attempt missed"; "id" => job.id(),
             "server" => place.name.to_string(), "why" => format!("{missed:?}"));
-        let follow = job.attempts.record(place.run(), missed.ended());
+        let follow = job.attempts.record(place.incarnation(), missed.outcome());
         match missed {
             // Its adapter may have been dropped; one that says so twice is left alone.
-            Missed::Rejected(MISDIRECTED) if !missing.contains(&place.name) => {
+            AttemptError::Rejected(MISDIRECTED) if !missing.contains(&place.name) => {
                 missing.push(place.name.clone());
                 lacking = Some(place.name);
             }
-            Missed::Rejected(_) | Missed::Lost(_) | Missed::Silent => {
+            AttemptError::Rejected(_) | AttemptError::Lost(_) | AttemptError::Silent => {
                 tried.push(place.name);
             }
-            Missed::Unreachable(_) | Missed::Late => {}
+            AttemptError::Unreachable(_) | AttemptError::Late => {}
         }
         if !allow_another(&job, follow, &missed) {
             return Err((unserved(&job, &missed), job));
@@ -141,23 +144,24 @@
 }
 
 /// Whether a server's own failure is worth another try elsewhere.
-fn again(job: &mut Job, answered: &Answered) -> bool {
+fn again(job: &mut Job, answered: &ServerResponse) -> bool {
     if !answered.head.status.is_server_error() {
         return false;
     }
-    let follow = job.attempts.record(answered.place.run(), AttemptOutcome::Failed);
+    let follow =
+        job.attempts.record(answered.target.incarnation(), AttemptOutcome::Failed);
     follow == RetryDecision::RetryWithinBudget && take_repeat(job, "failed")
 }
 
 /// Whether another server is tried after one brought no answer.
-fn allow_another(job: &Job, follow: RetryDecision, missed: &Missed) -> bool {
+fn allow_another(job: &Job, follow: RetryDecision, missed: &AttemptError) -> bool {
     match follow {
         RetryDecision::GiveUp => false,
-        RetryDecision::RetryWithinBudget => take_repeat(job, missed.name()),
+        RetryDecision::RetryWithinBudget => take_repeat(job, missed.label()),
         RetryDecision::Retry => {
             // Its repeat was taken when the server was given up.
-            if *missed == Missed::Silent {
-                job.shared.metrics.count(Step::Repeat, missed.name());
+            if *missed == AttemptError::Silent {
+                job.shared.metrics.count(Step::Repeat, missed.label());
             }
             true
         }
@@ -174,17 +178,19 @@
 }
 
 /// What is told to the caller after the last attempt brought no answer.
-fn unserved(job: &Job, missed: &Missed) -> Refusal {
+fn unserved(job: &Job, missed: &AttemptError) -> Refusal {
     match missed {
-        Missed::Late => {
+        AttemptError::Late => {
             let message = "the time ran out before the answer began; allow more time";
             Refusal::in_doubt(RefusalCode::Late, message)
         }
-        Missed::Lost(_) => {
+        AttemptError::Lost(_) => {
             let message = "the server broke off and may have run the request";
             Refusal::in_doubt(RefusalCode::Broken, message)
         }
-        Missed::Unreachable(_) | Missed::Rejected(_) | Missed::Silent => no_server(job),
+        AttemptError::Unreachable(_)
+        | AttemptError::Rejected(_)
+        | AttemptError::Silent => no_server(job),
     }
 }
 
@@ -218,6 +224,6 @@
 }
 
 /// A body of bytes that are all there.
-pub fn whole(bytes: Bytes) -> OutBody {
+pub fn full_body(bytes: Bytes) -> ResponseBody {
     Full::new(bytes).map_err(|never| match never {}).boxed_unsync()
 }
--- a/crates/gate/src/shared.rs
+++ b/crates/gate/src/shared.rs
@@ -20,8 +20,8 @@
 use crate::members::{self, Neighbours};
 use crate::metrics::Metrics;
 use crate::peers::Peers;
+use crate::permit_queue::ServiceQueue;
 use crate::planner::Counts;
-use crate::queue::ServiceQueue;
 use crate::settings::{Bounds, Settings};
 
 /// A count of requests that are being served.
--- a/crates/gate/src/sums.rs
+++ b/crates/gate/src/sums.rs
@@ -8,7 +8,7 @@
 use chestnut_pool::{ServerKey, Usage};
 use tokio::time::sleep;
 
-use crate::message::{Begun, Message};
+use crate::message::{FirstEvent, Message};
 use crate::shared::Shared;
 use crate::{grant, holder};
 
@@ -23,7 +23,7 @@
     shared: &Shared,
     key: ServerKey,
     target: Option<TargetModel>,
-    begun: Option<Begun>,
+    begun: Option<FirstEvent>,
 ) {
     let (server, usage) = {
         let fleet = shared.fleet();
@@ -41,12 +41,15 @@
     server: ServerName,
     usage: Usage,
     target: Option<TargetModel>,
-    begun: Option<Begun>,
+    begun: Option<FirstEvent>,
 ) {
     if shared.holder(&server).is_some() {
         take(shared, shared.peers.me, &server, usage, target.as_ref(), begun);
     } else if let Some(addr) = holder::addr(shared, &server) {
-        shared.peers.send(addr, Message::Sum { server, usage, target, begun });
+        shared.peers.send(
+            addr,
+            Message::UsageReport { server, usage, target, first_event: begun },
+        );
     }
 }
 
@@ -57,7 +60,7 @@
     server: &ServerName,
     usage: Usage,
     target: Option<&TargetModel>,
-    begun: Option<Begun>,
+    begun: Option<FirstEvent>,
 ) {
     let Some(holder) = shared.holder(server) else { return };
     let now = shared.now();
--- a/crates/gate/tests/attempts.rs
+++ b/crates/gate/tests/attempts.rs
@@ -9,7 +9,7 @@
 
 use chestnut_base::ServerName;
 use chestnut_edge::RouteKind;
-use chestnut_gate::events::{Events, Sequence};
+use chestnut_gate::events::{EventDecoder, Sequence};
 use chestnut_pool::{AttemptOutcome, Attempts, Incarnation, RetryDecision};
 use proptest::prelude::*;
 
@@ -118,7 +118,7 @@
     kind: RouteKind,
     attempts: Attempts,
     servers: Servers,
-    events: Events,
+    events: EventDecoder,
     sequence: Sequence,
     /// Whether the caller has the head of a stream.
     begun: bool,
@@ -140,7 +140,7 @@
             kind,
             attempts: Attempts::new(kind, most),
             servers: Servers::default(),
-            events: Events::default(),
+            events: EventDecoder::default(),
             sequence: Sequence::after(None),
             begun: false,
             passed: Vec::new(),
@@ -231,14 +231,14 @@
     /// earlier one by the server's own fault.
     fn relay(&mut self, bytes: usize, early: bool) -> Brought {
         self.begun = true;
-        self.events.reset();
+        self.events.discard_partial();
         let first = if early { 1 } else { self.sequence.last().unwrap_or(0) + 1 };
         let text = |id| format!("id: {id}\ndata: token {id}\n\n");
         let stream: String = (first..=self.whole).map(text).collect();
         let arrived = bytes.min(stream.len());
         self.events.push(&stream.as_bytes()[..arrived]).expect("events are small");
-        while let Some(event) = self.events.take_next() {
-            if self.sequence.pass(&event).is_err() {
+        while let Some(event) = self.events.next_event() {
+            if self.sequence.accept(&event).is_err() {
                 return Brought::Missed(AttemptOutcome::Interrupted);
             }
             self.passed.extend(event.id);
--- a/crates/gate/tests/backoff.rs
+++ b/crates/gate/tests/backoff.rs
@@ -14,14 +14,14 @@
     loop {
         let now = start + at;
         for (rank, backoff) in all.iter_mut().enumerate() {
-            if !backoff.is_over(rank, now) {
+            if !backoff.may_call(rank, now) {
                 continue;
             }
             if at >= time {
                 return (calls, at - time);
             }
             calls += 1;
-            backoff.failed(now);
+            backoff.record_failure(now);
         }
         at += Duration::from_millis(10);
     }
@@ -61,10 +61,10 @@
     // A daemon that was turned away and is answered calls again as it needs to.
     let now = Instant::now();
     let mut backoff = Backoff::default();
-    backoff.failed(now);
-    assert!(!backoff.is_over(70, now + Duration::from_secs(1)));
-    backoff.answered();
-    assert!(backoff.is_over(70, now));
+    backoff.record_failure(now);
+    assert!(!backoff.may_call(70, now + Duration::from_secs(1)));
+    backoff.record_success();
+    assert!(backoff.may_call(70, now));
 }
 
 #[test]
@@ -74,8 +74,8 @@
     // sit out the pause of a daemon that hears from others.
     let now = Instant::now();
     let mut backoff = Backoff::default();
-    backoff.failed(now);
+    backoff.record_failure(now);
     let later = now + Duration::from_millis(500);
-    assert!(!backoff.is_over(77, later));
-    assert!(backoff.is_over(0, later));
+    assert!(!backoff.may_call(77, later));
+    assert!(backoff.may_call(0, later));
 }
--- a/crates/gate/tests/events.rs
+++ b/crates/gate/tests/events.rs
@@ -1,6 +1,6 @@
 //! Streams of events, cut anywhere on their way.
 
-use chestnut_gate::events::{Event, Events};
+use chestnut_gate::events::{Event, EventDecoder};
 use proptest::prelude::*;
 
 fn stream(count: u64, crlf: bool) -> Vec<u8> {
@@ -10,15 +10,15 @@
 }
 
 fn read(pieces: &[&[u8]]) -> (Vec<Event>, bool) {
-    let mut events = Events::default();
+    let mut events = EventDecoder::default();
     let mut read = Vec::new();
     for piece in pieces {
         events.push(piece).expect("no event is too large");
-        while let Some(event) = events.take_next() {
+        while let Some(event) = events.next_event() {
             read.push(event);
         }
     }
-    (read, events.is_partial())
+    (read, events.has_partial_event())
 }
 
 proptest! {
@@ -51,7 +51,7 @@
 fn an_endless_event_is_given_up() {
     // A faulty server sends bytes without end that form no event; kept whole they would
     // take the daemon's memory.
-    let mut events = Events::default();
+    let mut events = EventDecoder::default();
     let sent = (0..100).find(|_| events.push(&[b'x'; 4096]).is_err());
     assert!(sent.is_some());
 }
