--- a/crates/gate/src/backoff.rs
+++ b/crates/gate/src/backoff.rs
@@ -1,71 +1,74 @@
-//! How often daemons call a store that does not answer.
+//! Backoff of a daemon's calls to a store that fails.
 //!
-//! Load pattern: the store is down for eight seconds under 78 daemons that follow three
-//! tables each. Called twice a second by all of them it gets 470 calls a second, each of
-//! which is paid for and none of which brings anything; when it is back, one answer serves
-//! all, since daemons tell each other. A few therefore call it often, the others seldom.
+//! The load that it bounds: the store is down for eight seconds while 78 daemons follow
+//! three tables each. Two calls a second by each would be 470 calls a second, all of them
+//! paid for and all in vain. Once the store is back, one response serves all daemons, since
+//! they tell each other. So a few daemons call often and the others rarely.
 
 use std::time::{Duration, Instant};
 
-/// The first pause after a failed call.
-const FIRST_PAUSE: Duration = Duration::from_millis(60);
+/// The delay after the first failed call.
+const INITIAL_DELAY: Duration = Duration::from_millis(60);
 
-/// The longest pause of the daemons that call often.
+/// The longest delay of the daemons that call often.
 ///
-/// The others hear of the store's return within a second after them; machines count as
-/// being in touch three seconds after it.
-const OFTEN: Duration = Duration::from_millis(500);
+/// The others learn of the store's return within another second. VMs count as connected
+/// three seconds after it.
+const MAX_FREQUENT_DELAY: Duration = Duration::from_millis(500);
 
 /// How many daemons call often.
 ///
-/// Some of them may be turned away alone, frozen or gone.
-const CALLERS: u32 = 4;
+/// More than one, since the store may reject single daemons, and daemons may be suspended
+/// or dead.
+const FREQUENT_CALLERS: u32 = 4;
 
-/// The longest pause of all.
+/// The longest delay of any daemon.
 ///
-/// Daemons that call that seldom hear of the store's return from others. One that is cut
-/// off from the others does not, but it is the first of those it knows and calls often.
-const SELDOM: Duration = Duration::from_secs(30);
+/// Daemons that call this rarely learn of the store's return from others. A daemon that is
+/// partitioned from the others has the first rank among those it can see and calls often.
+const MAX_DELAY: Duration = Duration::from_secs(30);
 
-/// When the store may be called again.
+/// Decides when the store may be called again.
 #[derive(Debug, Default)]
 pub struct Backoff {
-    /// Calls that failed in a row.
+    /// Consecutive failed calls.
     failures: u32,
-    /// When the last one did.
-    at: Option<Instant>,
+    failed_at: Option<Instant>,
 }
 
 impl Backoff {
-    /// Takes in that a call failed.
+    /// Extends the delay after a failed call.
     pub fn record_failure(&mut self, now: Instant) {
         self.failures = self.failures.saturating_add(1);
-        self.at = Some(now);
+        self.failed_at = Some(now);
     }
 
-    /// Takes in that a call was answered.
+    /// Ends the delay after a successful call.
     pub fn record_success(&mut self) {
         *self = Self::default();
     }
 
-    /// Whether the store may be called; `rank` is the daemon's present place among those
-    /// that call.
+    /// Whether the store may be called; `rank` is the daemon's current position among those
+    /// that call, from 0.
     ///
-    /// A daemon that is cut off from the others comes first by that, and must not sit out
-    /// a pause that counted on them: its copy would be old while the store can be read.
+    /// A daemon that gets partitioned from the others moves to rank 0. It must not wait out
+    /// a delay that relied on them: its replica would be stale while the store is readable.
     pub fn may_call(&self, rank: usize, now: Instant) -> bool {
-        self.at.is_none_or(|at| now >= at + self.pause(rank))
+        self.failed_at.is_none_or(|failed_at| now >= failed_at + self.delay(rank))
     }
 
-    /// The pause after the last failed call.
-    fn pause(&self, rank: usize) -> Duration {
-        let place = u32::try_from(rank).unwrap_or(u32::MAX) / CALLERS;
-        if place == 0 {
+    fn delay(&self, rank: usize) -> Duration {
+        let group = u32::try_from(rank).unwrap_or(u32::MAX) / FREQUENT_CALLERS;
+        if group == 0 {
             let doublings = self.failures.saturating_sub(1);
-            return FIRST_PAUSE.saturating_mul(2u32.saturating_pow(doublings)).min(OFTEN);
+            return INITIAL_DELAY
+                .saturating_mul(2u32.saturating_pow(doublings))
+                .min(MAX_FREQUENT_DELAY);
         }
-        // Growing by the square, all pauses together make some 13 calls a second of any
-        // number of daemons, beside those that the longest pause makes.
-        OFTEN.saturating_mul(place.saturating_add(1).saturating_pow(2)).min(SELDOM)
+        // Since the delay grows with the square of the group, any number of daemons makes
+        // some 13 calls a second in all, besides those at the longest delay.
+        MAX_FREQUENT_DELAY
+            .saturating_mul(group.saturating_add(1).saturating_pow(2))
+            .min(MAX_DELAY)
     }
 }
--- a/crates/gate/src/events.rs
+++ b/crates/gate/src/events.rs
@@ -1,58 +1,58 @@
-//! Cuts a stream of bytes into numbered events.
+//! Splits a byte stream into server-sent events and tracks their numbers.
 
 use bytes::{Bytes, BytesMut};
 
-/// The largest event that is read, in bytes.
+/// The largest event, in bytes.
 ///
-/// Some hundred times what an event of a few tokens takes; it bounds the memory that
-/// a faulty server's endless event takes.
-const EVENT_LIMIT: usize = 64 * 1024;
+/// Some hundred times the size of an event of a few tokens. It bounds the memory that an
+/// endless event of a faulty server takes.
+const MAX_EVENT_BYTES: usize = 64 * 1024;
 
-/// A whole event, with the empty line that ends it.
+/// A complete event, including the empty line that ends it.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Event {
-    /// Its bytes as they came.
+    /// The event as received.
     pub bytes: Bytes,
-    /// Its number, if it has one.
+    /// The number in its `id` field, if any.
     pub id: Option<u64>,
 }
 
-/// Bytes that arrived and form no whole event yet.
+/// Buffers received bytes and splits them into events.
 #[derive(Debug, Default)]
 pub struct EventDecoder {
-    pending: BytesMut,
+    buffer: BytesMut,
 }
 
-/// The events of one stream that its caller has.
+/// The position of a caller in one stream of numbered events.
 ///
-/// A server that goes on where another one broke off may begin too early. Passed on, the
-/// caller would have those events twice.
+/// A server that resumes a stream may start too early. Without this check the caller would
+/// get those events twice.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Sequence {
     last: Option<u64>,
 }
 
-/// An event that the caller has already.
+/// The caller already has an event.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct DuplicateEvent {
-    /// Its number.
+    /// The number of the duplicate.
     pub id: u64,
-    /// The last one that the caller has.
+    /// The last number that the caller has.
     pub last: u64,
 }
 
 impl Sequence {
-    /// A stream whose caller has everything up to an event.
+    /// A stream whose caller has all events up to `last`; `None` if it has none.
     pub fn after(last: Option<u64>) -> Self {
         Self { last }
     }
 
-    /// The last event that the caller has; another server goes on after it.
+    /// The number of the last event that the caller has; a stream is resumed after it.
     pub fn last(&self) -> Option<u64> {
         self.last
     }
 
-    /// Takes in that an event is passed on; fails if the caller has it.
+    /// Moves on to an event that is about to be sent; fails if the caller already has it.
     pub fn accept(&mut self, event: &Event) -> Result<(), DuplicateEvent> {
         if let (Some(last), Some(id)) = (self.last, event.id)
             && id <= last
@@ -64,41 +64,44 @@
     }
 }
 
-/// An event that is too large to be one.
+/// An event exceeds 64 KiB without ending.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct EventTooLarge;
 
 impl EventDecoder {
-    /// Adds bytes that arrived.
+    /// Adds received bytes.
     pub fn push(&mut self, bytes: &[u8]) -> Result<(), EventTooLarge> {
-        self.pending.extend_from_slice(bytes);
-        let limit = self.pending.len() > EVENT_LIMIT && self.end().is_none();
-        if limit { Err(EventTooLarge) } else { Ok(()) }
+        self.buffer.extend_from_slice(bytes);
+        let too_large = self.buffer.len() > MAX_EVENT_BYTES && self.event_end().is_none();
+        if too_large { Err(EventTooLarge) } else { Ok(()) }
     }
 
-    /// Takes the next whole event.
+    /// Removes the next event from the buffer; `None` if none is complete.
     pub fn next_event(&mut self) -> Option<Event> {
-        let end = self.end()?;
-        let bytes = self.pending.split_to(end).freeze();
-        let id = read_id(&bytes);
+        let end = self.event_end()?;
+        let bytes = self.buffer.split_to(end).freeze();
+        let id = parse_id(&bytes);
         Some(Event { bytes, id })
     }
 
-    /// Whether part of an event has arrived.
+    /// Whether the buffer holds bytes of an incomplete event.
     pub fn has_partial_event(&self) -> bool {
-        !self.pending.is_empty()
+        !self.buffer.is_empty()
     }
 
-    /// Forgets part of an event, before another server goes on.
+    /// Discards the bytes of an incomplete event before another server resumes the stream.
     pub fn discard_partial(&mut self) {
-        self.pending.clear();
+        self.buffer.clear();
     }
 
-    /// Where the first whole event ends.
-    fn end(&self) -> Option<usize> {
-        let find = |mark: &[u8]| {
-            let at = self.pending.windows(mark.len()).position(|part| part == mark)?;
-            Some(at + mark.len())
+    /// The offset after the first complete event.
+    fn event_end(&self) -> Option<usize> {
+        let find = |delimiter: &[u8]| {
+            let at = self
+                .buffer
+                .windows(delimiter.len())
+                .position(|part| part == delimiter)?;
+            Some(at + delimiter.len())
         };
         match (find(b"\n\n"), find(b"\r\n\r\n")) {
             (Some(a), Some(b)) => Some(a.min(b)),
@@ -107,7 +110,7 @@
     }
 }
 
-fn read_id(event: &[u8]) -> Option<u64> {
+fn parse_id(event: &[u8]) -> Option<u64> {
     let text = std::str::from_utf8(event).ok()?;
     let mut fields = text.lines().filter_map(|line| line.split_once(':'));
     let (_, id) = fields.find(|(name, _)| *name == "id")?;
--- a/crates/gate/src/listener.rs
+++ b/crates/gate/src/listener.rs
@@ -18,14 +18,14 @@
 use crate::serve;
 use crate::shared::Shared;
 
-/// The pause after a connection could not be accepted, when descriptors run out.
-const ACCEPT_PAUSE: Duration = Duration::from_millis(50);
+/// The delay after a failed accept, as when file descriptors run out.
+const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(50);
 
-/// How much longer than declared an idle connection is kept.
+/// How much longer than the declared idle timeout a connection stays open.
 ///
-/// Callers use connections up to the declared time; closing just then would cut a
-/// request that is on its way.
-const IDLE_SLACK: Duration = Duration::from_secs(5);
+/// Callers reuse connections up to the declared timeout. Closing at that moment would cut
+/// off a request on its way.
+const IDLE_MARGIN: Duration = Duration::from_secs(5);
 
 /// Accepts connections and serves requests on them until the daemon ends.
 pub async fn run(shared: Arc<Shared>, listener: TcpListener) {
@@ -36,7 +36,7 @@
     .await;
 }
 
-/// Accepts connections and starts a task for each.
+/// Spawns a task for each accepted connection.
 async fn accept<F: Future<Output = ()> + Send + 'static>(
     shared: Arc<Shared>,
     listener: TcpListener,
@@ -48,8 +48,8 @@
                 tokio::spawn(serve(stream));
             }
             Err(error) => {
-                warn!(shared.log, "connection not accepted"; "error" => error.to_string());
-                sleep(ACCEPT_PAUSE).await;
+                warn!(shared.log, "failed to accept a connection"; "error" => error.to_string());
+                sleep(ACCEPT_RETRY_DELAY).await;
             }
         }
     }
@@ -57,19 +57,19 @@
 
 async fn serve_connection(shared: Arc<Shared>, stream: TcpStream) {
     let idle = shared.declared().map(|declared| declared.limits.idle_timeout);
-    let idle = idle.unwrap_or_default() + IDLE_SLACK;
-    let answer = {
+    let idle = idle.unwrap_or_default() + IDLE_MARGIN;
+    let handler = {
         let shared = shared.clone();
         move |request| serve::handle(shared.clone(), request)
     };
-    serve_http(stream, idle, answer).await;
+    serve_http(stream, idle, handler).await;
 }
 
-/// Serves HTTP on a connection until it ends.
+/// Serves HTTP on a connection until it closes.
 async fn serve_http<B, F>(
     stream: TcpStream,
-    idle: Duration,
-    answer: impl Fn(Request<Incoming>) -> F,
+    idle_timeout: Duration,
+    handler: impl Fn(Request<Incoming>) -> F,
 ) where
     B: Body<Data = bytes::Bytes> + 'static,
     B::Error: std::error::Error + Send + Sync,
@@ -77,9 +77,9 @@
 {
     configure_socket(&stream);
     let mut server = http1::Builder::new();
-    server.timer(TokioTimer::new()).header_read_timeout(idle);
-    let connection = server.serve_connection(TokioIo::new(stream), service_fn(answer));
-    // An error means that the caller is gone or sent no HTTP; both end just this
-    // connection, and requests on it have logged their own end.
+    server.timer(TokioTimer::new()).header_read_timeout(idle_timeout);
+    let connection = server.serve_connection(TokioIo::new(stream), service_fn(handler));
+    // An error means that the caller disconnected or sent invalid HTTP. It ends only this
+    // connection, and each request on it logs its own end.
     drop(connection.await);
 }
--- a/crates/gate/src/read.rs
+++ b/crates/gate/src/read.rs
@@ -1,4 +1,4 @@
-//! Reads a request: its head, its route, its body.
+//! Reads a request: its head, its route and its body.
 
 use std::sync::Arc;
 use std::sync::atomic::AtomicBool;
@@ -21,23 +21,25 @@
 use crate::serve::full_body;
 use crate::shared::Shared;
 
-/// How long a daemon that has just started looks for what it needs, and how long a
-/// caller is told to stay away if that was in vain.
+/// How long a request waits for declarations and servers at a daemon that has just
+/// started, and the retry delay for its caller if they don't arrive.
 ///
 /// Two reads of the store take some 10 ms.
-const START_TIME: Duration = Duration::from_millis(300);
+const STARTUP_WAIT: Duration = Duration::from_millis(300);
 
-/// How long after its start a daemon that knows nothing takes the store for silent.
-const STORE_TIME: Duration = Duration::from_secs(1);
+/// The age from which a daemon without declarations or servers considers the store
+/// unavailable.
+const STORE_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// A request that is refused before it has a route.
+/// A request that is refused before it becomes a [`Job`].
 pub struct EarlyRefusal {
     refusal: Refusal,
+    /// The caller's id for the request; `None` if it sent none or its head is invalid.
     id: Option<String>,
 }
 
 impl EarlyRefusal {
-    /// The answer to the caller.
+    /// Logs and counts the refusal, and builds the response for the caller.
     pub fn response(&self, shared: &Shared) -> Response<ResponseBody> {
         let code = format!("{:?}", self.refusal.code);
         shared.metrics.record_end("", &code);
@@ -48,86 +50,90 @@
     }
 }
 
-/// Reads a request whole.
+/// Reads a request and assigns it a route and a service.
 pub async fn read_job(
     shared: Arc<Shared>,
     head: request::Parts,
     body: Incoming,
 ) -> Result<Job, EarlyRefusal> {
-    let arrived = shared.now();
+    let arrived_at = shared.now();
     let active = shared.active.enter();
     let call = match shared.dialect.read_call(&head) {
         Ok(call) => call,
-        Err(fault) => {
-            let refusal = Refusal::not_run(RefusalCode::BadRequest, fault.to_string());
+        Err(error) => {
+            let refusal = Refusal::not_run(RefusalCode::BadRequest, error.to_string());
             return Err(EarlyRefusal { refusal, id: None });
         }
     };
     let refused = |refusal| EarlyRefusal { refusal, id: call.id.clone() };
     if shared.is_closing() {
-        return Err(refused(closing()));
+        return Err(refused(shutting_down()));
     }
-    let declared =
-        declared(&shared).await.ok_or_else(|| refused(unknown_yet(&shared)))?;
-    let route = find_route(&declared, &call).ok_or_else(|| refused(no_route(&call)))?;
-    let body = read_body(body, declared.limits.body_bytes).await.map_err(&refused)?;
-    let budget = call.budget.unwrap_or(Duration::MAX).min(declared.routes[route].timeout);
-    let service = draw_service(&declared.routes[route], &mut rand::rng());
-    let deadline = arrived + budget;
-    let chosen = &declared.routes[route];
-    let attempts = Attempts::new(chosen.kind, chosen.max_attempts);
+    let declarations = wait_for_declarations(&shared)
+        .await
+        .ok_or_else(|| refused(not_ready(&shared)))?;
+    let route =
+        find_route(&declarations, &call).ok_or_else(|| refused(unknown_route(&call)))?;
+    let body = read_body(body, declarations.limits.body_bytes).await.map_err(&refused)?;
+    let budget =
+        call.budget.unwrap_or(Duration::MAX).min(declarations.routes[route].timeout);
+    let service = sample_service(&declarations.routes[route], &mut rand::rng());
+    let deadline = arrived_at + budget;
+    let matched = &declarations.routes[route];
+    let attempts = Attempts::new(matched.kind, matched.max_attempts);
     Ok(Job {
         shared,
         head,
         body,
         call,
-        declarations: declared,
+        declarations,
         route,
         service,
         active,
-        arrived_at: arrived,
+        arrived_at,
         deadline,
-        sent_at: arrived,
+        sent_at: arrived_at,
         attempts,
         response_started: false,
         end_recorded: AtomicBool::new(false),
     })
 }
 
-/// The declarations in force; a daemon that has just started waits for them.
-async fn declared(shared: &Shared) -> Option<Arc<Declarations>> {
+/// The declarations in force; waits up to [`STARTUP_WAIT`] for them and for servers.
+async fn wait_for_declarations(shared: &Shared) -> Option<Arc<Declarations>> {
     if !shared.is_known() {
         let mut declared = shared.declared.subscribe();
         let mut listed = shared.listed.subscribe();
-        let known = async {
+        let available = async {
             declared.wait_for(Option::is_some).await.is_ok()
                 && listed.wait_for(|count| *count > 0).await.is_ok()
         };
-        // What is not known by then is refused.
-        let _ = timeout(START_TIME, known).await;
+        // A timeout shows as missing declarations, which the caller of this refuses.
+        let _ = timeout(STARTUP_WAIT, available).await;
     }
     shared.declared()
 }
 
-fn closing() -> Refusal {
-    let message = "the daemon is about to end; use another address";
+fn shutting_down() -> Refusal {
+    let message = "the daemon is shutting down; use another address";
     Refusal::not_run(RefusalCode::Leaving, message).with_retry_after(Duration::ZERO)
 }
 
-fn find_route(declared: &Declarations, call: &Call) -> Option<usize> {
-    let route = declared.match_route(&call.host, &call.path)?;
-    declared.routes.iter().position(|one| std::ptr::eq(one, route))
+fn find_route(declarations: &Declarations, call: &Call) -> Option<usize> {
+    let route = declarations.match_route(&call.host, &call.path)?;
+    declarations.routes.iter().position(|one| std::ptr::eq(one, route))
 }
 
-fn unknown_yet(shared: &Shared) -> Refusal {
-    let message = "the daemon has just started and knows no routes yet; use another";
-    // The store does not answer; entries of servers come back after it has.
-    let away = shared.age() > STORE_TIME;
-    let after = if away { RELIST_GRACE } else { START_TIME };
-    Refusal::not_run(RefusalCode::Leaving, message).with_retry_after(after)
+fn not_ready(shared: &Shared) -> Refusal {
+    let message =
+        "the daemon has just started and has no routes yet; use another address";
+    // While the store is unavailable, callers wait as long as servers have to register again.
+    let store_unavailable = shared.age() > STORE_TIMEOUT;
+    let retry_after = if store_unavailable { RELIST_GRACE } else { STARTUP_WAIT };
+    Refusal::not_run(RefusalCode::Leaving, message).with_retry_after(retry_after)
 }
 
-fn no_route(call: &Call) -> Refusal {
+fn unknown_route(call: &Call) -> Refusal {
     let message = format!("no route for {}{}; check host and path", call.host, call.path);
     Refusal::not_run(RefusalCode::UnknownRoute, message)
 }
@@ -136,26 +142,27 @@
     match Limited::new(body, limit).collect().await {
         Ok(body) => Ok(body.to_bytes()),
         Err(error) if error.is::<LengthLimitError>() => {
-            let message = format!("the body is over {limit} bytes; send less");
+            let message = format!("the body is larger than {limit} bytes; send less");
             Err(Refusal::not_run(RefusalCode::TooLarge, message))
         }
         Err(error) => {
-            let message = format!("the body broke off ({error}); send it whole");
+            let message =
+                format!("the body is incomplete ({error}); send the request again");
             Err(Refusal::not_run(RefusalCode::BadRequest, message))
         }
     }
 }
 
-/// Draws one of the route's services by their weights.
-fn draw_service(route: &Route, rng: &mut impl Rng) -> ServiceName {
+/// Picks one of the route's services at random, in proportion to their weights.
+fn sample_service(route: &Route, rng: &mut impl Rng) -> ServiceName {
     let total: f64 = route.shares.iter().map(|share| share.weight).sum();
-    let mut at = rng.random::<f64>() * total;
+    let mut remaining = rng.random::<f64>() * total;
     for share in &route.shares {
-        at -= share.weight;
-        if at < 0.0 {
+        remaining -= share.weight;
+        if remaining < 0.0 {
             return share.service.clone();
         }
     }
-    // Rounding may leave `at` at zero; a route has at least one share.
+    // Rounding may leave `remaining` at zero; a route has at least one share.
     route.shares[route.shares.len() - 1].service.clone()
 }
