--- a/crates/gate/src/job.rs
+++ b/crates/gate/src/job.rs
@@ -14,98 +14,99 @@
 use crate::metrics::Span;
 use crate::shared::{Active, Shared};
 
-/// The mean length of answers against callers' guesses, which are right at the median.
+/// The mean output length divided by callers' estimates, which match the median.
 const MEAN_TO_MEDIAN_OUTPUT: f64 = 1.5;
 
 /// How a request ended.
 #[derive(Debug, Clone, Copy)]
 pub struct RequestEnd<'a> {
-    /// How, in a word or two.
+    /// The outcome in a word or two, as logged and counted in metrics.
     pub outcome: &'a str,
-    /// The server that answered last; empty if none did.
+    /// The server that responded last; empty if none did.
     pub server: &'a str,
-    /// Why, or the status of the answer.
+    /// The cause, or the HTTP status of the response; may be empty.
     pub reason: &'a str,
-    /// The pace of a stream.
+    /// `None` unless the response was a stream.
     pub timing: Option<&'a StreamTiming>,
 }
 
-/// How a stream went.
+/// Event times of a stream.
 #[derive(Debug, Clone, Copy, Default)]
 pub struct StreamTiming {
-    /// Events that were passed on.
+    /// Events sent to the caller.
     pub events: u64,
-    /// From the sending to the first event.
+    /// From sending the request to its server to the first event.
     pub first_after_send: Option<Duration>,
     /// From the arrival of the request to the first event.
     pub first_after_arrival: Option<Duration>,
-    /// The longest pause between events.
+    /// The longest time between two events.
     pub max_event_gap: Duration,
 }
 
 /// A caller's request while it is being served.
 pub struct Job {
-    /// The daemon.
+    /// The state of the daemon that serves it.
     pub shared: Arc<Shared>,
-    /// The request as the caller sent it.
+    /// The head as the caller sent it.
     pub head: request::Parts,
-    /// The whole body.
+    /// The complete body.
     pub body: Bytes,
-    /// The request as far as the system reads it.
+    /// What the deployment's adapter reads from the head.
     pub call: Call,
-    /// The declarations that it is served by.
+    /// The declarations in force when it arrived; they apply until its end.
     pub declarations: Arc<Declarations>,
-    /// The index of its route in `declared`.
+    /// The index of its route in `declarations`.
     pub route: usize,
-    /// The service that it goes to.
+    /// The service, chosen from those of the route.
     pub service: ServiceName,
-    /// Counts the request among those that are being served.
+    /// Counts the request as active until dropped.
     pub active: Active,
-    /// When its head was read.
+    /// When its head was read; its objective and limits count from then.
     pub arrived_at: Instant,
-    /// When the caller or the route gives up.
+    /// When the time budget of the caller or the timeout of the route ends.
     pub deadline: Instant,
-    /// When it was last sent.
+    /// When it was last sent to a server; its arrival before that.
     pub sent_at: Instant,
-    /// Where it may have run so far, and what may follow.
+    /// The attempts so far and which retries are safe.
     pub attempts: Attempts,
-    /// Whether its caller has a part of the answer.
+    /// Whether its caller has part of the response.
     pub response_started: bool,
-    /// Whether its end was recorded.
+    /// Whether its end has been logged and counted; set once.
     pub end_recorded: AtomicBool,
 }
 
 impl Job {
-    /// How long ago its head was read.
+    /// The time since its head was read.
     pub fn age(&self) -> Duration {
         self.shared.now().saturating_duration_since(self.arrived_at)
     }
 
-    /// The route.
+    /// Its route in the declarations that it arrived under.
     pub fn route(&self) -> &Route {
         &self.declarations.routes[self.route]
     }
 
-    /// The caller's name for the attempt, for logs.
+    /// The caller's id for the request, for logs; "-" if it sent none.
     pub fn id(&self) -> &str {
         self.call.id.as_deref().unwrap_or("-")
     }
 
-    /// What the request needs of a runner, if it is a generation.
+    /// What the request needs from a runner; `None` if it goes to a plain service.
     pub fn generation_request(&self) -> Option<GenerationRequest> {
         let now = self.shared.now();
-        let on_time = self.arrived_at + self.route().objective;
+        let target_time = self.arrived_at + self.route().objective;
         Some(GenerationRequest {
             target: self.call.target.clone()?,
             size: self.estimated_size(),
             parts: self.call.parts.clone(),
             urgency: self.route().priority,
-            target_time: on_time.saturating_duration_since(now),
+            target_time: target_time.saturating_duration_since(now),
             wait_limit: self.wait_deadline().saturating_duration_since(now),
         })
     }
 
-    /// Until when the caller waits for the first event, or for the next one.
+    /// Until when the caller waits for the first event; the deadline once it has part of the
+    /// response.
     pub fn wait_deadline(&self) -> Instant {
         match self.response_started {
             true => self.deadline,
@@ -113,11 +114,12 @@
         }
     }
 
-    /// What the request asks of its model's runners.
+    /// The demand that the request adds for its model.
     pub fn demand(&self) -> DemandCounts {
         let size = self.call.size;
-        let guess = self.call.estimated_output.map_or(f64::from(size.output), f64::from);
-        let output = (guess * MEAN_TO_MEDIAN_OUTPUT).min(size.output.into());
+        let estimate =
+            self.call.estimated_output.map_or(f64::from(size.output), f64::from);
+        let output = (estimate * MEAN_TO_MEDIAN_OUTPUT).min(size.output.into());
         let prompt = f64::from(size.prompt);
         DemandCounts {
             requests: 1.0,
@@ -127,34 +129,35 @@
         }
     }
 
-    /// The size to plan with: callers' guesses are right at the median.
+    /// The size to schedule with: twice the caller's estimate of the output, which matches
+    /// only the median, limited by the declared size.
     pub fn estimated_size(&self) -> GenerationSize {
         let size = self.call.size;
-        let guess = self
+        let estimate = self
             .call
             .estimated_output
-            .map_or(size.output, |guess| guess.saturating_mul(2));
-        GenerationSize { output: size.output.min(guess), ..size }
+            .map_or(size.output, |estimate| estimate.saturating_mul(2));
+        GenerationSize { output: size.output.min(estimate), ..size }
     }
 
-    /// What requests have in common that are better served by the same runner: the
-    /// adapter, or the beginning of the prompt.
+    /// A key for requests that profit from the same runner: those with the same adapter, or
+    /// with the same beginning of the prompt.
     pub fn affinity(&self) -> String {
         let target = self.call.target.as_ref();
         let target = target.map(|target| target.to_string()).unwrap_or_default();
-        let with_adapter = self.call.target.as_ref().is_some_and(|t| t.adapter.is_some());
+        let has_adapter = self.call.target.as_ref().is_some_and(|t| t.adapter.is_some());
         match self.call.parts.first() {
-            Some(part) if !with_adapter => format!("{target}:{:x}", part.id),
+            Some(part) if !has_adapter => format!("{target}:{:x}", part.id),
             _ => target,
         }
     }
 
-    /// The engine of the service, if it runs models.
+    /// The engine of the service; `None` if it is a plain service.
     pub fn engine(&self) -> Option<Arc<Engine>> {
         self.declarations.services.get(&self.service)?.engine.clone()
     }
 
-    /// Records how the request ended.
+    /// Logs the end of the request and counts it in metrics.
     pub fn record_end(&self, end: RequestEnd) {
         self.end_recorded.store(true, Ordering::Relaxed);
         let time = self.age();
@@ -175,15 +178,15 @@
             "pause_ms" => timing.map(|timing| millis(timing.max_event_gap)));
     }
 
-    /// The longest pause between events for which the answer is on time.
+    /// The declared bound on the time between events; `None` if there is none.
     fn max_event_gap(&self) -> Option<Duration> {
         match self.route().kind {
-            RouteKind::Stream { event_gap: pause, .. } => pause,
+            RouteKind::Stream { event_gap, .. } => event_gap,
             RouteKind::Idempotent | RouteKind::NonIdempotent => None,
         }
     }
 
-    /// Records that the request is refused.
+    /// Records a refusal as the end of the request.
     pub fn record_refusal(&self, refusal: &Refusal) {
         let outcome = format!("{:?}", refusal.code);
         let reason = format!("{:?}: {}", refusal.outcome, refusal.message);
@@ -197,11 +200,11 @@
 }
 
 impl Drop for Job {
-    /// Records that the caller left, if nothing else ended the request: its connection
-    /// and all that waits for an answer end together.
+    /// Records that the caller left, unless another end was recorded: when the connection
+    /// closes, the task that serves the request is dropped.
     fn drop(&mut self) {
         if !self.end_recorded.load(Ordering::Relaxed) {
-            let reason = "before the answer began";
+            let reason = "before the response started";
             self.record_end(RequestEnd {
                 outcome: "caller left",
                 server: "",
--- a/crates/gate/src/message.rs
+++ b/crates/gate/src/message.rs
@@ -1,7 +1,11 @@
-//! Datagrams between daemons.
+//! The datagrams between daemons.
 //!
-//! Each stands for itself: sums are whole, questions carry a number, and whatever
-//! is lost is repeated or done without.
+//! Each is independent of the others: usage reports hold totals, and requests carry a number
+//! that their responses repeat. Lost datagrams are sent again or not needed.
+//!
+//! `postcard` encodes variants and fields by their position: reordering them breaks
+//! compatibility. New variants of [`Message`] go to the end, so that daemons of two versions
+//! understand each other during an upgrade.
 
 use chestnut_base::{MemberId, ModelName, ServerName, ServiceName};
 use chestnut_edge::TargetModel;
@@ -12,93 +16,92 @@
 };
 use serde::{Deserialize, Serialize};
 
-/// A datagram.
+/// A datagram with its sender.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Packet {
-    /// The start of the daemon that sent it.
+    /// The sending process; a restarted daemon has a new id.
     pub from: MemberId,
-    /// What it says.
+    /// The content.
     pub message: Message,
 }
 
-/// What a datagram says.
-///
-/// Kinds are told apart by their order: new ones come last, so that daemons of two versions
-/// understand each other while one replaces the other.
+/// The content of a datagram.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub enum Message {
-    /// The daemon lives.
+    /// Shows that the daemon is alive.
     #[serde(rename = "Beat")]
     Heartbeat(Heartbeat),
-    /// What the daemon has in flight at a runner that the receiver holds.
+    /// Reports what the sender has in flight at a runner that the receiver holds.
     #[serde(rename = "Sum")]
     UsageReport {
         /// The runner.
         server: ServerName,
-        /// All that the daemon has in flight there.
+        /// The total of the sender's requests in flight there.
         usage: Usage,
-        /// The model of a request that was just sent.
+        /// The model and adapter of a request that was just sent; `None` otherwise.
         target: Option<TargetModel>,
-        /// The first event of a request that was asked for with `Take`.
+        /// The first event of a request that an `AdmissionRequest` admitted; `None`
+        /// otherwise.
         #[serde(rename = "begun")]
         first_event: Option<FirstEvent>,
     },
-    /// Asks how soon runners that the receiver holds would answer.
+    /// Asks for the estimated waits at runners that the receiver holds.
     #[serde(rename = "Ask")]
     BidRequest {
-        /// Names the question in the answer.
+        /// Identifies the response.
         number: u64,
-        /// The runners.
+        /// The runners to estimate.
         servers: Vec<ServerName>,
         /// What the request needs.
         #[serde(rename = "want")]
         request: GenerationRequest,
     },
-    /// Answers `Ask`.
+    /// The response to `BidRequest`.
     Bids {
-        /// The question's number.
+        /// The number of the `BidRequest`.
         number: u64,
-        /// The estimates; runners that the daemon does not hold are left out.
+        /// The estimates; runners that the sender does not hold are left out.
         bids: Vec<(ServerName, Bid)>,
     },
-    /// Asks when a runner that the receiver holds can be sent a request.
+    /// Asks for admission of a request to a runner that the receiver holds.
     ///
-    /// Repeated while the answer is awaited; the number names the request.
+    /// Sent again until it is decided.
     #[serde(rename = "Take")]
     AdmissionRequest {
-        /// Names the request.
+        /// Identifies the request at its daemon.
         number: u64,
         /// The runner.
         server: ServerName,
         /// What the request needs.
         #[serde(rename = "want")]
         request: GenerationRequest,
-        /// Whether the runner has just said that it does not have the adapter.
+        /// Whether the runner has just rejected the request for lack of the adapter.
         #[serde(rename = "missed")]
         adapter_missing: bool,
     },
-    /// Answers `Take`.
+    /// The response to `AdmissionRequest`: at once if the request is queued, and again once
+    /// it is decided.
     #[serde(rename = "Taken")]
     AdmissionResponse {
-        /// The request's number.
+        /// The number of the request.
         number: u64,
-        /// What became of it.
+        /// The decision, or that the request is queued.
         verdict: AdmissionVerdict,
     },
-    /// A request that was asked for with `Take` is not sent after all.
+    /// Withdraws an `AdmissionRequest`: the request is not sent to the runner.
     #[serde(rename = "Leave")]
     Withdrawal {
-        /// The request's number.
+        /// The number of the request.
         number: u64,
         /// The runner.
         server: ServerName,
     },
-    /// Asks for a place at a server of a plain service whose queue the receiver holds.
+    /// Asks for a permit at a server of a plain service whose queue the receiver holds.
     ///
-    /// Repeated while the answer is awaited; the number names the request.
+    /// Sent again until it is decided.
     #[serde(rename = "Enqueue")]
     PermitRequest {
-        /// Names the request.
+        /// Identifies the request at its daemon.
         number: u64,
         /// The service.
         service: ServiceName,
@@ -106,105 +109,106 @@
         #[serde(rename = "want")]
         request: PlainRequest,
     },
-    /// Answers `Enqueue`.
+    /// The response to `PermitRequest`: at once if the request is queued, and again once it
+    /// is decided.
     #[serde(rename = "Dequeued")]
     PermitResponse {
-        /// The request's number.
+        /// The number of the request.
         number: u64,
-        /// What became of it.
+        /// The decision, or that the request is queued.
         verdict: PermitVerdict,
     },
-    /// A request that was asked for with `Enqueue` needs its place no more.
+    /// Releases the permit of a request, or withdraws its `PermitRequest`.
     #[serde(rename = "Finished")]
     PermitRelease {
-        /// The request's number.
+        /// The number of the request.
         number: u64,
         /// The service.
         service: ServiceName,
-        /// What came of it.
+        /// How the permit was used; it counts toward the health of the server.
         outcome: PermitOutcome,
     },
-    /// What callers have asked of a service's models, to the planner; in parts, since all
-    /// models may be too many for a datagram.
+    /// Reports the demand for a service's models to its planner, in parts, since all models
+    /// may not fit in a datagram.
     #[serde(rename = "Demand")]
     DemandReport {
         /// The service.
         service: ServiceName,
-        /// The number of the part.
+        /// The index of the part.
         part: usize,
-        /// What was asked for since the daemon's start, by model.
+        /// The demand since the daemon's start, by model.
         #[serde(rename = "asked")]
         demand: Vec<(ModelName, DemandCounts)>,
-        /// Servers that the daemon can't connect to.
+        /// Servers that the sender can't connect to.
         #[serde(rename = "lost")]
         unreachable: Vec<ServerName>,
-        /// What it has learnt of its runners since it last told.
+        /// Timings of its runners, if they changed since it last sent them.
         #[serde(rename = "learnt")]
         learned: Option<LearnedTimings>,
     },
-    /// The planner asks a runner's holder to change what the runner holds.
+    /// Asks the holder of a runner to load or unload a model; sent by the planner.
     Move(Move),
-    /// The holder could not make a move.
+    /// Tells the planner that the holder could not carry out a move.
     #[serde(rename = "Failed")]
     MoveFailed(Move),
-    /// What the daemon knows of the store's tables, when that has just changed.
+    /// The sender's view of the store's tables, sent at once when it changes.
     #[serde(rename = "News")]
     TableUpdate(Vec<TableFreshness>),
 }
 
-/// The first event of a request.
+/// The first event of an admitted request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub struct FirstEvent {
-    /// The request's number.
+    /// The number of the request.
     pub number: u64,
-    /// How long after its sending the event came, in milliseconds.
+    /// The time from sending the request to its first event, in milliseconds.
     pub after_ms: u32,
 }
 
-/// What becomes of a request that waits to be sent to a runner.
+/// The decision about a request for admission to a runner.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub enum AdmissionVerdict {
-    /// It waits.
+    /// It waits in the queue.
     Queued,
-    /// It is to be sent now.
+    /// It may be sent now.
     Send,
     /// It can't be sent to this runner.
     Denied,
-    /// The daemon that was asked does not hold the runner.
+    /// The daemon does not hold the runner.
     Moved,
 }
 
-/// What becomes of a request that waits for a place at a plain service.
+/// The decision about a request for a permit of a plain service.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub enum PermitVerdict {
-    /// It waits.
+    /// It waits in the queue.
     Queued,
-    /// It is to be sent to this server now.
+    /// It may be sent to this server now.
     Send(ServerName),
-    /// There is room only after this time in milliseconds, which its caller won't wait.
+    /// No permit is free before its caller times out; the estimated wait in milliseconds.
     Full(u32),
-    /// No server takes requests.
+    /// No server accepts requests.
     Nowhere,
-    /// Another daemon holds the queue.
+    /// The daemon does not hold the queue.
     Moved,
 }
 
-/// The daemon lives.
+/// Shows that a daemon is alive, and what it has heard.
 #[derive(Debug, Clone, Default, PartialEq, Serialize, Deserialize)]
 pub struct Heartbeat {
-    /// Whether it was told to stop.
+    /// Whether the daemon was told to stop.
     #[serde(rename = "leaving")]
     pub shutting_down: bool,
-    /// The daemons that it has heard from lately.
+    /// All daemons that it has heard from within the heartbeat timeout.
     ///
-    /// All of them: daemons that have lately been cut off from the store differ in who
-    /// watches whom, and would remove each other's rows without the word of the rest.
+    /// Daemons that were recently cut off from the store disagree on who watches whom.
+    /// Without the reports of the others they would remove each other's rows.
     #[serde(rename = "heard")]
     pub heard_from: Vec<MemberId>,
-    /// What it knows of the store's tables.
+    /// Its view of the store's tables, in a fixed order.
     pub tables: Vec<TableFreshness>,
 }
 
-/// What a daemon knows of one of the store's tables: the version, and how many
-/// milliseconds ago the store confirmed it.
+/// A daemon's view of one of the store's tables: the version of its replica, and the
+/// milliseconds since the store confirmed it. `None` if it has not read the table.
 pub type TableFreshness = Option<(u64, u32)>;
--- a/crates/gate/src/metrics.rs
+++ b/crates/gate/src/metrics.rs
@@ -1,4 +1,4 @@
-//! Counters and histograms of a daemon, in the text form of Prometheus.
+//! A daemon's counters and histograms, exported in the Prometheus text format.
 
 use std::sync::Mutex;
 use std::sync::atomic::AtomicU64;
@@ -12,55 +12,54 @@
 use prometheus_client::metrics::histogram::{Histogram, exponential_buckets};
 use prometheus_client::registry::Registry;
 
-/// The first bucket's upper bound in seconds, the factor between bounds, and their
-/// number: 5 ms to 20 s.
+/// Histogram buckets: the first upper bound in seconds, the factor between bounds, and their
+/// number. They cover 5 ms to 20 s.
 const BUCKETS: (f64, f64, u16) = (0.005, 2.0, 13);
 
-/// How a request ended.
+/// Labels of the counter of ended requests.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, EncodeLabelSet)]
 pub struct EndLabels {
-    /// The route's name.
+    /// The name of the route; empty if the request was refused before it had one.
     pub route: String,
-    /// How it ended.
+    /// The outcome, such as "answered" or a refusal code.
     pub end: String,
 }
 
-/// Something that was decided or came back, by what came of it.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, EncodeLabelSet)]
 struct StepLabels {
     step: Step,
     outcome: String,
 }
 
-/// A step whose outcomes are counted.
+/// A decision or call whose outcomes are counted; the variant is the metric label.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, EncodeLabelValue)]
 pub enum Step {
-    /// A request was sent again, by the cause.
+    /// A retry of a request, by its cause.
     Repeat,
-    /// A server brought no answer to a request, by the reason.
+    /// A failed attempt, by the error.
     Missed,
-    /// A request waited for its turn at a runner.
+    /// A request for admission at a runner or for a permit of a plain service.
     Turn,
-    /// A runner was given an order.
+    /// An order to a runner.
     Order,
-    /// The store was called.
+    /// A call to the store.
     Store,
-    /// A claim was taken, handed over or lost.
+    /// A claim that was taken, handed over or lost.
     Claim,
-    /// The planner had a model moved.
+    /// A move of a model by the planner.
     Move,
 }
 
-/// A time whose distribution is kept.
+/// A duration with a histogram; the variant is the metric label.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, EncodeLabelValue)]
 pub enum Span {
-    /// From a request's head to the answer's first byte.
+    /// From the request's head to the first byte of the response.
     FirstByte,
-    /// From a request's head to the answer's end.
+    /// From the request's head to the end of the response.
     WholeAnswer,
-    /// A request's wait for its turn at a runner.
+    /// A request's wait for admission or a permit.
     Turn,
-    /// A call of the store; those that wait for changes take up to their hold.
+    /// A call to the store; one that waits for changes takes up to its hold time.
     Store,
 }
 
@@ -69,7 +68,7 @@
     span: Span,
 }
 
-/// Counters and histograms of a daemon.
+/// The daemon's counters and histograms.
 pub struct Metrics {
     registry: Mutex<Registry>,
     ends: Family<EndLabels, Counter>,
@@ -79,39 +78,39 @@
 }
 
 impl Metrics {
-    /// Creates an empty set.
+    /// Creates and registers all metrics.
     pub fn new() -> Self {
         let mut registry = Registry::with_prefix("chestnut");
         let ends = Family::default();
         let steps = Family::default();
         let spans = Family::new_with_constructor(histogram as fn() -> Histogram);
         let active = Gauge::default();
-        registry.register("requests", "Requests by how they ended", ends.clone());
-        let help = "Decisions and calls by what came of them";
+        registry.register("requests", "Requests by their outcome", ends.clone());
+        let help = "Decisions and calls by their outcome";
         registry.register("steps", help, steps.clone());
-        registry.register("seconds", "Times in seconds", spans.clone());
-        registry.register("active", "Requests that are being served", active.clone());
+        registry.register("seconds", "Durations in seconds", spans.clone());
+        registry.register("active", "Requests being served", active.clone());
         Self { registry: Mutex::new(registry), ends, steps, spans, active }
     }
 
-    /// Counts a request's end.
+    /// Counts an ended request by route and outcome.
     pub fn record_end(&self, route: &str, end: &str) {
         let labels = EndLabels { route: route.into(), end: end.into() };
         self.ends.get_or_create(&labels).inc();
     }
 
-    /// Counts what came of a step.
+    /// Counts the outcome of a step.
     pub fn count(&self, step: Step, outcome: &str) {
         let labels = StepLabels { step, outcome: outcome.into() };
         self.steps.get_or_create(&labels).inc();
     }
 
-    /// Records a time.
+    /// Adds a duration to its histogram.
     pub fn observe(&self, span: Span, time: Duration) {
         self.spans.get_or_create(&SpanLabels { span }).observe(time.as_secs_f64());
     }
 
-    /// Writes everything as text.
+    /// Encodes all metrics; `active` is the number of requests being served.
     pub fn render(&self, active: usize) -> String {
         self.active.set(active as u64);
         let mut text = String::new();
--- a/crates/gate/src/serve.rs
+++ b/crates/gate/src/serve.rs
@@ -1,8 +1,8 @@
-//! Serves one request from its head to the end of its answer.
+//! Serves one request from its head to the end of its response.
 //!
-//! The request is read ([`read`]), a server is picked, and the request is sent; as
-//! long as no server has run it, or it may run again, another one is tried. What a
-//! server answers goes to the caller unchanged.
+//! The request is read ([`read`]), a server is picked, and the request is sent to it. While
+//! no server has run the request, or it may run again, it is retried. The response of a
+//! server is passed to the caller unchanged.
 
 use std::convert::Infallible;
 use std::sync::Arc;
@@ -24,27 +24,27 @@
 use crate::shared::Shared;
 use crate::{planner, read};
 
-/// Servers that are tried for one request, at most.
-const TRIES: usize = 6;
+/// The maximum number of attempts to serve one request.
+const MAX_ATTEMPTS: usize = 6;
 
-/// The status by which a server says that it lacks the model or the adapter.
-const MISDIRECTED: u16 = 421;
+/// The HTTP status of a server that lacks the model or the adapter.
+const MISDIRECTED_STATUS: u16 = 421;
 
-/// How long callers are told to stay away when no server can take a request, and
-/// nothing is known of when one can.
-const AWAY: Duration = Duration::from_millis(500);
+/// The retry delay sent to callers when no server can accept a request and it is unknown
+/// when one can.
+const DEFAULT_RETRY_DELAY: Duration = Duration::from_millis(500);
 
-/// How long callers are told to stay away when no server holds the model that they ask for.
+/// The retry delay sent to callers when no server has the requested model.
 ///
-/// That its runner is gone is noticed within a second, and a load takes one or two.
-const NOT_RESIDENT: Duration = Duration::from_millis(1500);
+/// The loss of a runner is detected within a second, and a load takes one or two.
+const NOT_RESIDENT_RETRY_DELAY: Duration = Duration::from_millis(1500);
 
-/// The longest that callers are told to stay away.
+/// The longest retry delay sent to callers.
 ///
-/// Streams stay at a runner for some three seconds; after that room is found again.
-const LONGEST_AWAY: Duration = Duration::from_secs(3);
+/// Streams stay at a runner for some three seconds; after that there is room again.
+const MAX_RETRY_DELAY: Duration = Duration::from_secs(3);
 
-/// Serves one request.
+/// Serves one request; all failures become responses.
 pub async fn handle(
     shared: Arc<Shared>,
     request: Request<Incoming>,
@@ -63,11 +63,11 @@
             response.map(full_body)
         }
     };
-    Ok(closing(&shared, response))
+    Ok(close_if_shutting_down(&shared, response))
 }
 
-/// Asks callers to open another connection, elsewhere, if the daemon is leaving.
-fn closing(
+/// Has callers connect to another daemon when this one is shutting down.
+fn close_if_shutting_down(
     shared: &Shared,
     mut response: Response<ResponseBody>,
 ) -> Response<ResponseBody> {
@@ -87,89 +87,91 @@
         planner::note(&job.shared, &job.service, &target.model, job.demand());
     }
     let mut tried = Vec::new();
-    let mut lacking: Option<ServerName> = None;
-    let mut missing = Vec::new();
-    for _ in 0..TRIES {
-        let place = match pick(&job, lacking.take(), &tried).await {
-            Ok(place) => place,
+    let mut missing_adapter: Option<ServerName> = None;
+    let mut misdirected = Vec::new();
+    for _ in 0..MAX_ATTEMPTS {
+        let target = match pick(&job, missing_adapter.take(), &tried).await {
+            Ok(target) => target,
             Err(PickError::NoServer) => return Err((no_server(&job), job)),
-            Err(PickError::Full(wait)) => return Err((full(&job, wait), job)),
+            Err(PickError::Full(wait)) => return Err((overloaded(&job, wait), job)),
         };
-        wait_before_retry(&place.name, &tried).await;
+        wait_before_retry(&target.name, &tried).await;
         job.sent_at = job.shared.now();
-        let missed = match attempt(&job, &place, job.call.resume_after).await {
-            Ok(answered) => match again(&mut job, &answered) {
+        let error = match attempt(&job, &target, job.call.resume_after).await {
+            Ok(response) => match retry_server_error(&mut job, &response) {
                 true => {
-                    tried.push(place.name);
+                    tried.push(target.name);
                     continue;
                 }
-                false => return relay::forward(job, answered).await,
+                false => return relay::forward(job, response).await,
             },
-            Err(missed) => missed,
+            Err(error) => error,
         };
-        job.shared.metrics.count(Step::Missed, missed.label());
+        job.shared.metrics.count(Step::Missed, error.label());
         info!(job.shared.log, "attempt missed"; "id" => job.id(),
-            "server" => place.name.to_string(), "why" => format!("{missed:?}"));
-        let follow = job.attempts.record(place.incarnation(), missed.outcome());
-        match missed {
-            // Its adapter may have been dropped; one that says so twice is left alone.
-            AttemptError::Rejected(MISDIRECTED) if !missing.contains(&place.name) => {
-                missing.push(place.name.clone());
-                lacking = Some(place.name);
+            "server" => target.name.to_string(), "why" => format!("{error:?}"));
+        let decision = job.attempts.record(target.incarnation(), error.outcome());
+        match error {
+            // The server may have evicted the adapter. One that lacks it twice is avoided.
+            AttemptError::Rejected(MISDIRECTED_STATUS)
+                if !misdirected.contains(&target.name) =>
+            {
+                misdirected.push(target.name.clone());
+                missing_adapter = Some(target.name);
             }
             AttemptError::Rejected(_) | AttemptError::Lost(_) | AttemptError::Silent => {
-                tried.push(place.name);
+                tried.push(target.name);
             }
             AttemptError::Unreachable(_) | AttemptError::Late => {}
         }
-        if !allow_another(&job, follow, &missed) {
-            return Err((unserved(&job, &missed), job));
+        if !may_retry(&job, decision, &error) {
+            return Err((failure(&job, &error), job));
         }
     }
     Err((no_server(&job), job))
 }
 
-/// Refuses a request that would wait for longer than its caller does.
+/// The refusal of a request whose wait would exceed its caller's wait limit.
 ///
-/// Held to the end, its caller leaves with nothing and too late to ask again; told at
-/// once, it comes back when streams have ended.
-fn full(job: &Job, wait: Duration) -> Refusal {
+/// If it waited to the end, its caller would get nothing and would be too late to retry.
+/// Refused at once, the caller retries when other streams have ended.
+fn overloaded(job: &Job, wait: Duration) -> Refusal {
     if job.attempts.may_have_run() {
         return no_server(job);
     }
-    let message = "all servers that could serve it are full for longer than its caller \
-        waits; come back when told";
+    let message = "all servers for this request are full for longer than its caller \
+        waits; retry after the given delay";
     Refusal::not_run(RefusalCode::Overloaded, message)
-        .with_retry_after(wait.clamp(AWAY, LONGEST_AWAY))
+        .with_retry_after(wait.clamp(DEFAULT_RETRY_DELAY, MAX_RETRY_DELAY))
 }
 
-/// Whether a server's own failure is worth another try elsewhere.
-fn again(job: &mut Job, answered: &ServerResponse) -> bool {
-    if !answered.head.status.is_server_error() {
+/// Whether to retry after a server error; takes the retry from the budget.
+fn retry_server_error(job: &mut Job, response: &ServerResponse) -> bool {
+    if !response.head.status.is_server_error() {
         return false;
     }
-    let follow =
-        job.attempts.record(answered.target.incarnation(), AttemptOutcome::Failed);
-    follow == RetryDecision::RetryWithinBudget && take_repeat(job, "failed")
+    let decision =
+        job.attempts.record(response.target.incarnation(), AttemptOutcome::Failed);
+    decision == RetryDecision::RetryWithinBudget && take_retry(job, "failed")
 }
 
-/// Whether another server is tried after one brought no answer.
-fn allow_another(job: &Job, follow: RetryDecision, missed: &AttemptError) -> bool {
-    match follow {
+/// Whether to retry after a failed attempt; takes the retry from the budget where it counts.
+fn may_retry(job: &Job, decision: RetryDecision, error: &AttemptError) -> bool {
+    match decision {
         RetryDecision::GiveUp => false,
-        RetryDecision::RetryWithinBudget => take_repeat(job, missed.label()),
+        RetryDecision::RetryWithinBudget => take_retry(job, error.label()),
         RetryDecision::Retry => {
-            // Its repeat was taken when the server was given up.
-            if *missed == AttemptError::Silent {
-                job.shared.metrics.count(Step::Repeat, missed.label());
+            // The attempt took its retry from the budget when it abandoned the server.
+            if *error == AttemptError::Silent {
+                job.shared.metrics.count(Step::Repeat, error.label());
             }
             true
         }
     }
 }
 
-/// Takes a repeat out of the service's budget, if there is one.
-fn take_repeat(job: &Job, cause: &'static str) -> bool {
+/// Takes a retry from the service's budget; `false` if it is used up.
+fn take_retry(job: &Job, cause: &'static str) -> bool {
     let granted = job.shared.take_repeat(&job.service);
     if granted {
         job.shared.metrics.count(Step::Repeat, cause);
@@ -177,15 +179,16 @@
     granted
 }
 
-/// What is told to the caller after the last attempt brought no answer.
-fn unserved(job: &Job, missed: &AttemptError) -> Refusal {
-    match missed {
+/// The refusal after the last attempt failed.
+fn failure(job: &Job, error: &AttemptError) -> Refusal {
+    match error {
         AttemptError::Late => {
-            let message = "the time ran out before the answer began; allow more time";
+            let message = "timed out before the response started; allow more time";
             Refusal::in_doubt(RefusalCode::Late, message)
         }
         AttemptError::Lost(_) => {
-            let message = "the server broke off and may have run the request";
+            let message =
+                "the connection to the server was lost; the request may have run";
             Refusal::in_doubt(RefusalCode::Broken, message)
         }
         AttemptError::Unreachable(_)
@@ -196,34 +199,38 @@
 
 fn no_server(job: &Job) -> Refusal {
     if job.shared.now() >= job.deadline {
-        let message = "the time ran out before a server could take the request";
+        let message = "timed out before a server could accept the request";
         return match job.attempts.may_have_run() {
             true => Refusal::in_doubt(RefusalCode::Late, message),
             false => Refusal::not_run(RefusalCode::Deadline, message)
                 .with_retry_after(Duration::ZERO),
         };
     }
-    let message = "no server can take the request now; come back when told";
+    let message = "no server can accept the request now; retry after the given delay";
     match job.attempts.may_have_run() {
         true => Refusal::in_doubt(RefusalCode::Broken, message),
         false => {
-            let returns = job.shared.fleet().grace_left(job.shared.now());
-            let away = if is_resident(job) { AWAY } else { NOT_RESIDENT };
+            let grace_left = job.shared.fleet().grace_left(job.shared.now());
+            let delay = if is_resident(job) {
+                DEFAULT_RETRY_DELAY
+            } else {
+                NOT_RESIDENT_RETRY_DELAY
+            };
             Refusal::not_run(RefusalCode::Unavailable, message)
-                .with_retry_after(returns.max(away))
+                .with_retry_after(grace_left.max(delay))
         }
     }
 }
 
-/// Whether a server that may get requests holds the model, where one is asked for.
+/// Whether an available server has the requested model; `true` if none is requested.
 fn is_resident(job: &Job) -> bool {
     let Some(target) = &job.call.target else { return true };
     let fleet = job.shared.fleet();
-    let mut open = fleet.available(&job.service, job.shared.now());
-    open.any(|(_, server)| server.entry.has_model(&target.model))
+    let mut available = fleet.available(&job.service, job.shared.now());
+    available.any(|(_, server)| server.entry.has_model(&target.model))
 }
 
-/// A body of bytes that are all there.
+/// A response body that is complete in memory.
 pub fn full_body(bytes: Bytes) -> ResponseBody {
     Full::new(bytes).map_err(|never| match never {}).boxed_unsync()
 }
