--- a/crates/gate/src/permit.rs
+++ b/crates/gate/src/permit.rs
@@ -1,8 +1,8 @@
-//! Waits for a place at a server of a plain service.
+//! Requests a permit to send a request to a server of a plain service.
 //!
-//! The daemon that holds the service's queue says where a request goes. It is asked again
-//! while it is silent, and done without when that does not help: the request is sent by
-//! this daemon's own counts, as it would be before anybody holds the queue.
+//! The daemon that holds the service's queue decides which server a request goes to. Permit
+//! requests are sent again while it does not respond. If that does not help, the request is
+//! sent by this daemon's own counts, as if nobody held the queue.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -22,47 +22,50 @@
 use crate::permit_queue;
 use crate::shared::Shared;
 
-/// How long the holder of a queue may take to answer.
+/// How long the holder of a queue may take to respond.
 ///
-/// Most requests have a place within that time, or have to wait; callers of plain services
-/// expect an answer within 100 ms.
-const ANSWER_TIME: Duration = Duration::from_millis(30);
+/// Within that time most requests have a permit or are known to be queued. Callers of plain
+/// services expect a response within 100 ms.
+const RESPONSE_TIMEOUT: Duration = Duration::from_millis(30);
 
-/// How long the holder may be silent about a request that waits.
-const QUEUE_TIME: Duration = Duration::from_millis(60);
+/// How long the holder may take to send anything about a queued request.
+const QUEUED_TIMEOUT: Duration = Duration::from_millis(60);
 
-/// Questions in a row without an answer after which a holder is done without.
-const TRIES: usize = 2;
+/// Consecutive permit requests without a response after which the holder counts as
+/// unresponsive.
+const MAX_TRIES: usize = 2;
 
-/// When the end of a request is told for the second time.
+/// The delay before a release is sent a second time.
 ///
-/// A place whose end is not heard of stays taken for as long as its caller would wait,
-/// thirty times as long as requests run; with one datagram in two hundred lost that takes a
-/// seventh of all places.
-const REPEAT: Duration = Duration::from_millis(10);
+/// A permit whose release is lost stays taken for as long as its caller would wait, thirty
+/// times as long as requests run. With one datagram in two hundred lost, that blocks a
+/// seventh of all permits.
+const RELEASE_REPEAT_DELAY: Duration = Duration::from_millis(10);
 
-/// How long a holder that was silent is not asked.
+/// How long an unresponsive holder is not asked.
 ///
-/// A request that asks in vain loses 60 ms. A holder that died is followed by another one
-/// after two seconds.
-const SILENT_TIME: Duration = Duration::from_millis(1000);
+/// A request loses 60 ms on an unresponsive holder. After two seconds another daemon takes
+/// over the queue of a holder that died.
+const UNRESPONSIVE_TIME: Duration = Duration::from_millis(1000);
 
-/// What came of waiting.
+/// The result of a permit request.
+///
+/// The names of the variants are logged.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum PermitDecision {
-    /// It is to be sent to this server now; the number names its place.
+    /// The request may be sent to this server now; the number identifies its permit.
     Send(u64, ServerName),
-    /// There is room only after its caller has left.
+    /// No permit is free before the caller times out; the estimated wait.
     Full(Duration),
-    /// No server takes requests.
+    /// No server accepts requests.
     Nowhere,
-    /// Nobody holds the queue, or its holder does not answer.
+    /// Nobody holds the queue, or its holder does not respond.
     Silent,
 }
 
 impl PermitDecision {
-    /// Its name in metrics.
-    fn name(&self) -> &'static str {
+    /// The label in metrics.
+    fn label(&self) -> &'static str {
         match self {
             Self::Send(..) => "sent",
             Self::Full(_) => "full",
@@ -72,17 +75,17 @@
     }
 }
 
-/// Names a request's place to the holder of its service's queue.
+/// A permit of a plain service, as its holder identifies it.
 #[derive(Debug, Clone)]
 pub struct Permit {
-    /// The service.
+    /// The service whose queue granted it.
     pub service: ServiceName,
-    /// The request's number.
+    /// The number of the request, unique at this daemon.
     pub number: u64,
 }
 
 impl Permit {
-    /// Tells the queue that the request needs its place no more.
+    /// Returns the permit to the queue, or withdraws a request for it.
     pub fn release(self, shared: &Arc<Shared>, outcome: PermitOutcome) {
         let Self { service, number } = self;
         match holder(shared, &service) {
@@ -94,7 +97,7 @@
                 shared.peers.send(addr, message.clone());
                 let shared = shared.clone();
                 tokio::spawn(async move {
-                    sleep(REPEAT).await;
+                    sleep(RELEASE_REPEAT_DELAY).await;
                     shared.peers.send(addr, message);
                 });
             }
@@ -103,7 +106,7 @@
     }
 }
 
-/// The daemon that holds a service's queue.
+/// The daemon that holds a service's queue, and where it receives datagrams.
 fn holder(shared: &Shared, service: &ServiceName) -> Option<(MemberId, SocketAddr)> {
     let known = shared.known();
     let (claim, _) = known.claims.get(&pool_key(service)?)?;
@@ -111,112 +114,112 @@
     Some((row.member, row.peer_addr))
 }
 
-/// Waits for a place; servers on `avoid` did not serve the request.
+/// Waits for a permit; servers in `avoid` failed to serve the request.
 pub async fn request_permit(job: &Job, avoid: &[ServerName]) -> PermitDecision {
     let shared = &job.shared;
-    let began = shared.now();
-    if shared.is_silent(&job.service, began) {
+    let started = shared.now();
+    if shared.is_silent(&job.service, started) {
         return PermitDecision::Silent;
     }
     let Some((member, addr)) = holder(shared, &job.service) else {
         return PermitDecision::Silent;
     };
     let (number, receiver) = shared.peers.open_request();
-    let want = want(job, avoid);
-    let mut asked = Asked { job, number, placed: false };
-    let queued = match member == shared.peers.me {
-        true => asked.here(want).await,
-        false => asked.there(addr, receiver, want).await,
+    let request = plain_request(job, avoid);
+    let mut pending = PendingPermit { job, number, granted: false };
+    let decision = match member == shared.peers.me {
+        true => pending.request_local(request).await,
+        false => pending.request_remote(addr, receiver, request).await,
     };
-    asked.placed = matches!(queued, PermitDecision::Send(..));
-    if queued == PermitDecision::Silent {
-        shared.note_silent(&job.service, shared.now() + SILENT_TIME);
+    pending.granted = matches!(decision, PermitDecision::Send(..));
+    if decision == PermitDecision::Silent {
+        shared.note_silent(&job.service, shared.now() + UNRESPONSIVE_TIME);
     }
-    shared.metrics.count(Step::Turn, queued.name());
-    let waited = shared.now().saturating_duration_since(began);
+    shared.metrics.count(Step::Turn, decision.label());
+    let waited = shared.now().saturating_duration_since(started);
     shared.metrics.observe(Span::Turn, waited);
     info!(shared.log, "place"; "id" => job.id(), "holder" => member.to_string(),
-        "place" => format!("{queued:?}"), "waited_ms" => waited.as_millis() as u64);
-    queued
+        "place" => format!("{decision:?}"), "waited_ms" => waited.as_millis() as u64);
+    decision
 }
 
-fn want(job: &Job, avoid: &[ServerName]) -> PlainRequest {
+fn plain_request(job: &Job, avoid: &[ServerName]) -> PlainRequest {
     let now = job.shared.now();
     let fleet = job.shared.fleet();
-    let ours = fleet.iter().filter(|(_, server)| server.entry.service == job.service);
-    let shut = ours.filter(|(_, server)| !fleet.accepts_requests(server, now));
-    let shut = shut.map(|(_, server)| server.entry.name.clone());
-    let on_time = job.arrived_at + job.route().objective;
+    let servers = fleet.iter().filter(|(_, server)| server.entry.service == job.service);
+    let closed = servers.filter(|(_, server)| !fleet.accepts_requests(server, now));
+    let closed = closed.map(|(_, server)| server.entry.name.clone());
+    let target_time = job.arrived_at + job.route().objective;
     PlainRequest {
         urgency: job.route().priority,
-        target_time: on_time.saturating_duration_since(now),
+        target_time: target_time.saturating_duration_since(now),
         wait_limit: job.deadline.saturating_duration_since(now),
         domain: job.shared.settings.domain.clone(),
-        avoid: avoid.iter().cloned().chain(shut).collect(),
+        avoid: avoid.iter().cloned().chain(closed).collect(),
     }
 }
 
-/// A request that asked for a place; given up when dropped before it has one.
-struct Asked<'a> {
+/// A permit request without a decision; withdraws itself if dropped before a grant.
+struct PendingPermit<'a> {
     job: &'a Job,
     number: u64,
-    placed: bool,
+    granted: bool,
 }
 
-impl Asked<'_> {
-    async fn here(&self, want: PlainRequest) -> PermitDecision {
+impl PendingPermit<'_> {
+    /// Waits for a permit from a queue of this daemon.
+    async fn request_local(&self, request: PlainRequest) -> PermitDecision {
         let shared = &self.job.shared;
         let (sender, receiver) = oneshot::channel();
-        let asker = (shared.peers.me, self.number);
+        let key = (shared.peers.me, self.number);
         permit_queue::enqueue(
             shared,
             &self.job.service,
-            asker,
-            want,
+            key,
+            request,
             ReplyTo::Local(sender),
         );
         match receiver.await {
-            Ok(placed) => self.read(placed).unwrap_or(PermitDecision::Silent),
+            Ok(verdict) => self.decision(verdict).unwrap_or(PermitDecision::Silent),
             // The claim was lost.
             Err(_) => PermitDecision::Silent,
         }
     }
 
-    async fn there(
+    /// Waits for a permit from another daemon.
+    async fn request_remote(
         &self,
         addr: SocketAddr,
         mut receiver: mpsc::UnboundedReceiver<Message>,
-        want: PlainRequest,
+        request: PlainRequest,
     ) -> PermitDecision {
         let (shared, number) = (&self.job.shared, self.number);
         let service = &self.job.service;
-        let mut silent = 0;
-        while silent < TRIES {
-            let (service, want) = (service.clone(), want.clone());
-            shared
-                .peers
-                .send(addr, Message::PermitRequest { number, service, request: want });
-            silent += 1;
-            let mut wait = ANSWER_TIME;
+        let mut unanswered = 0;
+        while unanswered < MAX_TRIES {
+            let (service, request) = (service.clone(), request.clone());
+            shared.peers.send(addr, Message::PermitRequest { number, service, request });
+            unanswered += 1;
+            let mut wait = RESPONSE_TIMEOUT;
             loop {
-                let answer = timeout(wait, receiver.recv()).await;
-                let Ok(Some(Message::PermitResponse { verdict, .. })) = answer else {
+                let response = timeout(wait, receiver.recv()).await;
+                let Ok(Some(Message::PermitResponse { verdict, .. })) = response else {
                     break;
                 };
-                let Some(queued) = self.read(verdict) else {
-                    // It waits, and is asked for again as often as need be.
-                    (silent, wait) = (0, QUEUE_TIME);
+                let Some(decision) = self.decision(verdict) else {
+                    // A queued request is asked for again as often as necessary.
+                    (unanswered, wait) = (0, QUEUED_TIMEOUT);
                     continue;
                 };
-                return queued;
+                return decision;
             }
         }
         PermitDecision::Silent
     }
 
-    /// What an answer means; nothing while the request waits.
-    fn read(&self, placed: PermitVerdict) -> Option<PermitDecision> {
-        match placed {
+    /// The decision in a verdict; `None` while the request is queued.
+    fn decision(&self, verdict: PermitVerdict) -> Option<PermitDecision> {
+        match verdict {
             PermitVerdict::Queued => None,
             PermitVerdict::Send(server) => {
                 Some(PermitDecision::Send(self.number, server))
@@ -230,9 +233,9 @@
     }
 }
 
-impl Drop for Asked<'_> {
+impl Drop for PendingPermit<'_> {
     fn drop(&mut self) {
-        if !self.placed {
+        if !self.granted {
             let (service, number) = (self.job.service.clone(), self.number);
             Permit { service, number }.release(&self.job.shared, PermitOutcome::Unused);
         }
--- a/crates/gate/src/pick.rs
+++ b/crates/gate/src/pick.rs
@@ -1,10 +1,10 @@
 //! Picks the server that a request is sent to.
 //!
-//! A plain request waits in its service's queue for a place; where that does not answer,
-//! it goes to the server with the least in flight. A generation goes to the runner whose
-//! holder expects its first event soonest, and waits there for its turn; it looks at all
-//! runners again while it waits, and is refused once none can begin before its caller
-//! leaves.
+//! A plain request waits for a permit from its service's queue. If the queue does not
+//! respond, the request goes to the server with the fewest requests of this daemon in
+//! flight. A generation goes to the runner whose holder estimates the earliest first event,
+//! and requests admission there. While it waits it regularly compares all runners again. It
+//! is refused once none can start it before its caller times out.
 
 use std::time::Duration;
 
@@ -18,52 +18,52 @@
 use crate::job::Job;
 use crate::permit::{self, PermitDecision};
 
-/// The pause before a server is asked for the second time; it doubles then.
+/// The delay before the second retry at the same server; it doubles with each further one.
 ///
-/// Plain requests run for 30 to 60 ms on some six places, so that one is free in ten.
-const FIRST_PAUSE: Duration = Duration::from_millis(20);
+/// Plain requests run for 30 to 60 ms in some six slots, so that one is free every 10 ms.
+const INITIAL_RETRY_DELAY: Duration = Duration::from_millis(20);
 
-/// How long a request waits for a server that holds its model, at most.
+/// The longest wait for a server that has the request's model.
 ///
-/// A load from the weight store takes one to two seconds; later than that another
-/// one would not have been missed.
-const RESIDENCE_WAIT: Duration = Duration::from_secs(4);
+/// A load from the weight store takes one to two seconds. After four seconds a load that
+/// was about to come would have finished.
+const MAX_RESIDENCY_WAIT: Duration = Duration::from_secs(4);
 
-/// The part of its caller's patience that a request waits for a server with its model.
+/// The fraction of the caller's wait limit that a request waits for a server with its model.
 ///
-/// Held for longer its caller leaves with nothing, though the model may be there a second
-/// later; told by then, it comes back.
-const RESIDENCE_PART: f64 = 0.5;
+/// A request held for longer fails when its caller leaves, though the model may be loaded a
+/// second later. Refused by then, the caller retries.
+const RESIDENCY_WAIT_FRACTION: f64 = 0.5;
 
-/// How often a request asks for another place where it can't use the one that it got.
-const ROUNDS: usize = 3;
+/// How many permits a request asks for if the granted servers turn out to be unusable.
+const MAX_PERMIT_REQUESTS: usize = 3;
 
 /// Why no server was picked.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum PickError {
-    /// No server can take the request.
+    /// No server can accept the request.
     NoServer,
-    /// Those that could have room in this time, after the caller's patience has ended.
+    /// All suitable servers are full until after the caller's wait limit; the estimated wait.
     Full(Duration),
 }
 
-/// Picks a server; waits for one if none can take the request.
+/// Picks a server; waits for one if none can accept the request.
 ///
-/// `lacking` is a server that turned out not to have the request's adapter;
-/// servers on `tried` did not serve the request and are asked only at last.
+/// `missing_adapter` is a server that has just rejected the request for lack of its adapter.
+/// Servers in `tried` failed to serve the request and are used only as a last resort.
 pub async fn pick(
     job: &Job,
-    lacking: Option<ServerName>,
+    missing_adapter: Option<ServerName>,
     tried: &[ServerName],
 ) -> Result<Target, PickError> {
-    let limit = Instant::from_std(residence_limit(job));
+    let limit = Instant::from_std(residency_deadline(job));
     let mut listed = job.shared.listed.subscribe();
     let mut avoid = tried.to_vec();
     loop {
         listed.borrow_and_update();
-        match pick_now(job, &mut avoid, lacking.as_ref()).await {
+        match pick_now(job, &mut avoid, missing_adapter.as_ref()).await {
             Err(PickError::NoServer) if job.call.target.is_some() => avoid.clear(),
-            decided => return decided,
+            result => return result,
         }
         let changed = timeout_at(limit, listed.changed()).await;
         if !matches!(changed, Ok(Ok(()))) {
@@ -73,21 +73,21 @@
 }
 
 /// Until when a request waits for a server with its model.
-fn residence_limit(job: &Job) -> std::time::Instant {
+fn residency_deadline(job: &Job) -> std::time::Instant {
     if job.response_started {
-        // Its caller has a part of the answer and can't be told to come back.
+        // The caller has part of the response and can't be asked to retry.
         return job.wait_deadline();
     }
-    let patience = job.wait_deadline().saturating_duration_since(job.arrived_at);
-    job.arrived_at + RESIDENCE_WAIT.min(patience.mul_f64(RESIDENCE_PART))
+    let wait_limit = job.wait_deadline().saturating_duration_since(job.arrived_at);
+    job.arrived_at + MAX_RESIDENCY_WAIT.min(wait_limit.mul_f64(RESIDENCY_WAIT_FRACTION))
 }
 
-/// Picks a server that can take the request now; those whose adapter can't be
-/// loaded go to `avoid`.
+/// Picks a server that accepts the request now; runners that deny admission are added to
+/// `avoid`.
 async fn pick_now(
     job: &Job,
     avoid: &mut Vec<ServerName>,
-    lacking: Option<&ServerName>,
+    missing_adapter: Option<&ServerName>,
 ) -> Result<Target, PickError> {
     loop {
         if job.call.target.is_none() {
@@ -98,73 +98,77 @@
         if job.shared.now() + wait > job.wait_deadline() {
             return Err(PickError::Full(wait));
         }
-        let mut place = place(job, chosen).ok_or(PickError::NoServer)?;
-        let missed = lacking == Some(&place.name);
-        match bidding::request_admission(job, &place.name, missed).await {
+        let mut target = target(job, chosen).ok_or(PickError::NoServer)?;
+        let missing = missing_adapter == Some(&target.name);
+        match bidding::request_admission(job, &target.name, missing).await {
             Admission::Send(number) => {
-                place.number = Some(number);
-                return Ok(place);
+                target.number = Some(number);
+                return Ok(target);
             }
-            // Nobody knows what is in flight there but this daemon; avoided, runners whose
-            // holders have just started would get nothing until these have joined.
-            Admission::Silent | Admission::Moved => return Ok(place),
-            Admission::Denied => avoid.push(place.name),
+            // Only this daemon knows what it has in flight there. If such runners were
+            // avoided, those whose holders have just started would get no requests until
+            // the holders have joined.
+            Admission::Silent | Admission::Moved => return Ok(target),
+            Admission::Denied => avoid.push(target.name),
             Admission::Again if job.shared.now() < job.wait_deadline() => {}
             Admission::Again => return Err(PickError::NoServer),
         }
     }
 }
 
-/// Waits for a place in the service's queue; goes by the own counts where none is given.
+/// Waits for a permit from the service's queue; without one, picks by this daemon's own
+/// counts.
 async fn pick_plain(job: &Job, avoid: &mut Vec<ServerName>) -> Result<Target, PickError> {
-    // Each round leaves one server out that this daemon knows to be leaving.
-    for _ in 0..ROUNDS {
+    // Each unusable permit excludes a server that this daemon knows to be shutting down.
+    for _ in 0..MAX_PERMIT_REQUESTS {
         match permit::request_permit(job, avoid).await {
-            PermitDecision::Send(number, server) => match granted(job, number, &server) {
-                Some(place) => return Ok(place),
-                None => avoid.push(server),
-            },
+            PermitDecision::Send(number, server) => {
+                match permitted_target(job, number, &server) {
+                    Some(target) => return Ok(target),
+                    None => avoid.push(server),
+                }
+            }
             PermitDecision::Full(wait) => return Err(PickError::Full(wait)),
             PermitDecision::Nowhere | PermitDecision::Silent => break,
         }
     }
-    let chosen = pick_by_own(job, avoid).ok_or(PickError::NoServer)?;
-    place(job, chosen).ok_or(PickError::NoServer)
+    let chosen = pick_by_own_usage(job, avoid).ok_or(PickError::NoServer)?;
+    target(job, chosen).ok_or(PickError::NoServer)
 }
 
-/// The place that a service's queue has given, unless the server takes no requests.
-fn granted(job: &Job, number: u64, server: &ServerName) -> Option<Target> {
+/// The server that a permit is for; releases the permit if the server accepts no requests.
+fn permitted_target(job: &Job, number: u64, server: &ServerName) -> Option<Target> {
     let now = job.shared.now();
     let chosen = {
         let fleet = job.shared.fleet();
         let key = fleet.key(server);
-        let known = key.and_then(|key| Some((key, fleet.get(key)?)));
-        let open = known.filter(|(_, server)| fleet.accepts_requests(server, now));
-        open.map(|(key, server)| {
+        let listed = key.and_then(|key| Some((key, fleet.get(key)?)));
+        let accepting = listed.filter(|(_, server)| fleet.accepts_requests(server, now));
+        accepting.map(|(key, server)| {
             let requests = server.own_usage.requests;
             Candidate { key, bid: Bid { wait_ms: 0.0, cost_ms: 0.0, requests } }
         })
     };
-    let place = chosen.and_then(|chosen| place(job, chosen));
-    if place.is_none() {
+    let target = chosen.and_then(|chosen| target(job, chosen));
+    if target.is_none() {
         permit::Permit { service: job.service.clone(), number }
             .release(&job.shared, PermitOutcome::Unused);
     }
-    Some(Target { number: Some(number), ..place? })
+    Some(Target { number: Some(number), ..target? })
 }
 
-/// The server with the least in flight by this daemon's own counts.
-fn pick_by_own(job: &Job, avoid: &[ServerName]) -> Option<Candidate> {
+/// The server with the fewest requests of this daemon in flight.
+fn pick_by_own_usage(job: &Job, avoid: &[ServerName]) -> Option<Candidate> {
     let shared = &job.shared;
     let (now, domain) = (shared.now(), &shared.settings.domain);
     let fleet = shared.fleet();
-    let open = || fleet.available(&job.service, now);
-    let fresh = open().filter(|(_, server)| !avoid.contains(&server.entry.name));
-    // Where all have rejected it, one may have room by now.
-    choose(fresh, domain, now).or_else(|| choose(open(), domain, now))
+    let available = || fleet.available(&job.service, now);
+    let untried = available().filter(|(_, server)| !avoid.contains(&server.entry.name));
+    // If all servers have rejected the request, one of them may have room by now.
+    choose(untried, domain, now).or_else(|| choose(available(), domain, now))
 }
 
-fn place(job: &Job, chosen: Candidate) -> Option<Target> {
+fn target(job: &Job, chosen: Candidate) -> Option<Target> {
     let fleet = job.shared.fleet();
     let server = fleet.get(chosen.key)?;
     let (name, started_at) = (server.entry.name.clone(), server.entry.started_at_ms);
@@ -178,15 +182,16 @@
     Some(Target { key: chosen.key, name, started_at, addr, number: None })
 }
 
-/// Waits before a server that did not serve the request is asked once more.
+/// Delays a retry at a server that has failed to serve the request more than once.
 ///
-/// A server that is full has room when one of its requests ends. Asked again at once, a
-/// request uses up its tries, and a part of all callers' repeats, within milliseconds.
+/// A full server has room when one of its requests ends. Retried at once, a request uses up
+/// its attempts, and part of the retry budget, within milliseconds.
 ///
-/// It keeps its place meanwhile: a server that rejects runs nothing that could use it.
+/// The request keeps its permit during the delay: a server that rejects requests would not
+/// run another one in its place.
 pub async fn wait_before_retry(server: &ServerName, tried: &[ServerName]) {
-    let before = tried.iter().filter(|one| *one == server).count() as u32;
-    if let Some(doublings) = before.checked_sub(1) {
-        tokio::time::sleep(FIRST_PAUSE * 2u32.pow(doublings)).await;
+    let failures = tried.iter().filter(|one| *one == server).count() as u32;
+    if let Some(doublings) = failures.checked_sub(1) {
+        tokio::time::sleep(INITIAL_RETRY_DELAY * 2u32.pow(doublings)).await;
     }
 }
