--- a/crates/gate/src/relay.rs
+++ b/crates/gate/src/relay.rs
@@ -1,7 +1,7 @@
-//! Passes a backend server's answer on to the caller.
+//! Relays a backend server's response to the caller.
 //!
-//! An answer that breaks off on its way must not look complete: the connection to
-//! the caller is cut then, unless another server can go on where the answer broke.
+//! An interrupted response must not look complete. The connection to the caller is closed
+//! then, unless another server can resume the response where it was interrupted.
 
 use std::time::Instant;
 
@@ -24,94 +24,96 @@
 use crate::pick::pick;
 use crate::serve::full_body;
 
-/// The body of an answer to a caller.
-pub type ResponseBody = UnsyncBoxBody<Bytes, Cut>;
+/// The body of a response to a caller.
+pub type ResponseBody = UnsyncBoxBody<Bytes, Interrupted>;
 
-/// An answer that breaks off: the connection to the caller is cut.
+/// The response was interrupted; the connection to the caller is closed.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Cut;
+pub struct Interrupted;
 
-impl std::fmt::Display for Cut {
+impl std::fmt::Display for Interrupted {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
-        f.write_str("the answer broke off; send the request again if it may run twice")
+        f.write_str("the response was interrupted; retry the request if it may run twice")
     }
 }
 
-impl std::error::Error for Cut {}
+impl std::error::Error for Interrupted {}
 
-/// Plain answers up to this size are read whole before the caller gets any of them,
-/// so that one that breaks off can still be replaced by a clear failure.
-const WHOLE_LIMIT: usize = 256 * 1024;
+/// The largest plain response, in bytes.
+///
+/// Plain responses are buffered before the caller gets any part of them, so that an
+/// interrupted one can still be replaced by a refusal.
+const MAX_BUFFERED_BYTES: usize = 256 * 1024;
 
-/// Passes an answer on.
+/// Relays a response; returns a refusal if it was interrupted before the caller got any of it.
 pub async fn forward(
     job: Box<Job>,
-    answered: ServerResponse,
+    response: ServerResponse,
 ) -> Result<Response<ResponseBody>, (Refusal, Box<Job>)> {
     job.shared.metrics.observe(Span::FirstByte, job.age());
-    if is_event_stream(&answered.head) {
-        let head = answered.head.clone();
-        let relay = Relay::new(job, answered);
+    if is_event_stream(&response.head) {
+        let head = response.head.clone();
+        let relay = StreamRelay::new(job, response);
         let headers = relay.job.shared.dialect.write_response_headers(&head);
-        let body = StreamBody::new(unfold(relay, Relay::step));
-        return Ok(respond(&head, headers, BodyExt::boxed_unsync(body)));
+        let body = StreamBody::new(unfold(relay, StreamRelay::next_frame));
+        return Ok(build_response(&head, headers, BodyExt::boxed_unsync(body)));
     }
-    forward_plain(job, answered).await
+    forward_plain(job, response).await
 }
 
 async fn forward_plain(
     job: Box<Job>,
-    mut answered: ServerResponse,
+    mut response: ServerResponse,
 ) -> Result<Response<ResponseBody>, (Refusal, Box<Job>)> {
     let deadline = tokio::time::Instant::from_std(job.deadline);
-    let read = timeout_at(deadline, read_whole(&mut answered.body)).await;
-    let fault = match read {
+    let body = timeout_at(deadline, read_full_body(&mut response.body)).await;
+    let refusal = match body {
         Ok(Ok(bytes)) => {
-            let server = answered.target.name.to_string();
-            let why = answered.head.status.as_str();
+            let server = response.target.name.to_string();
+            let reason = response.head.status.as_str();
             job.record_end(RequestEnd {
                 outcome: "answered",
                 server: &server,
-                reason: why,
+                reason,
                 timing: None,
             });
-            let headers = job.shared.dialect.write_response_headers(&answered.head);
-            let (addr, hold) = (answered.target.addr, answered.metadata.keep_alive);
-            job.shared.client.release(addr, answered.connection, hold);
-            return Ok(respond(&answered.head, headers, full_body(bytes)));
+            let headers = job.shared.dialect.write_response_headers(&response.head);
+            let (addr, keep_alive) = (response.target.addr, response.metadata.keep_alive);
+            job.shared.client.release(addr, response.connection, keep_alive);
+            return Ok(build_response(&response.head, headers, full_body(bytes)));
         }
         Ok(Err(why)) => {
-            answered.in_flight.record_interruption();
+            response.in_flight.record_interruption();
             let now = job.shared.now();
-            if let Some(server) = job.shared.fleet().get_mut(answered.target.key) {
+            if let Some(server) = job.shared.fleet().get_mut(response.target.key) {
                 server.health.record_failure(now);
             }
-            let message = format!("the server's answer broke off ({why})");
+            let message = format!("the server's response was interrupted ({why})");
             Refusal::in_doubt(RefusalCode::Broken, message)
         }
         Err(_) => {
-            let message = "the time ran out before the answer was whole; allow more time";
+            let message = "timed out before the response was complete; allow more time";
             Refusal::in_doubt(RefusalCode::Late, message)
         }
     };
-    Err((fault, job))
+    Err((refusal, job))
 }
 
-async fn read_whole(body: &mut Incoming) -> Result<Bytes, String> {
+async fn read_full_body(body: &mut Incoming) -> Result<Bytes, String> {
     let mut bytes = BytesMut::new();
     while let Some(frame) = body.frame().await {
         let frame = frame.map_err(|error| error.to_string())?;
         if let Some(data) = frame.data_ref() {
             bytes.extend_from_slice(data);
         }
-        if bytes.len() > WHOLE_LIMIT {
-            return Err(format!("over {WHOLE_LIMIT} bytes"));
+        if bytes.len() > MAX_BUFFERED_BYTES {
+            return Err(format!("larger than {MAX_BUFFERED_BYTES} bytes"));
         }
     }
     Ok(bytes.freeze())
 }
 
-fn respond(
+fn build_response(
     head: &response::Parts,
     headers: http::HeaderMap,
     body: ResponseBody,
@@ -128,112 +130,115 @@
         && kind.is_some_and(|kind| kind.starts_with("text/event-stream"))
 }
 
-/// A stream on its way from a server to a caller.
-struct Relay {
+/// Relays an event stream to a caller and resumes it at another server if interrupted.
+struct StreamRelay {
     job: Box<Job>,
-    /// The server's answer; nothing once it has ended.
+    /// The response of the current server; `None` after it ended or was interrupted.
     source: Option<ServerResponse>,
-    /// The server that answered last.
+    /// The server that responded last.
     server: ServerName,
-    events: EventDecoder,
-    /// What the caller has of it.
+    decoder: EventDecoder,
+    /// The events that the caller has.
     sequence: Sequence,
     timing: StreamTiming,
-    /// The tokens of an event, if an engine makes them.
+    /// The tokens per event; `None` for a plain service.
     event_tokens: Option<u32>,
-    /// When the last event was passed on.
-    at: Instant,
-    ended: bool,
+    /// When the last event was sent to the caller.
+    last_event_at: Instant,
+    end_recorded: bool,
 }
 
-/// What the server's answer brings next.
-enum Next {
+/// The next item of the server's response.
+enum StreamItem {
+    /// A complete event that the caller does not have.
     Event(Bytes),
     End,
-    Broken(String),
-    Late,
+    Interrupted(String),
+    TimedOut,
 }
 
-impl Relay {
-    fn new(job: Box<Job>, answered: ServerResponse) -> Self {
+impl StreamRelay {
+    fn new(job: Box<Job>, response: ServerResponse) -> Self {
         let sequence = Sequence::after(job.call.resume_after);
-        let at = job.shared.now();
-        let events = EventDecoder::default();
+        let last_event_at = job.shared.now();
+        let decoder = EventDecoder::default();
         let event_tokens = job.engine().map(|engine| engine.event_tokens);
         Self {
             job,
-            server: answered.target.name.clone(),
-            source: Some(answered),
-            events,
+            server: response.target.name.clone(),
+            source: Some(response),
+            decoder,
             sequence,
             timing: StreamTiming::default(),
             event_tokens,
-            at,
-            ended: false,
+            last_event_at,
+            end_recorded: false,
         }
     }
 
-    async fn step(mut self) -> Option<(Result<Frame<Bytes>, Cut>, Self)> {
+    /// The next frame for the caller; `None` at the end of the stream.
+    async fn next_frame(mut self) -> Option<(Result<Frame<Bytes>, Interrupted>, Self)> {
         loop {
-            match self.next().await {
-                Next::Event(bytes) => return Some((Ok(Frame::data(bytes)), self)),
-                Next::End => {
-                    self.finish("answered", "");
-                    self.keep();
+            match self.next_item().await {
+                StreamItem::Event(bytes) => return Some((Ok(Frame::data(bytes)), self)),
+                StreamItem::End => {
+                    self.record_end("answered", "");
+                    self.release_connection();
                     return None;
                 }
-                Next::Late => {
-                    self.finish("late", "");
-                    return Some((Err(Cut), self));
+                StreamItem::TimedOut => {
+                    self.record_end("late", "");
+                    return Some((Err(Interrupted), self));
                 }
-                Next::Broken(why) => {
-                    if self.ended {
+                StreamItem::Interrupted(why) => {
+                    if self.end_recorded {
                         return None;
                     }
                     if self.resume(&why).await {
                         continue;
                     }
-                    self.finish("broken", &why);
-                    return Some((Err(Cut), self));
+                    self.record_end("broken", &why);
+                    return Some((Err(Interrupted), self));
                 }
             }
         }
     }
 
-    async fn next(&mut self) -> Next {
+    async fn next_item(&mut self) -> StreamItem {
         let deadline = tokio::time::Instant::from_std(self.job.deadline);
         loop {
-            if let Some(event) = self.events.next_event() {
-                return self.take(event);
+            if let Some(event) = self.decoder.next_event() {
+                return self.accept_event(event);
             }
             let Some(source) = &mut self.source else {
-                return Next::Broken("no source".into());
+                return StreamItem::Interrupted("no server is connected".into());
             };
             let frame = match timeout_at(deadline, source.body.frame()).await {
                 Ok(frame) => frame,
-                Err(_) => return Next::Late,
+                Err(_) => return StreamItem::TimedOut,
             };
             match frame {
-                None if self.events.has_partial_event() => {
-                    return Next::Broken("it ended within an event".into());
+                None if self.decoder.has_partial_event() => {
+                    return StreamItem::Interrupted("it ended within an event".into());
                 }
-                None => return Next::End,
-                Some(Err(error)) => return Next::Broken(error.to_string()),
+                None => return StreamItem::End,
+                Some(Err(error)) => return StreamItem::Interrupted(error.to_string()),
                 Some(Ok(frame)) => {
                     let Some(data) = frame.data_ref() else { continue };
                     source.in_flight.record_first_event(source.target.number);
-                    if self.events.push(data).is_err() {
-                        return Next::Broken("an event is too large".into());
+                    if self.decoder.push(data).is_err() {
+                        return StreamItem::Interrupted("an event is too large".into());
                     }
                 }
             }
         }
     }
 
-    /// Passes an event on unless the caller has it.
-    fn take(&mut self, event: Event) -> Next {
+    /// Accepts an event for the caller, unless the caller already has it, and records its
+    /// time.
+    fn accept_event(&mut self, event: Event) -> StreamItem {
         if let Err(DuplicateEvent { id, last }) = self.sequence.accept(&event) {
-            return Next::Broken(format!("event {id} after event {last}"));
+            return StreamItem::Interrupted(format!("event {id} after event {last}"));
         }
         let now = self.job.shared.now();
         match self.timing.first_after_send {
@@ -243,82 +248,88 @@
                 self.timing.first_after_arrival = Some(self.job.age());
             }
             Some(_) => {
-                let pause = now.saturating_duration_since(self.at);
-                self.timing.max_event_gap = self.timing.max_event_gap.max(pause);
+                let gap = now.saturating_duration_since(self.last_event_at);
+                self.timing.max_event_gap = self.timing.max_event_gap.max(gap);
                 if let Some(tokens) = self.event_tokens {
-                    self.job.shared.speeds().record_event_gap(pause, tokens);
+                    self.job.shared.speeds().record_event_gap(gap, tokens);
                 }
             }
         }
-        self.at = now;
+        self.last_event_at = now;
         self.timing.events += 1;
-        Next::Event(event.bytes)
+        StreamItem::Event(event.bytes)
     }
 
-    /// Lets another server go on after the last event that was passed on.
+    /// Resumes the stream at another server after the last event that the caller has.
     async fn resume(&mut self, why: &str) -> bool {
-        let old = self.source.take();
-        if let Some(old) = &old {
+        let interrupted = self.source.take();
+        if let Some(interrupted) = &interrupted {
             let now = self.job.shared.now();
-            if let Some(server) = self.job.shared.fleet().get_mut(old.target.key) {
+            if let Some(server) = self.job.shared.fleet().get_mut(interrupted.target.key)
+            {
                 server.health.record_failure(now);
             }
         }
         self.job.response_started = true;
-        self.events.discard_partial();
-        let run = old.as_ref().map(|old| old.target.incarnation());
-        // The old run ends with its connection, before the new one begins.
-        drop(old);
-        let follow =
-            run.map(|run| self.job.attempts.record(run, AttemptOutcome::Interrupted));
-        if follow != Some(RetryDecision::RetryWithinBudget) {
+        self.decoder.discard_partial();
+        let incarnation =
+            interrupted.as_ref().map(|response| response.target.incarnation());
+        // Closing the connection stops the interrupted run before the next one starts.
+        drop(interrupted);
+        let decision = incarnation.map(|incarnation| {
+            self.job.attempts.record(incarnation, AttemptOutcome::Interrupted)
+        });
+        if decision != Some(RetryDecision::RetryWithinBudget) {
             return false;
         }
-        info!(self.job.shared.log, "stream resumes elsewhere"; "id" => self.job.id(),
-            "server" => self.server.to_string(), "why" => why, "after" => self.sequence.last());
+        info!(self.job.shared.log, "resuming the stream at another server";
+            "id" => self.job.id(), "server" => self.server.to_string(), "why" => why,
+            "after" => self.sequence.last());
         while self.job.shared.take_repeat(&self.job.service) {
             self.job.shared.metrics.count(Step::Repeat, "resumed");
-            let Ok(place) = pick(&self.job, None, &[]).await else { return false };
-            match attempt(&self.job, &place, self.sequence.last()).await {
-                Ok(answered) if is_event_stream(&answered.head) => {
-                    self.server = answered.target.name.clone();
-                    self.source = Some(answered);
+            let Ok(target) = pick(&self.job, None, &[]).await else { return false };
+            match attempt(&self.job, &target, self.sequence.last()).await {
+                Ok(response) if is_event_stream(&response.head) => {
+                    self.server = response.target.name.clone();
+                    self.source = Some(response);
                     return true;
                 }
                 Ok(_) | Err(AttemptError::Late) => return false,
                 Err(error) => {
                     let _ =
-                        self.job.attempts.record(place.incarnation(), error.outcome());
+                        self.job.attempts.record(target.incarnation(), error.outcome());
                 }
             }
         }
         false
     }
 
-    fn keep(&mut self) {
+    /// Returns the connection to the client for reuse.
+    fn release_connection(&mut self) {
         if let Some(source) = self.source.take() {
-            let (addr, hold) = (source.target.addr, source.metadata.keep_alive);
-            self.job.shared.client.release(addr, source.connection, hold);
+            let (addr, keep_alive) = (source.target.addr, source.metadata.keep_alive);
+            self.job.shared.client.release(addr, source.connection, keep_alive);
         }
     }
 
-    fn finish(&mut self, end: &str, why: &str) {
-        if std::mem::replace(&mut self.ended, true) {
+    /// Records the end of the request; only the first call has an effect.
+    fn record_end(&mut self, outcome: &str, reason: &str) {
+        if std::mem::replace(&mut self.end_recorded, true) {
             return;
         }
         let timing = Some(&self.timing);
         self.job.record_end(RequestEnd {
-            outcome: end,
+            outcome,
             server: self.server.as_str(),
-            reason: why,
+            reason,
             timing,
         });
     }
 }
 
-impl Drop for Relay {
-    /// The caller has left, unless the stream has ended.
+impl Drop for StreamRelay {
+    /// Records that the caller left, unless the stream has ended.
     fn drop(&mut self) {
-        self.finish("caller left", "");
+        self.record_end("caller left", "");
     }
 }
