--- a/crates/gate/src/client.rs
+++ b/crates/gate/src/client.rs
@@ -1,8 +1,7 @@
-//! The daemon's one HTTP client: connections that are kept, and calls on them.
+//! The daemon's HTTP client: a connection pool, and calls on its connections.
 //!
-//! What is sent to whom, and whether it is sent again, is decided by the callers of
-//! this module. It tells apart what they need for that: whether any byte of a
-//! request was handed to a connection.
+//! The users of this module decide whether to retry a request. For that, errors tell whether
+//! any byte of the request was handed to a connection.
 
 use std::collections::VecDeque;
 use std::fmt::{self, Display, Formatter};
@@ -23,38 +22,38 @@
 use tokio::task::AbortHandle;
 use tokio::time::timeout;
 
-/// How long a connection may take to open.
+/// How long connecting may take.
 ///
-/// Links take 3 ms at most, and a lost opening packet is sent again after a second;
-/// a server that is there has answered long before.
-const CONNECT_TIME: Duration = Duration::from_millis(400);
+/// Links take 3 ms at most, so that a live server responds long before this. A lost SYN
+/// packet is sent again only after a second.
+const CONNECT_TIMEOUT: Duration = Duration::from_millis(400);
 
-/// How long sent bytes may stay unacknowledged before a connection counts as dead.
+/// How long sent bytes may stay unacknowledged before the connection is closed.
 ///
-/// A peer that lost power never resets the connection; without the limit requests
-/// would be written to it for minutes.
-const UNACKED_TIME: Duration = Duration::from_millis(1500);
+/// A peer that lost power never resets the connection. Without this limit, requests would be
+/// written to it for minutes.
+const UNACKED_TIMEOUT: Duration = Duration::from_millis(1500);
 
-/// How long a connection is silent before the peer is asked whether it lives.
-const PROBE_IDLE: Duration = Duration::from_secs(1);
+/// The idle time before the first TCP keepalive probe, and the interval between probes.
+const KEEPALIVE_INTERVAL: Duration = Duration::from_secs(1);
 
-/// For how long an idle connection is kept if the server does not say.
-const IDLE_TIME: Duration = Duration::from_secs(4);
+/// How long an idle connection stays in the pool if the server does not say.
+const DEFAULT_IDLE_TIMEOUT: Duration = Duration::from_secs(4);
 
-/// How long the body of a call's answer may take.
+/// How long the body of a response may take after its head.
 ///
-/// Half a megabyte takes half a second over the thinnest links of 10 Mbit/s.
-const BODY_TIME: Duration = Duration::from_millis(2500);
+/// Half a megabyte takes half a second over the slowest links of 10 Mbit/s.
+const BODY_TIMEOUT: Duration = Duration::from_millis(2500);
 
-/// Idle connections that are kept for one address.
-const IDLE_LIMIT: usize = 64;
+/// The maximum number of idle connections to one address.
+const MAX_IDLE_PER_ADDRESS: usize = 64;
 
-/// A request that brought no answer.
+/// Why a request got no complete response.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum SendError {
-    /// No byte of it was handed to a connection.
+    /// No byte of the request was handed to a connection.
     NotSent(String),
-    /// It was sent, and may have been taken.
+    /// The request was sent, and may have been processed.
     Lost(String),
 }
 
@@ -62,7 +61,7 @@
     fn fmt(&self, f: &mut Formatter<'_>) -> fmt::Result {
         match self {
             Self::NotSent(why) => write!(f, "not sent: {why}"),
-            Self::Lost(why) => write!(f, "no answer: {why}"),
+            Self::Lost(why) => write!(f, "no response: {why}"),
         }
     }
 }
@@ -81,68 +80,73 @@
     }
 }
 
-struct Idle {
+/// A connection in the pool.
+struct IdleConnection {
     connection: Connection,
-    until: Instant,
+    expires_at: Instant,
 }
 
-/// Kept connections by address.
+/// A pool of HTTP/1.1 connections by address.
 pub struct Client {
     clock: Arc<dyn Clock>,
-    idle: Mutex<IndexMap<SocketAddr, VecDeque<Idle>>>,
+    idle: Mutex<IndexMap<SocketAddr, VecDeque<IdleConnection>>>,
 }
 
-/// The head of an answer, its body, and the connection that it comes on.
-pub type Answer = (Response<Incoming>, Connection);
+/// A response whose body is still arriving, and its connection.
+pub type ResponseAndConnection = (Response<Incoming>, Connection);
 
 impl Client {
-    /// Creates a client without connections.
+    /// Creates a client with an empty pool.
     pub fn new(clock: Arc<dyn Clock>) -> Self {
         Self { clock, idle: Mutex::default() }
     }
 
-    /// Takes a kept connection or opens one.
+    /// Takes a connection from the pool, or opens one.
     pub async fn connect(&self, addr: SocketAddr) -> Result<Connection, SendError> {
         match self.take_idle(addr) {
             Some(connection) => Ok(connection),
-            None => open(addr).await,
+            None => open_connection(addr).await,
         }
     }
 
-    /// Keeps a connection whose last answer was read to its end.
+    /// Returns a connection to the pool after its last response was read to the end.
     ///
-    /// The newest are used first, so that those in use stay fresh and the rest runs
-    /// out.
+    /// The pool hands out the newest connections first, so that unused ones expire.
+    /// `keep_alive` is the idle timeout that the server announced.
     pub fn release(
         &self,
         addr: SocketAddr,
         connection: Connection,
-        hold: Option<Duration>,
+        keep_alive: Option<Duration>,
     ) {
-        // The peer closes after its own time; a margin avoids sending into a close.
-        let hold = hold.map_or(IDLE_TIME, |hold| hold.mul_f64(0.7));
-        let until = self.clock.now() + hold;
+        // The margin avoids sending a request while the peer closes the connection.
+        let keep_alive =
+            keep_alive.map_or(DEFAULT_IDLE_TIMEOUT, |keep_alive| keep_alive.mul_f64(0.7));
+        let expires_at = self.clock.now() + keep_alive;
         let mut pools = self.idle.lock().expect("no holder of the lock panics");
         let pool = pools.entry(addr).or_default();
-        pool.push_back(Idle { connection, until });
-        if pool.len() > IDLE_LIMIT {
+        pool.push_back(IdleConnection { connection, expires_at });
+        if pool.len() > MAX_IDLE_PER_ADDRESS {
             pool.pop_front();
         }
     }
 
-    /// Closes idle connections whose time is over.
+    /// Closes idle connections that have expired.
     pub fn close_expired(&self) {
         let now = self.clock.now();
         let mut pools = self.idle.lock().expect("no holder of the lock panics");
         for pool in pools.values_mut() {
-            pool.retain(|idle| now < idle.until && !idle.connection.sender.is_closed());
+            pool.retain(|idle| {
+                now < idle.expires_at && !idle.connection.sender.is_closed()
+            });
         }
         pools.retain(|_, pool| !pool.is_empty());
     }
 
-    /// Makes a whole call: sends a request and reads the answer to its end.
+    /// Sends a request and reads the complete response.
     ///
-    /// `wait` is the time to the answer's head; a long body may take longer.
+    /// `wait` limits the time to the response head; the body may take longer. `limit` is the
+    /// largest body in bytes.
     pub async fn call(
         &self,
         addr: SocketAddr,
@@ -150,25 +154,25 @@
         limit: usize,
         wait: Duration,
     ) -> Result<Response<Bytes>, SendError> {
-        let late = |what, wait: Duration| {
+        let timed_out = |what, wait: Duration| {
             SendError::Lost(format!("no {what} within {} ms", wait.as_millis()))
         };
-        let head = timeout(wait, self.call_head(addr, request)).await;
+        let head = timeout(wait, self.send_on_connection(addr, request)).await;
         let (response, connection) =
-            head.unwrap_or_else(|_| Err(late("answer", wait)))?;
+            head.unwrap_or_else(|_| Err(timed_out("response", wait)))?;
         let (head, body) = response.into_parts();
-        let body = timeout(BODY_TIME, Limited::new(body, limit).collect()).await;
-        let body = body.map_err(|_| late("end of the answer", BODY_TIME))?;
+        let body = timeout(BODY_TIMEOUT, Limited::new(body, limit).collect()).await;
+        let body = body.map_err(|_| timed_out("end of the response", BODY_TIMEOUT))?;
         let body = body.map_err(|error| SendError::Lost(error.to_string()))?;
         self.release(addr, connection, None);
         Ok(Response::from_parts(head, body.to_bytes()))
     }
 
-    async fn call_head(
+    async fn send_on_connection(
         &self,
         addr: SocketAddr,
         request: Request<Bytes>,
-    ) -> Result<Answer, SendError> {
+    ) -> Result<ResponseAndConnection, SendError> {
         let connection = self.connect(addr).await?;
         connection.send(with_host(request, addr)).await
     }
@@ -177,49 +181,55 @@
         let now = self.clock.now();
         let mut pools = self.idle.lock().expect("no holder of the lock panics");
         let pool = pools.get_mut(&addr)?;
-        pool.retain(|idle| now < idle.until && !idle.connection.sender.is_closed());
+        pool.retain(|idle| now < idle.expires_at && !idle.connection.sender.is_closed());
         let ready = pool.iter().rposition(|idle| idle.connection.sender.is_ready())?;
         pool.remove(ready).map(|idle| idle.connection)
     }
 }
 
 impl Connection {
-    /// Sends a request and waits for the head of the answer.
-    pub async fn send(mut self, request: Request<Bytes>) -> Result<Answer, SendError> {
+    /// Sends a request and waits for the response head.
+    pub async fn send(
+        mut self,
+        request: Request<Bytes>,
+    ) -> Result<ResponseAndConnection, SendError> {
         let request = request.map(Full::new);
         match self.sender.try_send_request(request).await {
             Ok(response) => Ok((response, self)),
-            Err(mut fault) => {
-                let unsent = fault.take_message().is_some();
-                let why = fault.into_error().to_string();
-                Err(if unsent { SendError::NotSent(why) } else { SendError::Lost(why) })
+            Err(mut error) => {
+                let not_sent = error.take_message().is_some();
+                let why = error.into_error().to_string();
+                Err(if not_sent { SendError::NotSent(why) } else { SendError::Lost(why) })
             }
         }
     }
 }
 
-async fn open(addr: SocketAddr) -> Result<Connection, SendError> {
-    let fault = |why: String| SendError::NotSent(format!("connecting to {addr}: {why}"));
-    let stream = timeout(CONNECT_TIME, TcpStream::connect(addr)).await;
-    let stream = stream.map_err(|_| fault("no answer".into()))?;
-    let stream = stream.map_err(|error| fault(error.to_string()))?;
+async fn open_connection(addr: SocketAddr) -> Result<Connection, SendError> {
+    let failure =
+        |why: String| SendError::NotSent(format!("connecting to {addr}: {why}"));
+    let stream = timeout(CONNECT_TIMEOUT, TcpStream::connect(addr)).await;
+    let stream = stream.map_err(|_| failure("timed out".into()))?;
+    let stream = stream.map_err(|error| failure(error.to_string()))?;
     configure_socket(&stream);
-    let shaken = http1::handshake(TokioIo::new(stream)).await;
-    let (sender, driver) = shaken.map_err(|error| fault(error.to_string()))?;
-    // The driver ends with its connection; whoever waits on the sender gets the error.
+    let handshake = http1::handshake(TokioIo::new(stream)).await;
+    let (sender, driver) = handshake.map_err(|error| failure(error.to_string()))?;
+    // The driver ends with its connection. Errors reach the user of the sender.
     let task = tokio::spawn(async move { drop(driver.await) }).abort_handle();
     Ok(Connection { sender, task })
 }
 
-/// Makes a connection notice a peer that is gone without a reset.
+/// Sets the socket options that detect a peer that is gone without a reset.
 ///
-/// The options are a help only: requests have deadlines of their own.
+/// Failures are ignored, since requests have their own deadlines.
 pub fn configure_socket(stream: &TcpStream) {
     let socket = SockRef::from(stream);
-    let alive = TcpKeepalive::new().with_time(PROBE_IDLE).with_interval(PROBE_IDLE);
+    let keepalive = TcpKeepalive::new()
+        .with_time(KEEPALIVE_INTERVAL)
+        .with_interval(KEEPALIVE_INTERVAL);
     let _ = socket.set_tcp_nodelay(true);
-    let _ = socket.set_tcp_keepalive(&alive.with_retries(2));
-    let _ = socket.set_tcp_user_timeout(Some(UNACKED_TIME));
+    let _ = socket.set_tcp_keepalive(&keepalive.with_retries(2));
+    let _ = socket.set_tcp_user_timeout(Some(UNACKED_TIMEOUT));
 }
 
 fn with_host(mut request: Request<Bytes>, addr: SocketAddr) -> Request<Bytes> {
--- a/crates/gate/src/peers.rs
+++ b/crates/gate/src/peers.rs
@@ -1,4 +1,4 @@
-//! Datagrams to and from other daemons.
+//! Sends and receives datagrams, and tracks which daemons are alive.
 
 use std::net::SocketAddr;
 use std::sync::{Arc, Mutex};
@@ -12,64 +12,64 @@
 
 use crate::message::{Heartbeat, Message, Packet, TableFreshness};
 
-/// The largest datagram that is read, in bytes.
+/// The largest datagram that is received, in bytes.
 pub const MAX_PACKET_BYTES: usize = 16 * 1024;
 
-/// How long a daemon that was heard from counts as alive.
+/// How long a daemon counts as alive after its last datagram.
 ///
-/// Three beats: datagrams are lost now and then.
+/// Three heartbeats, since single datagrams may be lost.
 pub const HEARTBEAT_TIMEOUT: Duration = Duration::from_millis(900);
 
-/// What was last heard from a daemon.
+/// What another daemon last sent.
 #[derive(Debug, Clone)]
 pub struct PeerState {
-    /// When anything was heard.
+    /// When its last datagram arrived.
     pub last_heard: Instant,
-    /// Its last beat.
+    /// Its last heartbeat; `None` if none has arrived yet.
     pub heartbeat: Option<Heartbeat>,
-    /// What it last said of the store's tables.
+    /// Its last view of the store's tables; empty if none has arrived yet.
     pub tables: Vec<TableFreshness>,
 }
 
-/// Datagrams to and from other daemons.
+/// The datagram socket and the state of the other daemons.
 pub struct Peers {
-    /// This start of the daemon.
+    /// The id of this process; a restarted daemon has a new one.
     pub me: MemberId,
     socket: UdpSocket,
     clock: Arc<dyn Clock>,
     log: Logger,
-    heard: Mutex<IndexMap<MemberId, PeerState>>,
-    waiting: Mutex<Waiting>,
+    states: Mutex<IndexMap<MemberId, PeerState>>,
+    pending: Mutex<PendingRequests>,
 }
 
-/// Where the answer to a question goes.
+/// Where the response to a request is sent.
 pub enum ReplyTo<T> {
-    /// To a request of this daemon.
+    /// To a task of this daemon.
     Local(oneshot::Sender<T>),
     /// To another daemon.
     Remote(SocketAddr),
 }
 
 impl<T> ReplyTo<T> {
-    /// Answers; `write` puts the answer into a message.
-    pub fn send(self, peers: &Peers, answer: T, write: impl FnOnce(T) -> Message) {
+    /// Sends a response; `to_message` wraps it in a message if it goes to another daemon.
+    pub fn send(self, peers: &Peers, response: T, to_message: impl FnOnce(T) -> Message) {
         match self {
-            // Whoever asked may have given up.
-            Self::Local(sender) => drop(sender.send(answer)),
-            Self::Remote(addr) => peers.send(addr, write(answer)),
+            // The receiving task may have been cancelled.
+            Self::Local(sender) => drop(sender.send(response)),
+            Self::Remote(addr) => peers.send(addr, to_message(response)),
         }
     }
 }
 
-/// Questions that wait for their answers.
+/// Requests to other daemons that wait for responses, by number.
 #[derive(Default)]
-struct Waiting {
-    last: u64,
+struct PendingRequests {
+    last_number: u64,
     senders: IndexMap<u64, mpsc::UnboundedSender<Message>>,
 }
 
 impl Peers {
-    /// Binds the socket for datagrams between daemons.
+    /// Binds the datagram socket.
     pub async fn bind(
         me: MemberId,
         addr: SocketAddr,
@@ -77,124 +77,126 @@
         log: Logger,
     ) -> std::io::Result<Self> {
         let socket = UdpSocket::bind(addr).await?;
-        let (heard, waiting) = (Mutex::default(), Mutex::default());
-        Ok(Self { me, socket, clock, log, heard, waiting })
+        let (states, pending) = (Mutex::default(), Mutex::default());
+        Ok(Self { me, socket, clock, log, states, pending })
     }
 
-    /// Sends a message; what can't be sent now is lost.
+    /// Sends a message; drops it if the socket is not ready.
     ///
-    /// All messages are repeated or done without, so that a full socket must not
-    /// hold up a request.
+    /// Lost messages are sent again or not needed, so that a full socket must not delay a
+    /// request.
     pub fn send(&self, to: SocketAddr, message: Message) {
         let packet = Packet { from: self.me, message };
         match postcard::to_allocvec(&packet) {
             Ok(bytes) => drop(self.socket.try_send_to(&bytes, to)),
             Err(error) => {
-                warn!(self.log, "datagram not written"; "error" => error.to_string());
+                warn!(self.log, "failed to encode a datagram"; "error" => error.to_string());
             }
         }
     }
 
-    /// Receives the next datagram that can be read.
+    /// Receives the next valid datagram; skips those that can't be decoded.
     pub async fn receive(&self) -> (Packet, SocketAddr) {
         let mut buffer = vec![0; MAX_PACKET_BYTES];
         loop {
             let Ok((len, from)) = self.socket.recv_from(&mut buffer).await else {
-                // A reset of an earlier datagram shows here; the next may be fine.
+                // The error belongs to an earlier datagram that its receiver rejected.
                 continue;
             };
             if let Ok(packet) = postcard::from_bytes::<Packet>(&buffer[..len]) {
-                self.note(&packet);
+                self.record(&packet);
                 return (packet, from);
             }
         }
     }
 
-    /// Draws a number for a question; answers come to the receiver.
+    /// Assigns a number to a request; its responses arrive at the receiver.
     ///
-    /// A question gets one answer, or one for each time that it is repeated.
+    /// There is one response, or one for each time that the request is sent. The request
+    /// ends when the receiver is dropped.
     pub fn open_request(&self) -> (u64, mpsc::UnboundedReceiver<Message>) {
         let (sender, receiver) = mpsc::unbounded_channel();
-        let mut waiting = self.waiting.lock().expect("no holder of the lock panics");
-        waiting.last += 1;
-        let number = waiting.last;
-        waiting.senders.retain(|_, sender| !sender.is_closed());
-        waiting.senders.insert(number, sender);
+        let mut pending = self.pending.lock().expect("no holder of the lock panics");
+        pending.last_number += 1;
+        let number = pending.last_number;
+        pending.senders.retain(|_, sender| !sender.is_closed());
+        pending.senders.insert(number, sender);
         (number, receiver)
     }
 
-    /// Hands an answer to whoever waits for it.
+    /// Delivers a response to the request with that number, if it is still open.
     pub fn deliver_response(&self, number: u64, message: Message) {
-        let waiting = self.waiting.lock().expect("no holder of the lock panics");
-        if let Some(sender) = waiting.senders.get(&number) {
-            // Whoever asked may have given up.
+        let pending = self.pending.lock().expect("no holder of the lock panics");
+        if let Some(sender) = pending.senders.get(&number) {
+            // The receiving task may have been cancelled.
             drop(sender.send(message));
         }
     }
 
-    /// What was last heard from a daemon.
+    /// What a daemon last sent; `None` if it sent nothing within a minute.
     pub fn peer_state(&self, member: MemberId) -> Option<PeerState> {
-        let heard = self.heard.lock().expect("no holder of the lock panics");
-        heard.get(&member).cloned()
+        let states = self.states.lock().expect("no holder of the lock panics");
+        states.get(&member).cloned()
     }
 
-    /// Whether a daemon was heard from lately.
+    /// Whether a daemon sent anything within the heartbeat timeout.
     pub fn is_alive(&self, member: MemberId, now: Instant) -> bool {
-        let heard = self.peer_state(member);
-        heard.is_some_and(|heard| {
-            now.saturating_duration_since(heard.last_heard) < HEARTBEAT_TIMEOUT
+        let state = self.peer_state(member);
+        state.is_some_and(|state| {
+            now.saturating_duration_since(state.last_heard) < HEARTBEAT_TIMEOUT
         })
     }
 
-    /// Whether a daemon is not known to have all that `news` tells of the tables.
-    pub fn is_behind(&self, member: MemberId, news: &[TableFreshness]) -> bool {
-        let heard = self.heard.lock().expect("no holder of the lock panics");
-        let Some(heard) = heard.get(&member) else { return true };
+    /// Whether a daemon's last known view is behind `tables` in any table.
+    pub fn is_behind(&self, member: MemberId, tables: &[TableFreshness]) -> bool {
+        let states = self.states.lock().expect("no holder of the lock panics");
+        let Some(state) = states.get(&member) else { return true };
         let version = |table: &TableFreshness| table.map(|(version, _)| version);
-        let known = heard.tables.iter().chain(std::iter::repeat(&None));
-        news.iter().zip(known).any(|(new, known)| version(known) < version(new))
+        let theirs = state.tables.iter().chain(std::iter::repeat(&None));
+        tables.iter().zip(theirs).any(|(ours, theirs)| version(theirs) < version(ours))
     }
 
-    /// The daemons that were heard from lately.
+    /// The daemons that sent anything within the heartbeat timeout.
     pub fn alive_members(&self, now: Instant) -> Vec<MemberId> {
-        let heard = self.heard.lock().expect("no holder of the lock panics");
-        let fresh = |heard: &PeerState| {
-            now.saturating_duration_since(heard.last_heard) < HEARTBEAT_TIMEOUT
+        let states = self.states.lock().expect("no holder of the lock panics");
+        let is_alive = |state: &PeerState| {
+            now.saturating_duration_since(state.last_heard) < HEARTBEAT_TIMEOUT
         };
-        heard.iter().filter(|(_, heard)| fresh(heard)).map(|(id, _)| *id).collect()
+        states.iter().filter(|(_, state)| is_alive(state)).map(|(id, _)| *id).collect()
     }
 
-    /// Whether a daemon that was heard from lately has itself heard from `member`.
+    /// Whether another daemon that is alive reports that `member` is alive.
     pub fn is_heard_by_others(&self, member: MemberId, now: Instant) -> bool {
-        let heard = self.heard.lock().expect("no holder of the lock panics");
-        heard.iter().any(|(id, heard)| {
-            let fresh =
-                now.saturating_duration_since(heard.last_heard) < HEARTBEAT_TIMEOUT;
-            let names =
-                heard.heartbeat.as_ref().is_some_and(|b| b.heard_from.contains(&member));
-            *id != member && fresh && names
+        let states = self.states.lock().expect("no holder of the lock panics");
+        states.iter().any(|(id, state)| {
+            let is_alive =
+                now.saturating_duration_since(state.last_heard) < HEARTBEAT_TIMEOUT;
+            let heard =
+                state.heartbeat.as_ref().is_some_and(|h| h.heard_from.contains(&member));
+            *id != member && is_alive && heard
         })
     }
 
-    fn note(&self, packet: &Packet) {
-        let mut heard = self.heard.lock().expect("no holder of the lock panics");
+    /// Updates the state of the sender of a datagram.
+    fn record(&self, packet: &Packet) {
+        let mut states = self.states.lock().expect("no holder of the lock panics");
         let now = self.clock.now();
-        let entry = heard.entry(packet.from).or_insert(PeerState {
+        let entry = states.entry(packet.from).or_insert(PeerState {
             last_heard: now,
             heartbeat: None,
             tables: Vec::new(),
         });
         entry.last_heard = now;
         match &packet.message {
-            Message::Heartbeat(beat) => {
-                entry.tables.clone_from(&beat.tables);
-                entry.heartbeat = Some(beat.clone());
+            Message::Heartbeat(heartbeat) => {
+                entry.tables.clone_from(&heartbeat.tables);
+                entry.heartbeat = Some(heartbeat.clone());
             }
             Message::TableUpdate(tables) => entry.tables.clone_from(tables),
             _ => {}
         }
-        // Restarted daemons have new numbers; the old ones fade.
+        // Restarted daemons have new ids; the old ones are evicted.
         let limit = Duration::from_secs(60);
-        heard.retain(|_, heard| now.saturating_duration_since(heard.last_heard) < limit);
+        states.retain(|_, state| now.saturating_duration_since(state.last_heard) < limit);
     }
 }
--- a/crates/gate/src/permit_queue.rs
+++ b/crates/gate/src/permit_queue.rs
@@ -1,8 +1,8 @@
-//! The queue of a plain service, held by one daemon for all.
+//! The permit queue of a plain service, held by one daemon for all daemons.
 //!
-//! Daemons ask for a place, repeat their question while they wait, and say when they need
-//! it no more. What is lost on the way is asked again; a place whose end was lost is free
-//! when its caller's time is over.
+//! Daemons request permits, repeat their requests while they wait, and release their permits.
+//! Lost requests are thus sent again. A permit whose release is lost becomes free when its
+//! caller's wait limit ends.
 
 use std::sync::{Arc, Mutex, MutexGuard, Weak};
 use std::time::{Duration, Instant};
@@ -20,56 +20,57 @@
 use crate::peers::ReplyTo;
 use crate::shared::Shared;
 
-/// How long the queue sleeps at most while requests wait.
-const PATIENCE: Duration = Duration::from_millis(100);
+/// The longest time between two checks of the queue.
+const MAX_CHECK_INTERVAL: Duration = Duration::from_millis(100);
 
-/// How long the list of servers is good for.
+/// How long the list of servers is used without a change of the registry.
 ///
-/// Servers that are excused for an outage of the registry are taken off it by time alone.
-const LIST_TIME: Duration = Duration::from_millis(100);
+/// The grace period of a server during an outage of the registry ends without such a change.
+const SERVER_LIST_AGE: Duration = Duration::from_millis(100);
 
-/// The queue of a plain service whose claim this daemon holds.
+/// The permit queue of a plain service whose claim this daemon holds.
 pub struct ServiceQueue {
     service: ServiceName,
     state: Mutex<State>,
-    /// Wakes whoever sees to the queue's times.
+    /// Wakes the task that checks the queue.
     changed: Notify,
 }
 
 #[derive(Default)]
 struct State {
     queue: PermitQueue,
-    /// Where answers to requests that wait go.
+    /// Where the decisions on queued requests are sent.
     replies: IndexMap<RequestKey, ReplyTo<PermitVerdict>>,
-    /// The change of the registry that the servers were listed at, and when.
+    /// The version of the registry that the servers were last taken from, and when; `None`
+    /// before the first time.
     listed: Option<(u64, Instant)>,
 }
 
 impl State {
-    /// Takes in a request, and says what its asker is to be told at once.
+    /// Adds a request to the queue; returns a reply that is due at once.
     ///
-    /// The request and where its answer goes are entered under one lock. Entered one after
-    /// the other, another thread could decide about the request in between: its answer
-    /// went nowhere, and a request of this daemon kept its place and waited until its
-    /// caller left (2 to 20 of 1,400 plain requests sent at once).
-    fn take(
+    /// One lock covers adding the request and adding its reply. With two, another thread
+    /// could decide on the request in between. Its decision would not be sent, and a request
+    /// of this daemon would keep its permit and wait until its caller left. That happened to
+    /// 2 to 20 of 1,400 plain requests sent at once.
+    fn enqueue(
         &mut self,
-        asker: RequestKey,
-        want: PlainRequest,
+        key: RequestKey,
+        request: PlainRequest,
         reply: ReplyTo<PermitVerdict>,
         now: Instant,
     ) -> Option<(ReplyTo<PermitVerdict>, PermitVerdict)> {
-        if let Some(server) = self.queue.permit(asker) {
+        if let Some(server) = self.queue.permit(key) {
             return Some((reply, PermitVerdict::Send(server.clone())));
         }
-        self.queue.push(asker, want, now);
-        // Whoever asks again has to know that the queue is there.
-        let again = match (&reply, self.replies.contains_key(&asker)) {
+        self.queue.push(key, request, now);
+        // A daemon that repeats its request needs to know that the queue is alive.
+        let repeated = match (&reply, self.replies.contains_key(&key)) {
             (ReplyTo::Remote(addr), true) => Some(ReplyTo::Remote(*addr)),
             _ => None,
         };
-        self.replies.insert(asker, reply);
-        again.map(|reply| (reply, PermitVerdict::Queued))
+        self.replies.insert(key, reply);
+        repeated.map(|reply| (reply, PermitVerdict::Queued))
     }
 }
 
@@ -78,15 +79,16 @@
         self.state.lock().expect("no holder of the lock panics")
     }
 
-    /// The requests that wait.
+    /// The number of queued requests.
     pub fn queued_count(&self) -> usize {
         self.state().queue.len()
     }
 }
 
-/// Starts and ends queues as claims come and go.
+/// Starts the queues of claims that this daemon has gained, and ends those of claims that it
+/// has lost.
 pub fn sync_claims(shared: &Arc<Shared>) {
-    let held = held(shared);
+    let held = held_services(shared);
     let lost: Vec<Arc<ServiceQueue>> = {
         let mut queues = shared.queues();
         for service in &held {
@@ -96,24 +98,24 @@
         queues.extract_if(.., |service, _| !held.contains(service)).map(|q| q.1).collect()
     };
     for queue in lost {
-        // Who waits asks the next holder.
+        // Daemons with queued requests ask the next holder.
         let replies = std::mem::take(&mut queue.state().replies);
-        for (asker, reply) in replies {
-            answer(shared, asker, reply, PermitVerdict::Moved);
+        for (key, reply) in replies {
+            send_verdict(shared, key, reply, PermitVerdict::Moved);
         }
     }
 }
 
 /// The plain services whose claims this daemon holds.
-fn held(shared: &Shared) -> Vec<ServiceName> {
+fn held_services(shared: &Shared) -> Vec<ServiceName> {
     let Some(declared) = shared.declared() else { return Vec::new() };
     let known = shared.known();
-    let mine = |service: &ServiceName| {
+    let is_held = |service: &ServiceName| {
         let claim = pool_key(service).and_then(|key| known.claims.get(&key));
         claim.is_some_and(|(row, _)| row.holder == Some(shared.peers.me))
     };
     let plain = declared.services.iter().filter(|(_, service)| service.engine.is_none());
-    plain.map(|(name, _)| name.clone()).filter(mine).collect()
+    plain.map(|(name, _)| name.clone()).filter(is_held).collect()
 }
 
 fn start(shared: &Arc<Shared>, service: ServiceName) -> Arc<ServiceQueue> {
@@ -123,92 +125,90 @@
     queue
 }
 
-/// Takes in that a daemon wants a place.
+/// Queues a request for a permit, or repeats the decision on it.
 pub fn enqueue(
     shared: &Shared,
     service: &ServiceName,
-    asker: RequestKey,
-    want: PlainRequest,
+    key: RequestKey,
+    request: PlainRequest,
     reply: ReplyTo<PermitVerdict>,
 ) {
     let Some(queue) = shared.queues().get(service).cloned() else {
-        return answer(shared, asker, reply, PermitVerdict::Moved);
+        return send_verdict(shared, key, reply, PermitVerdict::Moved);
     };
     let now = shared.now();
-    let told = queue.state().take(asker, want, reply, now);
-    if let Some((reply, placed)) = told {
-        answer(shared, asker, reply, placed);
+    let due = queue.state().enqueue(key, request, reply, now);
+    if let Some((reply, verdict)) = due {
+        send_verdict(shared, key, reply, verdict);
     }
-    serve(shared, &queue);
+    decide_all(shared, &queue);
     queue.changed.notify_one();
 }
 
-/// Takes in that a request needs its place no more, or does not wait any longer.
+/// Releases the permit of a request, or removes the request from the queue.
 pub fn release(
     shared: &Shared,
     service: &ServiceName,
-    asker: RequestKey,
+    key: RequestKey,
     outcome: PermitOutcome,
 ) {
     let Some(queue) = shared.queues().get(service).cloned() else { return };
     {
         let mut state = queue.state();
-        state.queue.release(asker, outcome, shared.now());
-        state.replies.swap_remove(&asker);
+        state.queue.release(key, outcome, shared.now());
+        state.replies.swap_remove(&key);
     }
-    serve(shared, &queue);
+    decide_all(shared, &queue);
 }
 
-/// Sees to a queue's times until its claim is lost.
+/// Checks a queue whenever it changes or a time limit ends, until its claim is lost.
 async fn run(shared: Arc<Shared>, queue: Weak<ServiceQueue>) {
     loop {
         let Some(held) = queue.upgrade() else { return };
-        serve(&shared, &held);
+        decide_all(&shared, &held);
         let now = shared.now();
-        let wake = held.state().queue.next_wake(now).unwrap_or(now + PATIENCE);
-        let until = tokio::time::Instant::from_std(wake.min(now + PATIENCE));
-        // Either something changed or it is time to look again.
+        let wake = held.state().queue.next_wake(now).unwrap_or(now + MAX_CHECK_INTERVAL);
+        let until = tokio::time::Instant::from_std(wake.min(now + MAX_CHECK_INTERVAL));
+        // A timeout also leads to the next check.
         let _ = timeout_at(until, held.changed.notified()).await;
     }
 }
 
-/// Decides about all requests that can be decided about.
-fn serve(shared: &Shared, queue: &ServiceQueue) {
+/// Decides on all queued requests for which a decision is possible now.
+fn decide_all(shared: &Shared, queue: &ServiceQueue) {
     let now = shared.now();
-    list(shared, queue, now);
+    update_servers(shared, queue, now);
     loop {
-        let (asker, reply, placed) = {
+        let (key, reply, verdict) = {
             let mut state = queue.state();
-            let Some(step) = state.queue.next_decision(now) else { return };
-            let (asker, placed) = match step {
-                QueueDecision::Grant(asker, server) => {
-                    (asker, PermitVerdict::Send(server))
+            let Some(decision) = state.queue.next_decision(now) else { return };
+            let (key, verdict) = match decision {
+                QueueDecision::Grant(key, server) => (key, PermitVerdict::Send(server)),
+                QueueDecision::Full(key, wait) => {
+                    (key, PermitVerdict::Full(wait.as_millis() as u32))
                 }
-                QueueDecision::Full(asker, wait) => {
-                    (asker, PermitVerdict::Full(wait.as_millis() as u32))
-                }
-                QueueDecision::NoServer(asker) => (asker, PermitVerdict::Nowhere),
+                QueueDecision::NoServer(key) => (key, PermitVerdict::Nowhere),
             };
-            (asker, state.replies.swap_remove(&asker), placed)
+            (key, state.replies.swap_remove(&key), verdict)
         };
         if let Some(reply) = reply {
-            answer(shared, asker, reply, placed);
+            send_verdict(shared, key, reply, verdict);
         }
     }
 }
 
-/// Takes in the servers that the registry lists.
-fn list(shared: &Shared, queue: &ServiceQueue, now: Instant) {
+/// Updates the queue's servers from the registry if the list has changed or is too old.
+fn update_servers(shared: &Shared, queue: &ServiceQueue, now: Instant) {
     let version = *shared.listed.borrow();
-    let old = |at: Instant| now.saturating_duration_since(at) >= LIST_TIME;
-    if queue.state().listed.is_some_and(|(seen, at)| seen == version && !old(at)) {
+    let too_old = |at: Instant| now.saturating_duration_since(at) >= SERVER_LIST_AGE;
+    if queue.state().listed.is_some_and(|(used, at)| used == version && !too_old(at)) {
         return;
     }
     let listed: Vec<ListedServer> = {
         let fleet = shared.fleet();
-        let ours = fleet.iter().filter(|(_, one)| one.entry.service == queue.service);
-        let open = ours.filter(|(_, one)| fleet.is_listed(one, now));
-        let listed = open.map(|(_, one)| ListedServer {
+        let servers = fleet.iter().filter(|(_, one)| one.entry.service == queue.service);
+        let listed = servers.filter(|(_, one)| fleet.is_listed(one, now));
+        let listed = listed.map(|(_, one)| ListedServer {
             name: one.entry.name.clone(),
             slots: one.entry.slots,
             domain: one.entry.domain.clone(),
@@ -220,14 +220,14 @@
     state.listed = Some((version, now));
 }
 
-fn answer(
+fn send_verdict(
     shared: &Shared,
-    asker: RequestKey,
+    key: RequestKey,
     reply: ReplyTo<PermitVerdict>,
-    placed: PermitVerdict,
+    verdict: PermitVerdict,
 ) {
-    let number = asker.1;
-    reply.send(&shared.peers, placed, |verdict| Message::PermitResponse {
+    let number = key.1;
+    reply.send(&shared.peers, verdict, |verdict| Message::PermitResponse {
         number,
         verdict,
     });
--- a/crates/gate/src/receive.rs
+++ b/crates/gate/src/receive.rs
@@ -1,4 +1,4 @@
-//! Takes in datagrams of other daemons.
+//! Receives datagrams of other daemons and dispatches them by their message.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -9,7 +9,7 @@
 use crate::shared::Shared;
 use crate::{bidding, follow, members, permit_queue, planner, sums};
 
-/// Takes in datagrams for as long as the daemon runs.
+/// Receives datagrams until the daemon ends.
 pub async fn run(shared: Arc<Shared>) {
     loop {
         let (packet, from) = shared.peers.receive().await;
@@ -19,7 +19,7 @@
 
 fn dispatch(shared: &Arc<Shared>, packet: Packet, from: SocketAddr) {
     match packet.message {
-        Message::Heartbeat(beat) => members::heard(shared, packet.from, &beat),
+        Message::Heartbeat(heartbeat) => members::heard(shared, packet.from, &heartbeat),
         Message::TableUpdate(tables) => follow::hear(shared, packet.from, &tables),
         Message::UsageReport { server, usage, target, first_event } => {
             sums::take(shared, packet.from, &server, usage, target.as_ref(), first_event);
