--- a/crates/gate/tests/attempts.rs
+++ b/crates/gate/tests/attempts.rs
@@ -1,8 +1,8 @@
-//! A request's attempts under any order of lost answers, servers that stand still and go
-//! on, rejections, streams that break off, and restarts under the same name.
+//! Checks the attempts of one request against servers that lose responses, are suspended and
+//! resumed, reject requests, interrupt streams, and restart under the same name.
 //!
-//! The servers count what they really run, also of requests that they read long after
-//! their daemon has given them up. What the caller is told must be true of that count.
+//! The simulated servers count what they run, including requests that they read long after
+//! the daemon has abandoned the attempt. What the caller is told has to match that count.
 
 use std::collections::HashSet;
 use std::time::Duration;
@@ -15,102 +15,105 @@
 
 const SERVERS: usize = 4;
 
-/// Attempts of one request before its daemon gives up, as many as there are steps.
-const STEPS: usize = 14;
+/// The most attempts of one request, and the steps that suspended servers need to resume.
+const MAX_STEPS: usize = 14;
 
-/// What becomes of an attempt.
+/// What happens to an attempt.
 #[derive(Debug, Clone, Copy)]
 enum Fate {
-    /// The server can't be connected to.
-    Unsent,
-    /// The server says that it did not run the request.
+    /// Connecting to the server fails.
+    NotSent,
+    /// The server reports that it did not run the request.
     Rejected,
-    /// The connection ends before the server has read the request.
-    LostBefore,
-    /// The server runs the request, and its answer is lost.
-    LostAfter,
-    /// The server stands still, and reads the request after so many steps.
-    Frozen { steps: usize, seen: Given },
-    /// The server runs the request and says that it failed.
+    /// The connection is lost before the server reads the request.
+    LostBeforeRun,
+    /// The server runs the request, and its response is lost.
+    LostAfterRun,
+    /// The server is suspended, and reads the request after that many steps.
+    Suspended { steps: usize, detected: Detected },
+    /// The server runs the request and reports a failure.
     Failed,
-    /// The server answers with a stream of which so many bytes arrive.
+    /// The server responds with a stream, of which this many bytes arrive. If `early`, it
+    /// starts with the first event, whatever the caller has.
     Streams { bytes: usize, early: bool },
-    /// The server answers.
-    Answered,
+    /// The server responds completely.
+    Completed,
 }
 
-/// How the daemon gives up a server that stands still.
+/// How the daemon detects a suspended server.
 #[derive(Debug, Clone, Copy)]
-enum Given {
-    Lost,
-    Silent,
-    Late,
+enum Detected {
+    ConnectionLost,
+    Unresponsive,
+    DeadlinePassed,
 }
 
 #[derive(Debug, Clone, Copy)]
 struct Step {
     server: usize,
     fate: Fate,
-    /// Whether the service's budget has a repeat left.
+    /// Whether the service's retry budget allows a retry.
     granted: bool,
-    /// A server that starts again under its name before this step.
+    /// A server that restarts under its name before this step.
     restart: Option<usize>,
 }
 
-/// What the caller has in the end.
+/// What the caller gets.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-enum Told {
-    Whole,
+enum CallerResult {
+    Complete,
     Failed,
-    /// A stream that was cut off.
-    Cut,
+    /// An interrupted stream.
+    Interrupted,
     InDoubt,
     NotRun,
 }
 
+/// One incarnation of a simulated server.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
-struct Began {
+struct ServerRun {
     server: usize,
-    born: u64,
+    restarts: u64,
 }
 
-/// The servers themselves.
+/// The simulated servers.
 #[derive(Default)]
 struct Servers {
-    born: [u64; SERVERS],
-    /// What ran, by the run of the server.
-    ran: Vec<Began>,
-    /// Requests that lie at a server that stands still, and in how many steps it reads.
-    unread: Vec<(Began, usize)>,
+    /// How often each server has restarted.
+    restarts: [u64; SERVERS],
+    /// An entry for each time that the request ran.
+    ran: Vec<ServerRun>,
+    /// Requests at suspended servers, and the steps until they are read.
+    unread: Vec<(ServerRun, usize)>,
 }
 
 impl Servers {
-    fn run(&self, server: usize) -> Began {
-        Began { server, born: self.born[server] }
+    fn current_run(&self, server: usize) -> ServerRun {
+        ServerRun { server, restarts: self.restarts[server] }
     }
 
     fn advance(&mut self, restart: Option<usize>) {
         if let Some(server) = restart {
-            self.born[server] += 1;
+            self.restarts[server] += 1;
         }
-        let born = self.born;
-        self.unread.retain(|(began, _)| began.born == born[began.server]);
+        let restarts = self.restarts;
+        self.unread.retain(|(run, _)| run.restarts == restarts[run.server]);
         for (_, steps) in &mut self.unread {
             *steps = steps.saturating_sub(1);
         }
         let due = self.unread.extract_if(.., |(_, steps)| *steps == 0);
-        self.ran.extend(due.map(|(began, _)| began));
+        self.ran.extend(due.map(|(run, _)| run));
     }
 
-    fn is_up(&self, run: &Incarnation) -> bool {
-        (0..SERVERS).any(|server| named(self.run(server)) == *run)
+    fn is_up(&self, expected: &Incarnation) -> bool {
+        (0..SERVERS).any(|server| incarnation(self.current_run(server)) == *expected)
     }
 }
 
-fn named(began: Began) -> Incarnation {
-    let name = format!("s{}", began.server);
+fn incarnation(run: ServerRun) -> Incarnation {
+    let name = format!("s{}", run.server);
     let server = ServerName::try_from(name).expect("a valid name");
-    Incarnation { server, started_at: Some(began.born) }
+    Incarnation { server, started_at: Some(run.restarts) }
 }
 
 /// A daemon that serves one request.
@@ -118,134 +121,140 @@
     kind: RouteKind,
     attempts: Attempts,
     servers: Servers,
-    events: EventDecoder,
+    decoder: EventDecoder,
     sequence: Sequence,
     /// Whether the caller has the head of a stream.
-    begun: bool,
-    /// The numbers of the events that the caller has.
-    passed: Vec<u64>,
-    /// The length of the whole stream.
-    whole: u64,
+    response_started: bool,
+    /// The numbers of the events that the caller has received.
+    relayed: Vec<u64>,
+    /// The number of events in the complete stream.
+    stream_length: u64,
 }
 
-/// What an attempt brought.
-enum Brought {
-    Told(Told),
-    Missed(AttemptOutcome),
+/// The result of one attempt.
+enum AttemptResult {
+    Ended(CallerResult),
+    Failed(AttemptOutcome),
 }
 
 impl Daemon {
-    fn new(kind: RouteKind, most: u32, whole: u64) -> Self {
+    fn new(kind: RouteKind, max_attempts: u32, stream_length: u64) -> Self {
         Self {
             kind,
-            attempts: Attempts::new(kind, most),
+            attempts: Attempts::new(kind, max_attempts),
             servers: Servers::default(),
-            events: EventDecoder::default(),
+            decoder: EventDecoder::default(),
             sequence: Sequence::after(None),
-            begun: false,
-            passed: Vec::new(),
-            whole,
+            response_started: false,
+            relayed: Vec::new(),
+            stream_length,
         }
     }
 
-    /// Serves the request; the servers go on afterwards.
-    fn serve(&mut self, steps: &[Step]) -> Told {
-        let told = self.attempt_all(steps);
-        for _ in 0..STEPS {
+    /// Serves the request, and then lets suspended servers resume.
+    fn serve(&mut self, steps: &[Step]) -> CallerResult {
+        let result = self.run_attempts(steps);
+        for _ in 0..MAX_STEPS {
             self.servers.advance(None);
         }
-        told
+        result
     }
 
-    fn attempt_all(&mut self, steps: &[Step]) -> Told {
+    fn run_attempts(&mut self, steps: &[Step]) -> CallerResult {
         for step in steps {
             self.servers.advance(step.restart);
-            let began = self.servers.run(step.server);
-            let up = |run: &Incarnation| self.servers.is_up(run);
-            let only = self.attempts.restricted_to(up);
-            if only.is_some_and(|runs| !runs.contains(&named(began))) {
+            let run = self.servers.current_run(step.server);
+            let is_up = |expected: &Incarnation| self.servers.is_up(expected);
+            let allowed = self.attempts.restricted_to(is_up);
+            if allowed.is_some_and(|allowed| !allowed.contains(&incarnation(run))) {
                 continue;
             }
-            let begun = self.begun;
-            let ended = match self.send(began, step.fate) {
-                Brought::Told(told) => return told,
-                Brought::Missed(ended) => ended,
+            let response_started = self.response_started;
+            let outcome = match self.attempt(run, step.fate) {
+                AttemptResult::Ended(result) => return result,
+                AttemptResult::Failed(outcome) => outcome,
             };
-            let follow = self.attempts.record(named(began), ended);
-            let goes_on = match (follow, begun) {
-                // A stream that goes on has no other end than its last event.
-                (_, true) => step.granted && ended != AttemptOutcome::TimedOut,
+            let decision = self.attempts.record(incarnation(run), outcome);
+            let retries = match (decision, response_started) {
+                // A resumed stream ends only with its last event.
+                (_, true) => step.granted && outcome != AttemptOutcome::TimedOut,
                 (RetryDecision::Retry, _) => true,
                 (RetryDecision::RetryWithinBudget, _) => step.granted,
                 (RetryDecision::GiveUp, _) => false,
             };
-            if !goes_on {
-                return self.give_up(ended);
+            if !retries {
+                return self.give_up(outcome);
             }
         }
         self.give_up(AttemptOutcome::NotSent)
     }
 
-    fn give_up(&self, ended: AttemptOutcome) -> Told {
-        if self.begun {
-            return Told::Cut;
+    fn give_up(&self, outcome: AttemptOutcome) -> CallerResult {
+        if self.response_started {
+            return CallerResult::Interrupted;
         }
-        match ended {
-            AttemptOutcome::Failed => Told::Failed,
-            AttemptOutcome::ResponseLost | AttemptOutcome::TimedOut => Told::InDoubt,
-            _ if self.attempts.may_have_run() => Told::InDoubt,
-            _ => Told::NotRun,
+        match outcome {
+            AttemptOutcome::Failed => CallerResult::Failed,
+            AttemptOutcome::ResponseLost | AttemptOutcome::TimedOut => {
+                CallerResult::InDoubt
+            }
+            _ if self.attempts.may_have_run() => CallerResult::InDoubt,
+            _ => CallerResult::NotRun,
         }
     }
 
-    fn send(&mut self, began: Began, fate: Fate) -> Brought {
+    fn attempt(&mut self, run: ServerRun, fate: Fate) -> AttemptResult {
         let streams = matches!(self.kind, RouteKind::Stream { .. });
         match fate {
-            Fate::Unsent => return Brought::Missed(AttemptOutcome::NotSent),
-            Fate::Rejected => return Brought::Missed(AttemptOutcome::Rejected),
-            Fate::LostBefore => return Brought::Missed(AttemptOutcome::ResponseLost),
-            Fate::Frozen { steps, seen } => {
-                self.servers.unread.push((began, steps));
-                return Brought::Missed(match seen {
-                    Given::Silent if self.attempts.may_abandon() => {
+            Fate::NotSent => return AttemptResult::Failed(AttemptOutcome::NotSent),
+            Fate::Rejected => return AttemptResult::Failed(AttemptOutcome::Rejected),
+            Fate::LostBeforeRun => {
+                return AttemptResult::Failed(AttemptOutcome::ResponseLost);
+            }
+            Fate::Suspended { steps, detected } => {
+                self.servers.unread.push((run, steps));
+                return AttemptResult::Failed(match detected {
+                    Detected::Unresponsive if self.attempts.may_abandon() => {
                         AttemptOutcome::Unresponsive
                     }
-                    Given::Late => AttemptOutcome::TimedOut,
-                    Given::Lost | Given::Silent => AttemptOutcome::ResponseLost,
+                    Detected::DeadlinePassed => AttemptOutcome::TimedOut,
+                    Detected::ConnectionLost | Detected::Unresponsive => {
+                        AttemptOutcome::ResponseLost
+                    }
                 });
             }
-            Fate::LostAfter | Fate::Failed => {}
-            Fate::Streams { .. } | Fate::Answered => {}
+            Fate::LostAfterRun | Fate::Failed => {}
+            Fate::Streams { .. } | Fate::Completed => {}
         }
-        self.servers.ran.push(began);
+        self.servers.ran.push(run);
         match fate {
-            Fate::Failed => Brought::Missed(AttemptOutcome::Failed),
+            Fate::Failed => AttemptResult::Failed(AttemptOutcome::Failed),
             Fate::Streams { bytes, early } if streams => self.relay(bytes, early),
-            Fate::Answered if streams => self.relay(usize::MAX, false),
-            Fate::Answered => Brought::Told(Told::Whole),
-            _ => Brought::Missed(AttemptOutcome::ResponseLost),
+            Fate::Completed if streams => self.relay(usize::MAX, false),
+            Fate::Completed => AttemptResult::Ended(CallerResult::Complete),
+            _ => AttemptResult::Failed(AttemptOutcome::ResponseLost),
         }
     }
 
-    /// Passes on what arrives of a stream, from the event after the last one, or from an
-    /// earlier one by the server's own fault.
-    fn relay(&mut self, bytes: usize, early: bool) -> Brought {
-        self.begun = true;
-        self.events.discard_partial();
+    /// Relays the received bytes of a stream. The server starts after the caller's last
+    /// event, or at the first event if `early`.
+    fn relay(&mut self, bytes: usize, early: bool) -> AttemptResult {
+        self.response_started = true;
+        self.decoder.discard_partial();
         let first = if early { 1 } else { self.sequence.last().unwrap_or(0) + 1 };
-        let text = |id| format!("id: {id}\ndata: token {id}\n\n");
-        let stream: String = (first..=self.whole).map(text).collect();
-        let arrived = bytes.min(stream.len());
-        self.events.push(&stream.as_bytes()[..arrived]).expect("events are small");
-        while let Some(event) = self.events.next_event() {
+        let event = |id| format!("id: {id}\ndata: token {id}\n\n");
+        let stream: String = (first..=self.stream_length).map(event).collect();
+        let received = bytes.min(stream.len());
+        self.decoder.push(&stream.as_bytes()[..received]).expect("events are small");
+        while let Some(event) = self.decoder.next_event() {
             if self.sequence.accept(&event).is_err() {
-                return Brought::Missed(AttemptOutcome::Interrupted);
+                return AttemptResult::Failed(AttemptOutcome::Interrupted);
             }
-            self.passed.extend(event.id);
+            self.relayed.extend(event.id);
         }
-        match arrived == stream.len() {
-            true => Brought::Told(Told::Whole),
-            false => Brought::Missed(AttemptOutcome::Interrupted),
+        match received == stream.len() {
+            true => AttemptResult::Ended(CallerResult::Complete),
+            false => AttemptResult::Failed(AttemptOutcome::Interrupted),
         }
     }
 }
@@ -264,17 +273,22 @@
 }
 
 fn fate() -> impl Strategy<Value = Fate> {
-    let seen = prop_oneof![Just(Given::Lost), Just(Given::Silent), Just(Given::Late)];
+    let detected = prop_oneof![
+        Just(Detected::ConnectionLost),
+        Just(Detected::Unresponsive),
+        Just(Detected::DeadlinePassed)
+    ];
     prop_oneof![
-        2 => Just(Fate::Unsent),
+        2 => Just(Fate::NotSent),
         2 => Just(Fate::Rejected),
-        1 => Just(Fate::LostBefore),
-        2 => Just(Fate::LostAfter),
-        2 => (1usize..8, seen).prop_map(|(steps, seen)| Fate::Frozen { steps, seen }),
+        1 => Just(Fate::LostBeforeRun),
+        2 => Just(Fate::LostAfterRun),
+        2 => (1usize..8, detected)
+            .prop_map(|(steps, detected)| Fate::Suspended { steps, detected }),
         1 => Just(Fate::Failed),
         4 => (0usize..120, prop::bool::weighted(0.2))
             .prop_map(|(bytes, early)| Fate::Streams { bytes, early }),
-        1 => Just(Fate::Answered),
+        1 => Just(Fate::Completed),
     ]
 }
 
@@ -288,46 +302,46 @@
 proptest! {
     #![proptest_config(ProptestConfig::with_cases(4_000))]
 
-    // What must run once at most has run once at most, also when servers go on that stood
-    // still; who was told that the request has not run was told the truth; a stream that
-    // went on elsewhere brought each event once and in order, and is whole only with all.
+    // A request that must not run twice runs at most once, even if suspended servers resume.
+    // A request that is reported as not run has not run. A resumed stream delivers each
+    // event once and in order, and is complete only with all of them.
     #[test]
-    fn what_callers_are_told_is_true(
+    fn the_caller_result_matches_what_ran(
         kind in kind(),
-        most in 1u32..4,
-        whole in 1u64..8,
-        steps in prop::collection::vec(step(), 1..STEPS),
+        max_attempts in 1u32..4,
+        stream_length in 1u64..8,
+        steps in prop::collection::vec(step(), 1..MAX_STEPS),
     ) {
-        let mut daemon = Daemon::new(kind, most, whole);
-        let told = daemon.serve(&steps);
+        let mut daemon = Daemon::new(kind, max_attempts, stream_length);
+        let result = daemon.serve(&steps);
         let ran = &daemon.servers.ran;
         if !kind.is_repeatable() {
-            prop_assert!(ran.len() <= 1, "{told:?} {ran:?}");
+            prop_assert!(ran.len() <= 1, "{result:?} {ran:?}");
         }
-        if told == Told::NotRun {
+        if result == CallerResult::NotRun {
             prop_assert!(ran.is_empty(), "{ran:?}");
         }
-        let numbers: Vec<u64> = (1..=daemon.passed.len() as u64).collect();
-        prop_assert_eq!(&daemon.passed, &numbers);
-        if told == Told::Whole && matches!(kind, RouteKind::Stream { .. }) {
-            prop_assert_eq!(numbers.len() as u64, whole);
+        let numbers: Vec<u64> = (1..=daemon.relayed.len() as u64).collect();
+        prop_assert_eq!(&daemon.relayed, &numbers);
+        if result == CallerResult::Complete && matches!(kind, RouteKind::Stream { .. }) {
+            prop_assert_eq!(numbers.len() as u64, stream_length);
         }
     }
 
-    // A request that breaks whatever runs it reaches no more servers than its route allows,
-    // but for those that have ended since.
+    // A request that crashes every server that runs it reaches no more servers than its
+    // route allows, not counting those that have restarted since.
     #[test]
-    fn a_request_reaches_few_servers(
+    fn a_request_reaches_at_most_the_allowed_servers(
         kind in kind(),
-        most in 1u32..4,
-        whole in 1u64..8,
-        steps in prop::collection::vec(step(), 1..STEPS),
+        max_attempts in 1u32..4,
+        stream_length in 1u64..8,
+        steps in prop::collection::vec(step(), 1..MAX_STEPS),
     ) {
-        let mut daemon = Daemon::new(kind, most, whole);
+        let mut daemon = Daemon::new(kind, max_attempts, stream_length);
         daemon.serve(&steps);
-        let born = daemon.servers.born;
-        let up = daemon.servers.ran.iter().filter(|began| began.born == born[began.server]);
-        let reached: HashSet<&Began> = up.collect();
-        prop_assert!(reached.len() <= most as usize, "{reached:?}");
+        let restarts = daemon.servers.restarts;
+        let up = daemon.servers.ran.iter().filter(|run| run.restarts == restarts[run.server]);
+        let reached: HashSet<&ServerRun> = up.collect();
+        prop_assert!(reached.len() <= max_attempts as usize, "{reached:?}");
     }
 }
--- a/crates/gate/tests/backoff.rs
+++ b/crates/gate/tests/backoff.rs
@@ -1,64 +1,65 @@
-//! How often daemons call a store that does not answer.
+//! Load of daemons on a store that fails, and how soon they detect its return.
 
 use std::time::{Duration, Instant};
 
 use chestnut_gate::backoff::Backoff;
 
-/// Plays an outage; returns the calls that all daemons make, and how long after its end
-/// the first of them notices.
-fn outage(daemons: usize, time: Duration) -> (usize, Duration) {
+/// Simulates an outage. Returns the number of calls by all daemons, and the time from the
+/// end of the outage to the first call after it.
+fn simulate_outage(daemons: usize, duration: Duration) -> (usize, Duration) {
     let start = Instant::now();
-    let mut all: Vec<Backoff> = (0..daemons).map(|_| Backoff::default()).collect();
+    let mut backoffs: Vec<Backoff> = (0..daemons).map(|_| Backoff::default()).collect();
     let mut calls = 0;
-    let mut at = Duration::ZERO;
+    let mut elapsed = Duration::ZERO;
     loop {
-        let now = start + at;
-        for (rank, backoff) in all.iter_mut().enumerate() {
+        let now = start + elapsed;
+        for (rank, backoff) in backoffs.iter_mut().enumerate() {
             if !backoff.may_call(rank, now) {
                 continue;
             }
-            if at >= time {
-                return (calls, at - time);
+            if elapsed >= duration {
+                return (calls, elapsed - duration);
             }
             calls += 1;
             backoff.record_failure(now);
         }
-        at += Duration::from_millis(10);
+        elapsed += Duration::from_millis(10);
     }
 }
 
 #[test]
-fn many_daemons_leave_a_silent_store_alone() {
-    // The store is down for eight seconds under 78 daemons. Twice a second from each would
-    // be 1,250 calls for a table. A few go on asking, so that its return is noticed within
-    // half a second; the others hear it from them.
-    let (calls, noticed) = outage(78, Duration::from_secs(8));
+fn many_daemons_rarely_call_a_failing_store() {
+    // The store is down for eight seconds with 78 daemons. Two calls a second by each would
+    // be 1,250 calls for a table. A few daemons keep calling, so that its return is detected
+    // within half a second; the others learn of it from them.
+    let (calls, detected) = simulate_outage(78, Duration::from_secs(8));
     assert!(calls < 180, "{calls} calls");
-    assert!(noticed <= Duration::from_millis(500), "{noticed:?}");
+    assert!(detected <= Duration::from_millis(500), "{detected:?}");
 }
 
 #[test]
-fn thousands_of_daemons_leave_a_silent_store_alone() {
-    // A minute's outage under 2,100 daemons. With pauses of three seconds they call 700
-    // times a second for each table, as much as a store of such a deployment does in all;
-    // beyond the first call of each, which finds out, it gets less than a tenth of that.
-    let (calls, noticed) = outage(2100, Duration::from_secs(60));
+fn thousands_of_daemons_rarely_call_a_failing_store() {
+    // An outage of a minute with 2,100 daemons. With delays of three seconds they would call
+    // 700 times a second for each table, as much as the whole load on the store of such a
+    // deployment. Each daemon detects the outage by its first call; the calls after that
+    // stay below a tenth of that load.
+    let (calls, detected) = simulate_outage(2100, Duration::from_secs(60));
     let later = calls - 2100;
     assert!(later < 60 * 90, "{later} calls");
-    assert!(noticed <= Duration::from_millis(500), "{noticed:?}");
+    assert!(detected <= Duration::from_millis(500), "{detected:?}");
 }
 
 #[test]
-fn few_daemons_ask_as_often_as_one() {
-    // Four daemons, as in the smallest deployments: each notices the return by itself.
-    let (calls, noticed) = outage(4, Duration::from_secs(8));
+fn few_daemons_call_as_often_as_one() {
+    // Four daemons, as in the smallest deployments: each detects the return by itself.
+    let (calls, detected) = simulate_outage(4, Duration::from_secs(8));
     assert!((60..90).contains(&calls), "{calls} calls");
-    assert!(noticed <= Duration::from_millis(500), "{noticed:?}");
+    assert!(detected <= Duration::from_millis(500), "{detected:?}");
 }
 
 #[test]
-fn an_answer_ends_the_pause() {
-    // A daemon that was turned away and is answered calls again as it needs to.
+fn a_success_resets_the_backoff() {
+    // After a failed call, a successful one lets the daemon call without delay again.
     let now = Instant::now();
     let mut backoff = Backoff::default();
     backoff.record_failure(now);
@@ -68,10 +69,10 @@
 }
 
 #[test]
-fn who_is_left_alone_calls_at_once() {
-    // The store turns all of 78 daemons away; a moment later one of the last is cut off from
-    // the others and the store is back. Nobody else tells it what changed, and it does not
-    // sit out the pause of a daemon that hears from others.
+fn a_partitioned_daemon_calls_at_once() {
+    // The store rejects the calls of all 78 daemons. A moment later it is back, and one of
+    // the last daemons is partitioned from the others. No other daemon tells it of changes,
+    // so it must not wait out the delay of a daemon that learns from others.
     let now = Instant::now();
     let mut backoff = Backoff::default();
     backoff.record_failure(now);
--- a/crates/gate/tests/events.rs
+++ b/crates/gate/tests/events.rs
@@ -1,4 +1,4 @@
-//! Streams of events, cut anywhere on their way.
+//! Decodes event streams that the network splits or a server interrupts at any byte.
 
 use chestnut_gate::events::{Event, EventDecoder};
 use proptest::prelude::*;
@@ -9,35 +9,36 @@
     (0..count).map(event).collect::<String>().into_bytes()
 }
 
-fn read(pieces: &[&[u8]]) -> (Vec<Event>, bool) {
-    let mut events = EventDecoder::default();
-    let mut read = Vec::new();
+/// Decodes a stream received in pieces; also returns whether it ends within an event.
+fn decode(pieces: &[&[u8]]) -> (Vec<Event>, bool) {
+    let mut decoder = EventDecoder::default();
+    let mut events = Vec::new();
     for piece in pieces {
-        events.push(piece).expect("no event is too large");
-        while let Some(event) = events.next_event() {
-            read.push(event);
+        decoder.push(piece).expect("no event is too large");
+        while let Some(event) = decoder.next_event() {
+            events.push(event);
         }
     }
-    (read, events.has_partial_event())
+    (events, decoder.has_partial_event())
 }
 
 proptest! {
-    // However the network cuts a stream, each event is passed on once, whole and in
-    // order; what follows the cut where a server broke off is not.
+    // However the network splits a stream, each event is decoded once, complete and in
+    // order. The incomplete event at an interruption is not.
     #[test]
-    fn events_survive_any_cut(
+    fn events_are_decoded_from_any_pieces(
         count in 1u64..20,
         cuts in prop::collection::vec(0usize..400, 0..10),
-        broken in 0usize..400,
+        received in 0usize..400,
         crlf in any::<bool>(),
     ) {
-        let whole = stream(count, crlf);
-        let bytes = &whole[..broken.min(whole.len())];
+        let full = stream(count, crlf);
+        let bytes = &full[..received.min(full.len())];
         let mut cuts: Vec<usize> = cuts.into_iter().map(|cut| cut.min(bytes.len())).collect();
         cuts.extend([0, bytes.len()]);
         cuts.sort_unstable();
         let pieces: Vec<&[u8]> = cuts.windows(2).map(|pair| &bytes[pair[0]..pair[1]]).collect();
-        let (events, partial) = read(&pieces);
+        let (events, partial) = decode(&pieces);
         let joined: Vec<u8> =
             events.iter().flat_map(|event| event.bytes.iter().copied()).collect();
         prop_assert!(bytes.starts_with(&joined));
@@ -48,10 +49,10 @@
 }
 
 #[test]
-fn an_endless_event_is_given_up() {
-    // A faulty server sends bytes without end that form no event; kept whole they would
-    // take the daemon's memory.
-    let mut events = EventDecoder::default();
-    let sent = (0..100).find(|_| events.push(&[b'x'; 4096]).is_err());
-    assert!(sent.is_some());
+fn an_endless_event_is_rejected() {
+    // A faulty server sends bytes that never complete an event. Buffered without a limit,
+    // they would exhaust the daemon's memory.
+    let mut decoder = EventDecoder::default();
+    let rejected = (0..100).find(|_| decoder.push(&[b'x'; 4096]).is_err());
+    assert!(rejected.is_some());
 }
