--- a/crates/gate/src/message.rs
+++ b/crates/gate/src/message.rs
@@ -109,8 +109,8 @@
         #[serde(rename = "want")]
         request: PlainRequest,
     },
-    /// The response to `PermitRequest`: at once if the request is queued, and again once it
-    /// is decided.
+    /// The response to `PermitRequest`, sent once it is decided. If the request is sent again
+    /// before that, the response says that it is queued.
     #[serde(rename = "Dequeued")]
     PermitResponse {
         /// The number of the request.
@@ -125,7 +125,7 @@
         number: u64,
         /// The service.
         service: ServiceName,
-        /// How the permit was used; it counts toward the health of the server.
+        /// How the permit was used; the queue derives the server's failure rate from it.
         outcome: PermitOutcome,
     },
     /// Reports the demand for a service's models to its planner, in parts, since all models
--- a/crates/gate/src/peers.rs
+++ b/crates/gate/src/peers.rs
@@ -133,7 +133,7 @@
         }
     }
 
-    /// What a daemon last sent; `None` if it sent nothing within a minute.
+    /// What a daemon last sent; `None` if it is unknown or has sent nothing for a minute.
     pub fn peer_state(&self, member: MemberId) -> Option<PeerState> {
         let states = self.states.lock().expect("no holder of the lock panics");
         states.get(&member).cloned()
--- a/crates/gate/src/permit.rs
+++ b/crates/gate/src/permit.rs
@@ -24,7 +24,7 @@
 
 /// How long the holder of a queue may take to respond.
 ///
-/// Within that time most requests have a permit or are known to be queued. Callers of plain
+/// Most requests get a permit within that time; the others have to queue. Callers of plain
 /// services expect a response within 100 ms.
 const RESPONSE_TIMEOUT: Duration = Duration::from_millis(30);
 
--- a/crates/gate/src/pick.rs
+++ b/crates/gate/src/pick.rs
@@ -25,8 +25,8 @@
 
 /// The longest wait for a server that has the request's model.
 ///
-/// A load from the weight store takes one to two seconds. After four seconds a load that
-/// was about to come would have finished.
+/// A load from the weight store takes one to two seconds. One that was due when the request
+/// arrived has finished after four.
 const MAX_RESIDENCY_WAIT: Duration = Duration::from_secs(4);
 
 /// The fraction of the caller's wait limit that a request waits for a server with its model.
