--- a/crates/gate/src/attempt.rs
+++ b/crates/gate/src/attempt.rs
@@ -1,4 +1,4 @@
-//! One attempt: a request sent to one backend server, up to the answer's head.
+//! One attempt: sends a request to one backend server and waits for the response head.
 
 use std::pin::pin;
 use std::sync::Arc;
@@ -14,153 +14,164 @@
 use hyper::body::Incoming;
 use tokio::time::{timeout, timeout_at};
 
-use crate::client::{Connection, SendFault};
-use crate::enqueue::Ticket;
+use crate::client::{Connection, SendError};
 use crate::job::Job;
-use crate::message::Begun;
+use crate::message::FirstEvent;
+use crate::permit::Permit;
 use crate::shared::Shared;
 use crate::{planner, sums};
 
-/// How long a server may be silent, in times of the route's objective.
+/// How long a server may take to respond, as a multiple of the route's objective.
 ///
-/// Servers that are slow take up to eight times as long as they should, which is half of
-/// the objective or less.
-const SILENCE: u32 = 4;
+/// Slow servers take up to eight times as long as they should, and that is half of the
+/// objective or less.
+const ABANDON_AFTER_OBJECTIVES: u32 = 4;
 
-/// A request in flight; dropping it takes it out of the count.
+/// A request in flight; stops being counted when dropped.
 pub struct InFlight {
     shared: Arc<Shared>,
-    /// The server.
+    /// The server that it was sent to.
     pub key: ServerKey,
-    flight: InFlightRequest,
-    sent: Instant,
-    /// The place in a plain service's queue that it was sent by.
-    place: Option<Ticket>,
-    /// What came of it.
+    request: InFlightRequest,
+    sent_at: Instant,
+    /// The permit from a plain service's queue that it was sent with.
+    permit: Option<Permit>,
+    /// How the permit was used.
     outcome: PermitOutcome,
-    /// The service and the model that it asks for, if it is a generation.
-    target: Option<(ServiceName, ModelName)>,
+    /// The service and the requested model of a generation.
+    model: Option<(ServiceName, ModelName)>,
 }
 
 impl InFlight {
-    /// Counts a request.
-    pub fn new(job: &Job, place: &Place) -> Self {
+    /// Counts a request as in flight and reports the usage to the runner's holder.
+    pub fn new(job: &Job, target: &Target) -> Self {
         let shared = job.shared.clone();
-        let flight = InFlightRequest { size: job.size(), responding: false };
-        let key = place.key;
-        shared.fleet().begin_request(key, flight);
+        let request = InFlightRequest { size: job.estimated_size(), responding: false };
+        let key = target.key;
+        shared.fleet().begin_request(key, request);
         sums::tell(&shared, key, job.call.target.clone(), None);
-        let sent = shared.now();
-        let plain = place.number.filter(|_| job.call.target.is_none());
-        let place = plain.map(|number| Ticket { service: job.service.clone(), number });
-        let target = job.call.target.as_ref();
-        let target = target.map(|target| (job.service.clone(), target.model.clone()));
-        Self { shared, key, flight, sent, place, outcome: PermitOutcome::Unused, target }
+        let sent_at = shared.now();
+        let number = target.number.filter(|_| job.call.target.is_none());
+        let permit = number.map(|number| Permit { service: job.service.clone(), number });
+        let model = job.call.target.as_ref();
+        let model = model.map(|target| (job.service.clone(), target.model.clone()));
+        Self {
+            shared,
+            key,
+            request,
+            sent_at,
+            permit,
+            outcome: PermitOutcome::Unused,
+            model,
+        }
     }
 
-    /// Takes note that the answer broke off.
-    pub fn broke(&mut self) {
+    /// Records that the response was interrupted.
+    pub fn record_interruption(&mut self) {
         self.outcome = PermitOutcome::Failed;
     }
 
-    /// Takes note that the server has begun to answer.
+    /// Records that the server has started to respond; only the first call has an effect.
     ///
-    /// `number` names the request to the runner's holder.
-    pub fn begun(&mut self, number: Option<u64>) {
-        if self.flight.responding {
+    /// `number` identifies the request to the runner's holder.
+    pub fn record_first_event(&mut self, number: Option<u64>) {
+        if self.request.responding {
             return;
         }
         {
             let mut fleet = self.shared.fleet();
-            fleet.end_request(self.key, self.flight);
-            self.flight.responding = true;
-            fleet.begin_request(self.key, self.flight);
+            fleet.end_request(self.key, self.request);
+            self.request.responding = true;
+            fleet.begin_request(self.key, self.request);
         }
         let after_ms =
-            self.shared.now().saturating_duration_since(self.sent).as_millis() as u32;
-        let begun = number.map(|number| Begun { number, after_ms });
-        sums::tell(&self.shared, self.key, None, begun);
+            self.shared.now().saturating_duration_since(self.sent_at).as_millis() as u32;
+        let first_event = number.map(|number| FirstEvent { number, after_ms });
+        sums::tell(&self.shared, self.key, None, first_event);
     }
 }
 
 impl Drop for InFlight {
     fn drop(&mut self) {
-        self.shared.fleet().end_request(self.key, self.flight);
+        self.shared.fleet().end_request(self.key, self.request);
         sums::tell(&self.shared, self.key, None, None);
         if let Some((service, model)) =
-            self.target.as_ref().filter(|_| self.flight.responding)
+            self.model.as_ref().filter(|_| self.request.responding)
         {
-            let stay = self.shared.now().saturating_duration_since(self.sent);
-            let ended = DemandCounts {
+            let service_time = self.shared.now().saturating_duration_since(self.sent_at);
+            let demand = DemandCounts {
                 finished: 1.0,
-                service_s: stay.as_secs_f64(),
+                service_s: service_time.as_secs_f64(),
                 ..DemandCounts::default()
             };
-            planner::note(&self.shared, service, model, ended);
-            self.shared.speeds().record_service_time(stay);
+            planner::note(&self.shared, service, model, demand);
+            self.shared.speeds().record_service_time(service_time);
         }
-        if let Some(place) = self.place.take() {
-            place.give_back(&self.shared, self.outcome);
+        if let Some(permit) = self.permit.take() {
+            permit.release(&self.shared, self.outcome);
         }
     }
 }
 
-/// Where a request is sent.
+/// The server that a request is sent to.
 #[derive(Debug, Clone)]
-pub struct Place {
-    /// The server.
+pub struct Target {
+    /// The key in the daemon's fleet.
     pub key: ServerKey,
-    /// Its name.
+    /// The name in the registry.
     pub name: ServerName,
-    /// When its present run began, in Unix milliseconds.
-    pub born: Option<u64>,
-    /// Where it listens.
+    /// When its current incarnation started, in Unix milliseconds.
+    pub started_at: Option<u64>,
+    /// The address that it listens on.
     pub addr: std::net::SocketAddr,
-    /// Names the request to the holder of the server or its queue, if that was asked.
+    /// Identifies the request to the holder of the runner or queue that admitted it; `None`
+    /// if no holder did.
     pub number: Option<u64>,
 }
 
-impl Place {
-    /// The server's present run.
-    pub fn run(&self) -> Incarnation {
-        Incarnation { server: self.name.clone(), started_at: self.born }
+impl Target {
+    /// The server's current incarnation.
+    pub fn incarnation(&self) -> Incarnation {
+        Incarnation { server: self.name.clone(), started_at: self.started_at }
     }
 }
 
-/// An answer whose head has arrived.
-pub struct Answered {
-    /// The head.
+/// A response of which the head has arrived.
+pub struct ServerResponse {
+    /// The HTTP head.
     pub head: response::Parts,
-    /// What it says.
-    pub reply: ResponseHead,
-    /// The rest.
+    /// What the deployment's adapter reads from the head.
+    pub metadata: ResponseHead,
+    /// The body as it arrives.
     pub body: Incoming,
-    /// The connection that it comes on.
+    /// The connection that the body arrives on.
     pub connection: Connection,
-    /// The server that answers.
-    pub place: Place,
-    /// The count in flight.
-    pub flight: InFlight,
+    /// The responding server.
+    pub target: Target,
+    /// Counts the request as in flight until dropped.
+    pub in_flight: InFlight,
 }
 
-/// Why an attempt brought no answer.
+/// Why an attempt failed.
+///
+/// The names of the variants are logged.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub enum Missed {
-    /// No byte was sent: the server could not be connected to.
+pub enum AttemptError {
+    /// No byte was sent: connecting to the server failed.
     Unreachable(String),
-    /// The server said that it did not run the request and never will.
+    /// The server reported, with this status, that it did not run the request and never will.
     Rejected(u16),
-    /// It was sent and may have run.
+    /// The request was sent and may have run; the response was lost.
     Lost(String),
-    /// It was sent, there is no answer after a while, and it may be sent elsewhere.
+    /// The request was sent, the server did not respond in time, and another may be tried.
     Silent,
-    /// The time ran out after it was sent.
+    /// The request was sent, and its deadline passed.
     Late,
 }
 
-impl Missed {
-    /// Its name in metrics.
-    pub fn name(&self) -> &'static str {
+impl AttemptError {
+    /// The label in metrics.
+    pub fn label(&self) -> &'static str {
         match self {
             Self::Unreachable(_) => "unreachable",
             Self::Rejected(_) => "rejected",
@@ -170,8 +181,8 @@
         }
     }
 
-    /// What it says of the request.
-    pub fn ended(&self) -> AttemptOutcome {
+    /// The outcome for the decision on a retry.
+    pub fn outcome(&self) -> AttemptOutcome {
         match self {
             Self::Unreachable(_) => AttemptOutcome::NotSent,
             Self::Rejected(_) => AttemptOutcome::Rejected,
@@ -182,99 +193,120 @@
     }
 }
 
-/// Sends a request to a server and waits for the head of its answer.
+/// Sends a request to a server and waits for the response head.
 pub async fn attempt(
     job: &Job,
-    place: &Place,
+    target: &Target,
     resume_after: Option<u64>,
-) -> Result<Answered, Missed> {
+) -> Result<ServerResponse, AttemptError> {
     let shared = &job.shared;
-    let mut flight = InFlight::new(job, place);
-    let result = exchange(job, place, resume_after).await;
+    let mut in_flight = InFlight::new(job, target);
+    let result = exchange(job, target, resume_after).await;
     let now = shared.now();
-    flight.outcome = match &result {
+    in_flight.outcome = match &result {
         Ok((head, ..)) if head.status.is_server_error() => PermitOutcome::Failed,
         Ok(_) => PermitOutcome::Answered,
-        Err(Missed::Unreachable(_)) => PermitOutcome::Unreachable,
-        Err(Missed::Lost(_) | Missed::Silent | Missed::Late) => PermitOutcome::Failed,
-        Err(Missed::Rejected(_)) => PermitOutcome::Rejected,
+        Err(AttemptError::Unreachable(_)) => PermitOutcome::Unreachable,
+        Err(AttemptError::Lost(_) | AttemptError::Silent | AttemptError::Late) => {
+            PermitOutcome::Failed
+        }
+        Err(AttemptError::Rejected(_)) => PermitOutcome::Rejected,
     };
-    if let Some(server) = shared.fleet().get_mut(place.key) {
+    if let Some(server) = shared.fleet().get_mut(target.key) {
         match &result {
             Ok((head, ..)) if head.status.is_server_error() => {
                 server.health.record_failure(now)
             }
             Ok(_) => server.health.record_success(now),
-            Err(Missed::Unreachable(_)) => server.health.record_connection_failure(now),
-            Err(Missed::Lost(_) | Missed::Silent) => server.health.record_failure(now),
-            Err(Missed::Rejected(_) | Missed::Late) => {}
+            Err(AttemptError::Unreachable(_)) => {
+                server.health.record_connection_failure(now)
+            }
+            Err(AttemptError::Lost(_) | AttemptError::Silent) => {
+                server.health.record_failure(now)
+            }
+            Err(AttemptError::Rejected(_) | AttemptError::Late) => {}
         }
     }
-    let (head, reply, body, connection) = result?;
-    Ok(Answered { head, reply, body, connection, place: place.clone(), flight })
+    let (head, metadata, body, connection) = result?;
+    Ok(ServerResponse {
+        head,
+        metadata,
+        body,
+        connection,
+        target: target.clone(),
+        in_flight,
+    })
 }
 
-type Exchanged = (response::Parts, ResponseHead, Incoming, Connection);
+type Exchange = (response::Parts, ResponseHead, Incoming, Connection);
 
 async fn exchange(
     job: &Job,
-    place: &Place,
+    target: &Target,
     resume_after: Option<u64>,
-) -> Result<Exchanged, Missed> {
+) -> Result<Exchange, AttemptError> {
     let shared = &job.shared;
     let deadline = tokio::time::Instant::from_std(job.deadline);
-    let connected = timeout_at(deadline, shared.client.connect(place.addr)).await;
-    let connected = connected.map_err(|_| Missed::Unreachable("no time left".into()))?;
-    let connection = connected.map_err(|fault| Missed::Unreachable(fault.to_string()))?;
-    let request = write(job, place, resume_after);
+    let connected = timeout_at(deadline, shared.client.connect(target.addr)).await;
+    let connected =
+        connected.map_err(|_| AttemptError::Unreachable("deadline passed".into()))?;
+    let connection =
+        connected.map_err(|error| AttemptError::Unreachable(error.to_string()))?;
+    let request = build_request(job, target, resume_after);
     let mut sending = pin!(connection.send(request));
     let mut early = None;
-    if let Some(patience) = patience(job) {
-        early = timeout(patience, &mut sending).await.ok();
-        // It goes on waiting where there is no repeat to be had.
+    if let Some(timeout_after) = abandon_timeout(job) {
+        early = timeout(timeout_after, &mut sending).await.ok();
+        // It keeps waiting if the retry budget is used up.
         if early.is_none() && job.shared.take_repeat(&job.service) {
-            return Err(Missed::Silent);
+            return Err(AttemptError::Silent);
         }
     }
-    let answer = match early {
-        Some(answer) => answer,
-        None => timeout_at(deadline, sending).await.map_err(|_| Missed::Late)?,
+    let result = match early {
+        Some(result) => result,
+        None => timeout_at(deadline, sending).await.map_err(|_| AttemptError::Late)?,
     };
-    let (response, connection) = match answer {
-        Ok(answer) => answer,
-        Err(SendFault::NotSent(why)) => return Err(Missed::Unreachable(why)),
-        Err(SendFault::Lost(why)) => return Err(Missed::Lost(why)),
+    let (response, connection) = match result {
+        Ok(response) => response,
+        Err(SendError::NotSent(why)) => return Err(AttemptError::Unreachable(why)),
+        Err(SendError::Lost(why)) => return Err(AttemptError::Lost(why)),
     };
     let (head, body) = response.into_parts();
-    let reply = shared.dialect.read_response_head(&head);
-    if reply.id.is_some() && reply.id != job.call.id {
-        // An answer to an earlier request on this connection; what became of this
-        // one is not known.
-        return Err(Missed::Lost("the answer is another request's".into()));
+    let metadata = shared.dialect.read_response_head(&head);
+    if metadata.id.is_some() && metadata.id != job.call.id {
+        // This is the response to an earlier request on the connection. The fate of the
+        // current request is unknown.
+        return Err(AttemptError::Lost("the response is for another request".into()));
     }
-    if reply.not_run || reply.misdirected {
-        return Err(Missed::Rejected(head.status.as_u16()));
+    if metadata.not_run || metadata.misdirected {
+        return Err(AttemptError::Rejected(head.status.as_u16()));
     }
-    Ok((head, reply, body, connection))
+    Ok((head, metadata, body, connection))
 }
 
-/// How long one server's answer is waited for before the request goes elsewhere.
+/// How long to wait for this server's response before trying another one; `None` to wait
+/// until the deadline.
 ///
-/// A server that hangs would hold a request that any other one answers at once. Only
-/// what may run again is sent again, and once: a second silence is a slow service.
-fn patience(job: &Job) -> Option<Duration> {
+/// An unresponsive server would hold up a request that any other server could serve at once.
+/// Only requests that may run again are abandoned, and only once: a second timeout points to
+/// a slow service.
+fn abandon_timeout(job: &Job) -> Option<Duration> {
     let route = job.route();
     if !job.attempts.may_abandon() {
         return None;
     }
-    let limit = job.arrived + route.objective * SILENCE;
-    let patience = limit.saturating_duration_since(job.shared.now());
-    (limit < job.deadline && !patience.is_zero()).then_some(patience)
+    let limit = job.arrived_at + route.objective * ABANDON_AFTER_OBJECTIVES;
+    let remaining = limit.saturating_duration_since(job.shared.now());
+    (limit < job.deadline && !remaining.is_zero()).then_some(remaining)
 }
 
-fn write(job: &Job, place: &Place, resume_after: Option<u64>) -> Request<Bytes> {
+fn build_request(
+    job: &Job,
+    target: &Target,
+    resume_after: Option<u64>,
+) -> Request<Bytes> {
     let attempt = Attempt {
-        server: place.name.clone(),
+        server: target.name.clone(),
         budget: job.deadline.saturating_duration_since(job.shared.now()),
         priority: job.route().priority.min(9),
         resume_after,
--- /dev/null
+++ b/crates/gate/src/bidding.rs
@@ -0,0 +1,397 @@
+//! Chooses a runner by the bids of the runners' holders, and requests admission to it.
+
+use std::cmp::Reverse;
+use std::net::SocketAddr;
+use std::sync::Arc;
+use std::time::Duration;
+
+use chestnut_base::id::rendezvous_rank;
+use chestnut_base::{MemberId, ServerName};
+use chestnut_edge::Engine;
+use chestnut_member::ClaimKey;
+use chestnut_pool::choose::UNRESPONSIVE_HOLDER_COST_MS;
+use chestnut_pool::{
+    Bid, Candidate, GenerationRequest, Incarnation, Server, ServerKey, bid,
+    estimate_wait_ms, local_cost_ms,
+};
+use futures::future::join_all;
+use indexmap::IndexMap;
+use slog::info;
+use tokio::sync::{mpsc, oneshot};
+use tokio::time::timeout;
+
+use crate::grant::{self, Question};
+use crate::holder::{self, Holder};
+use crate::job::Job;
+use crate::message::{AdmissionVerdict, Message};
+use crate::metrics::{Span, Step};
+use crate::peers::ReplyTo;
+use crate::shared::Shared;
+
+/// How long other daemons may take to send their bids.
+///
+/// A link takes a millisecond or two, and a busy daemon some more. Waiting longer costs more
+/// than a late bid could gain.
+const BID_TIMEOUT: Duration = Duration::from_millis(12);
+
+/// How long a holder may take to confirm that a request is queued.
+const RESPONSE_TIMEOUT: Duration = Duration::from_millis(20);
+
+/// How long a holder may take to send anything about a queued request.
+const QUEUED_TIMEOUT: Duration = Duration::from_millis(250);
+
+/// How long a request waits for admission to one runner before all are compared again.
+///
+/// The queue is ordered by when requests have to be served, not by arrival, so that a request
+/// that returns has lost nothing.
+const ADMISSION_WAIT: Duration = Duration::from_millis(400);
+
+/// The number of runners that are asked for bids on one request.
+const SHORTLIST: usize = 8;
+
+/// How many of the shortlist are chosen by affinity; the others are random.
+const AFFINE: usize = 4;
+
+/// Consecutive admission requests without a response after which a holder counts as
+/// unresponsive.
+const MAX_TRIES: usize = 3;
+
+/// A runner that could serve a request.
+struct Runner {
+    key: ServerKey,
+    name: ServerName,
+    /// The wait in ms, estimated by this daemon's own counts.
+    own_wait_ms: f64,
+    /// What this daemon adds to any bid, in ms.
+    local_cost_ms: f64,
+}
+
+/// Runners grouped by who holds their claims; without those that nobody holds.
+#[derive(Default)]
+struct ByHolder {
+    /// Runners whose claims this daemon holds.
+    local: Vec<ServerName>,
+    /// Runners by the other daemon that holds their claims.
+    remote: IndexMap<(MemberId, SocketAddr), Vec<ServerName>>,
+}
+
+/// Picks the runner with the lowest cost among those that have the request's model; `None`
+/// if there is none.
+///
+/// Runners in `avoid` are left out.
+pub async fn pick(job: &Job, avoid: &[ServerName]) -> Option<Candidate> {
+    let runners = shortlist(job, runners(job, avoid));
+    if runners.is_empty() {
+        return None;
+    }
+    let request = job.generation_request()?;
+    let engine = job.engine()?;
+    let mut bids = collect_bids(&job.shared, &runners, &request, &engine).await;
+    let cost = |runner: &Runner| {
+        let bid = bids.get(&runner.name);
+        let cost = bid
+            .map_or(runner.own_wait_ms + UNRESPONSIVE_HOLDER_COST_MS, |bid| bid.cost_ms);
+        cost + runner.local_cost_ms
+    };
+    let best = runners.iter().min_by(|a, b| cost(a).total_cmp(&cost(b)))?;
+    let own_bid =
+        Bid { wait_ms: best.own_wait_ms, cost_ms: best.own_wait_ms, requests: 0 };
+    let bid = bids.swap_remove(&best.name).unwrap_or(own_bid);
+    if bid.cost_ms.is_infinite() {
+        return None;
+    }
+    Some(Candidate { key: best.key, bid })
+}
+
+/// The available runners that have the request's model and that its earlier attempts allow.
+fn runners(job: &Job, avoid: &[ServerName]) -> Vec<Runner> {
+    let shared = &job.shared;
+    let Some(target) = &job.call.target else { return Vec::new() };
+    let now = shared.now();
+    let token_time = shared.speeds().token_time(&target.model);
+    let fleet = shared.fleet();
+    let allowed = job.attempts.restricted_to(|incarnation| {
+        let listed = fleet.key(&incarnation.server).and_then(|key| fleet.get(key));
+        listed.is_some_and(|server| is_incarnation(server, incarnation))
+    });
+    let with_model = fleet
+        .available(&job.service, now)
+        .filter(|(_, server)| server.entry.has_model(&target.model))
+        .filter(|(_, server)| !avoid.contains(&server.entry.name))
+        .filter(|(_, server)| {
+            allowed.is_none_or(|allowed| {
+                allowed.iter().any(|incarnation| is_incarnation(server, incarnation))
+            })
+        });
+    with_model
+        .map(|(key, server)| Runner {
+            key,
+            name: server.entry.name.clone(),
+            own_wait_ms: estimate_wait_ms(server.own_usage, job.call.size, token_time),
+            local_cost_ms: local_cost_ms(server, &shared.settings.domain, now),
+        })
+        .collect()
+}
+
+/// Whether a server has not restarted since that incarnation.
+fn is_incarnation(server: &Server, incarnation: &Incarnation) -> bool {
+    server.entry.name == incarnation.server
+        && server.entry.started_at_ms == incarnation.started_at
+}
+
+/// Reduces many runners to a few: some with affinity to the request's adapter or prompt, and
+/// some at random.
+///
+/// All daemons choose the same runners by affinity, so that requests with the same adapter
+/// or prompt stay together. The random ones take the overflow. Asking all of a hundred
+/// runners would cost more than it gains.
+fn shortlist(job: &Job, mut runners: Vec<Runner>) -> Vec<Runner> {
+    if runners.len() <= SHORTLIST {
+        return runners;
+    }
+    let affinity = job.affinity();
+    runners
+        .sort_by_key(|runner| Reverse(rendezvous_rank(&affinity, runner.name.as_str())));
+    let mut rest = runners.split_off(AFFINE);
+    for _ in AFFINE..SHORTLIST {
+        let index = rand::random_range(0..rest.len());
+        runners.push(rest.swap_remove(index));
+    }
+    runners
+}
+
+async fn collect_bids(
+    shared: &Shared,
+    runners: &[Runner],
+    request: &GenerationRequest,
+    engine: &Engine,
+) -> IndexMap<ServerName, Bid> {
+    let by_holder = group_by_holder(shared, runners);
+    let now = shared.now();
+    let mut bids = IndexMap::new();
+    for name in by_holder.local {
+        if let Some(holder) = shared.holder(&name) {
+            bids.insert(
+                name,
+                bid(&holder.state(), request, &shared.speeds(), engine, now),
+            );
+        }
+    }
+    let remote = by_holder
+        .remote
+        .into_iter()
+        .filter(|((member, _), _)| shared.is_alive(*member, now))
+        .map(|((_, addr), servers)| request_bids(shared, addr, servers, request));
+    for response in join_all(remote).await {
+        bids.extend(response);
+    }
+    bids
+}
+
+fn group_by_holder(shared: &Shared, runners: &[Runner]) -> ByHolder {
+    let known = shared.known();
+    let mut by_holder = ByHolder::default();
+    for runner in runners {
+        let claim = known.claims.get(&ClaimKey::Server(runner.name.clone()));
+        let Some(holder) = claim.and_then(|(row, _)| row.holder) else { continue };
+        if holder == shared.peers.me {
+            by_holder.local.push(runner.name.clone());
+            continue;
+        }
+        if let Some(row) = known.member_row(holder) {
+            let servers = by_holder.remote.entry((holder, row.peer_addr)).or_default();
+            servers.push(runner.name.clone());
+        }
+    }
+    by_holder
+}
+
+async fn request_bids(
+    shared: &Shared,
+    addr: SocketAddr,
+    servers: Vec<ServerName>,
+    request: &GenerationRequest,
+) -> Vec<(ServerName, Bid)> {
+    let (number, mut response) = shared.peers.open_request();
+    let message = Message::BidRequest { number, servers, request: request.clone() };
+    shared.peers.send(addr, message);
+    match timeout(BID_TIMEOUT, response.recv()).await {
+        Ok(Some(Message::Bids { bids, .. })) => bids,
+        // Lost or late: this daemon estimates the runners by its own counts.
+        _ => Vec::new(),
+    }
+}
+
+/// Bids on another daemon's request for those of the runners that this daemon holds.
+pub fn local_bids(
+    shared: &Shared,
+    servers: Vec<ServerName>,
+    request: &GenerationRequest,
+) -> Vec<(ServerName, Bid)> {
+    let now = shared.now();
+    let bid_for = |name: ServerName| {
+        let holder = shared.holder(&name)?;
+        let engine = shared.engine_of(&name)?;
+        let bid = bid(&holder.state(), request, &shared.speeds(), &engine, now);
+        Some((name, bid))
+    };
+    servers.into_iter().filter_map(bid_for).collect()
+}
+
+/// The result of requesting admission to a runner.
+///
+/// The names of the variants are logged.
+#[derive(Debug, Clone, Copy, PartialEq, Eq)]
+pub enum Admission {
+    /// The request may be sent now; the number identifies it to the runner's holder.
+    Send(u64),
+    /// It can't be sent to this runner.
+    Denied,
+    /// The runner's holder does not respond.
+    Silent,
+    /// The daemon that holds the claim is not aware of it: it has just started, or the claim
+    /// has moved.
+    Moved,
+    /// It has waited for a while; another runner may be sooner by now.
+    Again,
+}
+
+impl Admission {
+    /// The label in metrics.
+    fn label(self) -> &'static str {
+        match self {
+            Self::Send(_) => "sent",
+            Self::Denied => "denied",
+            Self::Silent => "silent",
+            Self::Moved => "moved",
+            Self::Again => "again",
+        }
+    }
+}
+
+/// Waits for admission of a request to a runner.
+///
+/// `adapter_missing` says that the runner has just rejected the request for lack of its
+/// adapter.
+pub async fn request_admission(
+    job: &Job,
+    server: &ServerName,
+    adapter_missing: bool,
+) -> Admission {
+    let started = job.shared.now();
+    let (number, receiver) = job.shared.peers.open_request();
+    let pending = PendingAdmission { job, server, number, decided: false };
+    let admission = match job.shared.holder(server) {
+        Some(holder) => pending.request_local(&holder, adapter_missing).await,
+        None => pending.request_remote(receiver, adapter_missing).await,
+    };
+    job.shared.metrics.count(Step::Turn, admission.label());
+    let waited = job.shared.now().saturating_duration_since(started);
+    job.shared.metrics.observe(Span::Turn, waited);
+    info!(job.shared.log, "turn"; "id" => job.id(), "server" => server.to_string(),
+        "turn" => format!("{admission:?}"), "missed" => adapter_missing,
+        "waited_ms" => waited.as_millis() as u64);
+    admission
+}
+
+/// A request for admission; withdraws itself if dropped before it is decided.
+struct PendingAdmission<'a> {
+    job: &'a Job,
+    server: &'a ServerName,
+    number: u64,
+    decided: bool,
+}
+
+impl PendingAdmission<'_> {
+    /// Waits for admission to a runner that this daemon holds.
+    async fn request_local(
+        mut self,
+        holder: &Arc<Holder>,
+        adapter_missing: bool,
+    ) -> Admission {
+        let shared = &self.job.shared;
+        let (sender, receiver) = oneshot::channel();
+        let Some(want) = self.job.generation_request() else { return Admission::Denied };
+        let asker = (shared.peers.me, self.number);
+        let question = Question { asker, want, missed: adapter_missing };
+        grant::take(shared, holder, question, ReplyTo::Local(sender));
+        let Ok(verdict) = timeout(ADMISSION_WAIT, receiver).await else {
+            return Admission::Again;
+        };
+        self.decided = true;
+        match verdict {
+            Ok(AdmissionVerdict::Send) => Admission::Send(self.number),
+            Ok(AdmissionVerdict::Denied | AdmissionVerdict::Queued) => Admission::Denied,
+            // The claim was lost.
+            Ok(AdmissionVerdict::Moved) | Err(_) => Admission::Moved,
+        }
+    }
+
+    /// Waits for admission to a runner that another daemon holds.
+    async fn request_remote(
+        mut self,
+        mut receiver: mpsc::UnboundedReceiver<Message>,
+        adapter_missing: bool,
+    ) -> Admission {
+        let shared = &self.job.shared;
+        let mut unanswered = 0;
+        let limit = shared.now() + ADMISSION_WAIT;
+        while unanswered < MAX_TRIES {
+            if shared.now() >= limit {
+                return Admission::Again;
+            }
+            let Some(request) = self.job.generation_request() else {
+                return Admission::Denied;
+            };
+            let Some(addr) = holder::addr(shared, self.server) else { break };
+            let (number, server) = (self.number, self.server.clone());
+            shared.peers.send(
+                addr,
+                Message::AdmissionRequest { number, server, request, adapter_missing },
+            );
+            let mut wait = RESPONSE_TIMEOUT;
+            loop {
+                let response = timeout(wait, receiver.recv()).await;
+                let Ok(Some(Message::AdmissionResponse { verdict, .. })) = response
+                else {
+                    break;
+                };
+                unanswered = 0;
+                match verdict {
+                    AdmissionVerdict::Queued => {
+                        wait = limit
+                            .saturating_duration_since(shared.now())
+                            .min(QUEUED_TIMEOUT);
+                    }
+                    AdmissionVerdict::Send => {
+                        return self.decide(Admission::Send(number));
+                    }
+                    AdmissionVerdict::Denied => return self.decide(Admission::Denied),
+                    AdmissionVerdict::Moved => return self.decide(Admission::Moved),
+                }
+            }
+            unanswered += 1;
+        }
+        Admission::Silent
+    }
+
+    fn decide(&mut self, admission: Admission) -> Admission {
+        self.decided = true;
+        admission
+    }
+}
+
+impl Drop for PendingAdmission<'_> {
+    fn drop(&mut self) {
+        if self.decided {
+            return;
+        }
+        let shared = &self.job.shared;
+        let (number, server) = (self.number, self.server.clone());
+        if let Some(holder) = shared.holder(&server) {
+            grant::leave(&holder, (shared.peers.me, number));
+        } else if let Some(addr) = holder::addr(shared, &server) {
+            shared.peers.send(addr, Message::Withdrawal { number, server });
+        }
+    }
+}
