--- a/crates/node/src/config_api.rs
+++ b/crates/node/src/config_api.rs
@@ -287,7 +287,7 @@
     };
     // The row names the daemon's incarnation, so that a replacement VM with the same
     // name is not drained.
-    let row = DrainRow { member, by: format!("{} ({team})", request.author) };
+    let row = DrainRow { member, requested_by: format!("{} ({team})", request.author) };
     let txn = Txn::new().put(DRAINS, request.vm.as_str(), json!(row));
     match shared.table.commit(&txn).await {
         Ok(_) => Ok(Json(json!({ "vm": request.vm, "member": member.to_string() }))
