--- a/crates/node/src/confsync.rs
+++ b/crates/node/src/confsync.rs
@@ -134,7 +134,7 @@
     let mut calls = JoinSet::new();
     for addr in peers(node).await {
         let (node, ask) = (node.clone(), ask.clone());
-        calls.spawn(async move { node.peers.ask_once(addr, &ask).await });
+        calls.spawn(async move { node.peers.request(addr, &ask).await });
     }
     while let Some(answer) = calls.join_next().await {
         if let Ok(Ok(PeerResponse::Config(Some(handover)))) = answer {
--- a/crates/node/src/demand.rs
+++ b/crates/node/src/demand.rs
@@ -18,7 +18,7 @@
 use crate::shared::Shared;
 
 /// The table of digests, with keys `POOL/MEMBER`.
-pub const DEMAND: &str = "demand";
+pub const DEMAND_TABLE: &str = "demand";
 
 /// The greatest number of daemons that write digests of a pool.
 ///
@@ -36,13 +36,13 @@
 
 /// The tokens that callers asked of each model since they were last taken.
 #[derive(Debug, Default)]
-pub struct Asked {
+pub struct DemandCounts {
     tokens: Mutex<IndexMap<ModelName, u64>>,
 }
 
-impl Asked {
+impl DemandCounts {
     /// Counts a request that arrived at this entry.
-    pub fn note(&self, work: &RequestSpec) {
+    pub fn record(&self, work: &RequestSpec) {
         if let Target::Model { model, .. } = &work.target {
             let mut tokens = self.tokens.lock().expect("no holder of the counts panics");
             *tokens.entry(model.clone()).or_default() +=
@@ -57,7 +57,7 @@
 
 /// What callers asked of one entry.
 #[derive(Debug, Clone, Default, PartialEq, Serialize, Deserialize)]
-pub struct Digest {
+pub struct DemandReport {
     /// Tokens a second, by model.
     pub rates: IndexMap<ModelName, f64>,
 }
@@ -87,7 +87,7 @@
 ) -> Result<(), PlatformError> {
     let catalog = shared.catalog();
     let view = shared.view();
-    let mut digests: IndexMap<PoolName, Digest> = IndexMap::new();
+    let mut digests: IndexMap<PoolName, DemandReport> = IndexMap::new();
     for (model, tokens) in shared.demand.take() {
         if let Some(declared) = catalog.models.get(&model) {
             let rate = tokens as f64 / time.as_secs_f64().max(0.001);
@@ -98,15 +98,15 @@
     let mut txn = Txn::new();
     let mut now_written = IndexSet::new();
     for pool in catalog.pools.keys() {
-        let key = key(pool, shared.me);
+        let key = report_key(pool, shared.me);
         match digests.get(pool).filter(|_| reports(&view, pool, shared.me)) {
             Some(digest) => {
                 let value = serde_json::to_value(digest);
                 let value = value.map_err(|e| PlatformError::Protocol(e.to_string()))?;
-                txn = txn.put(DEMAND, key, value);
+                txn = txn.put(DEMAND_TABLE, key, value);
                 now_written.insert(pool.clone());
             }
-            None if written.contains(pool) => txn = txn.delete(DEMAND, key),
+            None if written.contains(pool) => txn = txn.delete(DEMAND_TABLE, key),
             None => {}
         }
     }
@@ -118,7 +118,7 @@
 }
 
 /// The key of a member's digest of a pool.
-pub fn key(pool: &PoolName, member: MemberId) -> String {
+pub fn report_key(pool: &PoolName, member: MemberId) -> String {
     format!("{pool}/{member}")
 }
 
@@ -135,7 +135,7 @@
 }
 
 /// How much more all entries see than those that write digests.
-pub fn scale(view: &View) -> f64 {
+pub fn sampling_factor(view: &View) -> f64 {
     let members = view.members.len();
     members.max(1) as f64 / members.clamp(1, REPORTERS) as f64
 }
--- a/crates/node/src/engine.rs
+++ b/crates/node/src/engine.rs
@@ -34,22 +34,22 @@
 
 /// How a call to a backend server ended.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub enum CallEnd {
+pub enum CallOutcome {
     /// The answer is whole; the engine's reason for stopping.
-    Whole(String),
+    Completed(String),
     /// The connection was never made, so that the request did not run.
     NotSent(String),
     /// The backend server refused the request before running it.
     Refused(String),
     /// The request was handed over and its answer broke off.
-    Broken {
+    Interrupted {
         /// Why.
-        why: String,
+        reason: String,
         /// Whether the connection itself was cut, as when the server dies.
-        cut: bool,
+        connection_lost: bool,
     },
     /// The one who waited for the answer went away.
-    Abandoned,
+    Cancelled,
 }
 
 /// Creates the client for all backend servers.
@@ -72,7 +72,7 @@
     run: &AttemptRequest,
     out: &mpsc::Sender<PeerResponse>,
     seen: impl FnMut(u32),
-) -> CallEnd {
+) -> CallOutcome {
     match &run.request.target {
         Target::Model { .. } => call_model(http, address, run, out, seen).await,
         Target::Service { .. } => call_service(http, address, run, out).await,
@@ -92,10 +92,10 @@
     run: &AttemptRequest,
     out: &mpsc::Sender<PeerResponse>,
     seen: impl FnMut(u32),
-) -> CallEnd {
+) -> CallOutcome {
     let body = match engine_body(&run.request, &run.call.body, run.resume.as_ref()) {
         Ok(body) => body,
-        Err(why) => return CallEnd::Refused(why),
+        Err(why) => return CallOutcome::Refused(why),
     };
     let send = http
         .post(format!("http://{address}{}", run.call.path))
@@ -103,7 +103,7 @@
         .header("x-priority", priority(run.request.urgency))
         .json(&body)
         .send();
-    let pulse = Pulse { http, address };
+    let pulse = LivenessProbe { http, address };
     let answer = match dispatch(send, out, Some(&pulse)).await {
         Ok(answer) => answer,
         Err(end) => return end,
@@ -120,9 +120,9 @@
     address: SocketAddr,
     run: &AttemptRequest,
     out: &mpsc::Sender<PeerResponse>,
-) -> CallEnd {
+) -> CallOutcome {
     let Ok(method) = Method::from_bytes(run.call.method.as_bytes()) else {
-        return CallEnd::Refused(format!("{} is no method", run.call.method));
+        return CallOutcome::Refused(format!("{} is no method", run.call.method));
     };
     let mut call = http
         .request(method, format!("http://{address}{}", run.call.path))
@@ -145,21 +145,21 @@
 async fn dispatch(
     send: impl Future<Output = reqwest::Result<Response>>,
     out: &mpsc::Sender<PeerResponse>,
-    pulse: Option<&Pulse<'_>>,
-) -> Result<Response, CallEnd> {
+    pulse: Option<&LivenessProbe<'_>>,
+) -> Result<Response, CallOutcome> {
     if out.send(PeerResponse::Dispatched).await.is_err() {
-        return Err(CallEnd::Abandoned);
+        return Err(CallOutcome::Cancelled);
     }
     let answer = tokio::select! {
         answer = send => answer,
         () = stopped(pulse) => return Err(stalled()),
-        () = out.closed() => return Err(CallEnd::Abandoned),
+        () = out.closed() => return Err(CallOutcome::Cancelled),
     };
     answer.map_err(|error| {
         if error.is_connect() {
-            CallEnd::NotSent(error.to_string())
+            CallOutcome::NotSent(error.to_string())
         } else {
-            CallEnd::Broken { why: error.to_string(), cut: true }
+            CallOutcome::Interrupted { reason: error.to_string(), connection_lost: true }
         }
     })
 }
@@ -169,14 +169,14 @@
 /// An engine that stands still keeps its connections open, so that nothing else
 /// shows it: its callers would wait for their whole deadline while another runner
 /// has room. A busy one answers the question and is waited for.
-pub struct Pulse<'a> {
+pub struct LivenessProbe<'a> {
     /// The client.
     pub http: &'a Client,
     /// Where the engine listens.
     pub address: SocketAddr,
 }
 
-impl Pulse<'_> {
+impl LivenessProbe<'_> {
     async fn beats(&self) -> bool {
         let url = format!("http://{}/v1/report", self.address);
         let answer = self.http.get(url).timeout(PROBE).send().await;
@@ -185,7 +185,7 @@
 }
 
 /// Ends when the engine has been silent and is found not to live.
-async fn stopped(pulse: Option<&Pulse<'_>>) {
+async fn stopped(pulse: Option<&LivenessProbe<'_>>) {
     let Some(pulse) = pulse else {
         return std::future::pending().await;
     };
@@ -197,23 +197,26 @@
     }
 }
 
-fn stalled() -> CallEnd {
-    CallEnd::Broken { why: "the engine stands still".into(), cut: true }
+fn stalled() -> CallOutcome {
+    CallOutcome::Interrupted {
+        reason: "the engine stands still".into(),
+        connection_lost: true,
+    }
 }
 
 /// Reads why an engine refused a request before running it.
-async fn refused(answer: Response) -> CallEnd {
+async fn refused(answer: Response) -> CallOutcome {
     let status = answer.status();
     let text = answer.text().await.unwrap_or_default();
     let why = format!("status {status}: {text}");
     if status.is_client_error() || status == StatusCode::SERVICE_UNAVAILABLE {
-        CallEnd::Refused(why)
+        CallOutcome::Refused(why)
     } else {
-        CallEnd::Broken { why, cut: false }
+        CallOutcome::Interrupted { reason: why, connection_lost: false }
     }
 }
 
-async fn copy_answer(answer: Response, out: &mpsc::Sender<PeerResponse>) -> CallEnd {
+async fn copy_answer(answer: Response, out: &mpsc::Sender<PeerResponse>) -> CallOutcome {
     let content_type = answer
         .headers()
         .get("content-type")
@@ -222,24 +225,27 @@
         .to_owned();
     let head = PeerResponse::Head { status: answer.status().as_u16(), content_type };
     if out.send(head).await.is_err() {
-        return CallEnd::Abandoned;
+        return CallOutcome::Cancelled;
     }
     let body = answer.bytes_stream();
     pin_mut!(body);
     loop {
         let chunk = tokio::select! {
             chunk = body.next() => chunk,
-            () = out.closed() => return CallEnd::Abandoned,
+            () = out.closed() => return CallOutcome::Cancelled,
         };
         let bytes = match chunk {
-            None => return CallEnd::Whole(String::new()),
+            None => return CallOutcome::Completed(String::new()),
             Some(Ok(bytes)) => bytes,
             Some(Err(error)) => {
-                return CallEnd::Broken { why: error.to_string(), cut: true };
+                return CallOutcome::Interrupted {
+                    reason: error.to_string(),
+                    connection_lost: true,
+                };
             }
         };
         if out.send(PeerResponse::Chunk(bytes)).await.is_err() {
-            return CallEnd::Abandoned;
+            return CallOutcome::Cancelled;
         }
     }
 }
@@ -276,9 +282,9 @@
     body: impl Stream<Item = reqwest::Result<Bytes>>,
     from: u32,
     out: &mpsc::Sender<PeerResponse>,
-    pulse: &Pulse<'_>,
+    pulse: &LivenessProbe<'_>,
     mut seen: impl FnMut(u32),
-) -> CallEnd {
+) -> CallOutcome {
     let events = body.eventsource();
     pin_mut!(events);
     let mut next = from;
@@ -287,27 +293,37 @@
         let event = tokio::select! {
             event = events.next() => event,
             () = stopped(Some(pulse)) => return stalled(),
-            () = out.closed() => return CallEnd::Abandoned,
+            () = out.closed() => return CallOutcome::Cancelled,
         };
         let data = match event {
             Some(Ok(event)) => event.data,
             Some(Err(error)) => {
-                return CallEnd::Broken { why: error.to_string(), cut: true };
+                return CallOutcome::Interrupted {
+                    reason: error.to_string(),
+                    connection_lost: true,
+                };
             }
             None => {
-                return CallEnd::Broken { why: "no end mark".into(), cut: true };
+                return CallOutcome::Interrupted {
+                    reason: "no end mark".into(),
+                    connection_lost: true,
+                };
             }
         };
         if data == DONE {
             return match reason {
-                Some(reason) => CallEnd::Whole(reason),
-                None => {
-                    CallEnd::Broken { why: "ended without a reason".into(), cut: false }
-                }
+                Some(reason) => CallOutcome::Completed(reason),
+                None => CallOutcome::Interrupted {
+                    reason: "ended without a reason".into(),
+                    connection_lost: false,
+                },
             };
         }
         let Ok(event) = serde_json::from_str::<Event>(&data) else {
-            return CallEnd::Broken { why: format!("unreadable: {data}"), cut: false };
+            return CallOutcome::Interrupted {
+                reason: format!("unreadable: {data}"),
+                connection_lost: false,
+            };
         };
         let Some(choice) = event.choices.into_iter().next() else {
             continue;
@@ -318,12 +334,12 @@
             let total = event.tokens.unwrap_or(next + 1);
             let Some(count) = total.checked_sub(next).filter(|&count| count > 0) else {
                 let why = format!("token {total} came after {next}");
-                return CallEnd::Broken { why, cut: false };
+                return CallOutcome::Interrupted { reason: why, connection_lost: false };
             };
             seen(count);
             if out.send(PeerResponse::Tokens { first: next, count, text }).await.is_err()
             {
-                return CallEnd::Abandoned;
+                return CallOutcome::Cancelled;
             }
             next += count;
         }
@@ -339,7 +355,7 @@
     let mut value: Value =
         serde_json::from_slice(body).map_err(|error| error.to_string())?;
     let fields = value.as_object_mut().ok_or("the body is no JSON object")?;
-    fields.insert("model".into(), engine_model(&work.target).into());
+    fields.insert("model".into(), engine_model_name(&work.target).into());
     fields.insert("stream".into(), true.into());
     fields.insert("max_tokens".into(), work.max_output_tokens.into());
     if let Some(resume) = resume {
@@ -350,7 +366,7 @@
 }
 
 /// The name by which an engine knows a model or adapter.
-pub fn engine_model(target: &Target) -> String {
+pub fn engine_model_name(target: &Target) -> String {
     match target {
         Target::Model { adapter: Some(adapter), .. } => adapter.to_string(),
         Target::Model { model, version, adapter: None } => format!("{model}@{version}"),
--- a/crates/node/src/entry.rs
+++ b/crates/node/src/entry.rs
@@ -19,11 +19,11 @@
 use serde_json::{Value, json};
 use tokio::sync::mpsc;
 
-use crate::answer;
 use crate::node::Node;
-use crate::parse::{self, Parsed};
+use crate::parse::{self, ParsedRequest};
 use crate::peer::PeerError;
-use crate::relay::{self, Mode};
+use crate::relay::{self, DispatchMode};
+use crate::response;
 use crate::slots::Slots;
 
 const FRAMES_AHEAD: usize = 64;
@@ -55,7 +55,7 @@
 /// Without the bound a burst of large bodies would use up the small VM's memory
 /// and the daemon would die with every request that it holds.
 #[derive(Debug)]
-pub struct Intake {
+pub struct RequestLimiter {
     held: Arc<AtomicUsize>,
     bytes: Arc<AtomicUsize>,
     limit: usize,
@@ -64,33 +64,34 @@
 
 /// A request's place in the entry; dropping it frees the place.
 #[derive(Debug)]
-pub struct Place {
+pub struct RequestPermit {
     held: Arc<AtomicUsize>,
     bytes: Arc<AtomicUsize>,
     size: usize,
 }
 
-impl Intake {
+impl RequestLimiter {
     /// Creates an empty intake for `limit` requests with `memory` bytes of bodies.
     pub fn new(limit: usize, memory: usize) -> Self {
         Self { held: Arc::default(), bytes: Arc::default(), limit, memory }
     }
 
     /// The number of requests that are held.
-    pub fn held(&self) -> usize {
+    pub fn in_flight(&self) -> usize {
         self.held.load(Ordering::SeqCst)
     }
 
     /// Takes a place for a request whose body may have `size` bytes.
-    pub fn take(&self, size: usize) -> Option<Place> {
-        let place = Place { held: self.held.clone(), bytes: self.bytes.clone(), size };
+    pub fn try_acquire(&self, size: usize) -> Option<RequestPermit> {
+        let place =
+            RequestPermit { held: self.held.clone(), bytes: self.bytes.clone(), size };
         let held = self.held.fetch_add(1, Ordering::SeqCst);
         let bytes = self.bytes.fetch_add(size, Ordering::SeqCst);
         (held < self.limit && bytes + size <= self.memory).then_some(place)
     }
 }
 
-impl Drop for Place {
+impl Drop for RequestPermit {
     fn drop(&mut self) {
         self.held.fetch_sub(1, Ordering::SeqCst);
         self.bytes.fetch_sub(self.size, Ordering::SeqCst);
@@ -107,7 +108,7 @@
         .map(|addr| json!({ "address": addr.to_string(), "keep_ms": keep }))
         .collect();
     let vm = node.shared.settings.vm.as_str();
-    answer::json(200, &json!({ "vm": vm, "entries": entries }))
+    response::json(200, &json!({ "vm": vm, "entries": entries }))
 }
 
 /// Lists the names that callers may put into `model`.
@@ -118,21 +119,21 @@
         .keys()
         .map(|name| json!({ "id": name, "object": "model" }))
         .collect();
-    answer::json(200, &json!({ "object": "list", "data": data }))
+    response::json(200, &json!({ "object": "list", "data": data }))
 }
 
 async fn completion(State(node): State<Arc<Node>>, request: Request) -> Response {
-    handle(node, request, parse::completion).await
+    handle(node, request, parse::parse_completion).await
 }
 
 async fn service(State(node): State<Arc<Node>>, request: Request) -> Response {
-    handle(node, request, parse::service).await
+    handle(node, request, parse::parse_service_call).await
 }
 
 async fn unknown(request: Request) -> Response {
     let text =
         format!("there is nothing at {}; see the API's page", request.uri().path());
-    answer::refusal(&Refusal::not_run(RefusalCode::UnknownService, text))
+    response::refusal(&Refusal::not_run(RefusalCode::UnknownService, text))
 }
 
 /// Answers what became of an earlier non-idempotent request.
@@ -141,25 +142,25 @@
     Path(key): Path<String>,
     headers: HeaderMap,
 ) -> Response {
-    let caller = match parse::caller(&node.shared.catalog(), &headers) {
+    let caller = match parse::authenticate(&node.shared.catalog(), &headers) {
         Ok(caller) => caller,
-        Err(refusal) => return answer::refusal(&refusal),
+        Err(refusal) => return response::refusal(&refusal),
     };
     let id = RequestId { caller, key };
-    answer::once_state(&ask_state(&node, id).await)
+    response::once_state(&ask_state(&node, id).await)
 }
 
 /// Reads a request and hands it to its slot's lead or drives it from here.
 async fn handle(
     node: Arc<Node>,
     request: Request,
-    parse: fn(&Node, CallerName, &HttpCall, &HeaderMap) -> Result<Parsed, Refusal>,
+    parse: fn(&Node, CallerName, &HttpCall, &HeaderMap) -> Result<ParsedRequest, Refusal>,
 ) -> Response {
     match accept(&node, request, parse).await {
         Ok((parsed, call, place)) => start(node, parsed, call, place).await,
         Err(refusal) => {
-            node.shared.metrics.refused(&refusal);
-            answer::refusal(&refusal)
+            node.shared.metrics.record_refused(&refusal);
+            response::refusal(&refusal)
         }
     }
 }
@@ -167,52 +168,52 @@
 async fn accept(
     node: &Arc<Node>,
     request: Request,
-    parse: fn(&Node, CallerName, &HttpCall, &HeaderMap) -> Result<Parsed, Refusal>,
-) -> Result<(Parsed, HttpCall, Place), Refusal> {
+    parse: fn(&Node, CallerName, &HttpCall, &HeaderMap) -> Result<ParsedRequest, Refusal>,
+) -> Result<(ParsedRequest, HttpCall, RequestPermit), Refusal> {
     let shared = &node.shared;
     shared.check_open()?;
     let (parts, body) = request.into_parts();
-    let caller = parse::caller(&shared.catalog(), &parts.headers)?;
+    let caller = parse::authenticate(&shared.catalog(), &parts.headers)?;
     let limit = shared.settings.limits.body;
     let size = parse::body_size(&parts.headers, limit)?;
-    let place = node.intake.take(size).ok_or_else(entry_full)?;
-    let body = to_bytes(body, size).await.map_err(|_| parse::too_large(limit))?;
+    let place = node.intake.try_acquire(size).ok_or_else(entry_full)?;
+    let body = to_bytes(body, size).await.map_err(|_| parse::body_too_large(limit))?;
     let call = HttpCall {
         method: parts.method.to_string(),
         path: parts
             .uri
             .path_and_query()
             .map_or_else(String::new, |path| path.to_string()),
-        content_type: parse::text(&parts.headers, "content-type").to_owned(),
+        content_type: parse::header_text(&parts.headers, "content-type").to_owned(),
         body,
     };
     let parsed = parse(node, caller, &call, &parts.headers)?;
-    shared.demand.note(&parsed.work);
-    if parsed.work.idempotent {
-        node.poison.check(parsed.work.digest, shared.clock.now())?;
+    shared.demand.record(&parsed.request);
+    if parsed.request.idempotent {
+        node.poison.check(parsed.request.digest, shared.clock.now())?;
     }
     Ok((parsed, call, place))
 }
 
 async fn start(
     node: Arc<Node>,
-    parsed: Parsed,
+    parsed: ParsedRequest,
     call: HttpCall,
-    place: Place,
+    place: RequestPermit,
 ) -> Response {
-    let Parsed { work, call_path, form } = parsed;
-    let call = HttpCall { path: call_path, ..call };
+    let ParsedRequest { request: work, server_path, format } = parsed;
+    let call = HttpCall { path: server_path, ..call };
     let (out, frames) = mpsc::channel(FRAMES_AHEAD);
     let job = node.clone();
     let shown = work.clone();
     tokio::spawn(async move {
         if work.idempotent {
-            relay::run(&job, work, call, Mode::Many, out).await;
+            relay::run(&job, work, call, DispatchMode::Repeatable, out).await;
         } else {
             run_once(&job, work, call, out).await;
         }
     });
-    answer::respond(node, shown, form, frames, place).await
+    response::respond(node, shown, format, frames, place).await
 }
 
 /// Hands a non-idempotent request to the lead of its slot.
@@ -293,14 +294,14 @@
     if holder == node.shared.me {
         return Slots::run(node, once, out.clone()).await;
     }
-    match node.peers.ask(addr, &PeerRequest::Once(once)).await {
+    match node.peers.request_stream(addr, &PeerRequest::Once(once)).await {
         Ok(mut answer) => loop {
             let say = tokio::select! {
                 say = answer.next() => say,
                 () = out.closed() => return,
             };
             let say = say.unwrap_or_else(|error| {
-                node.peers.forget(addr);
+                node.peers.disconnect(addr);
                 lost(&error)
             });
             let last = say.is_final();
@@ -324,7 +325,7 @@
     if claim.holder == node.shared.me {
         return Slots::lookup(node, &id).await;
     }
-    match node.peers.ask_once(member.peer_addr, &PeerRequest::Lookup(id)).await {
+    match node.peers.request(member.peer_addr, &PeerRequest::Lookup(id)).await {
         Ok(PeerResponse::Once(state)) => state,
         Ok(_) => OnceState::Unreadable("the journal's lead gave no state".into()),
         Err(error) => OnceState::Unreadable(error.to_string()),
--- a/crates/node/src/journal.rs
+++ b/crates/node/src/journal.rs
@@ -16,7 +16,7 @@
 use tokio::sync::mpsc;
 use tokio::time::sleep;
 
-use crate::engine::{self, CallEnd, Pulse};
+use crate::engine::{self, CallOutcome, LivenessProbe};
 use crate::members::CLAIMS;
 use crate::node::Node;
 use crate::single::{self, Gather};
@@ -268,7 +268,7 @@
     let (out, mut frames) = mpsc::channel(64);
     let http = node.http.clone();
     let read = tokio::spawn(async move {
-        let pulse = Pulse { http: &http, address };
+        let pulse = LivenessProbe { http: &http, address };
         engine::read_tokens(stream.bytes_stream(), 0, &out, &pulse, |_| {}).await
     });
     let mut gather = Gather::new();
@@ -278,7 +278,7 @@
         }
     }
     match read.await {
-        Ok(CallEnd::Whole(reason)) => Some(gather.finish(reason)),
+        Ok(CallOutcome::Completed(reason)) => Some(gather.finish(reason)),
         _ => None,
     }
 }
--- a/crates/node/src/lead.rs
+++ b/crates/node/src/lead.rs
@@ -23,10 +23,10 @@
 use tokio::task::JoinHandle;
 
 use self::table::{Decision, Event, Loads, Offer, Table};
-use crate::engine::{self, CallEnd};
+use crate::engine::{self, CallOutcome};
 use crate::node::Node;
 use crate::orders::usage;
-use crate::pick::CALL;
+use crate::pick::SERVICE_STEP_TIME;
 use crate::shared::Shared;
 use crate::single;
 
@@ -49,7 +49,7 @@
 const TELL: Duration = Duration::from_millis(100);
 
 /// The queues of the backend servers that this daemon leads.
-pub struct Leads {
+pub struct LedServers {
     shared: Arc<Shared>,
     table: ActorRef<Table>,
     loads: Loads,
@@ -101,7 +101,7 @@
     Abandoned,
 }
 
-impl Leads {
+impl LedServers {
     /// Creates the queues of a daemon that leads nothing yet.
     ///
     /// Must be called within the runtime, since it starts the actor.
@@ -128,7 +128,7 @@
     }
 
     /// Offers an attempt; returns when it may be dispatched or is refused.
-    pub async fn offer(
+    pub async fn admit(
         &self,
         run: &AttemptRequest,
     ) -> Result<Grant, (Refusal, RetryHint)> {
@@ -228,7 +228,7 @@
     }
 }
 
-impl Drop for Leads {
+impl Drop for LedServers {
     fn drop(&mut self) {
         self.ticker.abort();
     }
@@ -341,7 +341,7 @@
                 max_streams: streams,
                 max_cache_tokens: u64::MAX,
                 max_queued: QUEUE,
-                step_time: CALL,
+                step_time: SERVICE_STEP_TIME,
             })
         }
     }
@@ -395,7 +395,7 @@
     // between the check and the end of the stream.
     let _hold = node.shared.usage.hold_target(&run.server, &run.request.target);
     let offered = tokio::select! {
-        offered = node.leads.offer(&run) => offered,
+        offered = node.leads.admit(&run) => offered,
         () = out.closed() => return,
     };
     let mut grant = match offered {
@@ -424,7 +424,7 @@
         () = preempted => {
             // The stream is free only when the engine has stopped it.
             engine::cancel(&node.http, address, &run).await;
-            flight.end(node, address, &CallEnd::Abandoned).await;
+            flight.end(node, address, &CallOutcome::Cancelled).await;
             let load = grant.finish(How::Abandoned);
             drop(out.send(PeerResponse::Preempted { load }).await);
             return;
@@ -432,20 +432,20 @@
     };
     let crashed = flight.end(node, address, &end).await;
     let last = match end {
-        CallEnd::Whole(reason) => {
+        CallOutcome::Completed(reason) => {
             PeerResponse::End { reason, load: grant.finish(How::Whole) }
         }
-        CallEnd::NotSent(why) => {
+        CallOutcome::NotSent(why) => {
             refused(RefusalCode::Unavailable, why, grant.finish(How::Refused))
         }
-        CallEnd::Refused(why) => {
+        CallOutcome::Refused(why) => {
             refused(RefusalCode::Overloaded, why, grant.finish(How::Refused))
         }
-        CallEnd::Broken { why, .. } => {
+        CallOutcome::Interrupted { reason: why, .. } => {
             grant.finish(How::Broken);
             PeerResponse::Broken { message: why, crashed }
         }
-        CallEnd::Abandoned => {
+        CallOutcome::Cancelled => {
             engine::cancel(&node.http, address, &run).await;
             grant.finish(How::Abandoned);
             return;
--- a/crates/node/src/lib.rs
+++ b/crates/node/src/lib.rs
@@ -8,13 +8,12 @@
 //! 3. [`peer`] carries it to the daemon that leads the backend server,
 //! 4. [`lead`] admits, queues and dispatches it,
 //! 5. [`engine`] calls the backend server; the answer streams back and
-//!    [`answer`] gives it the form that the caller expects.
+//!    [`response`] gives it the form that the caller expects.
 //!
 //! Beside them run [`members`] (leases and claims), [`confsync`] (declarations),
 //! [`planner`] and [`orders`] (which model is resident where). They meet in
 //! [`shared`]; [`run`] starts and stops them.
 
-pub mod answer;
 mod command;
 pub mod confsync;
 pub mod demand;
@@ -38,6 +37,7 @@
 pub mod planner;
 pub mod poison;
 pub mod relay;
+pub mod response;
 pub mod run;
 pub mod shared;
 pub mod single;
--- a/crates/node/src/members.rs
+++ b/crates/node/src/members.rs
@@ -164,7 +164,7 @@
         others.truncate(GREETED);
         let calls = others
             .iter()
-            .map(|(_, addr)| node.peers.ask_once(*addr, &PeerRequest::Status));
+            .map(|(_, addr)| node.peers.request(*addr, &PeerRequest::Status));
         let answers = futures::future::join_all(calls).await;
         let trusted = answers.iter().any(Result::is_ok);
         if !trusted && !self.refused {
--- a/crates/node/src/metrics.rs
+++ b/crates/node/src/metrics.rs
@@ -40,12 +40,12 @@
     }
 
     /// Counts a request that was answered whole.
-    pub fn served(&self) {
+    pub fn record_served(&self) {
         self.served.inc();
     }
 
     /// Counts a request that was refused or failed.
-    pub fn refused(&self, refusal: &Refusal) {
+    pub fn record_refused(&self, refusal: &Refusal) {
         let labels = RefusedLabels {
             code: format!("{:?}", refusal.code),
             outcome: format!("{:?}", refusal.outcome),
--- a/crates/node/src/node.rs
+++ b/crates/node/src/node.rs
@@ -8,9 +8,9 @@
 use tokio::sync::mpsc;
 
 use crate::confsync;
-use crate::entry::Intake;
-use crate::lead::{self, Leads};
-use crate::peer::{Peers, Serve};
+use crate::entry::RequestLimiter;
+use crate::lead::{self, LedServers};
+use crate::peer::{Peers, RequestHandler};
 use crate::pick::Picker;
 use crate::poison::Poison;
 use crate::shared::Shared;
@@ -23,7 +23,7 @@
     /// The connections to other daemons.
     pub peers: Peers,
     /// The queues of the backend servers that this daemon leads.
-    pub leads: Leads,
+    pub leads: LedServers,
     /// The choice of backend servers.
     pub picker: Picker,
     /// The slots of the journal that this daemon leads.
@@ -31,15 +31,15 @@
     /// The requests that crash backend servers.
     pub poison: Arc<Poison>,
     /// The requests that the entry holds.
-    pub intake: Intake,
+    pub intake: RequestLimiter,
     /// The client for calls to backend servers.
     pub http: Client,
     /// Questions of other daemons that are being carried out.
     pub serving: Arc<AtomicUsize>,
 }
 
-impl Serve for Node {
-    async fn serve(self: Arc<Self>, ask: PeerRequest, out: mpsc::Sender<PeerResponse>) {
+impl RequestHandler for Node {
+    async fn handle(self: Arc<Self>, ask: PeerRequest, out: mpsc::Sender<PeerResponse>) {
         let _busy = Busy::new(&self.serving);
         let say = match ask {
             PeerRequest::Run(run) => return lead::serve(&self, run, out).await,
@@ -89,7 +89,7 @@
 
     /// Whether no caller and no other daemon waits for anything from this one.
     pub fn is_idle(&self) -> bool {
-        self.intake.held() == 0
+        self.intake.in_flight() == 0
             && self.serving.load(Ordering::SeqCst) == 0
             && self.slots.is_idle()
     }
@@ -101,7 +101,7 @@
             member: self.shared.me,
             revision: self.shared.catalog().revision,
             shutting_down: self.shared.is_leaving(),
-            requests: self.intake.held() as u32,
+            requests: self.intake.in_flight() as u32,
         }
     }
 }
--- a/crates/node/src/ops.rs
+++ b/crates/node/src/ops.rs
@@ -8,9 +8,9 @@
 use axum::routing::get;
 use serde_json::{Value, json};
 
-use crate::answer;
 use crate::node::Node;
 use crate::opsconf;
+use crate::response;
 
 /// The routes that operators use.
 pub fn router(node: Arc<Node>) -> Router {
@@ -26,7 +26,7 @@
 }
 
 async fn state(State(node): State<Arc<Node>>) -> Response {
-    answer::json(200, &dump(&node))
+    response::json(200, &dump(&node))
 }
 
 /// The whole state of the process, without keys.
@@ -43,7 +43,7 @@
         "fresh": shared.is_fresh(),
         "lease_holds": shared.lease_holds(now),
         "revision": shared.catalog().revision,
-        "requests": node.intake.held(),
+        "requests": node.intake.in_flight(),
         "serving": node.serving.load(std::sync::atomic::Ordering::SeqCst),
         "limits": {
             "body": settings.limits.body,
--- a/crates/node/src/opsrows.rs
+++ b/crates/node/src/opsrows.rs
@@ -110,7 +110,7 @@
     let mut calls = JoinSet::new();
     for (_, addr) in others {
         let node = node.clone();
-        calls.spawn(async move { node.peers.ask_once(addr, &PeerRequest::Status).await });
+        calls.spawn(async move { node.peers.request(addr, &PeerRequest::Status).await });
     }
     while let Some(answer) = calls.join_next().await {
         if let Ok(Ok(PeerResponse::Status(status))) = answer {
--- a/crates/node/src/parse.rs
+++ b/crates/node/src/parse.rs
@@ -33,24 +33,24 @@
 const DEADLINE_LIMIT: Duration = Duration::from_secs(24 * 3600);
 
 /// A call that was understood.
-pub struct Parsed {
+pub struct ParsedRequest {
     /// The work.
-    pub work: RequestSpec,
+    pub request: RequestSpec,
     /// The path at the backend server.
-    pub call_path: String,
+    pub server_path: String,
     /// The form in which the answer is given.
-    pub form: Form,
+    pub format: ResponseFormat,
 }
 
 /// The form in which an answer is given.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub enum Form {
+pub enum ResponseFormat {
     /// As a completion, with the name that the caller put into `model`.
     Completion(String),
     /// As a chat completion, with the name that the caller put into `model`.
     Chat(String),
     /// As the plain service gave it.
-    Plain,
+    Passthrough,
 }
 
 /// What is read of a completion's body; the engine gets the rest as it is.
@@ -73,8 +73,11 @@
 }
 
 /// Finds the caller by the key that it sent.
-pub fn caller(catalog: &Catalog, headers: &HeaderMap) -> Result<CallerName, Refusal> {
-    let key = text(headers, "authorization").strip_prefix("Bearer ").unwrap_or("");
+pub fn authenticate(
+    catalog: &Catalog,
+    headers: &HeaderMap,
+) -> Result<CallerName, Refusal> {
+    let key = header_text(headers, "authorization").strip_prefix("Bearer ").unwrap_or("");
     let unauthorised = |why| Refusal::not_run(RefusalCode::Unauthorised, why);
     if key.is_empty() {
         return Err(unauthorised(
@@ -89,12 +92,12 @@
 }
 
 /// Understands a call of a model.
-pub fn completion(
+pub fn parse_completion(
     node: &Node,
     caller: CallerName,
     call: &HttpCall,
     headers: &HeaderMap,
-) -> Result<Parsed, Refusal> {
+) -> Result<ParsedRequest, Refusal> {
     let catalog = node.shared.catalog();
     let body: Body = serde_json::from_slice(&call.body)
         .map_err(|error| bad(format!("the body can't be read: {error}")))?;
@@ -125,7 +128,8 @@
     let terms = terms(&catalog, headers, route.kind.as_ref(), &route.team, true)?;
     let digest = digest(&target, call);
     let name = body.model.clone();
-    let form = if chat { Form::Chat(name) } else { Form::Completion(name) };
+    let form =
+        if chat { ResponseFormat::Chat(name) } else { ResponseFormat::Completion(name) };
     let work = RequestSpec {
         id: request_id(&caller, headers)?,
         caller,
@@ -142,16 +146,16 @@
         digest,
     };
     let call_path = call.path.clone();
-    Ok(Parsed { work, call_path, form })
+    Ok(ParsedRequest { request: work, server_path: call_path, format: form })
 }
 
 /// Understands a call of a plain service.
-pub fn service(
+pub fn parse_service_call(
     node: &Node,
     caller: CallerName,
     call: &HttpCall,
     headers: &HeaderMap,
-) -> Result<Parsed, Refusal> {
+) -> Result<ParsedRequest, Refusal> {
     let catalog = node.shared.catalog();
     let rest = call.path.strip_prefix("/svc/").unwrap_or("");
     let (name, path) = rest.split_once('/').unwrap_or((rest, ""));
@@ -179,27 +183,31 @@
         digest: digest(&target, call),
         target,
     };
-    Ok(Parsed { work, call_path: format!("/{path}"), form: Form::Plain })
+    Ok(ParsedRequest {
+        request: work,
+        server_path: format!("/{path}"),
+        format: ResponseFormat::Passthrough,
+    })
 }
 
 /// The size for which a request takes memory before its body is read.
 pub fn body_size(headers: &HeaderMap, limit: usize) -> Result<usize, Refusal> {
-    let declared = text(headers, "content-length");
+    let declared = header_text(headers, "content-length");
     if declared.is_empty() {
         return Ok(limit);
     }
     let size = declared.parse().map_err(|_| bad("content-length is no number".into()))?;
-    if size > limit { Err(too_large(limit)) } else { Ok(size) }
+    if size > limit { Err(body_too_large(limit)) } else { Ok(size) }
 }
 
 /// The refusal of a body over the limit.
-pub fn too_large(limit: usize) -> Refusal {
+pub fn body_too_large(limit: usize) -> Refusal {
     let text = format!("the body is larger than {limit} bytes; send a smaller one");
     Refusal::not_run(RefusalCode::TooLarge, text)
 }
 
 /// A header as text; empty if it is absent or no text.
-pub fn text<'a>(headers: &'a HeaderMap, name: &str) -> &'a str {
+pub fn header_text<'a>(headers: &'a HeaderMap, name: &str) -> &'a str {
     headers.get(name).and_then(|value| value.to_str().ok()).unwrap_or("")
 }
 
@@ -239,14 +247,14 @@
             idempotent: safe,
         },
     };
-    let asked = text(headers, "x-deadline-ms");
+    let asked = header_text(headers, "x-deadline-ms");
     if !asked.is_empty() {
         let millis = asked
             .parse()
             .map_err(|_| bad("`x-deadline-ms` must be a whole number".into()))?;
         terms.deadline = Duration::from_millis(millis).min(DEADLINE_LIMIT);
     }
-    if text(headers, "x-idempotent") == "false" {
+    if header_text(headers, "x-idempotent") == "false" {
         terms.idempotent = false;
     }
     Ok(terms)
@@ -257,7 +265,7 @@
     headers: &HeaderMap,
     fallback: Option<&KindName>,
 ) -> Result<(KindName, Option<&'a Kind>), Refusal> {
-    let asked = text(headers, "x-kind");
+    let asked = header_text(headers, "x-kind");
     let name = match (asked, fallback) {
         ("", None) => {
             let name = KindName::try_from("default").expect("a valid name");
@@ -279,7 +287,7 @@
     caller: &CallerName,
     headers: &HeaderMap,
 ) -> Result<Option<RequestId>, Refusal> {
-    let key = text(headers, "idempotency-key");
+    let key = header_text(headers, "idempotency-key");
     if key.is_empty() {
         return Ok(None);
     }
--- a/crates/node/src/peer.rs
+++ b/crates/node/src/peer.rs
@@ -2,7 +2,7 @@
 //!
 //! Every question has a stream of its own on a shared connection. The daemon
 //! that is asked sends [`PeerResponse::Heartbeat`] while it has nothing else to say, so that
-//! a daemon that was killed, frozen or cut off shows within [`SILENCE`] to
+//! a daemon that was killed, frozen or cut off shows within [`FAILURE_DETECTION_TIMEOUT`] to
 //! whoever waits for it; without it a caller would wait for its whole deadline.
 //! Connections that carry no question send nothing.
 
@@ -23,10 +23,10 @@
 /// How long a daemon that answers may be silent before it counts as lost.
 ///
 /// Three missed signs of life; a shorter time takes a busy VM for a dead one.
-pub const SILENCE: Duration = Duration::from_millis(1500);
+pub const FAILURE_DETECTION_TIMEOUT: Duration = Duration::from_millis(1500);
 
 /// How often a daemon that answers shows that it lives.
-pub const ALIVE: Duration = Duration::from_millis(500);
+pub const HEARTBEAT_INTERVAL: Duration = Duration::from_millis(500);
 
 /// How long a connection may take to come up.
 ///
@@ -45,7 +45,7 @@
     /// The question did not leave this daemon.
     NotSent(String),
     /// The question may have arrived and the answer broke off.
-    Lost(String),
+    ResponseLost(String),
 }
 
 impl Display for PeerError {
@@ -55,7 +55,7 @@
                 f,
                 "the other daemon can't be reached ({why}); check that it runs and is trusted"
             ),
-            Self::Lost(why) => write!(
+            Self::ResponseLost(why) => write!(
                 f,
                 "the other daemon broke off ({why}); look into its logs and state"
             ),
@@ -104,11 +104,11 @@
     }
 
     /// Asks another daemon; the answer is read frame by frame.
-    pub async fn ask(
+    pub async fn request_stream(
         &self,
         addr: SocketAddr,
         ask: &PeerRequest,
-    ) -> Result<Answer, PeerError> {
+    ) -> Result<ResponseStream, PeerError> {
         let bytes = encode(ask).map_err(|error| PeerError::NotSent(error.to_string()))?;
         let conn = self.connect(addr).await?;
         let opened = timeout(CONNECT, conn.open_bi()).await;
@@ -124,25 +124,25 @@
         };
         let lost = |error: String| {
             self.drop_connection(addr, &conn);
-            PeerError::Lost(error)
+            PeerError::ResponseLost(error)
         };
         send.write_all(&bytes).await.map_err(|error| lost(error.to_string()))?;
         send.finish().map_err(|error| lost(error.to_string()))?;
-        Ok(Answer { recv, frames: FrameDecoder::new() })
+        Ok(ResponseStream { recv, frames: FrameDecoder::new() })
     }
 
     /// Asks a question that is answered by one frame.
-    pub async fn ask_once(
+    pub async fn request(
         &self,
         addr: SocketAddr,
         ask: &PeerRequest,
     ) -> Result<PeerResponse, PeerError> {
-        let mut answer = self.ask(addr, ask).await?;
+        let mut answer = self.request_stream(addr, ask).await?;
         loop {
             let say = match answer.next().await {
                 Ok(say) => say,
                 Err(error) => {
-                    self.forget(addr);
+                    self.disconnect(addr);
                     return Err(error);
                 }
             };
@@ -156,7 +156,7 @@
     ///
     /// A daemon that was started anew under the same address can't be reached on
     /// the old connection; the next question opens a new one.
-    pub fn forget(&self, addr: SocketAddr) {
+    pub fn disconnect(&self, addr: SocketAddr) {
         let conn = self.lock().swap_remove(&addr);
         if let Some(conn) = conn {
             conn.close(GIVEN_UP, b"lost");
@@ -196,40 +196,47 @@
 /// An answer that arrives frame by frame.
 ///
 /// Dropping it tells the other daemon that nobody waits any more.
-pub struct Answer {
+pub struct ResponseStream {
     recv: RecvStream,
     frames: FrameDecoder,
 }
 
-impl Answer {
+impl ResponseStream {
     /// The next frame; an error if the daemon is silent for too long.
     pub async fn next(&mut self) -> Result<PeerResponse, PeerError> {
         loop {
             if let Some(say) = self.frames.decode().map_err(malformed)? {
                 return Ok(say);
             }
-            let chunk = timeout(SILENCE, self.recv.read_chunk(READ_CHUNK, true))
-                .await
-                .map_err(|_| PeerError::Lost("no sign of life".into()))?
-                .map_err(|error| PeerError::Lost(error.to_string()))?;
+            let chunk = timeout(
+                FAILURE_DETECTION_TIMEOUT,
+                self.recv.read_chunk(READ_CHUNK, true),
+            )
+            .await
+            .map_err(|_| PeerError::ResponseLost("no sign of life".into()))?
+            .map_err(|error| PeerError::ResponseLost(error.to_string()))?;
             match chunk {
                 Some(chunk) => self.frames.push(&chunk.bytes),
-                None => return Err(PeerError::Lost("ended without an end mark".into())),
+                None => {
+                    return Err(PeerError::ResponseLost(
+                        "ended without an end mark".into(),
+                    ));
+                }
             }
         }
     }
 }
 
 fn malformed(error: FrameError) -> PeerError {
-    PeerError::Lost(error.to_string())
+    PeerError::ResponseLost(error.to_string())
 }
 
 /// Whoever carries out other daemons' questions.
 ///
 /// The future ends when the answer is whole or the receiver of the frames is gone.
-pub trait Serve: Send + Sync + 'static {
+pub trait RequestHandler: Send + Sync + 'static {
     /// Carries out one question and sends the frames of the answer.
-    fn serve(
+    fn handle(
         self: Arc<Self>,
         ask: PeerRequest,
         out: mpsc::Sender<PeerResponse>,
@@ -237,7 +244,7 @@
 }
 
 /// Accepts connections from other daemons until the endpoint closes.
-pub async fn accept<S: Serve>(endpoint: Endpoint, serve: Arc<S>) {
+pub async fn accept<S: RequestHandler>(endpoint: Endpoint, serve: Arc<S>) {
     while let Some(incoming) = endpoint.accept().await {
         let serve = serve.clone();
         tokio::spawn(async move {
@@ -249,13 +256,13 @@
     }
 }
 
-async fn answer_streams<S: Serve>(conn: Connection, serve: Arc<S>) {
+async fn answer_streams<S: RequestHandler>(conn: Connection, serve: Arc<S>) {
     while let Ok((send, recv)) = conn.accept_bi().await {
         tokio::spawn(answer_stream(send, recv, serve.clone()));
     }
 }
 
-async fn answer_stream<S: Serve>(
+async fn answer_stream<S: RequestHandler>(
     mut send: SendStream,
     mut recv: RecvStream,
     serve: Arc<S>,
@@ -264,7 +271,7 @@
         return;
     };
     let (out, frames) = mpsc::channel(FRAMES_AHEAD);
-    let job = tokio::spawn(serve.serve(ask, out));
+    let job = tokio::spawn(serve.handle(ask, out));
     if write_answer(&mut send, frames).await.is_none() {
         // Nobody waits: the job sees that its frames go nowhere and stops the
         // backend server's work itself, so that it is not aborted here.
@@ -290,7 +297,7 @@
 ) -> Option<()> {
     loop {
         let say = tokio::select! {
-            say = timeout(ALIVE, frames.recv()) => say.unwrap_or(Some(PeerResponse::Heartbeat))?,
+            say = timeout(HEARTBEAT_INTERVAL, frames.recv()) => say.unwrap_or(Some(PeerResponse::Heartbeat))?,
             _ = send.stopped() => return None,
         };
         let last = say.is_final();
--- a/crates/node/src/pick.rs
+++ b/crates/node/src/pick.rs
@@ -23,7 +23,7 @@
 use indexmap::IndexMap;
 use xxhash_rust::xxh3::xxh3_64;
 
-use crate::engine::engine_model;
+use crate::engine::engine_model_name;
 use crate::shared::Shared;
 
 /// What the way to another failure domain costs; they are 0.5 to 1 ms apart.
@@ -36,7 +36,7 @@
 const SILENT: Duration = Duration::from_secs(1);
 
 /// The expected time of a plain service's call; its lead measures it as one step.
-pub const CALL: Duration = Duration::from_millis(20);
+pub const SERVICE_STEP_TIME: Duration = Duration::from_millis(20);
 
 /// Picks after which servers that are gone are forgotten.
 const TIDY: u64 = 4096;
@@ -44,13 +44,13 @@
 /// The backend server that was chosen and the daemon that leads it.
 ///
 /// The attempt counts as in flight until this is dropped.
-pub struct Choice {
+pub struct SelectedServer {
     /// The backend server.
     pub server: ServerName,
     /// The daemon that leads it.
-    pub member: MemberId,
+    pub lead: MemberId,
     /// Where that daemon answers other daemons.
-    pub addr: SocketAddr,
+    pub lead_addr: SocketAddr,
     /// The fence of its claim.
     pub fence: Fence,
     _flight: Flight,
@@ -58,7 +58,7 @@
 
 /// What became of an attempt at a backend server.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub enum Note {
+pub enum AttemptFeedback {
     /// The lead told the load.
     Load(ServerLoad),
     /// Tokens arrived.
@@ -66,7 +66,7 @@
     /// The lead refused.
     Refused,
     /// The backend server broke off.
-    Broken {
+    Failed {
         /// Whether it died.
         crashed: bool,
     },
@@ -126,7 +126,7 @@
         shared: &Shared,
         work: &RequestSpec,
         tried: &[ServerName],
-    ) -> Result<Choice, Refusal> {
+    ) -> Result<SelectedServer, Refusal> {
         let view = shared.view();
         let mut options = options(shared, &view, work);
         options.retain(|option| !tried.contains(&option.server));
@@ -153,29 +153,33 @@
         let option = options.swap_remove(index.expect("the router chooses a candidate"));
         state.router.begin_attempt(key, &prefix);
         state.members.insert(option.server.clone(), option.member);
-        Ok(Choice {
+        Ok(SelectedServer {
             server: option.server,
-            member: option.member,
-            addr: option.addr,
+            lead: option.member,
+            lead_addr: option.addr,
             fence: option.fence,
             _flight: Flight { state: self.state.clone(), key },
         })
     }
 
     /// Takes note of what became of an attempt.
-    pub fn note(&self, server: &ServerName, note: Note) {
+    pub fn record(&self, server: &ServerName, feedback: AttemptFeedback) {
         let now = self.clock.now();
         let mut state = self.lock();
         let key = state.router.server_key(server);
-        match note {
-            Note::Load(load) => {
+        match feedback {
+            AttemptFeedback::Load(load) => {
                 state.router.record(key, Feedback::Load(report(load)), now);
                 state.router.record(key, Feedback::Responded, now);
             }
-            Note::Tokens(_) => state.router.record(key, Feedback::Responded, now),
-            Note::Refused => {}
-            Note::Broken { .. } => state.router.record(key, Feedback::Failed, now),
-            Note::Unreachable => {
+            AttemptFeedback::Tokens(_) => {
+                state.router.record(key, Feedback::Responded, now)
+            }
+            AttemptFeedback::Refused => {}
+            AttemptFeedback::Failed { .. } => {
+                state.router.record(key, Feedback::Failed, now)
+            }
+            AttemptFeedback::Unreachable => {
                 if let Some(&member) = state.members.get(server) {
                     state.silent.insert(member, now);
                 }
@@ -184,7 +188,7 @@
     }
 
     /// Whether the budget allows one more attempt after a broken one.
-    pub fn may_retry(&self, _shared: &Shared) -> bool {
+    pub fn try_withdraw_retry(&self, _shared: &Shared) -> bool {
         self.lock().budget.try_withdraw()
     }
 
@@ -279,14 +283,14 @@
         }
         ServerRole::Service(name) => {
             let service = catalog.services.get(name)?;
-            Some((service.parallel, CALL))
+            Some((service.parallel, SERVICE_STEP_TIME))
         }
     }
 }
 
 /// The prompt's blocks, which engines cache for each model and adapter apart.
 fn prefix(work: &RequestSpec) -> Vec<u64> {
-    let seed = xxh3_64(engine_model(&work.target).as_bytes());
+    let seed = xxh3_64(engine_model_name(&work.target).as_bytes());
     work.prefix_hashes.iter().map(|block| block ^ seed).collect()
 }
 
--- a/crates/node/src/planner.rs
+++ b/crates/node/src/planner.rs
@@ -19,7 +19,7 @@
 use prometheus_client::metrics::gauge::Gauge;
 use serde_json::json;
 
-use crate::demand::{self, DEMAND, Digest};
+use crate::demand::{self, DEMAND_TABLE, DemandReport};
 use crate::members::CLAIMS;
 use crate::orders;
 use crate::orders::rows::{LEDGER, PLAN, PlanRow, PoolRow, pool_key};
@@ -123,7 +123,7 @@
     averages: IndexMap<ModelName, DemandEstimate>,
     averaged: Instant,
     /// The digests of entries by their row's key, and the version they were read to.
-    digests: IndexMap<String, Digest>,
+    digests: IndexMap<String, DemandReport>,
     digest_version: u64,
     /// When a replica was first seen as wanted and not loaded.
     awaited: IndexMap<(ServerName, ModelName), Instant>,
@@ -179,7 +179,7 @@
             let value = json!(PoolRow { unplaced });
             txns.push(Txn::new().put(PLAN, pool_key(pool), value));
         }
-        txns.extend(stale.into_iter().map(|key| Txn::new().delete(DEMAND, key)));
+        txns.extend(stale.into_iter().map(|key| Txn::new().delete(DEMAND_TABLE, key)));
         for name in self.gone(&scene, now) {
             let key = name.as_str();
             txns.push(Txn::new().delete(PLAN, key).delete(LEDGER, key));
@@ -196,24 +196,24 @@
         pool: &PoolName,
     ) -> Result<Vec<String>, PlatformError> {
         let prefix = format!("{pool}/");
-        let delta = shared.table.scan(DEMAND, &prefix, self.digest_version).await?;
+        let delta = shared.table.scan(DEMAND_TABLE, &prefix, self.digest_version).await?;
         self.digest_version = delta.version;
         for key in delta.deleted {
             self.digests.swap_remove(&key);
         }
         for row in delta.rows {
-            if let Ok(digest) = serde_json::from_value::<Digest>(row.value) {
+            if let Ok(digest) = serde_json::from_value::<DemandReport>(row.value) {
                 self.digests.insert(row.key, digest);
             }
         }
         let view = shared.view();
         let keys: IndexSet<String> =
-            view.members.keys().map(|id| demand::key(pool, *id)).collect();
+            view.members.keys().map(|id| demand::report_key(pool, *id)).collect();
         let digests = std::mem::take(&mut self.digests);
         let (kept, stale): (IndexMap<_, _>, IndexMap<_, _>) =
             digests.into_iter().partition(|(key, _)| keys.contains(key));
         self.digests = kept;
-        let scale = demand::scale(&view);
+        let scale = demand::sampling_factor(&view);
         let mut rates: IndexMap<ModelName, f64> = IndexMap::new();
         for (model, rate) in self.digests.values().flat_map(|digest| &digest.rates) {
             *rates.entry(model.clone()).or_default() += rate * scale;
--- a/crates/node/src/poison.rs
+++ b/crates/node/src/poison.rs
@@ -26,7 +26,7 @@
 use tokio::sync::{Notify, mpsc};
 use tokio::time::timeout;
 
-use crate::engine::CallEnd;
+use crate::engine::CallOutcome;
 use crate::feed::Feed;
 use crate::members;
 use crate::node::Node;
@@ -198,14 +198,16 @@
 
 impl Flight {
     /// Ends the flight by how its call ended; whether the backend server crashed.
-    pub async fn end(self, node: &Node, address: SocketAddr, end: &CallEnd) -> bool {
+    pub async fn end(self, node: &Node, address: SocketAddr, end: &CallOutcome) -> bool {
         match end {
-            CallEnd::Whole(_) => {
+            CallOutcome::Completed(_) => {
                 let verdict = self.leave(true);
                 self.poison.save(verdict.as_slice());
                 false
             }
-            CallEnd::Broken { cut: true, .. } if is_dead(address).await => {
+            CallOutcome::Interrupted { connection_lost: true, .. }
+                if is_dead(address).await =>
+            {
                 self.attribute(node).await;
                 true
             }
@@ -299,7 +301,7 @@
         Some(CrashSuspect { digest: verdict.digest, confirmed: convicted })
     };
     let ask = PeerRequest::ReportSuspects(verdicts.iter().filter_map(blame).collect());
-    let calls = others.iter().map(|(_, addr)| node.peers.ask_once(*addr, &ask));
+    let calls = others.iter().map(|(_, addr)| node.peers.request(*addr, &ask));
     // One that is not reached in time learns it from the table.
     drop(timeout(SPREAD, futures::future::join_all(calls)).await);
 }
--- a/crates/node/src/relay.rs
+++ b/crates/node/src/relay.rs
@@ -19,8 +19,8 @@
 
 use crate::lead;
 use crate::node::Node;
-use crate::peer::{Answer, PeerError};
-use crate::pick::{Choice, Note};
+use crate::peer::{PeerError, ResponseStream};
+use crate::pick::{AttemptFeedback, SelectedServer};
 
 /// The greatest number of backend servers that are asked for one request.
 ///
@@ -49,14 +49,14 @@
 
 /// How often a request may be handed to a backend server.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Mode {
+pub enum DispatchMode {
     /// Again after a broken attempt, for idempotent requests.
-    Many,
+    Repeatable,
     /// Never again once an attempt may have reached a backend server.
     ///
     /// All its attempts carry this number, so that whoever takes the request's
     /// journal over can ask an engine for the answer.
-    Single(AttemptId),
+    AtMostOnce(AttemptId),
 }
 
 /// Drives a request and sends the frames of its answer, ending with
@@ -65,7 +65,7 @@
     node: &Arc<Node>,
     work: RequestSpec,
     call: HttpCall,
-    mode: Mode,
+    mode: DispatchMode,
     out: mpsc::Sender<PeerResponse>,
 ) {
     let end = node.shared.clock.now() + work.budget;
@@ -90,7 +90,7 @@
     node: &'a Arc<Node>,
     work: RequestSpec,
     call: HttpCall,
-    mode: Mode,
+    mode: DispatchMode,
     out: mpsc::Sender<PeerResponse>,
     /// When the answer must be whole.
     end: Instant,
@@ -196,8 +196,8 @@
     /// Whether a further attempt later is safe.
     fn may_wait(&self) -> bool {
         match self.mode {
-            Mode::Many => !self.begun,
-            Mode::Single(_) => !self.sent,
+            DispatchMode::Repeatable => !self.begun,
+            DispatchMode::AtMostOnce(_) => !self.sent,
         }
     }
 
@@ -219,13 +219,13 @@
 
     /// Whether an attempt that may have run may be followed by another.
     fn may_try_again(&self, broken: usize) -> bool {
-        self.mode == Mode::Many
+        self.mode == DispatchMode::Repeatable
             && !self.begun
             && broken < ATTEMPTS
-            && self.node.picker.may_retry(&self.node.shared)
+            && self.node.picker.try_withdraw_retry(&self.node.shared)
     }
 
-    async fn attempt(&mut self, choice: &Choice) -> Next {
+    async fn attempt(&mut self, choice: &SelectedServer) -> Next {
         let now = self.node.shared.clock.now();
         let mut work = self.work.clone();
         work.budget = self.end.saturating_duration_since(now);
@@ -242,38 +242,42 @@
         let mut frames = match self.open(choice, run).await {
             Ok(frames) => frames,
             Err(PeerError::NotSent(why)) => {
-                self.node.picker.note(&choice.server, Note::Unreachable);
+                self.node.picker.record(&choice.server, AttemptFeedback::Unreachable);
                 return Next::Elsewhere(unreachable(&why));
             }
-            Err(PeerError::Lost(why)) => return self.lost(choice, why),
+            Err(PeerError::ResponseLost(why)) => return self.lost(choice, why),
         };
         self.forward(choice, &mut frames).await
     }
 
     fn number(&self) -> AttemptId {
         match self.mode {
-            Mode::Many => self.node.shared.attempt(),
-            Mode::Single(attempt) => attempt,
+            DispatchMode::Repeatable => self.node.shared.attempt(),
+            DispatchMode::AtMostOnce(attempt) => attempt,
         }
     }
 
     /// Hands the attempt to the lead, which may be this daemon itself.
     async fn open(
         &self,
-        choice: &Choice,
+        choice: &SelectedServer,
         run: AttemptRequest,
     ) -> Result<Frames, PeerError> {
-        if choice.member == self.node.shared.me {
+        if choice.lead == self.node.shared.me {
             let (out, frames) = mpsc::channel(FRAMES_AHEAD);
             let node = self.node.clone();
             tokio::spawn(async move { lead::serve(&node, run, out).await });
             return Ok(Frames::Own(frames));
         }
-        let answer = self.node.peers.ask(choice.addr, &PeerRequest::Run(run)).await?;
+        let answer = self
+            .node
+            .peers
+            .request_stream(choice.lead_addr, &PeerRequest::Run(run))
+            .await?;
         Ok(Frames::Peer(answer))
     }
 
-    async fn forward(&mut self, choice: &Choice, frames: &mut Frames) -> Next {
+    async fn forward(&mut self, choice: &SelectedServer, frames: &mut Frames) -> Next {
         let before = self.sent;
         loop {
             let say = tokio::select! {
@@ -295,7 +299,9 @@
                     }
                     self.have.tokens += count;
                     self.have.text.push_str(&text);
-                    self.node.picker.note(&choice.server, Note::Tokens(count));
+                    self.node
+                        .picker
+                        .record(&choice.server, AttemptFeedback::Tokens(count));
                     if self
                         .send(PeerResponse::Tokens { first, count, text })
                         .await
@@ -311,7 +317,7 @@
                     }
                 }
                 PeerResponse::End { load, .. } => {
-                    self.node.picker.note(&choice.server, Note::Load(load));
+                    self.node.picker.record(&choice.server, AttemptFeedback::Load(load));
                     self.send(say).await;
                     return Next::Done;
                 }
@@ -322,12 +328,14 @@
                     return self.refused(choice, refusal, hint).await;
                 }
                 PeerResponse::Preempted { load } => {
-                    self.node.picker.note(&choice.server, Note::Load(load));
+                    self.node.picker.record(&choice.server, AttemptFeedback::Load(load));
                     return Next::Preempted;
                 }
                 PeerResponse::Broken { message, crashed } => {
                     self.suspect |= crashed;
-                    self.node.picker.note(&choice.server, Note::Broken { crashed });
+                    self.node
+                        .picker
+                        .record(&choice.server, AttemptFeedback::Failed { crashed });
                     return Next::Broken(message);
                 }
                 PeerResponse::Once(_)
@@ -346,7 +354,7 @@
     /// caller waiting for good. An answer that has begun goes on: half of it would
     /// be worth nothing.
     async fn late(&self) {
-        if self.begun || self.have.tokens > 0 || self.mode != Mode::Many {
+        if self.begun || self.have.tokens > 0 || self.mode != DispatchMode::Repeatable {
             std::future::pending::<()>().await;
         }
         tokio::time::sleep_until(self.end.into()).await;
@@ -362,13 +370,13 @@
 
     async fn refused(
         &mut self,
-        choice: &Choice,
+        choice: &SelectedServer,
         refusal: Refusal,
         hint: RetryHint,
     ) -> Next {
-        self.node.picker.note(&choice.server, Note::Refused);
+        self.node.picker.record(&choice.server, AttemptFeedback::Refused);
         if let Some(load) = hint.load {
-            self.node.picker.note(&choice.server, Note::Load(load));
+            self.node.picker.record(&choice.server, AttemptFeedback::Load(load));
         }
         if hint.try_other_server {
             return Next::Elsewhere(refusal);
@@ -378,10 +386,10 @@
     }
 
     /// The lead did not say how the attempt ended; it may have run.
-    fn lost(&mut self, choice: &Choice, why: String) -> Next {
+    fn lost(&mut self, choice: &SelectedServer, why: String) -> Next {
         self.sent = true;
-        self.node.peers.forget(choice.addr);
-        self.node.picker.note(&choice.server, Note::Unreachable);
+        self.node.peers.disconnect(choice.lead_addr);
+        self.node.picker.record(&choice.server, AttemptFeedback::Unreachable);
         Next::Broken(why)
     }
 
@@ -403,7 +411,7 @@
     /// From a backend server that this daemon leads.
     Own(mpsc::Receiver<PeerResponse>),
     /// From another daemon.
-    Peer(Answer),
+    Peer(ResponseStream),
 }
 
 impl Frames {
--- a/crates/node/src/answer.rs
+++ b/crates/node/src/response.rs
@@ -16,9 +16,9 @@
 use serde_json::{Value, json};
 use tokio::sync::mpsc;
 
-use crate::entry::Place;
+use crate::entry::RequestPermit;
 use crate::node::Node;
-use crate::parse::Form;
+use crate::parse::ResponseFormat;
 
 const JSON: HeaderValue = HeaderValue::from_static("application/json");
 const EVENTS: HeaderValue = HeaderValue::from_static("text/event-stream");
@@ -66,9 +66,9 @@
 pub async fn respond(
     node: Arc<Node>,
     work: RequestSpec,
-    form: Form,
+    form: ResponseFormat,
     mut frames: mpsc::Receiver<PeerResponse>,
-    place: Place,
+    place: RequestPermit,
 ) -> Response {
     let first = loop {
         match frames.recv().await {
@@ -80,12 +80,12 @@
         }
     };
     if let PeerResponse::Refused { refusal: why, .. } = &first {
-        node.shared.metrics.refused(why);
+        node.shared.metrics.record_refused(why);
         return refusal(why);
     }
     let frames = Frames { first: Some(first), rest: frames, node, _place: place };
     match form {
-        Form::Plain => plain(frames).await,
+        ResponseFormat::Passthrough => plain(frames).await,
         _ if work.stream => with_type(200, EVENTS, events(frames, form)),
         _ => whole(frames, form, &work).await,
     }
@@ -96,7 +96,7 @@
     first: Option<PeerResponse>,
     rest: mpsc::Receiver<PeerResponse>,
     node: Arc<Node>,
-    _place: Place,
+    _place: RequestPermit,
 }
 
 impl Frames {
@@ -120,7 +120,7 @@
 }
 
 /// Collects a whole completion, so that the caller never gets half an answer.
-async fn whole(mut frames: Frames, form: Form, work: &RequestSpec) -> Response {
+async fn whole(mut frames: Frames, form: ResponseFormat, work: &RequestSpec) -> Response {
     let mut text = String::new();
     let mut tokens = 0;
     loop {
@@ -130,7 +130,7 @@
                 tokens += count;
             }
             PeerResponse::End { reason, .. } => {
-                frames.node.shared.metrics.served();
+                frames.node.shared.metrics.record_served();
                 let mut body = head(&form, false);
                 body["choices"] =
                     json!([choice(&form, false, Some(&text), Some(&reason))]);
@@ -142,7 +142,7 @@
                 return json(200, &body);
             }
             PeerResponse::Refused { refusal: why, .. } => {
-                frames.node.shared.metrics.refused(&why);
+                frames.node.shared.metrics.record_refused(&why);
                 return refusal(&why);
             }
             _ => return refusal(&internal()),
@@ -151,7 +151,7 @@
 }
 
 /// Streams a completion as events; only a whole one ends with `[DONE]`.
-fn events(frames: Frames, form: Form) -> Body {
+fn events(frames: Frames, form: ResponseFormat) -> Body {
     let state = Some((frames, form));
     Body::from_stream(stream::unfold(state, |state| async move {
         let (mut frames, form) = state?;
@@ -164,13 +164,13 @@
                 (format!("data: {body}\n\n"), true)
             }
             PeerResponse::End { reason, .. } => {
-                frames.node.shared.metrics.served();
+                frames.node.shared.metrics.record_served();
                 let mut body = head(&form, true);
                 body["choices"] = json!([choice(&form, true, None, Some(&reason))]);
                 (format!("data: {body}\n\ndata: [DONE]\n\n"), false)
             }
             PeerResponse::Refused { refusal, .. } => {
-                frames.node.shared.metrics.refused(&refusal);
+                frames.node.shared.metrics.record_refused(&refusal);
                 (format!("data: {}\n\n", json!({ "error": refusal })), false)
             }
             _ => (format!("data: {}\n\n", json!({ "error": internal() })), false),
@@ -192,11 +192,11 @@
         match frames.next().await {
             PeerResponse::Chunk(bytes) => Some((Ok(bytes), Some(frames))),
             PeerResponse::End { .. } => {
-                frames.node.shared.metrics.served();
+                frames.node.shared.metrics.record_served();
                 None
             }
             PeerResponse::Refused { refusal, .. } => {
-                frames.node.shared.metrics.refused(&refusal);
+                frames.node.shared.metrics.record_refused(&refusal);
                 Some((Err(refusal), None))
             }
             _ => Some((Err(internal()), None)),
@@ -205,22 +205,27 @@
     with_type(status, kind, body)
 }
 
-fn head(form: &Form, chunk: bool) -> Value {
+fn head(form: &ResponseFormat, chunk: bool) -> Value {
     let (object, model) = match form {
-        Form::Chat(model) if chunk => ("chat.completion.chunk", model.as_str()),
-        Form::Chat(model) => ("chat.completion", model.as_str()),
-        Form::Completion(model) => ("text_completion", model.as_str()),
-        Form::Plain => ("", ""),
+        ResponseFormat::Chat(model) if chunk => ("chat.completion.chunk", model.as_str()),
+        ResponseFormat::Chat(model) => ("chat.completion", model.as_str()),
+        ResponseFormat::Completion(model) => ("text_completion", model.as_str()),
+        ResponseFormat::Passthrough => ("", ""),
     };
     json!({ "object": object, "model": model })
 }
 
-fn choice(form: &Form, chunk: bool, text: Option<&str>, reason: Option<&str>) -> Value {
+fn choice(
+    form: &ResponseFormat,
+    chunk: bool,
+    text: Option<&str>,
+    reason: Option<&str>,
+) -> Value {
     let mut choice = json!({ "index": 0, "finish_reason": reason });
     let text = text.unwrap_or("");
     match form {
-        Form::Chat(_) if chunk => choice["delta"] = json!({ "content": text }),
-        Form::Chat(_) => {
+        ResponseFormat::Chat(_) if chunk => choice["delta"] = json!({ "content": text }),
+        ResponseFormat::Chat(_) => {
             choice["message"] = json!({ "role": "assistant", "content": text });
         }
         _ => choice["text"] = text.into(),
--- a/crates/node/src/run.rs
+++ b/crates/node/src/run.rs
@@ -16,8 +16,8 @@
 use tokio::task::JoinSet;
 use tokio_util::sync::CancellationToken;
 
-use crate::entry::{self, Intake};
-use crate::lead::Leads;
+use crate::entry::{self, RequestLimiter};
+use crate::lead::LedServers;
 use crate::members::{self, Addresses};
 use crate::node::Node;
 use crate::peer::{self, Peers};
@@ -146,7 +146,7 @@
             let node = self.node.clone();
             let ask = ask.clone();
             // One that is not reached learns it from the table.
-            calls.spawn(async move { drop(node.peers.ask_once(addr, &ask).await) });
+            calls.spawn(async move { drop(node.peers.request(addr, &ask).await) });
         }
         calls.join_all().await;
     }
@@ -178,11 +178,11 @@
     let limits = settings.limits;
     let shared = Arc::new(Shared::new(settings, clock, me, log, table, objects, vms));
     Ok(Node {
-        leads: Leads::new(shared.clone()),
+        leads: LedServers::new(shared.clone()),
         picker: Picker::new(shared.clock.clone(), shared.me.0),
         slots: Slots::new(),
         poison: Arc::new(Poison::new(&shared)),
-        intake: Intake::new(limits.requests, limits.memory),
+        intake: RequestLimiter::new(limits.requests, limits.memory),
         peers,
         http,
         shared,
--- a/crates/node/src/shared.rs
+++ b/crates/node/src/shared.rs
@@ -15,7 +15,7 @@
 use tokio::sync::{Notify, watch};
 
 use crate::confsync::{self, Conf};
-use crate::demand::Asked;
+use crate::demand::DemandCounts;
 use crate::feed::Feed;
 use crate::metrics::Metrics;
 use crate::orders::rows::Rows;
@@ -69,7 +69,7 @@
     /// The ledger's and the plan's rows, written by [`crate::orders`].
     pub rows: watch::Sender<Arc<Rows>>,
     /// What callers ask of each model, read by [`crate::demand`].
-    pub demand: Asked,
+    pub demand: DemandCounts,
     /// Which requests use which asset of the runners that this daemon leads.
     pub usage: Usage,
     /// Whether this daemon is leaving, written by [`crate::run`].
@@ -118,7 +118,7 @@
             view: watch::Sender::new(Arc::default()),
             residence: watch::Sender::new(Arc::default()),
             rows: watch::Sender::new(Arc::default()),
-            demand: Asked::default(),
+            demand: DemandCounts::default(),
             usage: Usage::default(),
             leaving: watch::Sender::new(false),
             closed: watch::Sender::new(false),
--- a/crates/node/src/single.rs
+++ b/crates/node/src/single.rs
@@ -17,7 +17,7 @@
 
 use crate::journal;
 use crate::node::Node;
-use crate::relay::{self, Mode};
+use crate::relay::{self, DispatchMode};
 
 const FRAMES_AHEAD: usize = 64;
 
@@ -94,7 +94,8 @@
     let (out, mut frames) = mpsc::channel(FRAMES_AHEAD);
     let job = node.clone();
     let relay = tokio::spawn(async move {
-        relay::run(&job, once.request, once.call, Mode::Single(attempt), out).await;
+        relay::run(&job, once.request, once.call, DispatchMode::AtMostOnce(attempt), out)
+            .await;
     });
     let mut gather = Gather::new();
     while let Some(say) = frames.recv().await {
