--- a/crates/node/src/entry.rs
+++ b/crates/node/src/entry.rs
@@ -1,4 +1,4 @@
-//! What callers connect to.
+//! The HTTP server that callers connect to.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -26,18 +26,20 @@
 use crate::response;
 use crate::slots::Slots;
 
-const FRAMES_AHEAD: usize = 64;
+/// Frames of a response that may be buffered ahead of the caller.
+const FRAME_BUFFER: usize = 64;
 
-/// How long a request waits for its slot to have a lead before it is refused.
+/// How long a request waits for its journal slot to have a lead before it is refused.
 ///
-/// A planned handover takes some hundred milliseconds until all know of it. After
-/// a kill the lease must lapse first; then the caller is told when to return.
-const SETTLE: Duration = Duration::from_millis(1200);
+/// A planned handover reaches all daemons within some hundred milliseconds. After a
+/// crash the lease must expire first, which takes longer; the caller then gets a
+/// `Retry-After`.
+const LEAD_WAIT_LIMIT: Duration = Duration::from_millis(1200);
 
-/// The pause before the slot's lead is looked for again.
-const PAUSE: Duration = Duration::from_millis(50);
+/// The time between two lookups of a slot's lead.
+const LEAD_POLL_INTERVAL: Duration = Duration::from_millis(50);
 
-/// The routes that callers use.
+/// The routes of the caller API.
 pub fn router(node: Arc<Node>) -> Router {
     Router::new()
         .route("/v1/entry", get(entries))
@@ -50,55 +52,65 @@
         .with_state(node)
 }
 
-/// The requests that the entry holds, bounded in number and bytes.
+/// Limits the requests in flight at this entry, in number and in bytes of their bodies.
 ///
-/// Without the bound a burst of large bodies would use up the small VM's memory
-/// and the daemon would die with every request that it holds.
+/// Without the limit a burst of large bodies would exhaust the memory of a small VM, and
+/// the daemon would die with all its requests.
 #[derive(Debug)]
 pub struct RequestLimiter {
-    held: Arc<AtomicUsize>,
-    bytes: Arc<AtomicUsize>,
-    limit: usize,
-    memory: usize,
+    in_flight: Arc<AtomicUsize>,
+    body_bytes: Arc<AtomicUsize>,
+    max_requests: usize,
+    max_body_bytes: usize,
 }
 
-/// A request's place in the entry; dropping it frees the place.
+/// Permission to keep one request in flight; dropping it releases its share of the limit.
 #[derive(Debug)]
 pub struct RequestPermit {
-    held: Arc<AtomicUsize>,
-    bytes: Arc<AtomicUsize>,
+    in_flight: Arc<AtomicUsize>,
+    body_bytes: Arc<AtomicUsize>,
     size: usize,
 }
 
 impl RequestLimiter {
-    /// Creates an empty intake for `limit` requests with `memory` bytes of bodies.
-    pub fn new(limit: usize, memory: usize) -> Self {
-        Self { held: Arc::default(), bytes: Arc::default(), limit, memory }
+    /// Allows `max_requests` requests at a time, with `max_body_bytes` in all bodies.
+    pub fn new(max_requests: usize, max_body_bytes: usize) -> Self {
+        Self {
+            in_flight: Arc::default(),
+            body_bytes: Arc::default(),
+            max_requests,
+            max_body_bytes,
+        }
     }
 
-    /// The number of requests that are held.
+    /// The number of requests in flight.
     pub fn in_flight(&self) -> usize {
-        self.held.load(Ordering::SeqCst)
+        self.in_flight.load(Ordering::SeqCst)
     }
 
-    /// Takes a place for a request whose body may have `size` bytes.
+    /// Reserves room for a request whose body may have `size` bytes; `None` if either
+    /// limit is reached.
     pub fn try_acquire(&self, size: usize) -> Option<RequestPermit> {
-        let place =
-            RequestPermit { held: self.held.clone(), bytes: self.bytes.clone(), size };
-        let held = self.held.fetch_add(1, Ordering::SeqCst);
-        let bytes = self.bytes.fetch_add(size, Ordering::SeqCst);
-        (held < self.limit && bytes + size <= self.memory).then_some(place)
+        let permit = RequestPermit {
+            in_flight: self.in_flight.clone(),
+            body_bytes: self.body_bytes.clone(),
+            size,
+        };
+        let in_flight = self.in_flight.fetch_add(1, Ordering::SeqCst);
+        let body_bytes = self.body_bytes.fetch_add(size, Ordering::SeqCst);
+        (in_flight < self.max_requests && body_bytes + size <= self.max_body_bytes)
+            .then_some(permit)
     }
 }
 
 impl Drop for RequestPermit {
     fn drop(&mut self) {
-        self.held.fetch_sub(1, Ordering::SeqCst);
-        self.bytes.fetch_sub(self.size, Ordering::SeqCst);
+        self.in_flight.fetch_sub(1, Ordering::SeqCst);
+        self.body_bytes.fetch_sub(self.size, Ordering::SeqCst);
     }
 }
 
-/// Answers which addresses to use and for how long.
+/// Returns the addresses that callers may use, and how long they may cache them.
 async fn entries(State(node): State<Arc<Node>>) -> Response {
     let keep = node.shared.settings.times.keep.as_millis() as u64;
     let entries: Vec<Value> = node
@@ -111,7 +123,7 @@
     response::json(200, &json!({ "vm": vm, "entries": entries }))
 }
 
-/// Lists the names that callers may put into `model`.
+/// Lists the declared routes: the names that callers may put into `model`.
 async fn models(State(node): State<Arc<Node>>) -> Response {
     let catalog = node.shared.catalog();
     let data: Vec<Value> = catalog
@@ -131,12 +143,11 @@
 }
 
 async fn unknown(request: Request) -> Response {
-    let text =
-        format!("there is nothing at {}; see the API's page", request.uri().path());
+    let text = format!("no such path: {}; see the API's page", request.uri().path());
     response::refusal(&Refusal::not_run(RefusalCode::UnknownService, text))
 }
 
-/// Answers what became of an earlier non-idempotent request.
+/// Returns the state of an earlier non-idempotent request.
 async fn lookup(
     State(node): State<Arc<Node>>,
     Path(key): Path<String>,
@@ -147,17 +158,18 @@
         Err(refusal) => return response::refusal(&refusal),
     };
     let id = RequestId { caller, key };
-    response::once_state(&ask_state(&node, id).await)
+    response::once_state(&lookup_state(&node, id).await)
 }
 
-/// Reads a request and hands it to its slot's lead or drives it from here.
+/// Accepts a request and runs it: an idempotent one from here, any other one through the
+/// lead of its journal slot.
 async fn handle(
     node: Arc<Node>,
     request: Request,
     parse: fn(&Node, CallerName, &HttpCall, &HeaderMap) -> Result<ParsedRequest, Refusal>,
 ) -> Response {
     match accept(&node, request, parse).await {
-        Ok((parsed, call, place)) => start(node, parsed, call, place).await,
+        Ok((parsed, call, permit)) => start(node, parsed, call, permit).await,
         Err(refusal) => {
             node.shared.metrics.record_refused(&refusal);
             response::refusal(&refusal)
@@ -176,7 +188,7 @@
     let caller = parse::authenticate(&shared.catalog(), &parts.headers)?;
     let limit = shared.settings.limits.body;
     let size = parse::body_size(&parts.headers, limit)?;
-    let place = node.intake.try_acquire(size).ok_or_else(entry_full)?;
+    let permit = node.intake.try_acquire(size).ok_or_else(entry_full)?;
     let body = to_bytes(body, size).await.map_err(|_| parse::body_too_large(limit))?;
     let call = HttpCall {
         method: parts.method.to_string(),
@@ -192,68 +204,70 @@
     if parsed.request.idempotent {
         node.poison.check(parsed.request.digest, shared.clock.now())?;
     }
-    Ok((parsed, call, place))
+    Ok((parsed, call, permit))
 }
 
 async fn start(
     node: Arc<Node>,
     parsed: ParsedRequest,
     call: HttpCall,
-    place: RequestPermit,
+    permit: RequestPermit,
 ) -> Response {
-    let ParsedRequest { request: work, server_path, format } = parsed;
+    let ParsedRequest { request, server_path, format } = parsed;
     let call = HttpCall { path: server_path, ..call };
-    let (out, frames) = mpsc::channel(FRAMES_AHEAD);
-    let job = node.clone();
-    let shown = work.clone();
+    let (out, frames) = mpsc::channel(FRAME_BUFFER);
+    let task_node = node.clone();
+    let spec = request.clone();
     tokio::spawn(async move {
-        if work.idempotent {
-            relay::run(&job, work, call, DispatchMode::Repeatable, out).await;
+        if request.idempotent {
+            relay::run(&task_node, request, call, DispatchMode::Repeatable, out).await;
         } else {
-            run_once(&job, work, call, out).await;
+            run_once(&task_node, request, call, out).await;
         }
     });
-    response::respond(node, shown, format, frames, place).await
+    response::respond(node, spec, format, frames, permit).await
 }
 
-/// Hands a non-idempotent request to the lead of its slot.
+/// Runs a non-idempotent request through the lead of its slot, waiting for a lead for up
+/// to [`LEAD_WAIT_LIMIT`].
 async fn run_once(
     node: &Arc<Node>,
-    work: RequestSpec,
+    request: RequestSpec,
     call: HttpCall,
     out: mpsc::Sender<PeerResponse>,
 ) {
-    let Some(id) = work.id.clone() else {
+    let Some(id) = request.id.clone() else {
         let text = "a non-idempotent request needs an `Idempotency-Key` header";
         let refusal = Refusal::not_run(RefusalCode::BadRequest, text);
         return refuse(&out, refusal).await;
     };
     let key = ClaimKey::Slot(slot_of(&id, node.shared.settings.limits.slots));
     let now = node.shared.clock.now();
-    let (end, settled) = (now + work.budget, now + SETTLE.min(work.budget));
-    let once = OnceRequest { request: work, call };
-    let served = async {
-        while let Some(refusal) = hand_over(node, &key, once.clone(), &out).await {
-            if node.shared.clock.now() >= settled {
+    let (deadline, lead_deadline) =
+        (now + request.budget, now + LEAD_WAIT_LIMIT.min(request.budget));
+    let once = OnceRequest { request, call };
+    let run = async {
+        while let Some(refusal) = send_to_lead(node, &key, once.clone(), &out).await {
+            if node.shared.clock.now() >= lead_deadline {
                 return refuse(&out, refusal).await;
             }
-            tokio::time::sleep(PAUSE).await;
+            tokio::time::sleep(LEAD_POLL_INTERVAL).await;
         }
     };
     tokio::select! {
-        () = served => {}
-        () = tokio::time::sleep_until(end.into()) => {
-            // The run itself goes on at the slot's lead, and its answer is kept.
-            drop(out.send(overdue()).await);
+        () = run => {}
+        () = tokio::time::sleep_until(deadline.into()) => {
+            // The run continues at the slot's lead, and its response is stored.
+            drop(out.send(deadline_exceeded()).await);
         }
     }
 }
 
-/// Hands a request to the lead of its slot and its frames to the caller.
+/// Sends a request to the lead of its slot and forwards the frames to the caller.
 ///
-/// Returns a refusal if the slot has no lead just now. Asking again is safe: the
-/// journal runs an id once, however often it is asked for.
-async fn hand_over(
+/// Returns a refusal if the slot has no lead now. Sending again is safe, since the journal
+/// runs an id once however often it is submitted.
+async fn send_to_lead(
     node: &Arc<Node>,
     key: &ClaimKey,
     once: OnceRequest,
@@ -261,30 +275,32 @@
 ) -> Option<Refusal> {
     let view = node.shared.view();
     let Some((claim, member)) = view.holder(key) else {
-        return Some(leadless("has no lead now"));
+        return Some(lead_unavailable("has no lead now"));
     };
     let (holder, addr) = (claim.holder, member.peer_addr);
-    let (own, mut frames) = mpsc::channel(FRAMES_AHEAD);
-    let job = node.clone();
-    tokio::spawn(async move { ask_once(&job, holder, addr, once, &own).await });
+    let (lead_out, mut frames) = mpsc::channel(FRAME_BUFFER);
+    let task_node = node.clone();
+    tokio::spawn(
+        async move { forward_once(&task_node, holder, addr, once, &lead_out).await },
+    );
     loop {
-        let say = tokio::select! {
-            say = frames.recv() => say?,
+        let frame = tokio::select! {
+            frame = frames.recv() => frame?,
             () = out.closed() => return None,
         };
-        if let PeerResponse::Refused { refusal, .. } = &say
+        if let PeerResponse::Refused { refusal, .. } = &frame
             && refusal.code == RefusalCode::Unavailable
         {
             return Some(refusal.clone());
         }
-        if out.send(say).await.is_err() {
+        if out.send(frame).await.is_err() {
             return None;
         }
     }
 }
 
-/// Passes a non-idempotent request's answer on from the lead of its slot.
-async fn ask_once(
+/// Forwards the response to a non-idempotent request from the lead of its slot.
+async fn forward_once(
     node: &Arc<Node>,
     holder: MemberId,
     addr: SocketAddr,
@@ -295,74 +311,76 @@
         return Slots::run(node, once, out.clone()).await;
     }
     match node.peers.request_stream(addr, &PeerRequest::Once(once)).await {
-        Ok(mut answer) => loop {
-            let say = tokio::select! {
-                say = answer.next() => say,
+        Ok(mut response) => loop {
+            let frame = tokio::select! {
+                frame = response.next() => frame,
                 () = out.closed() => return,
             };
-            let say = say.unwrap_or_else(|error| {
+            let frame = frame.unwrap_or_else(|error| {
                 node.peers.disconnect(addr);
-                lost(&error)
+                connection_lost(&error)
             });
-            let last = say.is_final();
-            if out.send(say).await.is_err() || last {
+            let last = frame.is_final();
+            if out.send(frame).await.is_err() || last {
                 return;
             }
         },
         Err(PeerError::NotSent(_)) => {
-            refuse(out, leadless("can't be reached")).await;
+            refuse(out, lead_unavailable("can't be reached")).await;
         }
-        Err(error) => drop(out.send(lost(&error)).await),
+        Err(error) => drop(out.send(connection_lost(&error)).await),
     }
 }
 
-async fn ask_state(node: &Arc<Node>, id: RequestId) -> OnceState {
+async fn lookup_state(node: &Arc<Node>, id: RequestId) -> OnceState {
     let key = ClaimKey::Slot(slot_of(&id, node.shared.settings.limits.slots));
     let view = node.shared.view();
     let Some((claim, member)) = view.holder(&key) else {
-        return OnceState::Unreadable("the journal has no holder now; ask again".into());
+        return OnceState::Unreadable("the journal slot has no lead now".into());
     };
     if claim.holder == node.shared.me {
         return Slots::lookup(node, &id).await;
     }
     match node.peers.request(member.peer_addr, &PeerRequest::Lookup(id)).await {
         Ok(PeerResponse::Once(state)) => state,
-        Ok(_) => OnceState::Unreadable("the journal's lead gave no state".into()),
+        Ok(_) => OnceState::Unreadable(
+            "the journal slot's lead sent an unexpected response".into(),
+        ),
         Err(error) => OnceState::Unreadable(error.to_string()),
     }
 }
 
-fn lost(error: &PeerError) -> PeerResponse {
-    let text = format!("{error}; ask for the outcome under /v1/requests/KEY");
+fn connection_lost(error: &PeerError) -> PeerResponse {
+    let text = format!("{error}; look up the outcome under /v1/requests/KEY");
     let refusal = Refusal::in_doubt(RefusalCode::Started, text);
     PeerResponse::Refused { refusal, hint: Default::default() }
 }
 
-fn overdue() -> PeerResponse {
-    let text = "no answer came by the deadline; ask for the outcome under \
+fn deadline_exceeded() -> PeerResponse {
+    let text = "no response came by the deadline; look up the outcome under \
         /v1/requests/KEY";
     let refusal = Refusal::in_doubt(RefusalCode::Deadline, text);
     PeerResponse::Refused { refusal, hint: Default::default() }
 }
 
-/// The refusal of a request whose slot has no lead that can be asked.
+/// The refusal of a request whose slot has no reachable lead.
 ///
-/// An earlier try under the same key may have run, so that it is in doubt.
-fn leadless(why: &str) -> Refusal {
+/// The outcome is in doubt, since an earlier attempt under the same key may have run.
+fn lead_unavailable(reason: &str) -> Refusal {
     let text = format!(
-        "the journal of the request's key {why}; send it again with the same key"
+        "the journal slot of the request's key {reason}; send it again with the same key"
     );
     Refusal::in_doubt(RefusalCode::Unavailable, text)
         .with_retry_after(Duration::from_secs(1))
 }
 
 fn entry_full() -> Refusal {
-    let text = "this entry holds as many requests as it may; use another address";
+    let text = "this entry has as many requests in flight as it may; use another address";
     Refusal::not_run(RefusalCode::EntryFull, text)
         .with_retry_after(Duration::from_millis(500))
 }
 
 async fn refuse(out: &mpsc::Sender<PeerResponse>, refusal: Refusal) {
-    // The caller may be gone; then nobody needs the answer.
+    // Fails only if the caller has disconnected.
     drop(out.send(PeerResponse::Refused { refusal, hint: Default::default() }).await);
 }
--- a/crates/node/src/parse.rs
+++ b/crates/node/src/parse.rs
@@ -1,4 +1,4 @@
-//! Turns callers' calls into checked work.
+//! Validates callers' HTTP requests and turns them into [`RequestSpec`]s.
 
 use std::time::Duration;
 
@@ -15,50 +15,51 @@
 use crate::node::Node;
 
 /// The longest `Idempotency-Key`, in bytes.
-const KEY_LIMIT: usize = 128;
+const MAX_KEY_BYTES: usize = 128;
 
-/// The length of an answer that the caller did not limit, in tokens.
-const DEFAULT_OUTPUT: u32 = 256;
+/// The output limit of a request that sets none, in tokens.
+const DEFAULT_OUTPUT_TOKENS: u32 = 256;
 
-/// The greatest length of an answer, in tokens.
-const OUTPUT_LIMIT: u32 = 32_768;
+/// The largest output limit that a caller may set, in tokens.
+const MAX_OUTPUT_TOKENS: u32 = 32_768;
 
-/// Bytes of English prompt text to a token, roughly; only estimates rest on it.
+/// Bytes of English prompt text per token, roughly; used only for estimates.
 const BYTES_PER_TOKEN: usize = 4;
 
 /// The deadline of requests of no declared kind.
 const DEFAULT_DEADLINE: Duration = Duration::from_secs(60);
 
-/// The longest deadline that a caller may ask for.
-const DEADLINE_LIMIT: Duration = Duration::from_secs(24 * 3600);
+/// The upper bound of `x-deadline-ms`; longer values are capped.
+const MAX_DEADLINE: Duration = Duration::from_secs(24 * 3600);
 
-/// A call that was understood.
+/// A validated call.
 pub struct ParsedRequest {
-    /// The work.
+    /// The request with its target, deadline and estimated size.
     pub request: RequestSpec,
-    /// The path at the backend server.
+    /// The path and query at the backend server.
     pub server_path: String,
-    /// The form in which the answer is given.
+    /// The format of the response to the caller.
     pub format: ResponseFormat,
 }
 
-/// The form in which an answer is given.
+/// The format of a response to a caller.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum ResponseFormat {
-    /// As a completion, with the name that the caller put into `model`.
+    /// A completion, with the name that the caller put into `model`.
     Completion(String),
-    /// As a chat completion, with the name that the caller put into `model`.
+    /// A chat completion, with the name that the caller put into `model`.
     Chat(String),
-    /// As the plain service gave it.
+    /// The plain service's response, unchanged.
     Passthrough,
 }
 
-/// What is read of a completion's body; the engine gets the rest as it is.
+/// The fields of a completion's body that are read here; the engine gets the others as
+/// they are.
 #[derive(Deserialize)]
-struct Body {
+struct CompletionBody {
     model: String,
     prompt: Option<String>,
-    messages: Option<Vec<Message>>,
+    messages: Option<Vec<ChatMessage>>,
     max_tokens: Option<u32>,
     max_completion_tokens: Option<u32>,
     #[serde(default)]
@@ -66,13 +67,12 @@
     n: Option<u32>,
 }
 
-/// A message of a chat.
 #[derive(Deserialize)]
-struct Message {
+struct ChatMessage {
     content: String,
 }
 
-/// Finds the caller by the key that it sent.
+/// Finds the caller by the key in its `Authorization` header.
 pub fn authenticate(
     catalog: &Catalog,
     headers: &HeaderMap,
@@ -84,14 +84,14 @@
             "send `Authorization: Bearer KEY` with the caller's key",
         ));
     }
-    let hash = hex(&Sha256::digest(key.as_bytes()));
-    let known = catalog.callers.iter().find(|(_, caller)| caller.key_sha256 == hash);
-    known
+    let key_hash = hex(&Sha256::digest(key.as_bytes()));
+    let found = catalog.callers.iter().find(|(_, caller)| caller.key_sha256 == key_hash);
+    found
         .map(|(name, _)| name.clone())
         .ok_or_else(|| unauthorised("no caller with this key is declared; check the key"))
 }
 
-/// Understands a call of a model.
+/// Parses a completion or chat completion of a model.
 pub fn parse_completion(
     node: &Node,
     caller: CallerName,
@@ -99,10 +99,10 @@
     headers: &HeaderMap,
 ) -> Result<ParsedRequest, Refusal> {
     let catalog = node.shared.catalog();
-    let body: Body = serde_json::from_slice(&call.body)
-        .map_err(|error| bad(format!("the body can't be read: {error}")))?;
+    let body: CompletionBody = serde_json::from_slice(&call.body)
+        .map_err(|error| bad_request(format!("the body can't be read: {error}")))?;
     if body.n.is_some_and(|n| n != 1) {
-        return Err(bad("`n` must be 1: a request has one answer".into()));
+        return Err(bad_request("`n` must be 1: a request has one completion".into()));
     }
     let chat = call.path.starts_with("/v1/chat/");
     let prompt = prompt_text(chat, &body)?;
@@ -114,42 +114,49 @@
         Refusal::not_run(RefusalCode::UnknownModel, text)
     })?;
     let model = catalog.models.get(&route.model).ok_or_else(|| {
-        Refusal::not_run(RefusalCode::UnknownModel, "the route's model is gone")
+        Refusal::not_run(
+            RefusalCode::UnknownModel,
+            "the route's model is no longer declared",
+        )
     })?;
     let target = Target::Model {
         model: route.model.clone(),
         version: model.version.clone(),
         adapter: route.adapter.clone(),
     };
-    let output = body.max_tokens.or(body.max_completion_tokens).unwrap_or(DEFAULT_OUTPUT);
-    if output == 0 || output > OUTPUT_LIMIT {
-        return Err(bad(format!("`max_tokens` must be 1 to {OUTPUT_LIMIT}")));
+    let output =
+        body.max_tokens.or(body.max_completion_tokens).unwrap_or(DEFAULT_OUTPUT_TOKENS);
+    if output == 0 || output > MAX_OUTPUT_TOKENS {
+        return Err(bad_request(format!(
+            "`max_tokens` must be 1 to {MAX_OUTPUT_TOKENS}"
+        )));
     }
-    let terms = terms(&catalog, headers, route.kind.as_ref(), &route.team, true)?;
+    let attributes =
+        request_attributes(&catalog, headers, route.kind.as_ref(), &route.team, true)?;
     let digest = digest(&target, call);
     let name = body.model.clone();
-    let form =
+    let format =
         if chat { ResponseFormat::Chat(name) } else { ResponseFormat::Completion(name) };
-    let work = RequestSpec {
+    let request = RequestSpec {
         id: request_id(&caller, headers)?,
         caller,
-        team: terms.team,
-        kind: terms.name,
+        team: attributes.team,
+        kind: attributes.kind,
         target,
-        urgency: terms.urgency,
-        budget: terms.deadline,
-        idempotent: terms.idempotent,
+        urgency: attributes.urgency,
+        budget: attributes.deadline,
+        idempotent: attributes.idempotent,
         stream: body.stream,
         prompt_tokens: (prompt.len() / BYTES_PER_TOKEN + 1) as u32,
         max_output_tokens: output,
         prefix_hashes: prefix_hashes(&prompt),
         digest,
     };
-    let call_path = call.path.clone();
-    Ok(ParsedRequest { request: work, server_path: call_path, format: form })
+    let server_path = call.path.clone();
+    Ok(ParsedRequest { request, server_path, format })
 }
 
-/// Understands a call of a plain service.
+/// Parses a call of a plain service at `/svc/NAME/PATH`.
 pub fn parse_service_call(
     node: &Node,
     caller: CallerName,
@@ -166,16 +173,22 @@
     let name = ServiceName::try_from(name).map_err(|_| unknown())?;
     let service = catalog.services.get(&name).ok_or_else(unknown)?;
     let safe = matches!(call.method.as_str(), "GET" | "HEAD" | "OPTIONS" | "TRACE");
-    let terms = terms(&catalog, headers, service.kind.as_ref(), &service.team, safe)?;
+    let attributes = request_attributes(
+        &catalog,
+        headers,
+        service.kind.as_ref(),
+        &service.team,
+        safe,
+    )?;
     let target = Target::Service { name };
-    let work = RequestSpec {
+    let request = RequestSpec {
         id: request_id(&caller, headers)?,
         caller,
-        team: terms.team,
-        kind: terms.name,
-        urgency: terms.urgency,
-        budget: terms.deadline,
-        idempotent: safe || terms.idempotent,
+        team: attributes.team,
+        kind: attributes.kind,
+        urgency: attributes.urgency,
+        budget: attributes.deadline,
+        idempotent: safe || attributes.idempotent,
         stream: true,
         prompt_tokens: 1,
         max_output_tokens: 1,
@@ -184,97 +197,100 @@
         target,
     };
     Ok(ParsedRequest {
-        request: work,
+        request,
         server_path: format!("/{path}"),
         format: ResponseFormat::Passthrough,
     })
 }
 
-/// The size for which a request takes memory before its body is read.
+/// The bytes to reserve for a request before its body is read: `Content-Length`, or
+/// `limit` if that header is missing.
 pub fn body_size(headers: &HeaderMap, limit: usize) -> Result<usize, Refusal> {
     let declared = header_text(headers, "content-length");
     if declared.is_empty() {
         return Ok(limit);
     }
-    let size = declared.parse().map_err(|_| bad("content-length is no number".into()))?;
+    let size = declared
+        .parse()
+        .map_err(|_| bad_request("`Content-Length` must be a whole number".into()))?;
     if size > limit { Err(body_too_large(limit)) } else { Ok(size) }
 }
 
-/// The refusal of a body over the limit.
+/// The refusal of a body of more than `limit` bytes.
 pub fn body_too_large(limit: usize) -> Refusal {
     let text = format!("the body is larger than {limit} bytes; send a smaller one");
     Refusal::not_run(RefusalCode::TooLarge, text)
 }
 
-/// A header as text; empty if it is absent or no text.
+/// A header as text; empty if it is absent or not visible ASCII.
 pub fn header_text<'a>(headers: &'a HeaderMap, name: &str) -> &'a str {
     headers.get(name).and_then(|value| value.to_str().ok()).unwrap_or("")
 }
 
-/// The terms on which a request is served.
-struct Terms {
-    name: KindName,
+/// How a request is scheduled and retried.
+struct RequestAttributes {
+    kind: KindName,
     team: TeamName,
     urgency: Urgency,
     deadline: Duration,
     idempotent: bool,
 }
 
-/// Finds the terms by the kind that the caller names or the route's own kind.
+/// Derives the attributes from the kind in the `x-kind` header, else from the route's or
+/// service's own kind, and applies the caller's `x-deadline-ms` and `x-idempotent`.
 ///
-/// Calls of no declared kind count as idempotent only if `safe`.
-fn terms(
+/// A request without a kind counts as idempotent only if `safe`.
+fn request_attributes(
     catalog: &Catalog,
     headers: &HeaderMap,
     fallback: Option<&KindName>,
     owner: &TeamName,
     safe: bool,
-) -> Result<Terms, Refusal> {
-    let (name, kind) = find_kind(catalog, headers, fallback)?;
-    let mut terms = match kind {
-        Some(kind) => Terms {
-            name,
+) -> Result<RequestAttributes, Refusal> {
+    let (name, kind) = resolve_kind(catalog, headers, fallback)?;
+    let mut attributes = match kind {
+        Some(kind) => RequestAttributes {
+            kind: name,
             team: kind.team.clone(),
             urgency: kind.urgency,
             deadline: kind.deadline,
             idempotent: kind.idempotent,
         },
-        None => Terms {
-            name,
+        None => RequestAttributes {
+            kind: name,
             team: owner.clone(),
             urgency: Urgency::Normal,
             deadline: DEFAULT_DEADLINE,
             idempotent: safe,
         },
     };
-    let asked = header_text(headers, "x-deadline-ms");
-    if !asked.is_empty() {
-        let millis = asked
+    let requested = header_text(headers, "x-deadline-ms");
+    if !requested.is_empty() {
+        let millis = requested
             .parse()
-            .map_err(|_| bad("`x-deadline-ms` must be a whole number".into()))?;
-        terms.deadline = Duration::from_millis(millis).min(DEADLINE_LIMIT);
+            .map_err(|_| bad_request("`x-deadline-ms` must be a whole number".into()))?;
+        attributes.deadline = Duration::from_millis(millis).min(MAX_DEADLINE);
     }
     if header_text(headers, "x-idempotent") == "false" {
-        terms.idempotent = false;
+        attributes.idempotent = false;
     }
-    Ok(terms)
+    Ok(attributes)
 }
 
-fn find_kind<'a>(
+fn resolve_kind<'a>(
     catalog: &'a Catalog,
     headers: &HeaderMap,
     fallback: Option<&KindName>,
 ) -> Result<(KindName, Option<&'a Kind>), Refusal> {
-    let asked = header_text(headers, "x-kind");
-    let name = match (asked, fallback) {
+    let requested = header_text(headers, "x-kind");
+    let name = match (requested, fallback) {
         ("", None) => {
             let name = KindName::try_from("default").expect("a valid name");
             return Ok((name, None));
         }
         ("", Some(name)) => name.clone(),
-        (asked, _) => {
-            KindName::try_from(asked).map_err(|error| bad(error.to_string()))?
-        }
+        (requested, _) => KindName::try_from(requested)
+            .map_err(|error| bad_request(error.to_string()))?,
     };
     let kind = catalog.kinds.get(&name).ok_or_else(|| {
         let text = format!("no kind {name} is declared; check the `x-kind` header");
@@ -292,16 +308,16 @@
         return Ok(None);
     }
     let valid = |c: char| c.is_ascii_alphanumeric() || "-_.:@".contains(c);
-    if key.len() > KEY_LIMIT || !key.chars().all(valid) {
+    if key.len() > MAX_KEY_BYTES || !key.chars().all(valid) {
         let text = format!(
-            "`Idempotency-Key` must be 1 to {KEY_LIMIT} letters, digits or signs -_.:@"
+            "`Idempotency-Key` must be 1 to {MAX_KEY_BYTES} letters, digits or characters -_.:@"
         );
-        return Err(bad(text));
+        return Err(bad_request(text));
     }
     Ok(Some(RequestId { caller: caller.clone(), key: key.to_owned() }))
 }
 
-fn prompt_text(chat: bool, body: &Body) -> Result<String, Refusal> {
+fn prompt_text(chat: bool, body: &CompletionBody) -> Result<String, Refusal> {
     let messages = || {
         let messages = body.messages.as_ref()?;
         let contents: Vec<&str> =
@@ -310,7 +326,7 @@
     };
     let prompt = if chat { messages() } else { body.prompt.clone() };
     let field = if chat { "messages" } else { "prompt" };
-    prompt.ok_or_else(|| bad(format!("`{field}` is missing or empty")))
+    prompt.ok_or_else(|| bad_request(format!("`{field}` is missing or empty")))
 }
 
 fn digest(target: &Target, call: &HttpCall) -> Digest {
@@ -323,7 +339,7 @@
     ])
 }
 
-fn bad(text: String) -> Refusal {
+fn bad_request(text: String) -> Refusal {
     Refusal::not_run(RefusalCode::BadRequest, text)
 }
 
--- a/crates/node/src/response.rs
+++ b/crates/node/src/response.rs
@@ -1,4 +1,4 @@
-//! Answers in the form that callers expect.
+//! HTTP responses in the format that callers expect.
 
 use std::convert::Infallible;
 use std::sync::Arc;
@@ -21,25 +21,27 @@
 use crate::parse::ResponseFormat;
 
 const JSON: HeaderValue = HeaderValue::from_static("application/json");
-const EVENTS: HeaderValue = HeaderValue::from_static("text/event-stream");
+const EVENT_STREAM: HeaderValue = HeaderValue::from_static("text/event-stream");
 
-/// An answer with a JSON body.
+/// A response with a JSON body.
 pub fn json(status: u16, body: &impl Serialize) -> Response {
-    let text = serde_json::to_vec(body).expect("answers hold no foreign types");
-    with_type(status, JSON, Body::from(text))
+    let text = serde_json::to_vec(body).expect("response bodies serialise to JSON");
+    with_content_type(status, JSON, Body::from(text))
 }
 
-/// The answer to a request that was refused or failed.
+/// The response to a request that was refused or failed, with `Retry-After` in whole
+/// seconds, rounded up.
 pub fn refusal(refusal: &Refusal) -> Response {
-    let mut answer = json(refusal.code.status(), refusal);
-    if let Some(wait) = refusal.retry_after {
-        let secs = wait.as_millis().div_ceil(1000) as u64;
-        answer.headers_mut().insert(RETRY_AFTER, HeaderValue::from(secs));
+    let mut response = json(refusal.code.status(), refusal);
+    if let Some(retry_after) = refusal.retry_after {
+        let secs = retry_after.as_millis().div_ceil(1000) as u64;
+        response.headers_mut().insert(RETRY_AFTER, HeaderValue::from(secs));
     }
-    answer
+    response
 }
 
-/// The answer to the question what became of a request.
+/// The response to a lookup of a non-idempotent request: its stored response once it is
+/// complete, else its state.
 pub fn once_state(state: &OnceState) -> Response {
     match state {
         OnceState::Unknown => {
@@ -50,60 +52,64 @@
             json(409, &json!({ "state": "ended", "outcome": "in_doubt" }))
         }
         OnceState::Done { status, content_type, body } => {
-            let kind = HeaderValue::from_str(content_type)
+            let content_type = HeaderValue::from_str(content_type)
                 .unwrap_or(HeaderValue::from_static("application/octet-stream"));
-            with_type(*status, kind, Body::from(body.clone()))
+            with_content_type(*status, content_type, Body::from(body.clone()))
         }
-        OnceState::Unreadable(why) => {
-            let text = format!("the journal can't be read ({why}); ask again");
+        OnceState::Unreadable(error) => {
+            let text = format!("the journal can't be read ({error}); try again");
             let unreadable = Refusal::in_doubt(RefusalCode::JournalDown, text);
             refusal(&unreadable.with_retry_after(Duration::from_secs(1)))
         }
     }
 }
 
-/// Turns the frames of an answer into the caller's response.
+/// Turns the frames of a response into the HTTP response to the caller.
+///
+/// The permit is held until the response has been collected or its stream has ended.
 pub async fn respond(
     node: Arc<Node>,
-    work: RequestSpec,
-    form: ResponseFormat,
+    request: RequestSpec,
+    format: ResponseFormat,
     mut frames: mpsc::Receiver<PeerResponse>,
-    place: RequestPermit,
+    permit: RequestPermit,
 ) -> Response {
     let first = loop {
         match frames.recv().await {
             Some(
                 PeerResponse::Heartbeat | PeerResponse::Queued | PeerResponse::Dispatched,
             ) => {}
-            Some(say) => break say,
-            None => break cut_off(),
+            Some(frame) => break frame,
+            None => break response_lost(),
         }
     };
-    if let PeerResponse::Refused { refusal: why, .. } = &first {
-        node.shared.metrics.record_refused(why);
-        return refusal(why);
+    if let PeerResponse::Refused { refusal: error, .. } = &first {
+        node.shared.metrics.record_refused(error);
+        return refusal(error);
     }
-    let frames = Frames { first: Some(first), rest: frames, node, _place: place };
-    match form {
-        ResponseFormat::Passthrough => plain(frames).await,
-        _ if work.stream => with_type(200, EVENTS, events(frames, form)),
-        _ => whole(frames, form, &work).await,
+    let frames = Frames { first: Some(first), rest: frames, node, _permit: permit };
+    match format {
+        ResponseFormat::Passthrough => stream_passthrough(frames).await,
+        _ if request.stream => {
+            with_content_type(200, EVENT_STREAM, event_stream(frames, format))
+        }
+        _ => collect_completion(frames, format, &request).await,
     }
 }
 
-/// The frames of an answer, with the place that the request takes.
+/// The frames of a response, with the permit of its request.
 struct Frames {
     first: Option<PeerResponse>,
     rest: mpsc::Receiver<PeerResponse>,
     node: Arc<Node>,
-    _place: RequestPermit,
+    _permit: RequestPermit,
 }
 
 impl Frames {
-    /// The next frame that matters to the caller; the last one is final.
+    /// The next frame with content for the caller; a lost stream ends in a refusal.
     async fn next(&mut self) -> PeerResponse {
-        if let Some(say) = self.first.take() {
-            return say;
+        if let Some(frame) = self.first.take() {
+            return frame;
         }
         loop {
             match self.rest.recv().await {
@@ -112,80 +118,91 @@
                     | PeerResponse::Queued
                     | PeerResponse::Dispatched,
                 ) => {}
-                Some(say) => return say,
-                None => return cut_off(),
+                Some(frame) => return frame,
+                None => return response_lost(),
             }
         }
     }
 }
 
-/// Collects a whole completion, so that the caller never gets half an answer.
-async fn whole(mut frames: Frames, form: ResponseFormat, work: &RequestSpec) -> Response {
+/// Collects a completion, so that the caller gets a complete response or an error.
+async fn collect_completion(
+    mut frames: Frames,
+    format: ResponseFormat,
+    request: &RequestSpec,
+) -> Response {
     let mut text = String::new();
     let mut tokens = 0;
     loop {
         match frames.next().await {
-            PeerResponse::Tokens { count, text: more, .. } => {
-                text.push_str(&more);
+            PeerResponse::Tokens { count, text: text_part, .. } => {
+                text.push_str(&text_part);
                 tokens += count;
             }
             PeerResponse::End { reason, .. } => {
                 frames.node.shared.metrics.record_served();
-                let mut body = head(&form, false);
-                body["choices"] =
-                    json!([choice(&form, false, Some(&text), Some(&reason))]);
+                let mut body = completion_object(&format, false);
+                body["choices"] = json!([completion_choice(
+                    &format,
+                    false,
+                    Some(&text),
+                    Some(&reason)
+                )]);
                 body["usage"] = json!({
-                    "prompt_tokens": work.prompt_tokens,
+                    "prompt_tokens": request.prompt_tokens,
                     "completion_tokens": tokens,
-                    "total_tokens": work.prompt_tokens + tokens,
+                    "total_tokens": request.prompt_tokens + tokens,
                 });
                 return json(200, &body);
             }
-            PeerResponse::Refused { refusal: why, .. } => {
-                frames.node.shared.metrics.record_refused(&why);
-                return refusal(&why);
+            PeerResponse::Refused { refusal: error, .. } => {
+                frames.node.shared.metrics.record_refused(&error);
+                return refusal(&error);
             }
-            _ => return refusal(&internal()),
+            _ => return refusal(&lost_internally()),
         }
     }
 }
 
-/// Streams a completion as events; only a whole one ends with `[DONE]`.
-fn events(frames: Frames, form: ResponseFormat) -> Body {
-    let state = Some((frames, form));
+/// Streams a completion as events; only a complete one ends with `[DONE]`.
+fn event_stream(frames: Frames, format: ResponseFormat) -> Body {
+    let state = Some((frames, format));
     Body::from_stream(stream::unfold(state, |state| async move {
-        let (mut frames, form) = state?;
-        let say = frames.next().await;
-        let (text, more) = match say {
+        let (mut frames, format) = state?;
+        let frame = frames.next().await;
+        let (text, continues) = match frame {
             PeerResponse::Tokens { first, count, text } => {
-                let mut body = head(&form, true);
-                body["choices"] = json!([choice(&form, true, Some(&text), None)]);
+                let mut body = completion_object(&format, true);
+                body["choices"] =
+                    json!([completion_choice(&format, true, Some(&text), None)]);
                 body["tokens"] = (first + count).into();
                 (format!("data: {body}\n\n"), true)
             }
             PeerResponse::End { reason, .. } => {
                 frames.node.shared.metrics.record_served();
-                let mut body = head(&form, true);
-                body["choices"] = json!([choice(&form, true, None, Some(&reason))]);
+                let mut body = completion_object(&format, true);
+                body["choices"] =
+                    json!([completion_choice(&format, true, None, Some(&reason))]);
                 (format!("data: {body}\n\ndata: [DONE]\n\n"), false)
             }
             PeerResponse::Refused { refusal, .. } => {
                 frames.node.shared.metrics.record_refused(&refusal);
                 (format!("data: {}\n\n", json!({ "error": refusal })), false)
             }
-            _ => (format!("data: {}\n\n", json!({ "error": internal() })), false),
+            _ => (format!("data: {}\n\n", json!({ "error": lost_internally() })), false),
         };
-        let state = more.then_some((frames, form));
+        let state = continues.then_some((frames, format));
         Some((Ok::<_, Infallible>(Bytes::from(text)), state))
     }))
 }
 
-/// Passes a plain service's answer on; a broken one is cut, never completed.
-async fn plain(mut frames: Frames) -> Response {
+/// Forwards a plain service's response; after a failure the body is aborted, so that
+/// the caller doesn't take it for complete.
+async fn stream_passthrough(mut frames: Frames) -> Response {
     let PeerResponse::Head { status, content_type } = frames.next().await else {
-        return refusal(&internal());
+        return refusal(&lost_internally());
     };
-    let kind = HeaderValue::from_str(&content_type)
+    let content_type = HeaderValue::from_str(&content_type)
         .unwrap_or(HeaderValue::from_static("application/octet-stream"));
     let body = Body::from_stream(stream::unfold(Some(frames), |state| async move {
         let mut frames = state?;
@@ -199,14 +216,14 @@
                 frames.node.shared.metrics.record_refused(&refusal);
                 Some((Err(refusal), None))
             }
-            _ => Some((Err(internal()), None)),
+            _ => Some((Err(lost_internally()), None)),
         }
     }));
-    with_type(status, kind, body)
+    with_content_type(status, content_type, body)
 }
 
-fn head(form: &ResponseFormat, chunk: bool) -> Value {
-    let (object, model) = match form {
+fn completion_object(format: &ResponseFormat, chunk: bool) -> Value {
+    let (object, model) = match format {
         ResponseFormat::Chat(model) if chunk => ("chat.completion.chunk", model.as_str()),
         ResponseFormat::Chat(model) => ("chat.completion", model.as_str()),
         ResponseFormat::Completion(model) => ("text_completion", model.as_str()),
@@ -215,15 +232,15 @@
     json!({ "object": object, "model": model })
 }
 
-fn choice(
-    form: &ResponseFormat,
+fn completion_choice(
+    format: &ResponseFormat,
     chunk: bool,
     text: Option<&str>,
     reason: Option<&str>,
 ) -> Value {
     let mut choice = json!({ "index": 0, "finish_reason": reason });
     let text = text.unwrap_or("");
-    match form {
+    match format {
         ResponseFormat::Chat(_) if chunk => choice["delta"] = json!({ "content": text }),
         ResponseFormat::Chat(_) => {
             choice["message"] = json!({ "role": "assistant", "content": text });
@@ -233,19 +250,19 @@
     choice
 }
 
-fn with_type(status: u16, kind: HeaderValue, body: Body) -> Response {
-    let mut answer = Response::new(body);
-    *answer.status_mut() =
+fn with_content_type(status: u16, content_type: HeaderValue, body: Body) -> Response {
+    let mut response = Response::new(body);
+    *response.status_mut() =
         StatusCode::from_u16(status).unwrap_or(StatusCode::INTERNAL_SERVER_ERROR);
-    answer.headers_mut().insert(CONTENT_TYPE, kind);
-    answer
+    response.headers_mut().insert(CONTENT_TYPE, content_type);
+    response
 }
 
-fn cut_off() -> PeerResponse {
-    PeerResponse::Refused { refusal: internal(), hint: Default::default() }
+fn response_lost() -> PeerResponse {
+    PeerResponse::Refused { refusal: lost_internally(), hint: Default::default() }
 }
 
-fn internal() -> Refusal {
-    let text = "the request was lost inside the system; ask for its outcome by its id";
+fn lost_internally() -> Refusal {
+    let text = "the request was lost inside the system; look up its outcome by its id";
     Refusal::in_doubt(RefusalCode::Internal, text)
 }
