--- a/crates/node/src/engine.rs
+++ b/crates/node/src/engine.rs
@@ -1,8 +1,8 @@
 //! Calls to backend servers.
 //!
-//! Model engines speak the OpenAI form and always stream to this daemon, so that
-//! a broken answer can be resumed from the tokens that arrived. Plain services
-//! get the caller's call as it is.
+//! Model engines speak the OpenAI API and always stream to this daemon, so that an
+//! interrupted response can be resumed after the tokens that arrived. Plain services get
+//! the caller's call unchanged.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -17,145 +17,154 @@
 use serde_json::Value;
 use tokio::sync::mpsc;
 
-/// How long a connection to a backend server may take to come up.
-const CONNECT: Duration = Duration::from_secs(1);
+/// The timeout of connecting to a backend server, and of a cancellation.
+const CONNECT_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// How long an engine may send nothing before it is asked whether it lives.
+/// How long an engine may send nothing before its liveness is probed.
 ///
-/// Steps take some 10 ms, and 95 in 100 tokens come within 58 ms; only a long
-/// prompt in the batch keeps all streams waiting for about a second.
-const STALL: Duration = Duration::from_secs(1);
+/// Steps take some 10 ms, and 95 % of tokens come within 58 ms; only a long prompt in the
+/// batch delays all streams by about a second.
+const STALL_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// How long an engine may take to tell its load when it is asked whether it lives.
-const PROBE: Duration = Duration::from_secs(1);
+/// The timeout of a liveness probe.
+const PROBE_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// The mark that ends a whole stream of an engine.
-const DONE: &str = "[DONE]";
+/// The event that ends a complete stream of an engine.
+const END_MARK: &str = "[DONE]";
 
 /// How a call to a backend server ended.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum CallOutcome {
-    /// The answer is whole; the engine's reason for stopping.
+    /// The response is complete; the engine's finish reason, empty for a plain service.
     Completed(String),
-    /// The connection was never made, so that the request did not run.
+    /// The connection failed, so that the request did not run.
     NotSent(String),
     /// The backend server refused the request before running it.
     Refused(String),
-    /// The request was handed over and its answer broke off.
+    /// The request was sent, and its response was interrupted.
     Interrupted {
-        /// Why.
+        /// What went wrong.
         reason: String,
-        /// Whether the connection itself was cut, as when the server dies.
+        /// Whether the connection was lost, as when the server crashes.
         connection_lost: bool,
     },
-    /// The one who waited for the answer went away.
+    /// The receiver of the response was dropped.
     Cancelled,
 }
 
 /// Creates the client for all backend servers.
 ///
-/// Every call gets a connection of its own. A kept one may belong to a server that
-/// has died since: the call on it would count as handed over, so that a letter
-/// would be in doubt, and a request that did nothing would be blamed for the crash.
-/// Connecting to a dead server fails before anything is sent.
+/// Each call opens a connection of its own. A pooled one may belong to a server that has
+/// crashed since: a call on it would count as sent, so that the outcome of a non-idempotent
+/// request would be in doubt, and a harmless request would be blamed for the crash.
+/// Connecting to a crashed server fails before anything is sent.
 pub fn client() -> reqwest::Result<Client> {
-    let builder = Client::builder().no_proxy().connect_timeout(CONNECT);
+    let builder = Client::builder().no_proxy().connect_timeout(CONNECT_TIMEOUT);
     builder.pool_max_idle_per_host(0).build()
 }
 
-/// Calls a backend server and sends the frames of its answer.
+/// Calls a backend server and sends the frames of its response to `out`.
 ///
 /// [`PeerResponse::Dispatched`] is sent just before the request may reach the server.
+/// `on_tokens` is called with the number of tokens of each event.
 pub async fn call(
     http: &Client,
     address: SocketAddr,
-    run: &AttemptRequest,
+    attempt: &AttemptRequest,
     out: &mpsc::Sender<PeerResponse>,
-    seen: impl FnMut(u32),
+    on_tokens: impl FnMut(u32),
 ) -> CallOutcome {
-    match &run.request.target {
-        Target::Model { .. } => call_model(http, address, run, out, seen).await,
-        Target::Service { .. } => call_service(http, address, run, out).await,
+    match &attempt.request.target {
+        Target::Model { .. } => call_model(http, address, attempt, out, on_tokens).await,
+        Target::Service { .. } => call_service(http, address, attempt, out).await,
     }
 }
 
-/// Asks an engine to stop a request whose answer nobody waits for.
-pub async fn cancel(http: &Client, address: SocketAddr, run: &AttemptRequest) {
-    let url = format!("http://{address}/v1/requests/{}", run.attempt);
-    // An engine that can't be told stops by itself when it finds the stream closed.
-    drop(http.delete(url).timeout(CONNECT).send().await);
+/// Cancels a request at its engine.
+pub async fn cancel(http: &Client, address: SocketAddr, attempt: &AttemptRequest) {
+    let url = format!("http://{address}/v1/requests/{}", attempt.attempt);
+    // If this fails, the engine stops by itself when it finds the stream closed.
+    drop(http.delete(url).timeout(CONNECT_TIMEOUT).send().await);
 }
 
 async fn call_model(
     http: &Client,
     address: SocketAddr,
-    run: &AttemptRequest,
+    attempt: &AttemptRequest,
     out: &mpsc::Sender<PeerResponse>,
-    seen: impl FnMut(u32),
+    on_tokens: impl FnMut(u32),
 ) -> CallOutcome {
-    let body = match engine_body(&run.request, &run.call.body, run.resume.as_ref()) {
+    let body = match engine_request_body(
+        &attempt.request,
+        &attempt.call.body,
+        attempt.resume.as_ref(),
+    ) {
         Ok(body) => body,
-        Err(why) => return CallOutcome::Refused(why),
+        Err(reason) => return CallOutcome::Refused(reason),
     };
     let send = http
-        .post(format!("http://{address}{}", run.call.path))
-        .header("x-request-id", run.attempt.to_string())
-        .header("x-priority", priority(run.request.urgency))
+        .post(format!("http://{address}{}", attempt.call.path))
+        .header("x-request-id", attempt.attempt.to_string())
+        .header("x-priority", priority_value(attempt.request.urgency))
         .json(&body)
         .send();
-    let pulse = LivenessProbe { http, address };
-    let answer = match dispatch(send, out, Some(&pulse)).await {
-        Ok(answer) => answer,
+    let probe = LivenessProbe { http, address };
+    let response = match dispatch(send, out, Some(&probe)).await {
+        Ok(response) => response,
         Err(end) => return end,
     };
-    if answer.status() != StatusCode::OK {
-        return refused(answer).await;
+    if response.status() != StatusCode::OK {
+        return read_refusal(response).await;
     }
-    let from = run.resume.as_ref().map_or(0, |resume| resume.tokens);
-    read_tokens(answer.bytes_stream(), from, out, &pulse, seen).await
+    let first_token = attempt.resume.as_ref().map_or(0, |resume| resume.tokens);
+    read_tokens(response.bytes_stream(), first_token, out, &probe, on_tokens).await
 }
 
 async fn call_service(
     http: &Client,
     address: SocketAddr,
-    run: &AttemptRequest,
+    attempt: &AttemptRequest,
     out: &mpsc::Sender<PeerResponse>,
 ) -> CallOutcome {
-    let Ok(method) = Method::from_bytes(run.call.method.as_bytes()) else {
-        return CallOutcome::Refused(format!("{} is no method", run.call.method));
+    let Ok(method) = Method::from_bytes(attempt.call.method.as_bytes()) else {
+        return CallOutcome::Refused(format!(
+            "{} is not an HTTP method",
+            attempt.call.method
+        ));
     };
     let mut call = http
-        .request(method, format!("http://{address}{}", run.call.path))
-        .header("x-request-id", run.attempt.to_string())
-        .header("x-caller", run.request.caller.as_str())
-        .body(run.call.body.clone());
-    if !run.call.content_type.is_empty() {
-        call = call.header("content-type", &run.call.content_type);
+        .request(method, format!("http://{address}{}", attempt.call.path))
+        .header("x-request-id", attempt.attempt.to_string())
+        .header("x-caller", attempt.request.caller.as_str())
+        .body(attempt.call.body.clone());
+    if !attempt.call.content_type.is_empty() {
+        call = call.header("content-type", &attempt.call.content_type);
     }
-    if let Some(id) = &run.request.id {
+    if let Some(id) = &attempt.request.id {
         call = call.header("idempotency-key", &id.key);
     }
     match dispatch(call.send(), out, None).await {
-        Ok(answer) => copy_answer(answer, out).await,
+        Ok(response) => forward_response(response, out).await,
         Err(end) => end,
     }
 }
 
-/// Sends a request, announcing first that it may reach the backend server.
+/// Sends a request, preceded by [`PeerResponse::Dispatched`] since it may reach the server
+/// from then on.
 async fn dispatch(
     send: impl Future<Output = reqwest::Result<Response>>,
     out: &mpsc::Sender<PeerResponse>,
-    pulse: Option<&LivenessProbe<'_>>,
+    probe: Option<&LivenessProbe<'_>>,
 ) -> Result<Response, CallOutcome> {
     if out.send(PeerResponse::Dispatched).await.is_err() {
         return Err(CallOutcome::Cancelled);
     }
-    let answer = tokio::select! {
-        answer = send => answer,
-        () = stopped(pulse) => return Err(stalled()),
+    let response = tokio::select! {
+        response = send => response,
+        () = until_unresponsive(probe) => return Err(unresponsive()),
         () = out.closed() => return Err(CallOutcome::Cancelled),
     };
-    answer.map_err(|error| {
+    response.map_err(|error| {
         if error.is_connect() {
             CallOutcome::NotSent(error.to_string())
         } else {
@@ -164,70 +173,75 @@
     })
 }
 
-/// Whether an engine lives, asked when it sends nothing.
+/// Probes the liveness of an engine that sends nothing.
 ///
-/// An engine that stands still keeps its connections open, so that nothing else
-/// shows it: its callers would wait for their whole deadline while another runner
-/// has room. A busy one answers the question and is waited for.
+/// A frozen engine keeps its connections open, so that nothing else shows it: callers would
+/// wait for their whole deadline while another runner has capacity. A busy engine responds
+/// to the probe and is waited for.
 pub struct LivenessProbe<'a> {
-    /// The client.
+    /// The client for backend servers.
     pub http: &'a Client,
     /// Where the engine listens.
     pub address: SocketAddr,
 }
 
 impl LivenessProbe<'_> {
-    async fn beats(&self) -> bool {
+    async fn is_alive(&self) -> bool {
         let url = format!("http://{}/v1/report", self.address);
-        let answer = self.http.get(url).timeout(PROBE).send().await;
-        answer.is_ok_and(|answer| answer.status().is_success())
+        let response = self.http.get(url).timeout(PROBE_TIMEOUT).send().await;
+        response.is_ok_and(|response| response.status().is_success())
     }
 }
 
-/// Ends when the engine has been silent and is found not to live.
-async fn stopped(pulse: Option<&LivenessProbe<'_>>) {
-    let Some(pulse) = pulse else {
+/// Completes when a probe fails after [`STALL_TIMEOUT`]; never without a probe.
+async fn until_unresponsive(probe: Option<&LivenessProbe<'_>>) {
+    let Some(probe) = probe else {
         return std::future::pending().await;
     };
     loop {
-        tokio::time::sleep(STALL).await;
-        if !pulse.beats().await {
+        tokio::time::sleep(STALL_TIMEOUT).await;
+        if !probe.is_alive().await {
             return;
         }
     }
 }
 
-fn stalled() -> CallOutcome {
+fn unresponsive() -> CallOutcome {
     CallOutcome::Interrupted {
-        reason: "the engine stands still".into(),
+        reason: "the engine is unresponsive".into(),
         connection_lost: true,
     }
 }
 
-/// Reads why an engine refused a request before running it.
-async fn refused(answer: Response) -> CallOutcome {
-    let status = answer.status();
-    let text = answer.text().await.unwrap_or_default();
-    let why = format!("status {status}: {text}");
+/// Reads the body of a response with an error status.
+///
+/// A client error or status 503 means that the engine didn't run the request.
+async fn read_refusal(response: Response) -> CallOutcome {
+    let status = response.status();
+    let text = response.text().await.unwrap_or_default();
+    let reason = format!("status {status}: {text}");
     if status.is_client_error() || status == StatusCode::SERVICE_UNAVAILABLE {
-        CallOutcome::Refused(why)
+        CallOutcome::Refused(reason)
     } else {
-        CallOutcome::Interrupted { reason: why, connection_lost: false }
+        CallOutcome::Interrupted { reason, connection_lost: false }
     }
 }
 
-async fn copy_answer(answer: Response, out: &mpsc::Sender<PeerResponse>) -> CallOutcome {
-    let content_type = answer
+async fn forward_response(
+    response: Response,
+    out: &mpsc::Sender<PeerResponse>,
+) -> CallOutcome {
+    let content_type = response
         .headers()
         .get("content-type")
         .and_then(|value| value.to_str().ok())
         .unwrap_or("application/octet-stream")
         .to_owned();
-    let head = PeerResponse::Head { status: answer.status().as_u16(), content_type };
+    let head = PeerResponse::Head { status: response.status().as_u16(), content_type };
     if out.send(head).await.is_err() {
         return CallOutcome::Cancelled;
     }
-    let body = answer.bytes_stream();
+    let body = response.bytes_stream();
     pin_mut!(body);
     loop {
         let chunk = tokio::select! {
@@ -250,49 +264,48 @@
     }
 }
 
-/// An event of an engine's stream.
+/// An event of an engine's stream; the fields that are read here.
 #[derive(Deserialize)]
-struct Event {
+struct CompletionEvent {
     #[serde(default)]
-    choices: Vec<Choice>,
-    /// How many tokens the whole answer has with this event; engines that don't
-    /// say send one token an event.
+    choices: Vec<EventChoice>,
+    /// Tokens of the response up to and including this event; engines that omit it send
+    /// one token per event.
     tokens: Option<u32>,
 }
 
-/// The only choice that is asked for.
 #[derive(Deserialize)]
-struct Choice {
+struct EventChoice {
     text: Option<String>,
-    delta: Option<Delta>,
+    delta: Option<ChatDelta>,
     finish_reason: Option<String>,
 }
 
-/// A piece of a chat's answer.
 #[derive(Deserialize)]
-struct Delta {
+struct ChatDelta {
     content: Option<String>,
 }
 
-/// Reads an engine's stream until its end mark.
+/// Reads an engine's stream up to its end mark and sends its tokens to `out`.
 ///
-/// A stream that merely closes is broken: without the mark an answer cut by a
-/// dying engine would look like a short one.
+/// `first_token` is the number of tokens that earlier attempts delivered. A stream that closes
+/// without the end mark counts as interrupted; otherwise a response cut off by a crash would
+/// pass for a short one.
 pub async fn read_tokens(
     body: impl Stream<Item = reqwest::Result<Bytes>>,
-    from: u32,
+    first_token: u32,
     out: &mpsc::Sender<PeerResponse>,
-    pulse: &LivenessProbe<'_>,
-    mut seen: impl FnMut(u32),
+    probe: &LivenessProbe<'_>,
+    mut on_tokens: impl FnMut(u32),
 ) -> CallOutcome {
     let events = body.eventsource();
     pin_mut!(events);
-    let mut next = from;
+    let mut next_token = first_token;
     let mut reason = None;
     loop {
         let event = tokio::select! {
             event = events.next() => event,
-            () = stopped(Some(pulse)) => return stalled(),
+            () = until_unresponsive(Some(probe)) => return unresponsive(),
             () = out.closed() => return CallOutcome::Cancelled,
         };
         let data = match event {
@@ -305,23 +318,23 @@
             }
             None => {
                 return CallOutcome::Interrupted {
-                    reason: "no end mark".into(),
+                    reason: "the stream closed without an end mark".into(),
                     connection_lost: true,
                 };
             }
         };
-        if data == DONE {
+        if data == END_MARK {
             return match reason {
                 Some(reason) => CallOutcome::Completed(reason),
                 None => CallOutcome::Interrupted {
-                    reason: "ended without a reason".into(),
+                    reason: "the stream ended without a finish reason".into(),
                     connection_lost: false,
                 },
             };
         }
-        let Ok(event) = serde_json::from_str::<Event>(&data) else {
+        let Ok(event) = serde_json::from_str::<CompletionEvent>(&data) else {
             return CallOutcome::Interrupted {
-                reason: format!("unreadable: {data}"),
+                reason: format!("invalid event: {data}"),
                 connection_lost: false,
             };
         };
@@ -331,33 +344,38 @@
         let text = choice.text.or(choice.delta.and_then(|delta| delta.content));
         reason = choice.finish_reason.or(reason);
         if let Some(text) = text.filter(|text| !text.is_empty()) {
-            let total = event.tokens.unwrap_or(next + 1);
-            let Some(count) = total.checked_sub(next).filter(|&count| count > 0) else {
-                let why = format!("token {total} came after {next}");
-                return CallOutcome::Interrupted { reason: why, connection_lost: false };
+            let total = event.tokens.unwrap_or(next_token + 1);
+            let Some(count) = total.checked_sub(next_token).filter(|&count| count > 0)
+            else {
+                let reason = format!("token {total} came after {next_token}");
+                return CallOutcome::Interrupted { reason, connection_lost: false };
             };
-            seen(count);
-            if out.send(PeerResponse::Tokens { first: next, count, text }).await.is_err()
+            on_tokens(count);
+            if out
+                .send(PeerResponse::Tokens { first: next_token, count, text })
+                .await
+                .is_err()
             {
                 return CallOutcome::Cancelled;
             }
-            next += count;
+            next_token += count;
         }
     }
 }
 
-/// The caller's body with what the engine needs to know besides.
-fn engine_body(
-    work: &RequestSpec,
+/// The caller's body with the engine's model name, streaming, the output limit, and the
+/// tokens to resume after.
+fn engine_request_body(
+    request: &RequestSpec,
     body: &Bytes,
     resume: Option<&ResumePoint>,
 ) -> Result<Value, String> {
     let mut value: Value =
         serde_json::from_slice(body).map_err(|error| error.to_string())?;
-    let fields = value.as_object_mut().ok_or("the body is no JSON object")?;
-    fields.insert("model".into(), engine_model_name(&work.target).into());
+    let fields = value.as_object_mut().ok_or("the body is not a JSON object")?;
+    fields.insert("model".into(), engine_model_name(&request.target).into());
     fields.insert("stream".into(), true.into());
-    fields.insert("max_tokens".into(), work.max_output_tokens.into());
+    fields.insert("max_tokens".into(), request.max_output_tokens.into());
     if let Some(resume) = resume {
         fields.insert("resume_from".into(), resume.tokens.into());
         fields.insert("resume_text".into(), resume.text.clone().into());
@@ -365,7 +383,7 @@
     Ok(value)
 }
 
-/// The name by which an engine knows a model or adapter.
+/// The name of a model or adapter at engines: the adapter's name, else `MODEL@VERSION`.
 pub fn engine_model_name(target: &Target) -> String {
     match target {
         Target::Model { adapter: Some(adapter), .. } => adapter.to_string(),
@@ -374,7 +392,7 @@
     }
 }
 
-fn priority(urgency: Urgency) -> &'static str {
+fn priority_value(urgency: Urgency) -> &'static str {
     match urgency {
         Urgency::Urgent => "0",
         Urgency::Normal => "1",
--- a/crates/node/src/peer.rs
+++ b/crates/node/src/peer.rs
@@ -1,10 +1,10 @@
 //! Connections between daemons.
 //!
-//! Every question has a stream of its own on a shared connection. The daemon
-//! that is asked sends [`PeerResponse::Heartbeat`] while it has nothing else to say, so that
-//! a daemon that was killed, frozen or cut off shows within [`FAILURE_DETECTION_TIMEOUT`] to
-//! whoever waits for it; without it a caller would wait for its whole deadline.
-//! Connections that carry no question send nothing.
+//! Each request has a stream of its own on a shared connection. The responding daemon sends
+//! [`PeerResponse::Heartbeat`] while it has no other frame, so that the requesting daemon
+//! detects within [`FAILURE_DETECTION_TIMEOUT`] that it was killed, frozen or cut off;
+//! otherwise callers would wait for their whole deadline. Connections without open requests
+//! send nothing.
 
 use std::fmt::{self, Display, Formatter};
 use std::net::SocketAddr;
@@ -20,44 +20,45 @@
 
 use crate::tls::{PEER_NAME, PeerTls};
 
-/// How long a daemon that answers may be silent before it counts as lost.
+/// How long a responding daemon may send nothing before its response counts as lost.
 ///
-/// Three missed signs of life; a shorter time takes a busy VM for a dead one.
+/// Three heartbeats; a shorter timeout takes a busy VM for a dead one.
 pub const FAILURE_DETECTION_TIMEOUT: Duration = Duration::from_millis(1500);
 
-/// How often a daemon that answers shows that it lives.
+/// The longest time between two frames of a daemon that is responding.
 pub const HEARTBEAT_INTERVAL: Duration = Duration::from_millis(500);
 
-/// How long a connection may take to come up.
+/// The timeout of a handshake and of opening a stream.
 ///
-/// Daemons are a few milliseconds apart; two lost packets cost under 1 s.
-const CONNECT: Duration = Duration::from_secs(1);
+/// Daemons are a few milliseconds apart; two lost packets delay a handshake by under 1 s.
+const CONNECT_TIMEOUT: Duration = Duration::from_secs(1);
 
-const READ_CHUNK: usize = 16 * 1024;
-const FRAMES_AHEAD: usize = 64;
+const READ_CHUNK_BYTES: usize = 16 * 1024;
+/// Frames of a response that may be buffered ahead of the connection.
+const FRAME_BUFFER: usize = 64;
 
-/// The code with which a stream nobody waits for is reset.
-const GIVEN_UP: VarInt = VarInt::from_u32(1);
+/// The QUIC error code with which connections to unreachable daemons are closed.
+const PEER_UNREACHABLE: VarInt = VarInt::from_u32(1);
 
-/// A question to another daemon that got no answer.
+/// A request to another daemon failed.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum PeerError {
-    /// The question did not leave this daemon.
+    /// The request was not sent, so that it did not run.
     NotSent(String),
-    /// The question may have arrived and the answer broke off.
+    /// The request may have arrived; its response was interrupted or timed out.
     ResponseLost(String),
 }
 
 impl Display for PeerError {
     fn fmt(&self, f: &mut Formatter<'_>) -> fmt::Result {
         match self {
-            Self::NotSent(why) => write!(
+            Self::NotSent(reason) => write!(
                 f,
-                "the other daemon can't be reached ({why}); check that it runs and is trusted"
+                "the other daemon can't be reached ({reason}); check that it runs and is trusted"
             ),
-            Self::ResponseLost(why) => write!(
+            Self::ResponseLost(reason) => write!(
                 f,
-                "the other daemon broke off ({why}); look into its logs and state"
+                "the response of the other daemon was lost ({reason}); check its logs and state"
             ),
         }
     }
@@ -65,7 +66,7 @@
 
 impl std::error::Error for PeerError {}
 
-/// The QUIC endpoint could not be opened.
+/// The QUIC endpoint could not be bound to this address.
 #[derive(Debug)]
 pub struct BindError(SocketAddr);
 
@@ -80,20 +81,21 @@
 /// The connections to other daemons.
 pub struct Peers {
     endpoint: Endpoint,
-    /// Open connections; one that failed is removed and opened anew.
-    open: Mutex<IndexMap<SocketAddr, Connection>>,
+    /// Open connections by address; a failed one is removed, and the next request opens
+    /// another.
+    connections: Mutex<IndexMap<SocketAddr, Connection>>,
 }
 
 impl Peers {
-    /// Opens the endpoint on which other daemons connect.
+    /// Binds the endpoint that other daemons connect to.
     pub fn bind(addr: SocketAddr, tls: PeerTls) -> Result<Self, Report<BindError>> {
         let mut endpoint =
             Endpoint::server(tls.server, addr).change_context_lazy(|| BindError(addr))?;
         endpoint.set_default_client_config(tls.client);
-        Ok(Self { endpoint, open: Mutex::default() })
+        Ok(Self { endpoint, connections: Mutex::default() })
     }
 
-    /// The address that other daemons connect to.
+    /// The bound address; it has the port that the system chose if `bind` was given port 0.
     pub fn local_addr(&self) -> std::io::Result<SocketAddr> {
         self.endpoint.local_addr()
     }
@@ -103,15 +105,16 @@
         &self.endpoint
     }
 
-    /// Asks another daemon; the answer is read frame by frame.
+    /// Sends a request to another daemon and returns the stream of its response.
     pub async fn request_stream(
         &self,
         addr: SocketAddr,
-        ask: &PeerRequest,
+        request: &PeerRequest,
     ) -> Result<ResponseStream, PeerError> {
-        let bytes = encode(ask).map_err(|error| PeerError::NotSent(error.to_string()))?;
+        let bytes =
+            encode(request).map_err(|error| PeerError::NotSent(error.to_string()))?;
         let conn = self.connect(addr).await?;
-        let opened = timeout(CONNECT, conn.open_bi()).await;
+        let opened = timeout(CONNECT_TIMEOUT, conn.open_bi()).await;
         let (mut send, recv) = match opened {
             Ok(Ok(streams)) => streams,
             Ok(Err(error)) => {
@@ -119,63 +122,63 @@
                 return Err(PeerError::NotSent(error.to_string()));
             }
             Err(_) => {
-                return Err(PeerError::NotSent("it takes no more questions".into()));
+                return Err(PeerError::NotSent("timed out opening a stream".into()));
             }
         };
-        let lost = |error: String| {
+        let response_lost = |error: String| {
             self.drop_connection(addr, &conn);
             PeerError::ResponseLost(error)
         };
-        send.write_all(&bytes).await.map_err(|error| lost(error.to_string()))?;
-        send.finish().map_err(|error| lost(error.to_string()))?;
+        send.write_all(&bytes).await.map_err(|error| response_lost(error.to_string()))?;
+        send.finish().map_err(|error| response_lost(error.to_string()))?;
         Ok(ResponseStream { recv, frames: FrameDecoder::new() })
     }
 
-    /// Asks a question that is answered by one frame.
+    /// Sends a request whose response is a single frame, and returns that frame.
     pub async fn request(
         &self,
         addr: SocketAddr,
-        ask: &PeerRequest,
+        request: &PeerRequest,
     ) -> Result<PeerResponse, PeerError> {
-        let mut answer = self.request_stream(addr, ask).await?;
+        let mut response = self.request_stream(addr, request).await?;
         loop {
-            let say = match answer.next().await {
-                Ok(say) => say,
+            let frame = match response.next().await {
+                Ok(frame) => frame,
                 Err(error) => {
                     self.disconnect(addr);
                     return Err(error);
                 }
             };
-            if say.is_final() {
-                return Ok(say);
+            if frame.is_final() {
+                return Ok(frame);
             }
         }
     }
 
-    /// Closes the connection to a daemon that was found lost.
+    /// Closes the connection to a daemon that counts as lost.
     ///
-    /// A daemon that was started anew under the same address can't be reached on
-    /// the old connection; the next question opens a new one.
+    /// A daemon that was restarted under the same address can't be reached on the old
+    /// connection; the next request opens a new one.
     pub fn disconnect(&self, addr: SocketAddr) {
         let conn = self.lock().swap_remove(&addr);
         if let Some(conn) = conn {
-            conn.close(GIVEN_UP, b"lost");
+            conn.close(PEER_UNREACHABLE, b"lost");
         }
     }
 
     async fn connect(&self, addr: SocketAddr) -> Result<Connection, PeerError> {
-        let known = self.lock().get(&addr).cloned();
-        if let Some(conn) = known.filter(|conn| conn.close_reason().is_none()) {
+        let existing = self.lock().get(&addr).cloned();
+        if let Some(conn) = existing.filter(|conn| conn.close_reason().is_none()) {
             return Ok(conn);
         }
-        let fail = |why: String| PeerError::NotSent(why);
+        let fail = |reason: String| PeerError::NotSent(reason);
         let connecting = self
             .endpoint
             .connect(addr, PEER_NAME)
             .map_err(|error| fail(error.to_string()))?;
-        let conn = timeout(CONNECT, connecting)
+        let conn = timeout(CONNECT_TIMEOUT, connecting)
             .await
-            .map_err(|_| fail("no answer to the handshake".into()))?
+            .map_err(|_| fail("the handshake timed out".into()))?
             .map_err(|error| fail(error.to_string()))?;
         self.lock().insert(addr, conn.clone());
         Ok(conn)
@@ -189,37 +192,37 @@
     }
 
     fn lock(&self) -> std::sync::MutexGuard<'_, IndexMap<SocketAddr, Connection>> {
-        self.open.lock().expect("no holder of the connections panics")
+        self.connections.lock().expect("no holder of the connections panics")
     }
 }
 
-/// An answer that arrives frame by frame.
+/// The frames of a response from another daemon.
 ///
-/// Dropping it tells the other daemon that nobody waits any more.
+/// Dropping it cancels the request at the other daemon.
 pub struct ResponseStream {
     recv: RecvStream,
     frames: FrameDecoder,
 }
 
 impl ResponseStream {
-    /// The next frame; an error if the daemon is silent for too long.
+    /// The next frame; an error if none comes within [`FAILURE_DETECTION_TIMEOUT`].
     pub async fn next(&mut self) -> Result<PeerResponse, PeerError> {
         loop {
-            if let Some(say) = self.frames.decode().map_err(malformed)? {
-                return Ok(say);
+            if let Some(frame) = self.frames.decode().map_err(malformed)? {
+                return Ok(frame);
             }
             let chunk = timeout(
                 FAILURE_DETECTION_TIMEOUT,
-                self.recv.read_chunk(READ_CHUNK, true),
+                self.recv.read_chunk(READ_CHUNK_BYTES, true),
             )
             .await
-            .map_err(|_| PeerError::ResponseLost("no sign of life".into()))?
+            .map_err(|_| PeerError::ResponseLost("no heartbeat".into()))?
             .map_err(|error| PeerError::ResponseLost(error.to_string()))?;
             match chunk {
                 Some(chunk) => self.frames.push(&chunk.bytes),
                 None => {
                     return Err(PeerError::ResponseLost(
-                        "ended without an end mark".into(),
+                        "the stream ended before its final frame".into(),
                     ));
                 }
             }
@@ -231,77 +234,78 @@
     PeerError::ResponseLost(error.to_string())
 }
 
-/// Whoever carries out other daemons' questions.
-///
-/// The future ends when the answer is whole or the receiver of the frames is gone.
+/// Handles the requests of other daemons.
 pub trait RequestHandler: Send + Sync + 'static {
-    /// Carries out one question and sends the frames of the answer.
+    /// Handles one request and sends the frames of its response.
+    ///
+    /// The future ends when the response is complete or the receiver of the frames was
+    /// dropped.
     fn handle(
         self: Arc<Self>,
-        ask: PeerRequest,
+        request: PeerRequest,
         out: mpsc::Sender<PeerResponse>,
     ) -> impl Future<Output = ()> + Send;
 }
 
 /// Accepts connections from other daemons until the endpoint closes.
-pub async fn accept<S: RequestHandler>(endpoint: Endpoint, serve: Arc<S>) {
+pub async fn accept<S: RequestHandler>(endpoint: Endpoint, handler: Arc<S>) {
     while let Some(incoming) = endpoint.accept().await {
-        let serve = serve.clone();
+        let handler = handler.clone();
         tokio::spawn(async move {
-            // A daemon that isn't trusted fails here; it sees the reason itself.
+            // An untrusted daemon fails here; it gets the reason from its own handshake.
             if let Ok(conn) = incoming.await {
-                answer_streams(conn, serve).await;
+                handle_streams(conn, handler).await;
             }
         });
     }
 }
 
-async fn answer_streams<S: RequestHandler>(conn: Connection, serve: Arc<S>) {
+async fn handle_streams<S: RequestHandler>(conn: Connection, handler: Arc<S>) {
     while let Ok((send, recv)) = conn.accept_bi().await {
-        tokio::spawn(answer_stream(send, recv, serve.clone()));
+        tokio::spawn(handle_stream(send, recv, handler.clone()));
     }
 }
 
-async fn answer_stream<S: RequestHandler>(
+async fn handle_stream<S: RequestHandler>(
     mut send: SendStream,
     mut recv: RecvStream,
-    serve: Arc<S>,
+    handler: Arc<S>,
 ) {
-    let Some(ask) = read_ask(&mut recv).await else {
+    let Some(request) = read_request(&mut recv).await else {
         return;
     };
-    let (out, frames) = mpsc::channel(FRAMES_AHEAD);
-    let job = tokio::spawn(serve.handle(ask, out));
-    if write_answer(&mut send, frames).await.is_none() {
-        // Nobody waits: the job sees that its frames go nowhere and stops the
-        // backend server's work itself, so that it is not aborted here.
-        drop(job);
+    let (out, frames) = mpsc::channel(FRAME_BUFFER);
+    let task = tokio::spawn(handler.handle(request, out));
+    if write_response(&mut send, frames).await.is_none() {
+        // The requesting daemon is gone. The task is not aborted: it finds its channel
+        // closed and cancels the work at the backend server itself.
+        drop(task);
     }
 }
 
-async fn read_ask(recv: &mut RecvStream) -> Option<PeerRequest> {
+async fn read_request(recv: &mut RecvStream) -> Option<PeerRequest> {
     let mut frames = FrameDecoder::new();
     loop {
-        if let Some(ask) = frames.decode().ok()? {
-            return Some(ask);
+        if let Some(request) = frames.decode().ok()? {
+            return Some(request);
         }
-        let chunk = recv.read_chunk(READ_CHUNK, true).await.ok()??;
+        let chunk = recv.read_chunk(READ_CHUNK_BYTES, true).await.ok()??;
         frames.push(&chunk.bytes);
     }
 }
 
-/// Writes frames until the last one; nothing if the asking daemon went away.
-async fn write_answer(
+/// Writes frames up to the final one; `None` if the requesting daemon stopped reading.
+async fn write_response(
     send: &mut SendStream,
     mut frames: mpsc::Receiver<PeerResponse>,
 ) -> Option<()> {
     loop {
-        let say = tokio::select! {
-            say = timeout(HEARTBEAT_INTERVAL, frames.recv()) => say.unwrap_or(Some(PeerResponse::Heartbeat))?,
+        let frame = tokio::select! {
+            frame = timeout(HEARTBEAT_INTERVAL, frames.recv()) => frame.unwrap_or(Some(PeerResponse::Heartbeat))?,
             _ = send.stopped() => return None,
         };
-        let last = say.is_final();
-        send.write_all(&encode(&say).ok()?).await.ok()?;
+        let last = frame.is_final();
+        send.write_all(&encode(&frame).ok()?).await.ok()?;
         if last {
             return send.finish().ok();
         }
