--- a/crates/node/src/demand.rs
+++ b/crates/node/src/demand.rs
@@ -1,9 +1,9 @@
-//! How a planner learns what callers ask for, with few and small messages.
+//! Reports the demand for each model to the planners, in few and small messages.
 //!
-//! Each entry counts the tokens asked of each model and writes a digest per pool
-//! to the table now and then. Reading all digests would take a planner's daemon
-//! far beyond its bandwidth in a large system; entries see like shares of the
-//! callers, so that a sample of them is enough and is scaled up.
+//! Each entry counts the tokens that callers request of each model and writes a report per
+//! pool to the table at intervals. In a large system the reports of all entries would far
+//! exceed the bandwidth of a planner's daemon. Callers are spread evenly over entries, so
+//! that a sample of entries suffices and is scaled up.
 
 use std::sync::{Arc, Mutex};
 use std::time::Duration;
@@ -17,36 +17,36 @@
 
 use crate::shared::Shared;
 
-/// The table of digests, with keys `POOL/MEMBER`.
+/// The table of demand reports, with keys `POOL/MEMBER`.
 pub const DEMAND_TABLE: &str = "demand";
 
-/// The greatest number of daemons that write digests of a pool.
+/// The maximum number of daemons that report the demand of a pool.
 ///
-/// 64 digests of some 60 models at 20 bytes every 42 s are 1.8 KB/s, which the
-/// planner's daemon reads; the models' shares are then known to about
+/// 64 reports of some 60 models at 20 bytes every 42 s are 1.8 KB/s for the planner's daemon
+/// to read. The relative error of the models' shares is about
 /// `1 / sqrt(requests in the sample)`.
-const REPORTERS: usize = 64;
+const MAX_REPORTERS: usize = 64;
 
-/// Polls between two digests in a small system.
-const POLLS: u32 = 10;
+/// The interval between reports in a small system, in polls of the table.
+const REPORT_INTERVAL_POLLS: u32 = 10;
 
-/// The time between two digests for each member, so that 2,100 members write at
-/// most 50 digests a second.
-const PACE_PER_MEMBER: Duration = Duration::from_millis(20);
+/// The interval between reports per member of the system, so that all members together
+/// write at most 50 reports a second; with 2,100 members it is 42 s.
+const REPORT_INTERVAL_PER_MEMBER: Duration = Duration::from_millis(20);
 
-/// The tokens that callers asked of each model since they were last taken.
+/// The output tokens that callers requested of each model since the last report.
 #[derive(Debug, Default)]
 pub struct DemandCounts {
     tokens: Mutex<IndexMap<ModelName, u64>>,
 }
 
 impl DemandCounts {
-    /// Counts a request that arrived at this entry.
-    pub fn record(&self, work: &RequestSpec) {
-        if let Target::Model { model, .. } = &work.target {
+    /// Counts a request that arrived at this entry; calls of plain services don't count.
+    pub fn record(&self, request: &RequestSpec) {
+        if let Target::Model { model, .. } = &request.target {
             let mut tokens = self.tokens.lock().expect("no holder of the counts panics");
             *tokens.entry(model.clone()).or_default() +=
-                u64::from(work.max_output_tokens);
+                u64::from(request.max_output_tokens);
         }
     }
 
@@ -55,87 +55,88 @@
     }
 }
 
-/// What callers asked of one entry.
+/// The demand for a pool's models at one entry.
 #[derive(Debug, Clone, Default, PartialEq, Serialize, Deserialize)]
 pub struct DemandReport {
-    /// Tokens a second, by model.
+    /// Output tokens a second, by model.
     pub rates: IndexMap<ModelName, f64>,
 }
 
-/// Writes this daemon's digests until the process ends.
+/// Writes this daemon's reports until the process ends.
 pub async fn run(shared: Arc<Shared>) {
-    let mut written = IndexSet::new();
-    let mut last = shared.clock.now();
+    let mut reported_pools = IndexSet::new();
+    let mut last_report = shared.clock.now();
     loop {
         let members = shared.view().members.len() as u32;
-        let pause = shared.settings.times.poll * POLLS;
-        tokio::time::sleep(pause.max(PACE_PER_MEMBER * members)).await;
+        let interval = shared.settings.times.poll * REPORT_INTERVAL_POLLS;
+        tokio::time::sleep(interval.max(REPORT_INTERVAL_PER_MEMBER * members)).await;
         let now = shared.clock.now();
-        let time = now.saturating_duration_since(last);
-        last = now;
-        // A digest that is not written is not made up for: rates lag anyway.
-        if write(&shared, time, &mut written).await.is_err() {
-            slog::debug!(shared.log, "the demand could not be written");
+        let elapsed = now.saturating_duration_since(last_report);
+        last_report = now;
+        // A failed report is not repeated: rates lag anyway.
+        if write(&shared, elapsed, &mut reported_pools).await.is_err() {
+            slog::debug!(shared.log, "failed to write the demand report");
         }
     }
 }
 
 async fn write(
     shared: &Shared,
-    time: Duration,
-    written: &mut IndexSet<PoolName>,
+    elapsed: Duration,
+    reported_pools: &mut IndexSet<PoolName>,
 ) -> Result<(), PlatformError> {
     let catalog = shared.catalog();
     let view = shared.view();
-    let mut digests: IndexMap<PoolName, DemandReport> = IndexMap::new();
+    let mut reports: IndexMap<PoolName, DemandReport> = IndexMap::new();
     for (model, tokens) in shared.demand.take() {
         if let Some(declared) = catalog.models.get(&model) {
-            let rate = tokens as f64 / time.as_secs_f64().max(0.001);
-            let digest = digests.entry(declared.pool.clone()).or_default();
-            digest.rates.insert(model, (rate * 10.0).round() / 10.0);
+            let rate = tokens as f64 / elapsed.as_secs_f64().max(0.001);
+            let report = reports.entry(declared.pool.clone()).or_default();
+            report.rates.insert(model, (rate * 10.0).round() / 10.0);
         }
     }
     let mut txn = Txn::new();
-    let mut now_written = IndexSet::new();
+    let mut now_reported = IndexSet::new();
     for pool in catalog.pools.keys() {
         let key = report_key(pool, shared.me);
-        match digests.get(pool).filter(|_| reports(&view, pool, shared.me)) {
-            Some(digest) => {
-                let value = serde_json::to_value(digest);
+        match reports.get(pool).filter(|_| is_reporter(&view, pool, shared.me)) {
+            Some(report) => {
+                let value = serde_json::to_value(report);
                 let value = value.map_err(|e| PlatformError::Protocol(e.to_string()))?;
                 txn = txn.put(DEMAND_TABLE, key, value);
-                now_written.insert(pool.clone());
+                now_reported.insert(pool.clone());
             }
-            None if written.contains(pool) => txn = txn.delete(DEMAND_TABLE, key),
+            None if reported_pools.contains(pool) => txn = txn.delete(DEMAND_TABLE, key),
             None => {}
         }
     }
     if !txn.writes.is_empty() {
         shared.table.commit(&txn).await?;
     }
-    *written = now_written;
+    *reported_pools = now_reported;
     Ok(())
 }
 
-/// The key of a member's digest of a pool.
+/// The key of a member's report of a pool.
 pub fn report_key(pool: &PoolName, member: MemberId) -> String {
     format!("{pool}/{member}")
 }
 
-/// Whether a member writes digests of a pool.
-fn reports(view: &View, pool: &PoolName, member: MemberId) -> bool {
-    if view.members.len() <= REPORTERS {
+/// Whether a member reports the demand of a pool: each one of up to [`MAX_REPORTERS`]
+/// members; of more, those that rendezvous hashing ranks highest.
+fn is_reporter(view: &View, pool: &PoolName, member: MemberId) -> bool {
+    if view.members.len() <= MAX_REPORTERS {
         return true;
     }
     let rank = |member: &MemberId| {
         (rendezvous_rank(pool.as_str(), &member.to_string()), *member)
     };
     let own = rank(&member);
-    view.members.keys().filter(|other| rank(other) > own).count() < REPORTERS
+    view.members.keys().filter(|other| rank(other) > own).count() < MAX_REPORTERS
 }
 
-/// How much more all entries see than those that write digests.
+/// The ratio of all entries to those that report, at least 1.
 pub fn sampling_factor(view: &View) -> f64 {
     let members = view.members.len();
-    members.max(1) as f64 / members.clamp(1, REPORTERS) as f64
+    members.max(1) as f64 / members.clamp(1, MAX_REPORTERS) as f64
 }
--- a/crates/node/src/metrics.rs
+++ b/crates/node/src/metrics.rs
@@ -1,4 +1,4 @@
-//! The counters of a daemon, in the text form of Prometheus.
+//! The metrics of a daemon, in the text format of Prometheus.
 
 use std::sync::Mutex;
 
@@ -9,26 +9,26 @@
 use prometheus_client::metrics::family::Family;
 use prometheus_client::registry::Registry;
 
-/// The counters of a daemon.
+/// The registry of a daemon's metrics.
 ///
-/// Each part of the daemon registers its own when it starts and keeps handles.
+/// Each part of the daemon registers its own metrics when it starts and keeps the handles.
 pub struct Metrics {
     registry: Mutex<Registry>,
     served: Counter,
-    refused: Family<RefusedLabels, Counter>,
+    refused: Family<RefusalLabels, Counter>,
 }
 
-/// The labels of refusals.
+/// The labels of the counter of refusals.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, EncodeLabelSet)]
-struct RefusedLabels {
-    /// The refusal's code.
+struct RefusalLabels {
+    /// The refusal's code, such as `Overloaded`.
     code: String,
-    /// What became of the request.
+    /// Whether the request ran, such as `NotRun`.
     outcome: String,
 }
 
 impl Metrics {
-    /// Creates an empty set.
+    /// Creates a registry with the counters of requests.
     pub fn new() -> Self {
         let mut registry = Registry::with_prefix("chestnut");
         let served = Counter::default();
@@ -39,26 +39,26 @@
         Self { registry: Mutex::new(registry), served, refused }
     }
 
-    /// Counts a request that was answered whole.
+    /// Counts a request that got its complete response.
     pub fn record_served(&self) {
         self.served.inc();
     }
 
     /// Counts a request that was refused or failed.
     pub fn record_refused(&self, refusal: &Refusal) {
-        let labels = RefusedLabels {
+        let labels = RefusalLabels {
             code: format!("{:?}", refusal.code),
             outcome: format!("{:?}", refusal.outcome),
         };
         self.refused.get_or_create(&labels).inc();
     }
 
-    /// Registers counters.
+    /// Calls `add` to register further metrics.
     pub fn register<T>(&self, add: impl FnOnce(&mut Registry) -> T) -> T {
         add(&mut self.registry.lock().expect("no holder of the registry panics"))
     }
 
-    /// Writes all counters as text.
+    /// Writes all metrics as text.
     pub fn render(&self) -> String {
         let mut text = String::new();
         let registry = self.registry.lock().expect("no holder of the registry panics");
--- a/crates/node/src/pick.rs
+++ b/crates/node/src/pick.rs
@@ -1,10 +1,9 @@
-//! The choice of a backend server for one attempt.
+//! Picks the backend server for one attempt.
 //!
-//! The state is the `route` crate's; this module looks the candidates up and
-//! counts attempts in flight by a guard, so that no way out of an attempt can
-//! leave a count behind. (A count that is never taken back makes a server look
-//! busy for good; "Two-Level AI Inference Gateway" tells of one that got no more
-//! requests until a restart, and of the guard as remedy.)
+//! The `route` crate ranks the servers; this module looks up the eligible ones and counts
+//! attempts in flight with a guard, so that each way out of an attempt decrements the count.
+//! A leaked count makes a server look busy forever: "Two-Level AI Inference Gateway" reports
+//! one that got no more requests until a restart, and proposes the guard.
 
 use std::net::SocketAddr;
 use std::sync::{Arc, Mutex, MutexGuard};
@@ -26,150 +25,156 @@
 use crate::engine::engine_model_name;
 use crate::shared::Shared;
 
-/// What the way to another failure domain costs; they are 0.5 to 1 ms apart.
-const FAR: Duration = Duration::from_millis(1);
+/// The extra latency of another failure domain; they are 0.5 to 1 ms apart.
+const CROSS_DOMAIN_LATENCY: Duration = Duration::from_millis(1);
 
-/// How long a daemon that did not answer is passed over.
+/// How long a daemon that was unreachable is skipped.
 ///
-/// Until its lease lapses, every backend server that it leads would cost each
-/// request a try; after this time one request tries again.
-const SILENT: Duration = Duration::from_secs(1);
+/// Until its lease expires, every backend server that it leads would cost each request a
+/// failed attempt; after this time it is tried again.
+const UNREACHABLE_HOLDOFF: Duration = Duration::from_secs(1);
 
-/// The expected time of a plain service's call; its lead measures it as one step.
+/// The expected time of a plain service's call, which its lead measures as one step.
 pub const SERVICE_STEP_TIME: Duration = Duration::from_millis(20);
 
-/// Picks after which servers that are gone are forgotten.
-const TIDY: u64 = 4096;
+/// The number of picks between two removals of state about servers and daemons that are
+/// gone.
+const PRUNE_INTERVAL: u64 = 4096;
 
-/// The backend server that was chosen and the daemon that leads it.
+/// The backend server for an attempt, and the daemon that leads it.
 ///
 /// The attempt counts as in flight until this is dropped.
 pub struct SelectedServer {
-    /// The backend server.
+    /// The backend server's name.
     pub server: ServerName,
     /// The daemon that leads it.
     pub lead: MemberId,
-    /// Where that daemon answers other daemons.
+    /// The address at which that daemon accepts other daemons.
     pub lead_addr: SocketAddr,
-    /// The fence of its claim.
+    /// The fence of its claim of the backend server.
     pub fence: Fence,
-    _flight: Flight,
+    _in_flight: InFlightGuard,
 }
 
-/// What became of an attempt at a backend server.
+/// What an attempt showed about a backend server.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub enum AttemptFeedback {
-    /// The lead told the load.
+    /// The lead responded and reported the load.
     Load(ServerLoad),
-    /// Tokens arrived.
+    /// This number of tokens arrived.
     Tokens(u32),
-    /// The lead refused.
+    /// The lead refused the attempt. Its load, if reported, is recorded separately.
     Refused,
-    /// The backend server broke off.
+    /// The backend server interrupted its response.
     Failed {
-        /// Whether it died.
+        /// Whether it crashed.
         crashed: bool,
     },
-    /// The lead does not answer.
+    /// The lead can't be reached.
     Unreachable,
 }
 
-/// Chooses backend servers by what this entry knows.
+/// Picks backend servers by the loads that this entry has observed.
 pub struct Picker {
     clock: Arc<dyn Clock>,
-    state: Arc<Mutex<State>>,
+    state: Arc<Mutex<PickerState>>,
 }
 
-struct State {
+struct PickerState {
     router: Router,
-    budget: RetryBudget,
+    retry_budget: RetryBudget,
     picks: u64,
-    /// Who led a backend server when it was last picked.
-    members: IndexMap<ServerName, MemberId>,
-    /// Daemons that did not answer, and when.
-    silent: IndexMap<MemberId, Instant>,
+    /// The lead of each backend server when it was last picked.
+    leads: IndexMap<ServerName, MemberId>,
+    /// When each daemon was last found unreachable.
+    unreachable_at: IndexMap<MemberId, Instant>,
 }
 
-/// One attempt in flight.
-struct Flight {
-    state: Arc<Mutex<State>>,
+/// Counts one attempt as in flight until dropped.
+struct InFlightGuard {
+    state: Arc<Mutex<PickerState>>,
     key: ServerKey,
 }
 
-/// A candidate before it is chosen.
-struct Prospect {
-    server: ServerName,
-    member: MemberId,
-    addr: SocketAddr,
+/// A backend server that can serve a request.
+struct EligibleServer {
+    name: ServerName,
+    lead: MemberId,
+    lead_addr: SocketAddr,
     fence: Fence,
-    far: Duration,
+    extra_latency: Duration,
     streams: u32,
-    step: Duration,
+    step_time: Duration,
 }
 
 impl Picker {
-    /// Creates a picker that knows no load yet; daemons need different seeds.
+    /// Creates a picker that has observed no load yet; each daemon needs a seed of its own,
+    /// so that their random choices differ.
     pub fn new(clock: Arc<dyn Clock>, seed: u64) -> Self {
-        let state = State {
+        let state = PickerState {
             router: Router::new(RoutingPolicy::Estimate, seed),
-            budget: RetryBudget::new(),
+            retry_budget: RetryBudget::new(),
             picks: 0,
-            members: IndexMap::new(),
-            silent: IndexMap::new(),
+            leads: IndexMap::new(),
+            unreachable_at: IndexMap::new(),
         };
         Self { clock, state: Arc::new(Mutex::new(state)) }
     }
 
-    /// Chooses a backend server that was not tried yet and counts the attempt.
+    /// Picks a backend server that is not in `tried` and counts the attempt as in flight.
+    ///
+    /// An empty `tried` marks the request's first attempt, which deposits into the retry
+    /// budget.
     pub fn pick(
         &self,
         shared: &Shared,
-        work: &RequestSpec,
+        request: &RequestSpec,
         tried: &[ServerName],
     ) -> Result<SelectedServer, Refusal> {
         let view = shared.view();
-        let mut options = options(shared, &view, work);
-        options.retain(|option| !tried.contains(&option.server));
+        let mut servers = eligible_servers(shared, &view, request);
+        servers.retain(|eligible| !tried.contains(&eligible.name));
         let now = self.clock.now();
         let mut state = self.lock();
-        state.begin(&view, tried.is_empty());
-        state.pass_over(&mut options, now);
+        state.record_pick(&view, tried.is_empty());
+        state.skip_unreachable(&mut servers, now);
         let candidates: Vec<Candidate> =
-            options.iter().map(|option| state.candidate(option)).collect();
-        let prefix = prefix(work);
-        let (prompt, output) = match work.target {
-            Target::Model { .. } => (work.prompt_tokens, work.max_output_tokens),
+            servers.iter().map(|eligible| state.candidate(eligible)).collect();
+        let prefix_blocks = prefix_blocks(request);
+        let (prompt, output) = match request.target {
+            Target::Model { .. } => (request.prompt_tokens, request.max_output_tokens),
             Target::Service { .. } => (0, 1),
         };
-        let ask = RouteRequest {
+        let route_request = RouteRequest {
             prompt_tokens: prompt,
             output_tokens: output,
-            prefix_blocks: &prefix,
+            prefix_blocks: &prefix_blocks,
         };
-        let Some(key) = state.router.choose(&candidates, ask, now) else {
-            return Err(nowhere(work));
+        let Some(key) = state.router.choose(&candidates, route_request, now) else {
+            return Err(no_server(request));
         };
         let index = candidates.iter().position(|candidate| candidate.server == key);
-        let option = options.swap_remove(index.expect("the router chooses a candidate"));
-        state.router.begin_attempt(key, &prefix);
-        state.members.insert(option.server.clone(), option.member);
+        let eligible =
+            servers.swap_remove(index.expect("the router chooses a candidate"));
+        state.router.begin_attempt(key, &prefix_blocks);
+        state.leads.insert(eligible.name.clone(), eligible.lead);
         Ok(SelectedServer {
-            server: option.server,
-            lead: option.member,
-            lead_addr: option.addr,
-            fence: option.fence,
-            _flight: Flight { state: self.state.clone(), key },
+            server: eligible.name,
+            lead: eligible.lead,
+            lead_addr: eligible.lead_addr,
+            fence: eligible.fence,
+            _in_flight: InFlightGuard { state: self.state.clone(), key },
         })
     }
 
-    /// Takes note of what became of an attempt.
+    /// Records what an attempt showed.
     pub fn record(&self, server: &ServerName, feedback: AttemptFeedback) {
         let now = self.clock.now();
         let mut state = self.lock();
         let key = state.router.server_key(server);
         match feedback {
             AttemptFeedback::Load(load) => {
-                state.router.record(key, Feedback::Load(report(load)), now);
+                state.router.record(key, Feedback::Load(load_report(load)), now);
                 state.router.record(key, Feedback::Responded, now);
             }
             AttemptFeedback::Tokens(_) => {
@@ -180,103 +185,113 @@
                 state.router.record(key, Feedback::Failed, now)
             }
             AttemptFeedback::Unreachable => {
-                if let Some(&member) = state.members.get(server) {
-                    state.silent.insert(member, now);
+                if let Some(&member) = state.leads.get(server) {
+                    state.unreachable_at.insert(member, now);
                 }
             }
         }
     }
 
-    /// Whether the budget allows one more attempt after a broken one.
+    /// Withdraws a retry from the budget; false if there is none left.
     pub fn try_withdraw_retry(&self, _shared: &Shared) -> bool {
-        self.lock().budget.try_withdraw()
+        self.lock().retry_budget.try_withdraw()
     }
 
-    /// Retries that the budget still allows.
+    /// The number of retries that the budget still allows.
     pub fn retries_left(&self) -> u32 {
-        self.lock().budget.remaining()
+        self.lock().retry_budget.remaining()
     }
 
-    fn lock(&self) -> MutexGuard<'_, State> {
+    fn lock(&self) -> MutexGuard<'_, PickerState> {
         self.state.lock().expect("no holder of the state panics")
     }
 }
 
-impl State {
-    /// Counts a pick, and forgets what is gone from time to time.
-    fn begin(&mut self, view: &View, first: bool) {
+impl PickerState {
+    /// Counts a pick and at times removes state about servers and daemons that are gone.
+    fn record_pick(&mut self, view: &View, first_attempt: bool) {
         self.picks += 1;
         self.router.set_entry_count(view.members.len());
-        if first {
-            self.budget.deposit();
+        if first_attempt {
+            self.retry_budget.deposit();
         }
-        if self.picks.is_multiple_of(TIDY) {
+        if self.picks.is_multiple_of(PRUNE_INTERVAL) {
             self.router.retain(|name| view.servers.contains_key(name));
-            self.members.retain(|name, _| view.servers.contains_key(name));
-            self.silent.retain(|member, _| view.members.contains_key(member));
+            self.leads.retain(|name, _| view.servers.contains_key(name));
+            self.unreachable_at.retain(|member, _| view.members.contains_key(member));
         }
     }
 
-    /// Leaves out daemons that did not answer just now, if others are left.
-    fn pass_over(&self, options: &mut Vec<Prospect>, now: Instant) {
-        let silent = |option: &Prospect| {
-            let at = self.silent.get(&option.member);
-            at.is_some_and(|&at| now.saturating_duration_since(at) < SILENT)
+    /// Removes the servers of daemons that were unreachable within [`UNREACHABLE_HOLDOFF`],
+    /// unless none would remain.
+    fn skip_unreachable(&self, servers: &mut Vec<EligibleServer>, now: Instant) {
+        let is_unreachable = |eligible: &EligibleServer| {
+            let at = self.unreachable_at.get(&eligible.lead);
+            at.is_some_and(|&at| now.saturating_duration_since(at) < UNREACHABLE_HOLDOFF)
         };
-        if options.iter().any(|option| !silent(option)) {
-            options.retain(|option| !silent(option));
+        if servers.iter().any(|eligible| !is_unreachable(eligible)) {
+            servers.retain(|eligible| !is_unreachable(eligible));
         }
     }
 
-    fn candidate(&mut self, option: &Prospect) -> Candidate {
-        let server = self.router.server_key(&option.server);
-        let (far, streams, step) = (option.far, option.streams, option.step);
-        Candidate { server, extra_latency: far, streams, step_time: step }
+    fn candidate(&mut self, eligible: &EligibleServer) -> Candidate {
+        let server = self.router.server_key(&eligible.name);
+        let (extra_latency, streams, step_time) =
+            (eligible.extra_latency, eligible.streams, eligible.step_time);
+        Candidate { server, extra_latency, streams, step_time }
     }
 }
 
-impl Drop for Flight {
+impl Drop for InFlightGuard {
     fn drop(&mut self) {
         let mut state = self.state.lock().expect("no holder of the state panics");
         state.router.end_attempt(self.key);
     }
 }
 
-/// The backend servers that can serve the work and whose lead is known.
-fn options(shared: &Shared, view: &View, work: &RequestSpec) -> Vec<Prospect> {
+/// The backend servers that can serve the request and have a known lead.
+fn eligible_servers(
+    shared: &Shared,
+    view: &View,
+    request: &RequestSpec,
+) -> Vec<EligibleServer> {
     let catalog = shared.catalog();
-    let option = |server: &ServerName| {
+    let eligible = |server: &ServerName| {
         let info = view.servers.get(server).filter(|info| !info.leaving)?;
         let (claim, member) = view.holder(&ClaimKey::Server(server.clone()))?;
-        let near = info.domain == shared.settings.domain;
-        let (streams, step) = size(&catalog, info)?;
-        Some(Prospect {
-            server: server.clone(),
-            member: claim.holder,
-            addr: member.peer_addr,
+        let same_domain = info.domain == shared.settings.domain;
+        let (streams, step_time) = capacity(&catalog, info)?;
+        Some(EligibleServer {
+            name: server.clone(),
+            lead: claim.holder,
+            lead_addr: member.peer_addr,
             fence: claim.fence,
-            far: if near { Duration::ZERO } else { FAR },
+            extra_latency: if same_domain {
+                Duration::ZERO
+            } else {
+                CROSS_DOMAIN_LATENCY
+            },
             streams,
-            step,
+            step_time,
         })
     };
-    match &work.target {
+    match &request.target {
         Target::Model { model, version, adapter } => shared
             .residence()
             .serving(model, version, adapter.as_ref())
-            .filter_map(option)
+            .filter_map(eligible)
             .collect(),
         Target::Service { name } => view
             .servers
             .iter()
             .filter(|(_, info)| info.role == ServerRole::Service(name.clone()))
-            .filter_map(|(server, _)| option(server))
+            .filter_map(|(server, _)| eligible(server))
             .collect(),
     }
 }
 
-/// The streams and the declared step time of a backend server.
-fn size(catalog: &Catalog, info: &Server) -> Option<(u32, Duration)> {
+/// The parallel streams and the step time of a backend server, as declared.
+fn capacity(catalog: &Catalog, info: &Server) -> Option<(u32, Duration)> {
     match &info.role {
         ServerRole::Runner(pool) => {
             catalog.pools.get(pool).map(|pool| (pool.streams, pool.step))
@@ -288,13 +303,14 @@
     }
 }
 
-/// The prompt's blocks, which engines cache for each model and adapter apart.
-fn prefix(work: &RequestSpec) -> Vec<u64> {
-    let seed = xxh3_64(engine_model_name(&work.target).as_bytes());
-    work.prefix_hashes.iter().map(|block| block ^ seed).collect()
+/// The hashes of the prompt's blocks, distinct for each model and adapter since engines
+/// cache them separately.
+fn prefix_blocks(request: &RequestSpec) -> Vec<u64> {
+    let seed = xxh3_64(engine_model_name(&request.target).as_bytes());
+    request.prefix_hashes.iter().map(|block| block ^ seed).collect()
 }
 
-fn report(load: ServerLoad) -> LoadReport {
+fn load_report(load: ServerLoad) -> LoadReport {
     LoadReport {
         running: load.running,
         queued: load.queued,
@@ -303,11 +319,11 @@
     }
 }
 
-fn nowhere(work: &RequestSpec) -> Refusal {
-    let (code, what) = match &work.target {
+fn no_server(request: &RequestSpec) -> Refusal {
+    let (code, subject) = match &request.target {
         Target::Model { model, .. } => (RefusalCode::NotResident, model.to_string()),
         Target::Service { name } => (RefusalCode::Unavailable, name.to_string()),
     };
-    let text = format!("no backend server serves {what} now; wait and send again");
+    let text = format!("no backend server serves {subject} now; retry later");
     Refusal::not_run(code, text).with_retry_after(Duration::from_secs(2))
 }
--- a/crates/node/src/relay.rs
+++ b/crates/node/src/relay.rs
@@ -1,9 +1,9 @@
-//! Drives one request through its attempts until it has one answer.
+//! Runs one request in as many attempts as it takes to get one response.
 //!
-//! Each attempt has its own stream of frames, so that a late answer of an
-//! attempt that was given up has no way to reach the caller. Tokens carry their
-//! number in the whole answer: a later attempt must go on exactly where the
-//! caller's copy ends, else it counts as broken.
+//! Each attempt has its own stream of frames, so that a late response of an abandoned
+//! attempt can't reach the caller. Tokens carry their index in the response: a later
+//! attempt must continue exactly where the caller's copy ends, otherwise it counts as
+//! interrupted.
 
 use std::time::{Duration, Instant};
 
@@ -22,429 +22,465 @@
 use crate::peer::{PeerError, ResponseStream};
 use crate::pick::{AttemptFeedback, SelectedServer};
 
-/// The greatest number of backend servers that are asked for one request.
+/// The number of backend servers that are tried in a row for one request, and of its
+/// interrupted attempts.
 ///
-/// Refusals cost a hop each; after this many the pool is full in all likelihood.
-const ATTEMPTS: usize = 6;
+/// Each refusal costs a network hop; after this many the pool is most likely full.
+const MAX_ATTEMPTS: usize = 6;
 
-/// How long a request waits for a lead to be found before it is refused.
+/// How long a request waits for a backend server with a lead before it is refused.
 ///
-/// While a claim changes hands nobody leads the backend server for a moment: the
-/// new holder learns of a planned handover within some milliseconds and the other
-/// daemons at their next poll. Without the wait each rolling restart refuses
-/// requests for models with one replica. After a kill the claim is free only when
-/// the lease has lapsed, which is longer; then the caller is told when to return.
-const SETTLE: Duration = Duration::from_millis(1200);
+/// While a claim changes hands, the backend server has no lead for a moment: the new holder
+/// learns of a planned handover within some milliseconds, the other daemons at their next
+/// poll. Without the wait, each rolling restart refuses requests for models with one
+/// replica. After a crash the claim is free only once the lease has expired, which takes
+/// longer; the caller then gets a `Retry-After`.
+const LEAD_WAIT_LIMIT: Duration = Duration::from_millis(1200);
 
-/// The pause before daemons and backend servers are looked at again.
-const PAUSE: Duration = Duration::from_millis(50);
+/// The delay before the backend servers are tried again.
+const RETRY_DELAY: Duration = Duration::from_millis(50);
 
-/// The pause before the rest of a broken answer is asked for again.
-const HALF_PAUSE: Duration = Duration::from_millis(200);
+/// The delay before another attempt to resume a partial response.
+const RESUME_RETRY_DELAY: Duration = Duration::from_millis(200);
 
-/// When a caller whose request found no answer by its deadline may come back.
-const LATE_RETURN: Duration = Duration::from_secs(2);
+/// The `Retry-After` of a request that got no response by its deadline.
+const DEADLINE_RETRY_AFTER: Duration = Duration::from_secs(2);
 
-const FRAMES_AHEAD: usize = 64;
+/// Frames of an attempt that may be buffered ahead of the caller.
+const FRAME_BUFFER: usize = 64;
 
-/// How often a request may be handed to a backend server.
+/// How often a request may be sent to a backend server.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum DispatchMode {
-    /// Again after a broken attempt, for idempotent requests.
+    /// Any number of times, also after an interrupted attempt; for idempotent requests.
     Repeatable,
-    /// Never again once an attempt may have reached a backend server.
+    /// Not again once an attempt may have reached one.
     ///
-    /// All its attempts carry this number, so that whoever takes the request's
-    /// journal over can ask an engine for the answer.
+    /// All attempts carry this id, so that a daemon that takes over the request's journal
+    /// slot can ask the engine for the response.
     AtMostOnce(AttemptId),
 }
 
-/// Drives a request and sends the frames of its answer, ending with
+/// Runs a request and sends the frames of its response, ending with
 /// [`PeerResponse::End`] or [`PeerResponse::Refused`].
 pub async fn run(
     node: &Arc<Node>,
-    work: RequestSpec,
+    request: RequestSpec,
     call: HttpCall,
-    mode: DispatchMode,
+    dispatch_mode: DispatchMode,
     out: mpsc::Sender<PeerResponse>,
 ) {
-    let end = node.shared.clock.now() + work.budget;
-    let relay = Relay {
+    let deadline = node.shared.clock.now() + request.budget;
+    let relay = RequestRelay {
         node,
-        work,
+        request,
         call,
-        mode,
+        dispatch_mode,
         out,
-        end,
+        deadline,
         tried: Vec::new(),
-        sent: false,
-        begun: false,
-        have: ResumePoint { tokens: 0, text: String::new() },
+        may_have_run: false,
+        raw_output_sent: false,
+        received: ResumePoint { tokens: 0, text: String::new() },
         suspect: false,
     };
     relay.drive().await;
 }
 
-/// The state of one request between its attempts.
-struct Relay<'a> {
+/// The state of one request across its attempts.
+struct RequestRelay<'a> {
     node: &'a Arc<Node>,
-    work: RequestSpec,
+    request: RequestSpec,
     call: HttpCall,
-    mode: DispatchMode,
+    dispatch_mode: DispatchMode,
     out: mpsc::Sender<PeerResponse>,
-    /// When the answer must be whole.
-    end: Instant,
-    /// Backend servers that refused or failed.
+    /// When the response must be complete.
+    deadline: Instant,
+    /// Backend servers that were tried since the last delay or preemption.
     tried: Vec<ServerName>,
     /// Whether any attempt may have run at a backend server.
     ///
-    /// Set when an attempt is dispatched; taken back only if its lead says that
-    /// the backend server refused it before running it.
-    sent: bool,
-    /// Whether the caller has bytes that can't be taken back or resumed.
-    begun: bool,
-    /// The tokens that the caller has.
-    have: ResumePoint,
-    /// Whether a backend server crashed under an attempt.
+    /// Set when an attempt is dispatched; restored only if its lead reports that the
+    /// backend server refused the attempt before running it.
+    may_have_run: bool,
+    /// Whether the caller has received output of a plain service, which can't be resumed.
+    raw_output_sent: bool,
+    /// The tokens that the caller has received.
+    received: ResumePoint,
+    /// Whether a backend server crashed during an attempt.
     suspect: bool,
 }
 
-/// What comes after an attempt.
-enum Next {
-    /// The caller has its answer or went away.
-    Done,
-    /// Another backend server may take it; this one did not.
-    Elsewhere(Refusal),
-    /// The attempt may have run and broke off.
-    Broken(String),
-    /// The attempt gave way to urgent work and is to go on from where it is.
+/// How an attempt ended.
+enum AttemptOutcome {
+    /// The caller got its response or disconnected.
+    Finished,
+    /// The backend server did not take it; another one may.
+    Declined(Refusal),
+    /// The attempt may have run, and its response was interrupted.
+    Interrupted(String),
+    /// The attempt was preempted by urgent requests and is to be resumed.
     Preempted,
 }
 
-impl Relay<'_> {
+impl RequestRelay<'_> {
     async fn drive(mut self) {
-        let settled = self.node.shared.clock.now() + SETTLE.min(self.work.budget);
-        let mut broken = 0;
+        let lead_deadline =
+            self.node.shared.clock.now() + LEAD_WAIT_LIMIT.min(self.request.budget);
+        let mut interruptions = 0;
         let refusal = loop {
-            let refusal = match self.round(&mut broken).await {
+            let refusal = match self.try_servers(&mut interruptions).await {
                 Some(refusal) => refusal,
                 None => return,
             };
             let now = self.node.shared.clock.now();
-            // Half an answer is of no use to anyone: it waits for its deadline, also
-            // when the other backend servers are full.
-            let half = self.have.tokens > 0;
-            let (until, pause) =
-                if half { (self.end, HALF_PAUSE) } else { (settled, PAUSE) };
-            let passing = is_passing(refusal.code) || half && !refusal.code.is_final();
-            if !passing || !self.may_wait() || now >= until {
+            // A partial response is of no use to the caller, so that it is retried until
+            // the deadline, also when the other backend servers are full.
+            let partial = self.received.tokens > 0;
+            let (until, delay) = if partial {
+                (self.deadline, RESUME_RETRY_DELAY)
+            } else {
+                (lead_deadline, RETRY_DELAY)
+            };
+            let retryable =
+                is_transient(refusal.code) || partial && !refusal.code.is_final();
+            if !retryable || !self.may_retry_later() || now >= until {
                 break refusal;
             }
-            tokio::time::sleep(pause).await;
+            tokio::time::sleep(delay).await;
             self.tried.clear();
         };
-        self.refuse(refusal).await;
+        self.send_refusal(refusal).await;
     }
 
-    /// Asks one backend server after the other; nothing if the caller is served.
-    async fn round(&mut self, broken: &mut usize) -> Option<Refusal> {
-        self.choose_version();
-        let mut last = None;
-        let mut full = 0;
-        while self.tried.len() < ATTEMPTS {
+    /// Tries one backend server after the other; `None` if the caller got its response.
+    async fn try_servers(&mut self, interruptions: &mut usize) -> Option<Refusal> {
+        self.resolve_version();
+        let mut last_refusal = None;
+        let mut capacity_refusals = 0;
+        while self.tried.len() < MAX_ATTEMPTS {
             let picker = &self.node.picker;
-            let choice = match picker.pick(&self.node.shared, &self.work, &self.tried) {
-                Ok(choice) => choice,
-                Err(refusal) => return last.or(Some(refusal)),
-            };
-            self.tried.push(choice.server.clone());
-            let refusal = match self.attempt(&choice).await {
-                Next::Done => return None,
-                Next::Elsewhere(refusal) => {
-                    full += usize::from(is_full(refusal.code));
-                    if full >= MAX_REJECTED_OFFERS {
+            let selected =
+                match picker.pick(&self.node.shared, &self.request, &self.tried) {
+                    Ok(selected) => selected,
+                    Err(refusal) => return last_refusal.or(Some(refusal)),
+                };
+            self.tried.push(selected.server.clone());
+            let refusal = match self.attempt(&selected).await {
+                AttemptOutcome::Finished => return None,
+                AttemptOutcome::Declined(refusal) => {
+                    capacity_refusals += usize::from(is_capacity_refusal(refusal.code));
+                    if capacity_refusals >= MAX_REJECTED_OFFERS {
                         return Some(refusal);
                     }
                     refusal
                 }
-                Next::Preempted => {
-                    // Nothing failed: every backend server may be asked again.
+                AttemptOutcome::Preempted => {
+                    // Nothing failed: every backend server may be tried again.
                     self.tried.clear();
                     continue;
                 }
-                Next::Broken(why) => {
-                    *broken += 1;
+                AttemptOutcome::Interrupted(reason) => {
+                    *interruptions += 1;
                     let now = self.node.shared.clock.now();
-                    if let Err(refusal) = self.node.poison.check(self.work.digest, now) {
+                    if let Err(refusal) = self.node.poison.check(self.request.digest, now)
+                    {
                         return Some(refusal);
                     }
-                    let refusal = broke_off(&why);
-                    if !self.may_try_again(*broken) {
+                    let refusal = interrupted(&reason);
+                    if !self.may_retry_now(*interruptions) {
                         return Some(refusal);
                     }
                     refusal
                 }
             };
-            last = Some(refusal);
-            if self.node.shared.clock.now() >= self.end {
+            last_refusal = Some(refusal);
+            if self.node.shared.clock.now() >= self.deadline {
                 break;
             }
         }
-        last.or_else(|| Some(broke_off("no attempt was possible")))
+        last_refusal.or_else(|| Some(interrupted("no attempt was possible")))
     }
 
-    /// Whether a further attempt later is safe.
-    fn may_wait(&self) -> bool {
-        match self.mode {
-            DispatchMode::Repeatable => !self.begun,
-            DispatchMode::AtMostOnce(_) => !self.sent,
+    /// Whether another attempt after a delay is safe.
+    fn may_retry_later(&self) -> bool {
+        match self.dispatch_mode {
+            DispatchMode::Repeatable => !self.raw_output_sent,
+            DispatchMode::AtMostOnce(_) => !self.may_have_run,
         }
     }
 
-    /// Chooses the version that can be served while the declared one is loaded.
+    /// Selects a version that can be served while the declared one is being loaded.
     ///
-    /// Not once the caller has tokens: another version goes on otherwise.
-    fn choose_version(&mut self) {
-        let Target::Model { model, version, adapter } = &mut self.work.target else {
+    /// Keeps the version once the caller has tokens, since another version would continue
+    /// them differently.
+    fn resolve_version(&mut self) {
+        let Target::Model { model, version, adapter } = &mut self.request.target else {
             return;
         };
         let catalog = self.node.shared.catalog();
         let Some(declared) = catalog.models.get(model) else { return };
-        if self.have.tokens == 0 {
+        if self.received.tokens == 0 {
             let residence = self.node.shared.residence();
             *version =
                 residence.servable_version(model, &declared.version, adapter.as_ref());
         }
     }
 
-    /// Whether an attempt that may have run may be followed by another.
-    fn may_try_again(&self, broken: usize) -> bool {
-        self.mode == DispatchMode::Repeatable
-            && !self.begun
-            && broken < ATTEMPTS
+    /// Whether another attempt may follow an interrupted one; withdraws it from the retry
+    /// budget.
+    fn may_retry_now(&self, interruptions: usize) -> bool {
+        self.dispatch_mode == DispatchMode::Repeatable
+            && !self.raw_output_sent
+            && interruptions < MAX_ATTEMPTS
             && self.node.picker.try_withdraw_retry(&self.node.shared)
     }
 
-    async fn attempt(&mut self, choice: &SelectedServer) -> Next {
+    async fn attempt(&mut self, selected: &SelectedServer) -> AttemptOutcome {
         let now = self.node.shared.clock.now();
-        let mut work = self.work.clone();
-        work.budget = self.end.saturating_duration_since(now);
-        let resume = (self.have.tokens > 0).then(|| self.have.clone());
-        let run = AttemptRequest {
-            attempt: self.number(),
-            server: choice.server.clone(),
-            fence: choice.fence,
-            request: work,
+        let mut request = self.request.clone();
+        request.budget = self.deadline.saturating_duration_since(now);
+        let resume = (self.received.tokens > 0).then(|| self.received.clone());
+        let attempt_request = AttemptRequest {
+            attempt: self.attempt_id(),
+            server: selected.server.clone(),
+            fence: selected.fence,
+            request,
             call: self.call.clone(),
             resume,
             suspect: self.suspect,
         };
-        let mut frames = match self.open(choice, run).await {
+        let mut frames = match self.send_to_lead(selected, attempt_request).await {
             Ok(frames) => frames,
-            Err(PeerError::NotSent(why)) => {
-                self.node.picker.record(&choice.server, AttemptFeedback::Unreachable);
-                return Next::Elsewhere(unreachable(&why));
+            Err(PeerError::NotSent(reason)) => {
+                self.node.picker.record(&selected.server, AttemptFeedback::Unreachable);
+                return AttemptOutcome::Declined(lead_unreachable(&reason));
+            }
+            Err(PeerError::ResponseLost(reason)) => {
+                return self.connection_lost(selected, reason);
             }
-            Err(PeerError::ResponseLost(why)) => return self.lost(choice, why),
         };
-        self.forward(choice, &mut frames).await
+        self.forward_frames(selected, &mut frames).await
     }
 
-    fn number(&self) -> AttemptId {
-        match self.mode {
+    fn attempt_id(&self) -> AttemptId {
+        match self.dispatch_mode {
             DispatchMode::Repeatable => self.node.shared.attempt(),
             DispatchMode::AtMostOnce(attempt) => attempt,
         }
     }
 
-    /// Hands the attempt to the lead, which may be this daemon itself.
-    async fn open(
+    /// Sends the attempt to the lead, which may be this daemon.
+    async fn send_to_lead(
         &self,
-        choice: &SelectedServer,
-        run: AttemptRequest,
-    ) -> Result<Frames, PeerError> {
-        if choice.lead == self.node.shared.me {
-            let (out, frames) = mpsc::channel(FRAMES_AHEAD);
+        selected: &SelectedServer,
+        attempt_request: AttemptRequest,
+    ) -> Result<AttemptFrames, PeerError> {
+        if selected.lead == self.node.shared.me {
+            let (out, frames) = mpsc::channel(FRAME_BUFFER);
             let node = self.node.clone();
-            tokio::spawn(async move { lead::serve(&node, run, out).await });
-            return Ok(Frames::Own(frames));
+            tokio::spawn(async move { lead::serve(&node, attempt_request, out).await });
+            return Ok(AttemptFrames::Local(frames));
         }
-        let answer = self
+        let response = self
             .node
             .peers
-            .request_stream(choice.lead_addr, &PeerRequest::Run(run))
+            .request_stream(selected.lead_addr, &PeerRequest::Run(attempt_request))
             .await?;
-        Ok(Frames::Peer(answer))
+        Ok(AttemptFrames::Remote(response))
     }
 
-    async fn forward(&mut self, choice: &SelectedServer, frames: &mut Frames) -> Next {
-        let before = self.sent;
+    async fn forward_frames(
+        &mut self,
+        selected: &SelectedServer,
+        frames: &mut AttemptFrames,
+    ) -> AttemptOutcome {
+        let may_have_run_before = self.may_have_run;
         loop {
-            let say = tokio::select! {
-                say = frames.next() => say,
-                () = self.late() => return self.give_up().await,
-                () = self.out.closed() => return Next::Done,
+            let frame = tokio::select! {
+                frame = frames.next() => frame,
+                () = self.deadline_passed() => return self.time_out().await,
+                () = self.out.closed() => return AttemptOutcome::Finished,
             };
-            let say = match say {
-                Ok(say) => say,
-                Err(why) => return self.lost(choice, why),
+            let frame = match frame {
+                Ok(frame) => frame,
+                Err(reason) => return self.connection_lost(selected, reason),
             };
-            match say {
+            match frame {
                 PeerResponse::Heartbeat | PeerResponse::Queued => {}
-                PeerResponse::Dispatched => self.sent = true,
+                PeerResponse::Dispatched => self.may_have_run = true,
                 PeerResponse::Tokens { first, count, text } => {
-                    if first != self.have.tokens {
-                        let why = format!("token {first} after {}", self.have.tokens);
-                        return Next::Broken(why);
+                    if first != self.received.tokens {
+                        let reason =
+                            format!("token {first} came after {}", self.received.tokens);
+                        return AttemptOutcome::Interrupted(reason);
                     }
-                    self.have.tokens += count;
-                    self.have.text.push_str(&text);
+                    self.received.tokens += count;
+                    self.received.text.push_str(&text);
                     self.node
                         .picker
-                        .record(&choice.server, AttemptFeedback::Tokens(count));
+                        .record(&selected.server, AttemptFeedback::Tokens(count));
                     if self
                         .send(PeerResponse::Tokens { first, count, text })
                         .await
                         .is_none()
                     {
-                        return Next::Done;
+                        return AttemptOutcome::Finished;
                     }
                 }
                 PeerResponse::Head { .. } | PeerResponse::Chunk(_) => {
-                    self.begun = true;
-                    if self.send(say).await.is_none() {
-                        return Next::Done;
+                    self.raw_output_sent = true;
+                    if self.send(frame).await.is_none() {
+                        return AttemptOutcome::Finished;
                     }
                 }
                 PeerResponse::End { load, .. } => {
-                    self.node.picker.record(&choice.server, AttemptFeedback::Load(load));
-                    self.send(say).await;
-                    return Next::Done;
+                    self.node
+                        .picker
+                        .record(&selected.server, AttemptFeedback::Load(load));
+                    self.send(frame).await;
+                    return AttemptOutcome::Finished;
                 }
                 PeerResponse::Refused { refusal, hint } => {
                     if refusal.outcome == Outcome::NotRun {
-                        self.sent = before;
+                        self.may_have_run = may_have_run_before;
                     }
-                    return self.refused(choice, refusal, hint).await;
+                    return self.handle_refusal(selected, refusal, hint).await;
                 }
                 PeerResponse::Preempted { load } => {
-                    self.node.picker.record(&choice.server, AttemptFeedback::Load(load));
-                    return Next::Preempted;
+                    self.node
+                        .picker
+                        .record(&selected.server, AttemptFeedback::Load(load));
+                    return AttemptOutcome::Preempted;
                 }
                 PeerResponse::Broken { message, crashed } => {
                     self.suspect |= crashed;
                     self.node
                         .picker
-                        .record(&choice.server, AttemptFeedback::Failed { crashed });
-                    return Next::Broken(message);
+                        .record(&selected.server, AttemptFeedback::Failed { crashed });
+                    return AttemptOutcome::Interrupted(message);
                 }
                 PeerResponse::Once(_)
                 | PeerResponse::Config(_)
                 | PeerResponse::Status(_)
                 | PeerResponse::Acknowledged => {
-                    return Next::Broken("an answer to another question".into());
+                    return AttemptOutcome::Interrupted(
+                        "the lead sent a response of another type".into(),
+                    );
                 }
             }
         }
     }
 
-    /// Ends at the deadline, unless the answer has begun or must not be cut off.
+    /// Completes at the deadline, or never if the response has begun or the request may run
+    /// only once.
     ///
-    /// A backend server that took the request and never answers would keep its
-    /// caller waiting for good. An answer that has begun goes on: half of it would
-    /// be worth nothing.
-    async fn late(&self) {
-        if self.begun || self.have.tokens > 0 || self.mode != DispatchMode::Repeatable {
+    /// Without the deadline, a backend server that never responds would keep its caller
+    /// waiting forever. A response that has begun continues, since a part of it is useless.
+    async fn deadline_passed(&self) {
+        if self.raw_output_sent
+            || self.received.tokens > 0
+            || self.dispatch_mode != DispatchMode::Repeatable
+        {
             std::future::pending::<()>().await;
         }
-        tokio::time::sleep_until(self.end.into()).await;
+        tokio::time::sleep_until(self.deadline.into()).await;
     }
 
-    async fn give_up(&mut self) -> Next {
-        let text = "no answer came by the deadline; allow more time";
-        let refusal =
-            Refusal::not_run(RefusalCode::Deadline, text).with_retry_after(LATE_RETURN);
-        self.refuse(refusal).await;
-        Next::Done
+    async fn time_out(&mut self) -> AttemptOutcome {
+        let text = "no response came by the deadline; allow more time";
+        let refusal = Refusal::not_run(RefusalCode::Deadline, text)
+            .with_retry_after(DEADLINE_RETRY_AFTER);
+        self.send_refusal(refusal).await;
+        AttemptOutcome::Finished
     }
 
-    async fn refused(
+    async fn handle_refusal(
         &mut self,
-        choice: &SelectedServer,
+        selected: &SelectedServer,
         refusal: Refusal,
         hint: RetryHint,
-    ) -> Next {
-        self.node.picker.record(&choice.server, AttemptFeedback::Refused);
+    ) -> AttemptOutcome {
+        self.node.picker.record(&selected.server, AttemptFeedback::Refused);
         if let Some(load) = hint.load {
-            self.node.picker.record(&choice.server, AttemptFeedback::Load(load));
+            self.node.picker.record(&selected.server, AttemptFeedback::Load(load));
         }
         if hint.try_other_server {
-            return Next::Elsewhere(refusal);
+            return AttemptOutcome::Declined(refusal);
         }
-        self.refuse(refusal).await;
-        Next::Done
+        self.send_refusal(refusal).await;
+        AttemptOutcome::Finished
     }
 
-    /// The lead did not say how the attempt ended; it may have run.
-    fn lost(&mut self, choice: &SelectedServer, why: String) -> Next {
-        self.sent = true;
-        self.node.peers.disconnect(choice.lead_addr);
-        self.node.picker.record(&choice.server, AttemptFeedback::Unreachable);
-        Next::Broken(why)
+    /// Records that the lead's response was lost; the attempt may have run.
+    fn connection_lost(
+        &mut self,
+        selected: &SelectedServer,
+        reason: String,
+    ) -> AttemptOutcome {
+        self.may_have_run = true;
+        self.node.peers.disconnect(selected.lead_addr);
+        self.node.picker.record(&selected.server, AttemptFeedback::Unreachable);
+        AttemptOutcome::Interrupted(reason)
     }
 
-    /// Gives the caller its final refusal, never claiming more than is known.
-    async fn refuse(&mut self, mut refusal: Refusal) {
-        if self.sent && refusal.outcome == Outcome::NotRun {
+    /// Sends the final refusal; its outcome is in doubt if any attempt may have run.
+    async fn send_refusal(&mut self, mut refusal: Refusal) {
+        if self.may_have_run && refusal.outcome == Outcome::NotRun {
             refusal.outcome = Outcome::InDoubt;
         }
         self.send(PeerResponse::Refused { refusal, hint: RetryHint::default() }).await;
     }
 
-    async fn send(&self, say: PeerResponse) -> Option<()> {
-        self.out.send(say).await.ok()
+    async fn send(&self, frame: PeerResponse) -> Option<()> {
+        self.out.send(frame).await.ok()
     }
 }
 
 /// The frames of one attempt.
-enum Frames {
-    /// From a backend server that this daemon leads.
-    Own(mpsc::Receiver<PeerResponse>),
-    /// From another daemon.
-    Peer(ResponseStream),
+enum AttemptFrames {
+    /// From this daemon, which leads the backend server.
+    Local(mpsc::Receiver<PeerResponse>),
+    /// From another daemon, which leads it.
+    Remote(ResponseStream),
 }
 
-impl Frames {
+impl AttemptFrames {
     async fn next(&mut self) -> Result<PeerResponse, String> {
         match self {
-            Self::Own(frames) => {
-                frames.recv().await.ok_or_else(|| "the lead stopped".to_owned())
+            Self::Local(frames) => {
+                frames.recv().await.ok_or_else(|| "the lead has stopped".to_owned())
+            }
+            Self::Remote(response) => {
+                response.next().await.map_err(|error| error.to_string())
             }
-            Self::Peer(answer) => answer.next().await.map_err(|error| error.to_string()),
         }
     }
 }
 
-/// Whether a lead refused for want of room in time.
-fn is_full(code: RefusalCode) -> bool {
+/// Whether a lead refused because it lacks capacity within the deadline.
+fn is_capacity_refusal(code: RefusalCode) -> bool {
     matches!(
         code,
         RefusalCode::Deadline | RefusalCode::Overloaded | RefusalCode::CallerLimit
     )
 }
 
-/// Whether the cause of a refusal may be gone in a moment.
-fn is_passing(code: RefusalCode) -> bool {
+/// Whether the cause of a refusal may pass within [`LEAD_WAIT_LIMIT`].
+fn is_transient(code: RefusalCode) -> bool {
     matches!(code, RefusalCode::Unavailable | RefusalCode::NotResident)
 }
 
-fn broke_off(why: &str) -> Refusal {
-    let text = format!("the backend server broke off ({why}); send the request again");
+fn interrupted(reason: &str) -> Refusal {
+    let text = format!(
+        "the backend server's response was interrupted ({reason}); send the request again"
+    );
     Refusal::in_doubt(RefusalCode::Broken, text).with_retry_after(Duration::from_secs(1))
 }
 
-fn unreachable(why: &str) -> Refusal {
-    let text = format!("no daemon that leads a backend server answers ({why}); wait");
+fn lead_unreachable(reason: &str) -> Refusal {
+    let text =
+        format!("no lead of a backend server can be reached ({reason}); retry later");
     Refusal::not_run(RefusalCode::Unavailable, text)
         .with_retry_after(Duration::from_secs(1))
 }
