--- a/crates/node/src/lead.rs
+++ b/crates/node/src/lead.rs
@@ -1,10 +1,9 @@
-//! The queues of the backend servers that this daemon leads.
+//! Admission and dispatch at the backend servers that this daemon leads.
 //!
-//! The state is the `admit` crate's and belongs to one actor, [`table`]; streams
-//! of tokens pass beside it and only tell it, a few times a second, how far they
-//! are.
+//! The `admit` crate decides on admission; one actor, in [`actor`], owns its state. Token
+//! streams bypass the actor and only report their progress to it a few times a second.
 
-mod table;
+mod actor;
 
 use std::net::SocketAddr;
 use std::sync::atomic::{AtomicU64, AtomicUsize, Ordering};
@@ -22,7 +21,7 @@
 use tokio::sync::{mpsc, oneshot};
 use tokio::task::JoinHandle;
 
-use self::table::{Decision, Event, Loads, Offer, Table};
+use self::actor::{AdmissionActor, AdmissionEvent, Decision, Offer, ServerLoads};
 use crate::engine::{self, CallOutcome};
 use crate::node::Node;
 use crate::orders::usage;
@@ -30,194 +29,209 @@
 use crate::shared::Shared;
 use crate::single;
 
-/// The time after which a request that a passing state refused may come back.
-const COME_BACK: Duration = Duration::from_millis(500);
+/// The `Retry-After` of requests that were refused for a transient reason, or by the
+/// backend server.
+const RETRY_AFTER: Duration = Duration::from_millis(500);
 
-/// Requests that wait at one backend server's lead.
+/// The maximum number of requests that wait at the lead of one backend server.
 ///
-/// Eight full batches: with more waiting, the last ones would wait for longer
-/// than the deadlines of most kinds, and each costs time in every decision.
-const QUEUE: usize = 256;
+/// Eight full batches: with more, the last requests would wait for longer than the deadlines
+/// of most kinds, and each one costs time in every decision.
+const MAX_QUEUED: usize = 256;
 
-/// Bytes of bodies that wait at this daemon's leads, of the 64 MB that it may use.
-const BODIES: usize = 16 << 20;
+/// The maximum size of all request bodies that wait at this daemon, of the 64 MB of memory
+/// that it may use.
+const MAX_QUEUED_BODY_BYTES: usize = 16 << 20;
 
-/// How often leads look whether what waits can still be in time.
-const TICK: Duration = Duration::from_millis(100);
+/// The interval at which the actor refuses waiting requests that can no longer meet their
+/// deadline, and checks which backend servers this daemon still leads.
+const TICK_INTERVAL: Duration = Duration::from_millis(100);
 
-/// How often a stream tells its lead of its tokens.
-const TELL: Duration = Duration::from_millis(100);
+/// The interval at which a stream reports its tokens to the actor.
+const TOKEN_REPORT_INTERVAL: Duration = Duration::from_millis(100);
 
-/// The queues of the backend servers that this daemon leads.
+/// The backend servers that this daemon leads.
 pub struct LedServers {
     shared: Arc<Shared>,
-    table: ActorRef<Table>,
-    loads: Loads,
-    numbers: AtomicU64,
-    /// Bytes of bodies that wait.
-    bodies: Arc<AtomicUsize>,
+    actor: ActorRef<AdmissionActor>,
+    loads: ServerLoads,
+    next_number: AtomicU64,
+    /// The size of all request bodies that wait, in bytes.
+    queued_body_bytes: Arc<AtomicUsize>,
     ticker: JoinHandle<()>,
 }
 
-/// The right to run one attempt; dropping it gives the capacity back.
+/// Permission to run one attempt; dropping it releases the capacity.
 pub struct Grant {
-    /// Where the backend server listens.
+    /// The address of the backend server.
     pub address: SocketAddr,
-    hold: Hold,
+    guard: RequestGuard,
     /// Keeps the model resident while the attempt runs.
-    _used: Option<usage::Hold>,
-    loads: Loads,
-    stopped: Option<oneshot::Receiver<()>>,
-    told: Mutex<Told>,
+    _model_in_use: Option<usage::Hold>,
+    loads: ServerLoads,
+    preemption: Option<oneshot::Receiver<()>>,
+    unreported: Mutex<UnreportedTokens>,
 }
 
-/// Tokens that the lead was not told of yet.
-struct Told {
+/// Tokens that were not reported to the actor yet.
+struct UnreportedTokens {
     count: u32,
+    /// Whether no token of the attempt was reported yet.
     first: bool,
-    at: Instant,
+    reported_at: Instant,
 }
 
-/// A request at its lead; dropping it ends it there.
-struct Hold {
+/// A request that is known to the actor; dropping it reports the end of the request.
+struct RequestGuard {
     shared: Arc<Shared>,
-    table: ActorRef<Table>,
+    actor: ActorRef<AdmissionActor>,
     server: ServerName,
     number: u64,
-    call: bool,
-    how: AttemptEnd,
+    is_service_call: bool,
+    end: AttemptEnd,
 }
 
-/// How an attempt ended.
+/// How a dispatched attempt ended.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum How {
-    /// The answer is whole.
-    Whole,
-    /// The backend server refused or was not reached.
+pub enum DispatchEnd {
+    /// The response is complete.
+    Completed,
+    /// The backend server refused the request or was unreachable.
     Refused,
-    /// The answer broke off.
-    Broken,
-    /// Nobody waits any more, or the stream was preempted.
-    Abandoned,
+    /// The response was interrupted.
+    Interrupted,
+    /// The receiver of the response was dropped, or the stream was preempted.
+    Cancelled,
 }
 
 impl LedServers {
-    /// Creates the queues of a daemon that leads nothing yet.
+    /// Starts the actor of a daemon that leads no backend server yet.
     ///
-    /// Must be called within the runtime, since it starts the actor.
+    /// Must be called within the runtime, since it spawns the actor.
     pub fn new(shared: Arc<Shared>) -> Self {
-        let loads = Loads::default();
-        // Without a bound, so that the end of a request, which is told when its
-        // guard is dropped, is never lost; the requests themselves are bounded.
-        let state = Table::new(shared.clone(), loads.clone());
-        let table = Table::spawn_with_mailbox(state, mailbox::unbounded());
-        let ticker = tokio::spawn(tick(shared.clone(), table.clone()));
+        let loads = ServerLoads::default();
+        // Unbounded, so that the end of a request, which is reported when its guard is
+        // dropped, is never lost; the number of requests is bounded.
+        let state = AdmissionActor::new(shared.clone(), loads.clone());
+        let actor = AdmissionActor::spawn_with_mailbox(state, mailbox::unbounded());
+        let ticker = tokio::spawn(run_ticker(shared.clone(), actor.clone()));
         Self {
             shared,
-            table,
+            actor,
             loads,
-            numbers: AtomicU64::new(0),
-            bodies: Arc::default(),
+            next_number: AtomicU64::new(0),
+            queued_body_bytes: Arc::default(),
             ticker,
         }
     }
 
-    /// The load of each backend server that is led.
+    /// The load of each backend server that this daemon leads.
     pub fn loads(&self) -> IndexMap<ServerName, ServerLoad> {
         self.loads.lock().expect("no holder of the loads panics").clone()
     }
 
-    /// Offers an attempt; returns when it may be dispatched or is refused.
+    /// Waits until an attempt may be dispatched or is refused.
+    ///
+    /// Dropping the future withdraws the attempt.
     pub async fn admit(
         &self,
-        run: &AttemptRequest,
+        attempt: &AttemptRequest,
     ) -> Result<Grant, (Refusal, RetryHint)> {
         let view = self.shared.view();
-        let led = view
-            .holder(&ClaimKey::Server(run.server.clone()))
+        let is_lead = view
+            .holder(&ClaimKey::Server(attempt.server.clone()))
             .is_some_and(|(claim, _)| claim.holder == self.shared.me);
-        let info = view.servers.get(&run.server).filter(|_| led);
+        let info = view.servers.get(&attempt.server).filter(|_| is_lead);
         let Some(info) = info.filter(|info| !info.leaving) else {
-            return Err(passing(
+            return Err(transient_refusal(
                 RefusalCode::Unavailable,
-                "this daemon does not lead it",
+                "this daemon is not the backend server's lead",
             ));
         };
-        // Before the check, so that the model is not unloaded in between.
-        let used = self.shared.usage.hold_target(&run.server, &run.request.target);
-        if !self.holds(run) {
-            return Err(passing(
+        // Held before the check, so that the model is not unloaded after it.
+        let model_in_use =
+            self.shared.usage.hold_target(&attempt.server, &attempt.request.target);
+        if !self.is_resident(attempt) {
+            return Err(transient_refusal(
                 RefusalCode::NotResident,
-                "the model is not resident there",
+                "the model is not resident on the backend server",
             ));
         }
         let catalog = self.shared.catalog();
         let Some(limits) = limits(&catalog, &info.role) else {
-            return Err(passing(
+            return Err(transient_refusal(
                 RefusalCode::Unavailable,
-                "what it serves is not declared",
+                "the backend server's pool or service is not declared",
             ));
         };
-        let Some(_body) = Body::take(&self.bodies, run.call.body.len()) else {
-            return Err(passing(
+        let Some(_queued_body) =
+            QueuedBody::try_reserve(&self.queued_body_bytes, attempt.call.body.len())
+        else {
+            return Err(transient_refusal(
                 RefusalCode::EntryFull,
-                "too many bodies wait at its lead",
+                "too many request bodies wait at the lead",
             ));
         };
-        let (hold, decision) = self.send(run, job(&catalog, run, self.now()), limits);
+        let (guard, decision) =
+            self.send_offer(attempt, job(&catalog, attempt, self.now()), limits);
         match decision.await {
-            Ok(Decision::Dispatch(stopped)) => Ok(Grant {
+            Ok(Decision::Dispatch(preemption)) => Ok(Grant {
                 address: info.address,
-                hold,
-                _used: used,
+                guard,
+                _model_in_use: model_in_use,
                 loads: self.loads.clone(),
-                stopped: Some(stopped),
-                told: Mutex::new(Told { count: 0, first: true, at: self.now() }),
+                preemption: Some(preemption),
+                unreported: Mutex::new(UnreportedTokens {
+                    count: 0,
+                    first: true,
+                    reported_at: self.now(),
+                }),
             }),
-            Ok(Decision::Refuse(rejection)) => Err(self.refusal(&run.server, rejection)),
-            Err(_) => Err(passing(RefusalCode::Internal, "its lead has stopped")),
+            Ok(Decision::Refuse(rejection)) => {
+                Err(self.refusal(&attempt.server, rejection))
+            }
+            Err(_) => {
+                Err(transient_refusal(RefusalCode::Internal, "the lead has stopped"))
+            }
         }
     }
 
-    /// Sends an offer to the actor.
-    fn send(
+    /// Offers a request to the actor; the receiver gets the decision.
+    fn send_offer(
         &self,
-        run: &AttemptRequest,
+        attempt: &AttemptRequest,
         job: Job,
         limits: Limits,
-    ) -> (Hold, oneshot::Receiver<Decision>) {
-        let number = self.numbers.fetch_add(1, Ordering::Relaxed);
-        let hold = Hold {
+    ) -> (RequestGuard, oneshot::Receiver<Decision>) {
+        let number = self.next_number.fetch_add(1, Ordering::Relaxed);
+        let guard = RequestGuard {
             shared: self.shared.clone(),
-            table: self.table.clone(),
-            server: run.server.clone(),
+            actor: self.actor.clone(),
+            server: attempt.server.clone(),
             number,
-            call: matches!(run.request.target, Target::Service { .. }),
-            how: AttemptEnd::Cancelled,
+            is_service_call: matches!(attempt.request.target, Target::Service { .. }),
+            end: AttemptEnd::Cancelled,
         };
         let (reply, decision) = oneshot::channel();
-        let (server, at) = (run.server.clone(), self.now());
+        let (server, at) = (attempt.server.clone(), self.now());
         let offer = Offer { number, server, job, limits, at, reply };
-        hold.tell(Event::Offer(Box::new(offer)));
-        (hold, decision)
+        guard.notify(AdmissionEvent::Offer(Box::new(offer)));
+        (guard, decision)
     }
 
     fn refusal(&self, server: &ServerName, rejection: Rejection) -> (Refusal, RetryHint) {
         let Rejection { reason, retry_after } = rejection;
         let mut refusal = Refusal::not_run(reason.code(), reason.message());
         refusal.retry_after = retry_after;
-        let elsewhere = reason.may_retry_elsewhere();
-        (
-            refusal,
-            RetryHint { try_other_server: elsewhere, load: load(&self.loads, server) },
-        )
+        let try_other_server = reason.may_retry_elsewhere();
+        (refusal, RetryHint { try_other_server, load: server_load(&self.loads, server) })
     }
 
-    fn holds(&self, run: &AttemptRequest) -> bool {
+    fn is_resident(&self, attempt: &AttemptRequest) -> bool {
         let residence = self.shared.residence();
-        match &run.request.target {
+        match &attempt.request.target {
             Target::Model { model, version, adapter } => {
-                residence.serves(&run.server, model, version, adapter.as_ref())
+                residence.serves(&attempt.server, model, version, adapter.as_ref())
             }
             Target::Service { .. } => true,
         }
@@ -235,94 +249,100 @@
 }
 
 impl Grant {
-    /// Takes note of tokens that arrived; the lead is told of them in batches.
-    pub fn tokens(&self, count: u32) {
-        let now = self.hold.shared.clock.now();
-        let mut told = self.told.lock().expect("no holder of the count panics");
-        told.count += count;
-        if told.first || now.saturating_duration_since(told.at) >= TELL {
-            let (number, count) = (self.hold.number, told.count);
-            *told = Told { count: 0, first: false, at: now };
-            self.hold.tell(Event::Tokens { number, count, at: now });
+    /// Records tokens that arrived; they are reported to the actor in batches, the first
+    /// ones at once.
+    pub fn record_tokens(&self, count: u32) {
+        let now = self.guard.shared.clock.now();
+        let mut unreported =
+            self.unreported.lock().expect("no holder of the count panics");
+        unreported.count += count;
+        if unreported.first
+            || now.saturating_duration_since(unreported.reported_at)
+                >= TOKEN_REPORT_INTERVAL
+        {
+            let (number, count) = (self.guard.number, unreported.count);
+            *unreported = UnreportedTokens { count: 0, first: false, reported_at: now };
+            self.guard.notify(AdmissionEvent::Tokens { number, count, at: now });
         }
     }
 
-    /// A future that ends when the attempt is to give way to urgent work.
+    /// Completes when the attempt is preempted by an urgent request.
     ///
-    /// The first call takes it; others never end.
+    /// Only the future of the first call does; those of later calls never complete.
     pub fn preempted(&mut self) -> impl Future<Output = ()> + use<> {
-        let stopped = self.stopped.take();
+        let preemption = self.preemption.take();
         async move {
-            let told = match stopped {
-                Some(stopped) => stopped.await.is_ok(),
+            let preempted = match preemption {
+                Some(preemption) => preemption.await.is_ok(),
                 None => false,
             };
-            if !told {
+            if !preempted {
                 std::future::pending::<()>().await;
             }
         }
     }
 
-    /// Ends the attempt and tells the load that remains.
-    pub fn finish(mut self, how: How) -> ServerLoad {
-        self.hold.how = match how {
-            How::Whole => AttemptEnd::Completed,
-            How::Refused | How::Broken => AttemptEnd::Failed,
-            How::Abandoned => AttemptEnd::Cancelled,
+    /// Ends the attempt and returns the backend server's load without it.
+    pub fn finish(mut self, end: DispatchEnd) -> ServerLoad {
+        self.guard.end = match end {
+            DispatchEnd::Completed => AttemptEnd::Completed,
+            DispatchEnd::Refused | DispatchEnd::Interrupted => AttemptEnd::Failed,
+            DispatchEnd::Cancelled => AttemptEnd::Cancelled,
         };
-        let load = load(&self.loads, &self.hold.server).unwrap_or_default();
+        let load = server_load(&self.loads, &self.guard.server).unwrap_or_default();
         ServerLoad { running: load.running.saturating_sub(1), ..load }
     }
 }
 
-impl Hold {
-    fn tell(&self, event: Event) {
-        // The actor stops only with the daemon; then nothing is left to count.
-        drop(self.table.tell(event).try_send());
+impl RequestGuard {
+    fn notify(&self, event: AdmissionEvent) {
+        // The actor stops only with the daemon, which then needs no counts any more.
+        drop(self.actor.tell(event).try_send());
     }
 }
 
-impl Drop for Hold {
+impl Drop for RequestGuard {
     fn drop(&mut self) {
-        let (number, how, call) = (self.number, self.how, self.call);
+        let (number, end, is_service_call) =
+            (self.number, self.end, self.is_service_call);
         let at = self.shared.clock.now();
-        self.tell(Event::Finish { number, how, call, at });
+        self.notify(AdmissionEvent::Finish { number, end, is_service_call, at });
     }
 }
 
-/// Bytes of a body that waits; dropping it gives them back.
-struct Body {
-    bodies: Arc<AtomicUsize>,
+/// The reserved bytes of a body that waits; dropping it releases them.
+struct QueuedBody {
+    total: Arc<AtomicUsize>,
     bytes: usize,
 }
 
-impl Body {
-    fn take(bodies: &Arc<AtomicUsize>, bytes: usize) -> Option<Self> {
-        let body = Self { bodies: bodies.clone(), bytes };
-        let before = bodies.fetch_add(bytes, Ordering::Relaxed);
-        (before + bytes <= BODIES).then_some(body)
+impl QueuedBody {
+    fn try_reserve(queued_body_bytes: &Arc<AtomicUsize>, bytes: usize) -> Option<Self> {
+        let body = Self { total: queued_body_bytes.clone(), bytes };
+        let reserved = queued_body_bytes.fetch_add(bytes, Ordering::Relaxed);
+        (reserved + bytes <= MAX_QUEUED_BODY_BYTES).then_some(body)
     }
 }
 
-impl Drop for Body {
+impl Drop for QueuedBody {
     fn drop(&mut self) {
-        self.bodies.fetch_sub(self.bytes, Ordering::Relaxed);
+        self.total.fetch_sub(self.bytes, Ordering::Relaxed);
     }
 }
 
-async fn tick(shared: Arc<Shared>, table: ActorRef<Table>) {
-    let mut interval = tokio::time::interval(TICK);
+async fn run_ticker(shared: Arc<Shared>, actor: ActorRef<AdmissionActor>) {
+    let mut interval = tokio::time::interval(TICK_INTERVAL);
     interval.set_missed_tick_behavior(tokio::time::MissedTickBehavior::Delay);
     loop {
         interval.tick().await;
         let now = shared.clock.now();
-        if table.tell(Event::Tick(now)).send().await.is_err() {
+        if actor.tell(AdmissionEvent::Tick(now)).send().await.is_err() {
             return;
         }
     }
 }
 
-/// What a backend server takes, if what it serves is declared.
+/// The limits of a backend server; `None` if its pool or service is not declared.
 fn limits(catalog: &Catalog, role: &ServerRole) -> Option<Limits> {
     match role {
         ServerRole::Runner(pool) => {
@@ -331,7 +351,7 @@
             Some(Limits {
                 max_streams: streams,
                 max_cache_tokens: tokens,
-                max_queued: QUEUE,
+                max_queued: MAX_QUEUED,
                 step_time: step,
             })
         }
@@ -340,75 +360,77 @@
             Some(Limits {
                 max_streams: streams,
                 max_cache_tokens: u64::MAX,
-                max_queued: QUEUE,
+                max_queued: MAX_QUEUED,
                 step_time: SERVICE_STEP_TIME,
             })
         }
     }
 }
 
-/// What the lead needs to know of a request.
-fn job(catalog: &Catalog, run: &AttemptRequest, now: Instant) -> Job {
-    let work = &run.request;
-    let have = run.resume.as_ref().map_or(0, |resume| resume.tokens);
-    let caller = catalog.callers.get(&work.caller);
-    let (prompt, output) = match &work.target {
-        Target::Model { .. } => (work.prompt_tokens, work.max_output_tokens),
-        // A call of a plain service counts as one token, so that its time is
-        // measured like a first token's.
+/// The properties of a request that admission depends on.
+fn job(catalog: &Catalog, attempt: &AttemptRequest, now: Instant) -> Job {
+    let request = &attempt.request;
+    let received = attempt.resume.as_ref().map_or(0, |resume| resume.tokens);
+    let caller = catalog.callers.get(&request.caller);
+    let (prompt, output) = match &request.target {
+        Target::Model { .. } => (request.prompt_tokens, request.max_output_tokens),
+        // A call of a plain service counts as one token, so that its service time is
+        // measured as a step.
         Target::Service { .. } => (0, 1),
     };
     Job {
-        caller: work.caller.clone(),
-        team: caller.map_or(&work.team, |caller| &caller.team).clone(),
+        caller: request.caller.clone(),
+        team: caller.map_or(&request.team, |caller| &caller.team).clone(),
         share: caller.map_or(1, |caller| caller.share),
-        urgency: work.urgency,
-        deadline: now + work.budget,
-        prompt_tokens: prompt.saturating_add(have),
-        max_output_tokens: output.saturating_sub(have),
-        resumable: work.idempotent && matches!(work.target, Target::Model { .. }),
-        resumed: have > 0,
+        urgency: request.urgency,
+        deadline: now + request.budget,
+        prompt_tokens: prompt.saturating_add(received),
+        max_output_tokens: output.saturating_sub(received),
+        resumable: request.idempotent && matches!(request.target, Target::Model { .. }),
+        resumed: received > 0,
     }
 }
 
-fn load(loads: &Loads, server: &ServerName) -> Option<ServerLoad> {
+fn server_load(loads: &ServerLoads, server: &ServerName) -> Option<ServerLoad> {
     loads.lock().expect("no holder of the loads panics").get(server).copied()
 }
 
-fn passing(code: RefusalCode, text: &str) -> (Refusal, RetryHint) {
-    let text = format!("{text}; send the request again after the time given");
-    let refusal = Refusal::not_run(code, text).with_retry_after(COME_BACK);
+fn transient_refusal(code: RefusalCode, text: &str) -> (Refusal, RetryHint) {
+    let text = format!("{text}; send the request again after the given time");
+    let refusal = Refusal::not_run(code, text).with_retry_after(RETRY_AFTER);
     (refusal, RetryHint { try_other_server: true, load: None })
 }
 
-/// Carries out one attempt at a backend server that this daemon leads.
+/// Runs one attempt at a backend server that this daemon leads, and sends its frames to
+/// `out`.
 pub async fn serve(
     node: &Arc<Node>,
-    run: AttemptRequest,
+    attempt: AttemptRequest,
     out: mpsc::Sender<PeerResponse>,
 ) {
-    let out = single::outlive(node, &run, out);
+    let out = single::outlive(node, &attempt, out);
     if out.send(PeerResponse::Queued).await.is_err() {
         return;
     }
-    // Before the check that the model is resident, so that it is not unloaded
+    // Held before the check that the model is resident, so that it is not unloaded
     // between the check and the end of the stream.
-    let _hold = node.shared.usage.hold_target(&run.server, &run.request.target);
-    let offered = tokio::select! {
-        offered = node.leads.admit(&run) => offered,
+    let _model_in_use =
+        node.shared.usage.hold_target(&attempt.server, &attempt.request.target);
+    let admitted = tokio::select! {
+        admitted = node.leads.admit(&attempt) => admitted,
         () = out.closed() => return,
     };
-    let mut grant = match offered {
+    let mut grant = match admitted {
         Ok(grant) => grant,
         Err((refusal, hint)) => {
-            // The daemon that asked may be gone; then nobody needs the answer.
+            // Fails only if the requesting daemon is gone.
             drop(out.send(PeerResponse::Refused { refusal, hint }).await);
             return;
         }
     };
     let address = grant.address;
-    let flight = match node.poison.enter(&node.shared, &run, &out).await {
-        Ok(flight) => flight,
+    let dispatch = match node.poison.enter(&node.shared, &attempt, &out).await {
+        Ok(dispatch) => dispatch,
         Err(refusal) => {
             drop(
                 out.send(PeerResponse::Refused { refusal, hint: RetryHint::default() })
@@ -418,45 +440,52 @@
         }
     };
     let preempted = grant.preempted();
-    let call = engine::call(&node.http, address, &run, &out, |count| grant.tokens(count));
+    let call = engine::call(&node.http, address, &attempt, &out, |count| {
+        grant.record_tokens(count)
+    });
     let end = tokio::select! {
         end = call => end,
         () = preempted => {
-            // The stream is free only when the engine has stopped it.
-            engine::cancel(&node.http, address, &run).await;
-            flight.end(node, address, &CallOutcome::Cancelled).await;
-            let load = grant.finish(How::Abandoned);
+            // The stream is free only once the engine has stopped it.
+            engine::cancel(&node.http, address, &attempt).await;
+            dispatch.end(node, address, &CallOutcome::Cancelled).await;
+            let load = grant.finish(DispatchEnd::Cancelled);
             drop(out.send(PeerResponse::Preempted { load }).await);
             return;
         }
     };
-    let crashed = flight.end(node, address, &end).await;
+    let crashed = dispatch.end(node, address, &end).await;
     let last = match end {
         CallOutcome::Completed(reason) => {
-            PeerResponse::End { reason, load: grant.finish(How::Whole) }
-        }
-        CallOutcome::NotSent(why) => {
-            refused(RefusalCode::Unavailable, why, grant.finish(How::Refused))
-        }
-        CallOutcome::Refused(why) => {
-            refused(RefusalCode::Overloaded, why, grant.finish(How::Refused))
+            PeerResponse::End { reason, load: grant.finish(DispatchEnd::Completed) }
         }
-        CallOutcome::Interrupted { reason: why, .. } => {
-            grant.finish(How::Broken);
-            PeerResponse::Broken { message: why, crashed }
+        CallOutcome::NotSent(reason) => server_refusal(
+            RefusalCode::Unavailable,
+            reason,
+            grant.finish(DispatchEnd::Refused),
+        ),
+        CallOutcome::Refused(reason) => server_refusal(
+            RefusalCode::Overloaded,
+            reason,
+            grant.finish(DispatchEnd::Refused),
+        ),
+        CallOutcome::Interrupted { reason, .. } => {
+            grant.finish(DispatchEnd::Interrupted);
+            PeerResponse::Broken { message: reason, crashed }
         }
         CallOutcome::Cancelled => {
-            engine::cancel(&node.http, address, &run).await;
-            grant.finish(How::Abandoned);
+            engine::cancel(&node.http, address, &attempt).await;
+            grant.finish(DispatchEnd::Cancelled);
             return;
         }
     };
     drop(out.send(last).await);
 }
 
-fn refused(code: RefusalCode, why: String, load: ServerLoad) -> PeerResponse {
-    let text = format!("the backend server did not take the request ({why}); wait");
-    let refusal = Refusal::not_run(code, text).with_retry_after(COME_BACK);
+fn server_refusal(code: RefusalCode, reason: String, load: ServerLoad) -> PeerResponse {
+    let text =
+        format!("the backend server did not accept the request ({reason}); retry later");
+    let refusal = Refusal::not_run(code, text).with_retry_after(RETRY_AFTER);
     PeerResponse::Refused {
         refusal,
         hint: RetryHint { try_other_server: true, load: Some(load) },
