--- a/crates/node/src/engine.rs
+++ b/crates/node/src/engine.rs
@@ -175,9 +175,9 @@
 
 /// Probes the liveness of an engine that sends nothing.
 ///
-/// A frozen engine keeps its connections open, so that nothing else shows it: callers would
-/// wait for their whole deadline while another runner has capacity. A busy engine responds
-/// to the probe and is waited for.
+/// A frozen engine keeps its connections open, so that only a probe detects it; otherwise
+/// callers would wait for their whole deadline while another runner has capacity. A busy
+/// engine responds to the probe and is waited for.
 pub struct LivenessProbe<'a> {
     /// The client for backend servers.
     pub http: &'a Client,
--- a/crates/node/src/entry.rs
+++ b/crates/node/src/entry.rs
@@ -48,7 +48,7 @@
         .route("/v1/chat/completions", post(completion))
         .route("/v1/requests/{key}", get(lookup))
         .route("/svc/{*path}", any(service))
-        .fallback(unknown)
+        .fallback(unknown_path)
         .with_state(node)
 }
 
@@ -135,14 +135,14 @@
 }
 
 async fn completion(State(node): State<Arc<Node>>, request: Request) -> Response {
-    handle(node, request, parse::parse_completion).await
+    handle_request(node, request, parse::parse_completion).await
 }
 
 async fn service(State(node): State<Arc<Node>>, request: Request) -> Response {
-    handle(node, request, parse::parse_service_call).await
+    handle_request(node, request, parse::parse_service_call).await
 }
 
-async fn unknown(request: Request) -> Response {
+async fn unknown_path(request: Request) -> Response {
     let text = format!("no such path: {}; see the API's page", request.uri().path());
     response::refusal(&Refusal::not_run(RefusalCode::UnknownService, text))
 }
@@ -163,13 +163,13 @@
 
 /// Accepts a request and runs it: an idempotent one from here, any other one through the
 /// lead of its journal slot.
-async fn handle(
+async fn handle_request(
     node: Arc<Node>,
     request: Request,
     parse: fn(&Node, CallerName, &HttpCall, &HeaderMap) -> Result<ParsedRequest, Refusal>,
 ) -> Response {
-    match accept(&node, request, parse).await {
-        Ok((parsed, call, permit)) => start(node, parsed, call, permit).await,
+    match accept_request(&node, request, parse).await {
+        Ok((parsed, call, permit)) => start_request(node, parsed, call, permit).await,
         Err(refusal) => {
             node.shared.metrics.record_refused(&refusal);
             response::refusal(&refusal)
@@ -177,7 +177,7 @@
     }
 }
 
-async fn accept(
+async fn accept_request(
     node: &Arc<Node>,
     request: Request,
     parse: fn(&Node, CallerName, &HttpCall, &HeaderMap) -> Result<ParsedRequest, Refusal>,
@@ -207,7 +207,7 @@
     Ok((parsed, call, permit))
 }
 
-async fn start(
+async fn start_request(
     node: Arc<Node>,
     parsed: ParsedRequest,
     call: HttpCall,
--- a/crates/node/src/lead/actor.rs
+++ b/crates/node/src/lead/actor.rs
@@ -23,7 +23,7 @@
 
 /// A message to the actor.
 pub enum AdmissionEvent {
-    /// A request asks for admission.
+    /// A request for admission.
     Offer(Box<Offer>),
     /// Tokens of a dispatched request arrived.
     Tokens {
@@ -49,7 +49,7 @@
     Tick(Instant),
 }
 
-/// A request for admission.
+/// A request for admission to a backend server.
 pub struct Offer {
     /// The request's number, unique within this daemon.
     pub number: u64,
--- a/crates/node/src/parse.rs
+++ b/crates/node/src/parse.rs
@@ -78,7 +78,7 @@
     headers: &HeaderMap,
 ) -> Result<CallerName, Refusal> {
     let key = header_text(headers, "authorization").strip_prefix("Bearer ").unwrap_or("");
-    let unauthorised = |why| Refusal::not_run(RefusalCode::Unauthorised, why);
+    let unauthorised = |reason| Refusal::not_run(RefusalCode::Unauthorised, reason);
     if key.is_empty() {
         return Err(unauthorised(
             "send `Authorization: Bearer KEY` with the caller's key",
--- a/crates/node/src/peer.rs
+++ b/crates/node/src/peer.rs
@@ -22,7 +22,7 @@
 
 /// How long a responding daemon may send nothing before its response counts as lost.
 ///
-/// Three heartbeats; a shorter timeout takes a busy VM for a dead one.
+/// Three heartbeats; a shorter timeout would take a busy VM for a crashed one.
 pub const FAILURE_DETECTION_TIMEOUT: Duration = Duration::from_millis(1500);
 
 /// The longest time between two frames of a daemon that is responding.
