--- a/crates/node/src/engine.rs
+++ b/crates/node/src/engine.rs
@@ -181,7 +181,7 @@
 pub struct LivenessProbe<'a> {
     /// The client for backend servers.
     pub http: &'a Client,
-    /// Where the engine listens.
+    /// The address of the engine.
     pub address: SocketAddr,
 }
 
@@ -193,7 +193,8 @@
     }
 }
 
-/// Completes when a probe fails after [`STALL_TIMEOUT`]; never without a probe.
+/// Probes at intervals of [`STALL_TIMEOUT`] and completes when a probe fails; never
+/// completes without a probe.
 async fn until_unresponsive(probe: Option<&LivenessProbe<'_>>) {
     let Some(probe) = probe else {
         return std::future::pending().await;
@@ -213,7 +214,7 @@
     }
 }
 
-/// Reads the body of a response with an error status.
+/// Reads the body of an engine's response with a status other than 200.
 ///
 /// A client error or status 503 means that the engine didn't run the request.
 async fn read_refusal(response: Response) -> CallOutcome {
