--- a/crates/node/src/config_sync.rs
+++ b/crates/node/src/config_sync.rs
@@ -135,7 +135,7 @@
     let mut calls = JoinSet::new();
     for addr in select_peers(node).await {
         let (node, request) = (node.clone(), request.clone());
-        calls.spawn(async move { node.peers.ask_once(addr, &request).await });
+        calls.spawn(async move { node.peers.request(addr, &request).await });
     }
     while let Some(response) = calls.join_next().await {
         if let Ok(Ok(PeerResponse::Config(Some(handover)))) = response {
--- a/crates/node/src/journal.rs
+++ b/crates/node/src/journal.rs
@@ -16,7 +16,7 @@
 use tokio::sync::mpsc;
 use tokio::time::sleep;
 
-use crate::engine::{self, CallEnd, Pulse};
+use crate::engine::{self, CallOutcome, LivenessProbe};
 use crate::members::CLAIMS;
 use crate::node::Node;
 use crate::single::{self, ResponseBuilder};
@@ -277,7 +277,7 @@
     let (out, mut frames) = mpsc::channel(64);
     let http = node.http.clone();
     let read = tokio::spawn(async move {
-        let pulse = Pulse { http: &http, address };
+        let pulse = LivenessProbe { http: &http, address };
         engine::read_tokens(response.bytes_stream(), 0, &out, &pulse, |_| {}).await
     });
     let mut builder = ResponseBuilder::new();
@@ -287,7 +287,7 @@
         }
     }
     match read.await {
-        Ok(CallEnd::Whole(reason)) => Some(builder.finish(reason)),
+        Ok(CallOutcome::Completed(reason)) => Some(builder.finish(reason)),
         _ => None,
     }
 }
--- a/crates/node/src/lib.rs
+++ b/crates/node/src/lib.rs
@@ -7,14 +7,13 @@
 //!    and resumes; a non-idempotent request goes through [`slots`] first,
 //! 3. [`peer`] sends it to the daemon that leads the backend server,
 //! 4. [`lead`] admits, queues and dispatches it,
-//! 5. [`engine`] calls the backend server; the response streams back and [`answer`]
+//! 5. [`engine`] calls the backend server; the response streams back and [`response`]
 //!    writes it in the format that the caller expects.
 //!
 //! Independent of requests run [`members`] (leases and claims), [`config_sync`]
 //! (declarations), [`planner`] and [`orders`] (residency of models). They exchange state
 //! through [`shared`]; [`run`] starts and stops them.
 
-pub mod answer;
 mod command;
 pub mod config_api;
 pub mod config_sync;
@@ -37,6 +36,7 @@
 pub mod planner;
 pub mod poison;
 pub mod relay;
+pub mod response;
 pub mod run;
 pub mod shared;
 pub mod show_rows;
--- a/crates/node/src/members.rs
+++ b/crates/node/src/members.rs
@@ -169,7 +169,7 @@
         others.truncate(TRUST_CHECK_PEERS);
         let calls = others
             .iter()
-            .map(|(_, addr)| node.peers.ask_once(*addr, &PeerRequest::Status));
+            .map(|(_, addr)| node.peers.request(*addr, &PeerRequest::Status));
         let responses = futures::future::join_all(calls).await;
         let trusted = responses.iter().any(Result::is_ok);
         if !trusted && !self.trust_check_failed {
--- a/crates/node/src/node.rs
+++ b/crates/node/src/node.rs
@@ -8,9 +8,9 @@
 use tokio::sync::mpsc;
 
 use crate::config_sync;
-use crate::entry::Intake;
-use crate::lead::{self, Leads};
-use crate::peer::{Peers, Serve};
+use crate::entry::RequestLimiter;
+use crate::lead::{self, LedServers};
+use crate::peer::{Peers, RequestHandler};
 use crate::pick::Picker;
 use crate::poison::PoisonGuard;
 use crate::shared::Shared;
@@ -23,7 +23,7 @@
     /// Connections to other daemons.
     pub peers: Peers,
     /// Admission and queues of the backend servers that this daemon leads.
-    pub leads: Leads,
+    pub leads: LedServers,
     /// Chooses backend servers for requests.
     pub picker: Picker,
     /// The journal slots that this daemon leads.
@@ -31,7 +31,7 @@
     /// Isolates requests that crash backend servers.
     pub poison: Arc<PoisonGuard>,
     /// Admission of callers' requests at this entry.
-    pub intake: Intake,
+    pub intake: RequestLimiter,
     /// The HTTP client for calls to backend servers.
     pub http: Client,
     /// The number of jobs that have to finish before the daemon stops: requests of other
@@ -39,8 +39,8 @@
     pub active_jobs: Arc<AtomicUsize>,
 }
 
-impl Serve for Node {
-    async fn serve(
+impl RequestHandler for Node {
+    async fn handle(
         self: Arc<Self>,
         request: PeerRequest,
         out: mpsc::Sender<PeerResponse>,
@@ -96,7 +96,7 @@
 
     /// Whether no request of a caller and no job is active.
     pub fn is_idle(&self) -> bool {
-        self.intake.held() == 0
+        self.intake.in_flight() == 0
             && self.active_jobs.load(Ordering::SeqCst) == 0
             && self.slots.is_idle()
     }
@@ -108,7 +108,7 @@
             member: self.shared.me,
             revision: self.shared.catalog().revision,
             shutting_down: self.shared.is_shutting_down(),
-            requests: self.intake.held() as u32,
+            requests: self.intake.in_flight() as u32,
         }
     }
 }
--- a/crates/node/src/ops.rs
+++ b/crates/node/src/ops.rs
@@ -8,9 +8,9 @@
 use axum::routing::get;
 use serde_json::{Value, json};
 
-use crate::answer;
 use crate::config_api;
 use crate::node::Node;
+use crate::response;
 
 /// The routes served at the operators' address.
 pub fn router(node: Arc<Node>) -> Router {
@@ -26,7 +26,7 @@
 }
 
 async fn debug_state(State(node): State<Arc<Node>>) -> Response {
-    answer::json(200, &dump(&node))
+    response::json(200, &dump(&node))
 }
 
 /// The state of the process as JSON; contains no keys.
@@ -43,7 +43,7 @@
         "fresh": shared.is_config_fresh(),
         "lease_holds": shared.is_lease_valid(now),
         "revision": shared.catalog().revision,
-        "requests": node.intake.held(),
+        "requests": node.intake.in_flight(),
         "serving": node.active_jobs.load(std::sync::atomic::Ordering::SeqCst),
         "limits": {
             "body": settings.limits.body,
--- a/crates/node/src/poison.rs
+++ b/crates/node/src/poison.rs
@@ -26,7 +26,7 @@
 use tokio::sync::{Notify, mpsc};
 use tokio::time::timeout;
 
-use crate::engine::CallEnd;
+use crate::engine::CallOutcome;
 use crate::feed::ChangeFeed;
 use crate::members;
 use crate::node::Node;
@@ -201,14 +201,21 @@
 
 impl DispatchGuard {
     /// Finishes the dispatch; returns whether the backend server crashed.
-    pub async fn finish(self, node: &Node, address: SocketAddr, end: &CallEnd) -> bool {
+    pub async fn finish(
+        self,
+        node: &Node,
+        address: SocketAddr,
+        end: &CallOutcome,
+    ) -> bool {
         match end {
-            CallEnd::Whole(_) => {
+            CallOutcome::Completed(_) => {
                 let change = self.unregister(true);
                 self.poison.save(change.as_slice());
                 false
             }
-            CallEnd::Broken { cut: true, .. } if has_crashed(address).await => {
+            CallOutcome::Interrupted { connection_lost: true, .. }
+                if has_crashed(address).await =>
+            {
                 self.attribute_crash(node).await;
                 true
             }
@@ -315,7 +322,7 @@
     };
     let request =
         PeerRequest::ReportSuspects(changes.iter().filter_map(suspect).collect());
-    let calls = others.iter().map(|(_, addr)| node.peers.ask_once(*addr, &request));
+    let calls = others.iter().map(|(_, addr)| node.peers.request(*addr, &request));
     // A daemon that is not reached in time reads it from the table.
     drop(timeout(NOTIFY_TIMEOUT, futures::future::join_all(calls)).await);
 }
--- a/crates/node/src/shared.rs
+++ b/crates/node/src/shared.rs
@@ -15,7 +15,7 @@
 use tokio::sync::{Notify, watch};
 
 use crate::config_sync::{self, ConfigState};
-use crate::demand::Asked;
+use crate::demand::DemandCounts;
 use crate::feed::ChangeFeed;
 use crate::metrics::Metrics;
 use crate::orders::rows::PlacementRows;
@@ -69,7 +69,7 @@
     /// The ledger's and the plan's rows, written by [`crate::orders`].
     pub rows: watch::Sender<Arc<PlacementRows>>,
     /// Demand of callers for each model, read by [`crate::demand`].
-    pub demand: Asked,
+    pub demand: DemandCounts,
     /// The requests that use each asset of the runners that this daemon leads.
     pub usage: AssetUsage,
     /// Whether this daemon is shutting down. Set by a signal, an operator or the
@@ -120,7 +120,7 @@
             view: watch::Sender::new(Arc::default()),
             residency: watch::Sender::new(Arc::default()),
             rows: watch::Sender::new(Arc::default()),
-            demand: Asked::default(),
+            demand: DemandCounts::default(),
             usage: AssetUsage::default(),
             shutting_down: watch::Sender::new(false),
             intake_closed: watch::Sender::new(false),
--- a/crates/node/src/show_rows.rs
+++ b/crates/node/src/show_rows.rs
@@ -111,7 +111,7 @@
     let mut calls = JoinSet::new();
     for (_, addr) in others {
         let node = node.clone();
-        calls.spawn(async move { node.peers.ask_once(addr, &PeerRequest::Status).await });
+        calls.spawn(async move { node.peers.request(addr, &PeerRequest::Status).await });
     }
     while let Some(response) = calls.join_next().await {
         if let Ok(Ok(PeerResponse::Status(status))) = response {
--- a/crates/node/src/single.rs
+++ b/crates/node/src/single.rs
@@ -17,7 +17,7 @@
 
 use crate::journal;
 use crate::node::Node;
-use crate::relay::{self, Mode};
+use crate::relay::{self, DispatchMode};
 
 const FRAME_BUFFER: usize = 64;
 
@@ -94,8 +94,14 @@
     let (out, mut frames) = mpsc::channel(FRAME_BUFFER);
     let relay_node = node.clone();
     let relay = tokio::spawn(async move {
-        relay::run(&relay_node, once.request, once.call, Mode::Single(attempt), out)
-            .await;
+        relay::run(
+            &relay_node,
+            once.request,
+            once.call,
+            DispatchMode::AtMostOnce(attempt),
+            out,
+        )
+        .await;
     });
     let mut builder = ResponseBuilder::new();
     while let Some(frame) = frames.recv().await {
