--- a/crates/gate/src/grant.rs
+++ b/crates/gate/src/admission.rs
@@ -17,7 +17,7 @@
 use slog::info;
 use tokio::time::timeout_at;
 
-use crate::holder::Holder;
+use crate::holder::HeldRunner;
 use crate::message::{Begun, Message, Verdict};
 use crate::peers::Reply;
 use crate::shared::Shared;
@@ -38,18 +38,18 @@
 const DOUBTFUL_SHARE: f64 = 0.15;
 
 /// Asks when a request may be sent.
-pub struct Question {
+pub struct AdmissionRequest {
     /// Names the request.
-    pub asker: RequestKey,
+    pub key: RequestKey,
     /// What it needs.
-    pub want: GenerationRequest,
+    pub request: GenerationRequest,
     /// Whether the runner has just said that it does not have the adapter.
-    pub missed: bool,
+    pub adapter_missing: bool,
 }
 
 /// Who waits to send to a runner.
 #[derive(Default)]
-pub struct Desk {
+pub struct AdmissionTable {
     last: u64,
     open: IndexMap<RequestKey, Entry>,
 }
@@ -67,7 +67,7 @@
     decided: Option<(Verdict, Instant)>,
 }
 
-impl Desk {
+impl AdmissionTable {
     /// What became of a request that was asked for before.
     fn verdict(&self, asker: RequestKey) -> Option<Verdict> {
         let entry = self.open.get(&asker)?;
@@ -104,14 +104,15 @@
 }
 
 /// Takes in that a daemon wants to send a request.
-pub fn take(
+pub fn request_admission(
     shared: &Arc<Shared>,
-    holder: &Arc<Holder>,
-    question: Question,
+    holder: &Arc<HeldRunner>,
+    question: AdmissionRequest,
     reply: Reply<Verdict>,
 ) {
-    let Question { asker, want, missed } = question;
-    let known = holder.desk().verdict(asker);
+    let AdmissionRequest { key: asker, request: want, adapter_missing: missed } =
+        question;
+    let known = holder.admissions().verdict(asker);
     if let Some(verdict) = known {
         return answer(shared, asker.1, reply, verdict);
     }
@@ -123,7 +124,7 @@
         shared.peers.send(*addr, message);
     }
     let now = shared.now();
-    let ticket = holder.desk().enter(asker, want.clone(), reply, now);
+    let ticket = holder.admissions().enter(asker, want.clone(), reply, now);
     let ready = adapter_ready(holder, &want, missed, &engine, now);
     enqueue(shared, holder, ticket, &want, ready);
     if ready.is_none() {
@@ -137,7 +138,7 @@
 
 /// When the runner has the adapter; nothing if it has to be loaded.
 fn adapter_ready(
-    holder: &Holder,
+    holder: &HeldRunner,
     want: &GenerationRequest,
     missed: bool,
     engine: &Engine,
@@ -152,14 +153,14 @@
 
 fn enqueue(
     shared: &Shared,
-    holder: &Holder,
+    holder: &HeldRunner,
     ticket: Ticket,
     want: &GenerationRequest,
     ready: Option<Instant>,
 ) {
     let now = shared.now();
     let mut state = holder.state();
-    let work = state.prefill_time(want, &shared.speeds());
+    let work = state.prefill_time(want, &shared.engine_timings());
     state.prefill_queue.push(QueuedPrompt {
         ticket,
         prefill_time: work,
@@ -174,12 +175,12 @@
 /// Has the adapter of a request that waits loaded.
 async fn prepare(
     shared: &Shared,
-    holder: &Holder,
+    holder: &HeldRunner,
     ticket: Ticket,
     want: GenerationRequest,
     missed: bool,
 ) {
-    match holder.prepare(want.target, missed).await {
+    match holder.load_adapter(want.target, missed).await {
         Some(ready) => {
             holder.state().prefill_queue.set_adapter_ready(ticket, shared.now() + ready)
         }
@@ -189,29 +190,34 @@
 }
 
 /// Takes in that a request is not sent after all.
-pub fn leave(holder: &Holder, asker: RequestKey) {
-    let Some(entry) = holder.desk().open.swap_remove(&asker) else { return };
+pub fn withdraw(holder: &HeldRunner, asker: RequestKey) {
+    let Some(entry) = holder.admissions().open.swap_remove(&asker) else { return };
     holder.state().prefill_queue.remove(entry.ticket);
     holder.changed.notify_one();
 }
 
 /// Takes in the first event of a request that was sent in its turn.
-pub fn begun(shared: &Shared, holder: &Holder, from: MemberId, begun: Begun) {
+pub fn record_first_event(
+    shared: &Shared,
+    holder: &HeldRunner,
+    from: MemberId,
+    begun: Begun,
+) {
     let (ticket, model, unread, sure) = {
-        let desk = holder.desk();
+        let desk = holder.admissions();
         let Some(entry) = desk.open.get(&(from, begun.number)) else { return };
         (entry.ticket, entry.want.target.model.clone(), entry.unread, entry.sure)
     };
     let time = Duration::from_millis(begun.after_ms.into());
-    let base = shared.speeds().first_event_overhead(&model);
+    let base = shared.engine_timings().first_event_overhead(&model);
     let free = holder.state().prefill_queue.record_first_event(ticket, time, base);
     if free && sure {
-        shared.speeds().record_first_event(&model, unread, time);
+        shared.engine_timings().record_first_event(&model, unread, time);
     }
 }
 
 /// Sees to a runner's lane until its claim is lost.
-pub async fn run(shared: Arc<Shared>, holder: Weak<Holder>) {
+pub async fn run(shared: Arc<Shared>, holder: Weak<HeldRunner>) {
     loop {
         let Some(held) = holder.upgrade() else { return };
         let Some(until) = next(&shared, &held) else { continue };
@@ -222,7 +228,7 @@
 }
 
 /// Decides about the next request; returns until when nothing more can be decided.
-fn next(shared: &Shared, holder: &Holder) -> Option<Instant> {
+fn next(shared: &Shared, holder: &HeldRunner) -> Option<Instant> {
     let now = shared.now();
     let later = now + PATIENCE;
     let Some(room) = room(shared, holder, now) else {
@@ -247,18 +253,18 @@
 ///
 /// A request that waited through the runner's notice would reach it after the time
 /// in which all daemons have to stop sending.
-fn deny_all(shared: &Shared, holder: &Holder) {
-    let waiting = holder.desk().undecided();
+fn deny_all(shared: &Shared, holder: &HeldRunner) {
+    let waiting = holder.admissions().undecided();
     for ticket in waiting {
         decide(shared, holder, ticket, Verdict::Denied);
     }
 }
 
 /// Decides what becomes of a request and tells who asked.
-fn decide(shared: &Shared, holder: &Holder, ticket: Ticket, verdict: Verdict) {
+fn decide(shared: &Shared, holder: &HeldRunner, ticket: Ticket, verdict: Verdict) {
     let now = shared.now();
     let (asker, reply, want) = {
-        let mut desk = holder.desk();
+        let mut desk = holder.admissions();
         let Some((asker, entry)) = desk.find(ticket) else { return };
         entry.decided = Some((verdict, now));
         let reply = match &entry.reply {
@@ -280,7 +286,12 @@
     }
 }
 
-fn note_sent(shared: &Shared, holder: &Holder, ticket: Ticket, want: &GenerationRequest) {
+fn note_sent(
+    shared: &Shared,
+    holder: &HeldRunner,
+    ticket: Ticket,
+    want: &GenerationRequest,
+) {
     let now = shared.now();
     let capacity = shared.engine_of(&holder.server).map_or(0, |engine| engine.kv_tokens);
     let (unread, sure) = {
@@ -291,7 +302,7 @@
         state.mark_adapter_used(&want.target, now);
         (unread, f64::from(doubtful) <= DOUBTFUL_SHARE * f64::from(unread))
     };
-    if let Some((_, entry)) = holder.desk().find(ticket) {
+    if let Some((_, entry)) = holder.admissions().find(ticket) {
         (entry.unread, entry.sure) = (unread, sure);
     }
 }
@@ -301,7 +312,7 @@
 }
 
 /// What the runner has room for; nothing if it takes no new requests.
-fn room(shared: &Shared, holder: &Holder, now: Instant) -> Option<RunnerCapacity> {
+fn room(shared: &Shared, holder: &HeldRunner, now: Instant) -> Option<RunnerCapacity> {
     let open = {
         let fleet = shared.fleet();
         let server = fleet.get(fleet.key(&holder.server)?)?;
@@ -315,8 +326,10 @@
     Some(RunnerCapacity {
         requests: engine.slots.saturating_sub(total.requests),
         kv_tokens: engine.usable_kv_tokens().saturating_sub(total.kv_tokens),
-        max_event_gap: shared.declared().and_then(|declared| declared.min_event_gap()),
-        step_time: shared.speeds().step_time(),
+        max_event_gap: shared
+            .declarations()
+            .and_then(|declared| declared.min_event_gap()),
+        step_time: shared.engine_timings().step_time(),
         steps_per_event: engine.event_tokens,
     })
 }
--- a/crates/gate/src/answer.rs
+++ b/crates/gate/src/answer.rs
@@ -240,7 +240,7 @@
                 let pause = now.saturating_duration_since(self.at);
                 self.pace.pause = self.pace.pause.max(pause);
                 if let Some(tokens) = self.event_tokens {
-                    self.job.shared.speeds().record_event_gap(pause, tokens);
+                    self.job.shared.engine_timings().record_event_gap(pause, tokens);
                 }
             }
         }
@@ -270,7 +270,7 @@
         }
         info!(self.job.shared.log, "stream resumes elsewhere"; "id" => self.job.id(),
             "server" => self.server.to_string(), "why" => why, "after" => self.sequence.last());
-        while self.job.shared.take_repeat(&self.job.service) {
+        while self.job.shared.try_take_retry(&self.job.service) {
             self.job.shared.metrics.count(Step::Repeat, "resumed");
             let Ok(place) = pick(&self.job, None, &[]).await else { return false };
             match attempt(&self.job, &place, self.sequence.last()).await {
--- a/crates/gate/src/ask.rs
+++ b/crates/gate/src/ask.rs
@@ -20,8 +20,8 @@
 use tokio::sync::{mpsc, oneshot};
 use tokio::time::timeout;
 
-use crate::grant::{self, Question};
-use crate::holder::{self, Holder};
+use crate::admission::{self, AdmissionRequest};
+use crate::holder::{self, HeldRunner};
 use crate::job::Job;
 use crate::message::{Message, Verdict};
 use crate::metrics::{Span, Step};
@@ -102,7 +102,7 @@
     let shared = &job.shared;
     let Some(target) = &job.call.target else { return Vec::new() };
     let now = shared.now();
-    let token = shared.speeds().token_time(&target.model);
+    let token = shared.engine_timings().token_time(&target.model);
     let fleet = shared.fleet();
     let only = job.attempts.restricted_to(|run| {
         let known = fleet.key(&run.server).and_then(|key| fleet.get(key));
@@ -161,8 +161,11 @@
     let now = shared.now();
     let mut bids = IndexMap::new();
     for name in asked.here {
-        if let Some(holder) = shared.holder(&name) {
-            bids.insert(name, bid(&holder.state(), want, &shared.speeds(), engine, now));
+        if let Some(holder) = shared.held_runner(&name) {
+            bids.insert(
+                name,
+                bid(&holder.state(), want, &shared.engine_timings(), engine, now),
+            );
         }
     }
     let questions = asked
@@ -177,7 +180,7 @@
 }
 
 fn sort_out(shared: &Shared, runners: &[Runner]) -> Asked {
-    let known = shared.known();
+    let known = shared.membership();
     let mut asked = Asked::default();
     for runner in runners {
         let claim = known.claims.get(&ClaimKey::Server(runner.name.clone()));
@@ -218,9 +221,9 @@
 ) -> Vec<(ServerName, Bid)> {
     let now = shared.now();
     let place = |name: ServerName| {
-        let holder = shared.holder(&name)?;
+        let holder = shared.held_runner(&name)?;
         let engine = shared.engine_of(&name)?;
-        let bid = bid(&holder.state(), want, &shared.speeds(), &engine, now);
+        let bid = bid(&holder.state(), want, &shared.engine_timings(), &engine, now);
         Some((name, bid))
     };
     servers.into_iter().filter_map(place).collect()
@@ -262,7 +265,7 @@
     let began = job.shared.now();
     let (number, receiver) = job.shared.peers.expect();
     let place = Place { job, server, number, settled: false };
-    let turn = match job.shared.holder(server) {
+    let turn = match job.shared.held_runner(server) {
         Some(holder) => place.here(&holder, missed).await,
         None => place.there(receiver, missed).await,
     };
@@ -284,13 +287,14 @@
 }
 
 impl Place<'_> {
-    async fn here(mut self, holder: &Arc<Holder>, missed: bool) -> Turn {
+    async fn here(mut self, holder: &Arc<HeldRunner>, missed: bool) -> Turn {
         let shared = &self.job.shared;
         let (sender, receiver) = oneshot::channel();
         let Some(want) = self.job.want() else { return Turn::Denied };
         let asker = (shared.peers.me, self.number);
-        let question = Question { asker, want, missed };
-        grant::take(shared, holder, question, Reply::Here(sender));
+        let question =
+            AdmissionRequest { key: asker, request: want, adapter_missing: missed };
+        admission::request_admission(shared, holder, question, Reply::Here(sender));
         let Ok(verdict) = timeout(LOOK_AGAIN, receiver).await else { return Turn::Again };
         self.settled = true;
         match verdict {
@@ -314,7 +318,7 @@
                 return Turn::Again;
             }
             let Some(want) = self.job.want() else { return Turn::Denied };
-            let Some(addr) = holder::addr(shared, self.server) else { break };
+            let Some(addr) = holder::holder_addr(shared, self.server) else { break };
             let (number, server) = (self.number, self.server.clone());
             shared.peers.send(addr, Message::Take { number, server, want, missed });
             let mut wait = TAKE_TIME;
@@ -350,9 +354,9 @@
         }
         let shared = &self.job.shared;
         let (number, server) = (self.number, self.server.clone());
-        if let Some(holder) = shared.holder(&server) {
-            grant::leave(&holder, (shared.peers.me, number));
-        } else if let Some(addr) = holder::addr(shared, &server) {
+        if let Some(holder) = shared.held_runner(&server) {
+            admission::withdraw(&holder, (shared.peers.me, number));
+        } else if let Some(addr) = holder::holder_addr(shared, &server) {
             shared.peers.send(addr, Message::Leave { number, server });
         }
     }
--- a/crates/gate/src/attempt.rs
+++ b/crates/gate/src/attempt.rs
@@ -19,7 +19,7 @@
 use crate::job::Job;
 use crate::message::Begun;
 use crate::shared::Shared;
-use crate::{planner, sums};
+use crate::{planner, usage_reports};
 
 /// How long a server may be silent, in times of the route's objective.
 ///
@@ -49,7 +49,7 @@
         let flight = InFlightRequest { size: job.size(), responding: false };
         let key = place.key;
         shared.fleet().begin_request(key, flight);
-        sums::tell(&shared, key, job.call.target.clone(), None);
+        usage_reports::report(&shared, key, job.call.target.clone(), None);
         let sent = shared.now();
         let plain = place.number.filter(|_| job.call.target.is_none());
         let place = plain.map(|number| Ticket { service: job.service.clone(), number });
@@ -79,14 +79,14 @@
         let after_ms =
             self.shared.now().saturating_duration_since(self.sent).as_millis() as u32;
         let begun = number.map(|number| Begun { number, after_ms });
-        sums::tell(&self.shared, self.key, None, begun);
+        usage_reports::report(&self.shared, self.key, None, begun);
     }
 }
 
 impl Drop for InFlight {
     fn drop(&mut self) {
         self.shared.fleet().end_request(self.key, self.flight);
-        sums::tell(&self.shared, self.key, None, None);
+        usage_reports::report(&self.shared, self.key, None, None);
         if let Some((service, model)) =
             self.target.as_ref().filter(|_| self.flight.responding)
         {
@@ -96,8 +96,8 @@
                 service_s: stay.as_secs_f64(),
                 ..DemandCounts::default()
             };
-            planner::note(&self.shared, service, model, ended);
-            self.shared.speeds().record_service_time(stay);
+            planner::record_demand(&self.shared, service, model, ended);
+            self.shared.engine_timings().record_service_time(stay);
         }
         if let Some(place) = self.place.take() {
             place.give_back(&self.shared, self.outcome);
@@ -232,7 +232,7 @@
     if let Some(patience) = patience(job) {
         early = timeout(patience, &mut sending).await.ok();
         // It goes on waiting where there is no repeat to be had.
-        if early.is_none() && job.shared.take_repeat(&job.service) {
+        if early.is_none() && job.shared.try_take_retry(&job.service) {
             return Err(Missed::Silent);
         }
     }
--- a/crates/gate/src/claims.rs
+++ b/crates/gate/src/claims.rs
@@ -12,12 +12,12 @@
 use chestnut_member::{ClaimChange, ClaimKey, ClaimRow, plan_claims};
 use slog::{info, warn};
 
-use crate::follow::{self, Follower, OWN};
 use crate::shared::Shared;
+use crate::table_sync::{self, ChangeHandler, SYSTEM_TABLE};
 use crate::{holder, metrics, queue, store};
 
 /// How keys of claims' rows begin; the claim follows.
-pub const PREFIX: &str = "claim:";
+pub const KEY_PREFIX: &str = "claim:";
 
 /// How long a daemon waits after its start before it takes claims that nobody holds.
 ///
@@ -31,12 +31,12 @@
 const TURN_MARGIN: Duration = Duration::from_millis(500);
 
 /// Takes in the table of claims.
-pub struct Claims(pub Arc<Shared>);
+pub struct ClaimHandler(pub Arc<Shared>);
 
-impl Follower for Claims {
-    fn changed(&mut self, change: Change) {
+impl ChangeHandler for ClaimHandler {
+    fn on_change(&mut self, change: Change) {
         let Self(shared) = self;
-        let name = change.key.strip_prefix(PREFIX).unwrap_or_default();
+        let name = change.key.strip_prefix(KEY_PREFIX).unwrap_or_default();
         let Ok(key) = name.parse::<ClaimKey>() else { return };
         let row = change.value.as_ref().map(|value| serde_json::from_slice(value));
         let row: Option<ClaimRow> = match row.transpose() {
@@ -53,7 +53,7 @@
         let (was, is) = (before == me, holder == me);
         if holder != before && before.is_some() {
             // Another VM gives the orders from now on.
-            shared.note_turn(key, turn_from(shared));
+            shared.set_order_start_time(key, turn_from(shared));
         }
         if was && !is {
             shared.metrics.count(metrics::Step::Claim, "lost");
@@ -62,9 +62,9 @@
         }
     }
 
-    fn settled(&mut self) {
-        self.0.own_read.send_replace(true);
-        holder::follow_claims(&self.0);
+    fn on_batch_end(&mut self) {
+        self.0.system_table_loaded.send_replace(true);
+        holder::sync_claims(&self.0);
         queue::follow_claims(&self.0);
     }
 }
@@ -76,7 +76,7 @@
     row: Option<ClaimRow>,
     version: u64,
 ) -> Option<chestnut_base::MemberId> {
-    let mut known = shared.known();
+    let mut known = shared.membership();
     match row {
         Some(row) => {
             let newer = |(_, old): &&(ClaimRow, u64)| *old < version;
@@ -91,15 +91,15 @@
 }
 
 /// Takes, hands over and gives up claims.
-pub async fn tick(shared: &Arc<Shared>) {
-    let read = *shared.own_read.borrow();
-    let gathered = shared.age() >= GATHER || shared.is_back();
+pub async fn update_claims(shared: &Arc<Shared>) {
+    let read = *shared.system_table_loaded.borrow();
+    let gathered = shared.uptime() >= GATHER || shared.is_restart();
     if !read || !gathered {
         return;
     }
     let keys = keys(shared);
     let steps = {
-        let known = shared.known();
+        let known = shared.membership();
         plan_claims(&known, &shared.settings.vm, shared.peers.me, &keys, shared.now())
             .changes
     };
@@ -110,11 +110,11 @@
     let commit = steps.iter().fold(Transaction::default(), add);
     match store::commit(shared, &commit).await {
         Ok(TransactionOutcome::Done { version }) => {
-            follow::note_own(shared, &commit, version);
+            table_sync::record_own_writes(shared, &commit, version);
             for (step, fresh) in steps.into_iter().zip(fresh) {
                 took(shared, step, version, fresh);
             }
-            holder::follow_claims(shared);
+            holder::sync_claims(shared);
             queue::follow_claims(shared);
         }
         Ok(TransactionOutcome::Conflict) => {
@@ -126,18 +126,23 @@
 }
 
 fn add(commit: Transaction, step: &ClaimChange) -> Transaction {
-    let key = format!("{PREFIX}{}", step.key);
+    let key = format!("{KEY_PREFIX}{}", step.key);
     // Claims are plain structs, which always serialize.
     let value = serde_json::to_vec(&step.row).unwrap_or_default();
-    commit.require_version(OWN, &key, step.expected_version).put(OWN, &key, value)
+    commit.require_version(SYSTEM_TABLE, &key, step.expected_version).put(
+        SYSTEM_TABLE,
+        &key,
+        value,
+    )
 }
 
 /// Whether no other VM can have given orders under the claim lately.
 fn is_fresh(shared: &Shared, step: &ClaimChange) -> bool {
-    let known = shared.known();
+    let known = shared.membership();
     let holder = known.claims.get(&step.key).and_then(|(row, _)| row.holder);
     // An earlier process on this VM is the same holder to the engine.
-    step.expected_version == 0 || holder.is_some() && holder == shared.previous()
+    step.expected_version == 0
+        || holder.is_some() && holder == shared.previous_incarnation()
 }
 
 fn took(shared: &Shared, step: ClaimChange, version: u64, fresh: bool) {
@@ -145,7 +150,7 @@
     let mine = step.row.holder == Some(shared.peers.me);
     let from = if fresh { shared.now() } else { turn_from(shared) };
     if mine {
-        shared.note_turn(step.key.clone(), from);
+        shared.set_order_start_time(step.key.clone(), from);
     }
     let outcome = if mine { "taken" } else { "handed over" };
     shared.metrics.count(metrics::Step::Claim, outcome);
@@ -160,7 +165,7 @@
 /// Everything that is claimed: runners that are listed, and all services, for their
 /// planners or their queues.
 fn keys(shared: &Shared) -> Vec<ClaimKey> {
-    let Some(declared) = shared.declared() else { return Vec::new() };
+    let Some(declared) = shared.declarations() else { return Vec::new() };
     let engines: Vec<&ServiceName> = declared
         .services
         .iter()
@@ -184,8 +189,8 @@
 /// The fence under which this daemon may give a runner orders now.
 pub fn fence(shared: &Shared, server: &ServerName) -> Option<Fence> {
     let key = ClaimKey::Server(server.clone());
-    let turn = shared.turn(&key);
-    let known = shared.known();
+    let turn = shared.order_start_time(&key);
+    let known = shared.membership();
     let (row, _) = known.claims.get(&key)?;
     let mine = row.holder == Some(shared.peers.me);
     let open = turn.is_none_or(|from| shared.now() >= from);
--- a/crates/gate/src/directory.rs
+++ b/crates/gate/src/directory.rs
@@ -12,8 +12,8 @@
 use chestnut_member::MemberRow;
 use http_body_util::Full;
 
-use crate::follow;
 use crate::shared::Shared;
+use crate::table_sync;
 
 /// How long callers keep an answer.
 ///
@@ -25,13 +25,13 @@
 const ADDRESS_LIMIT: usize = 64;
 
 /// Tells callers where to connect.
-pub fn directory(shared: Arc<Shared>) -> Router {
+pub fn directory_router(shared: Arc<Shared>) -> Router {
     let path = shared.dialect.directory_path();
     Router::new().route(path, get(addresses)).with_state(shared)
 }
 
 /// Tells the platform whether the daemon is ready.
-pub fn readiness(shared: Arc<Shared>) -> Router {
+pub fn readiness_router(shared: Arc<Shared>) -> Router {
     let path = shared.dialect.readiness_path();
     Router::new().route(path, get(ready)).with_state(shared)
 }
@@ -53,7 +53,7 @@
 /// silent.
 fn ready_addresses(shared: &Shared) -> Vec<SocketAddr> {
     let now = shared.now();
-    let known = shared.known();
+    let known = shared.membership();
     let me = shared.peers.me;
     let own = shared.is_ready();
     let rows: Vec<&MemberRow> = known.members.values().map(|(row, _)| row).collect();
@@ -77,7 +77,7 @@
     }
     // A daemon that has started while the store is away knows neither routes nor others.
     // Callers that it sends to itself are refused; those that it tells nothing ask another.
-    if shared.is_known() { vec![shared.settings.callers] } else { Vec::new() }
+    if shared.is_initialized() { vec![shared.settings.caller_addr] } else { Vec::new() }
 }
 
 async fn ready(State(shared): State<Arc<Shared>>) -> StatusCode {
@@ -88,7 +88,7 @@
 }
 
 /// Tells other daemons what changed in the copies of the store's tables.
-pub fn rows(shared: Arc<Shared>) -> Router {
+pub fn table_changes_router(shared: Arc<Shared>) -> Router {
     Router::new()
         .route("/changes/{table}/{after}/{limit}", get(changes))
         .with_state(shared)
@@ -98,9 +98,9 @@
     State(shared): State<Arc<Shared>>,
     Path((table, after, limit)): Path<(String, u64, usize)>,
 ) -> Response {
-    let tables = follow::tables(&shared);
+    let tables = table_sync::tables(&shared);
     let table = tables.into_iter().find(|one| one.name == table);
-    let changes = table.and_then(|table| table.mirror().changes(after));
+    let changes = table.and_then(|table| table.replica().changes_since(after));
     match changes.map(|changes| postcard::to_allocvec(&changes)) {
         // Some sixty daemons that fetch a large configuration from one over a thin link
         // have it long after its time; the store's link is wide.
--- a/crates/gate/src/driver.rs
+++ b/crates/gate/src/driver.rs
@@ -19,7 +19,7 @@
 use tokio::time::sleep;
 
 use crate::claims;
-use crate::holder::Holder;
+use crate::holder::HeldRunner;
 use crate::metrics::Step;
 use crate::shared::Shared;
 
@@ -62,20 +62,24 @@
     /// The daemon.
     pub shared: &'a Shared,
     /// The runner.
-    pub holder: &'a Holder,
+    pub runner: &'a HeldRunner,
 }
 
 impl Driver<'_> {
     /// Has an adapter loaded; returns in how long it is there.
-    pub async fn adapter(&self, target: &TargetModel, missed: bool) -> Option<Duration> {
+    pub async fn load_adapter(
+        &self,
+        target: &TargetModel,
+        missed: bool,
+    ) -> Option<Duration> {
         if missed {
-            self.holder.state().mark_adapter_missing(target);
+            self.runner.state().mark_adapter_missing(target);
         }
         for _ in 0..ADAPTER_STEPS {
             self.known().await?;
             let places = self.engine()?.adapter_slots;
             let need =
-                self.holder.state().adapter_need(target, places, self.shared.now());
+                self.runner.state().adapter_need(target, places, self.shared.now());
             match need {
                 AdapterNeed::ReadyIn(time) => return Some(time),
                 AdapterNeed::SlotsInUse => return None,
@@ -87,7 +91,7 @@
 
     /// Changes the models: makes room first, then loads; returns whether it was or is
     /// being done.
-    pub async fn change(&self, change: &Move) -> bool {
+    pub async fn apply_move(&self, change: &Move) -> bool {
         if !self.is_at_rest() {
             // An earlier move is under way.
             return true;
@@ -96,7 +100,7 @@
             return false;
         }
         let began = self.shared.now();
-        let held = |model: &ModelName| self.holder.state().models().contains(model);
+        let held = |model: &ModelName| self.runner.state().models().contains(model);
         if change.load.as_ref().is_some_and(held) {
             return true;
         }
@@ -119,7 +123,7 @@
 
     async fn load(&self, model: &ModelName) -> bool {
         if !self.fits(model) {
-            let server = self.holder.server.to_string();
+            let server = self.runner.server.to_string();
             info!(self.shared.log, "no room for a model"; "server" => server,
                 "model" => model.to_string());
             return false;
@@ -138,7 +142,7 @@
             _ => return false,
         }
         // Its runs end first; nothing else may be ordered until then.
-        self.holder.state().forget_order_count();
+        self.runner.state().forget_order_count();
         let limit = self.shared.now() + UNLOAD_TIME;
         while self.shared.now() < limit {
             sleep(UNLOAD_POLL).await;
@@ -151,7 +155,7 @@
 
     /// Whether a model fits beside what the runner holds.
     fn fits(&self, model: &ModelName) -> bool {
-        self.engine().is_some_and(|engine| self.holder.state().fits(model, &engine))
+        self.engine().is_some_and(|engine| self.runner.state().fits(model, &engine))
     }
 
     fn load_time(&self, model: &ModelName) -> Duration {
@@ -163,16 +167,16 @@
     }
 
     fn engine(&self) -> Option<Arc<Engine>> {
-        self.shared.engine_of(&self.holder.server)
+        self.shared.engine_of(&self.runner.server)
     }
 
     fn is_at_rest(&self) -> bool {
-        self.holder.state().order_time_left(self.shared.now()).is_zero()
+        self.runner.state().order_time_left(self.shared.now()).is_zero()
     }
 
     fn entry(&self) -> Option<ServerEntry> {
         let fleet = self.shared.fleet();
-        let key = fleet.key(&self.holder.server)?;
+        let key = fleet.key(&self.runner.server)?;
         fleet.get(key).map(|server| server.entry.clone())
     }
 
@@ -182,7 +186,7 @@
 
     /// Asks the runner what it holds unless that is known.
     async fn known(&self) -> Option<()> {
-        if self.holder.state().order_count().is_some() {
+        if self.runner.state().order_count().is_some() {
             return Some(());
         }
         if !self.is_at_rest() {
@@ -195,7 +199,7 @@
         let report = match answer {
             Ok(answer) => self.shared.dialect.read_report(answer.body()),
             Err(fault) => {
-                info!(self.shared.log, "no report"; "server" => self.holder.server.to_string(),
+                info!(self.shared.log, "no report"; "server" => self.runner.server.to_string(),
                     "error" => fault.to_string());
                 return None;
             }
@@ -205,14 +209,14 @@
                 let current = report.started_at_ms
                     == self.entry().and_then(|entry| entry.started_at_ms);
                 let now = self.shared.now();
-                let taken = current && self.holder.state().apply_report(&report, now);
-                info!(self.shared.log, "report"; "server" => self.holder.server.to_string(),
+                let taken = current && self.runner.state().apply_report(&report, now);
+                info!(self.shared.log, "report"; "server" => self.runner.server.to_string(),
                     "orders" => report.accepted_orders, "busy" => report.busy, "taken" => taken,
                     "models" => report.models.len());
                 taken.then_some(())
             }
             Err(error) => {
-                warn!(self.shared.log, "report refused"; "server" => self.holder.server.to_string(),
+                warn!(self.shared.log, "report refused"; "server" => self.runner.server.to_string(),
                     "error" => error.to_string());
                 None
             }
@@ -223,23 +227,23 @@
     fn is_sure(&self) -> bool {
         let now = self.shared.now();
         let fenced = self.shared.bounds.borrow().fenced;
-        let age = match self.shared.is_waking() {
+        let age = match self.shared.is_resuming() {
             true => None,
-            false => self.shared.tables.own.age(now),
+            false => self.shared.tables.system.age(now),
         };
         suspension::may_send_order(fenced, age)
     }
 
     /// Gives an order; returns the answer if the order could be given.
     async fn order(&self, step: OrderAction, time: Duration) -> Option<OrderResponse> {
-        let server = &self.holder.server;
+        let server = &self.runner.server;
         let fence = claims::fence(self.shared, server)?;
         if !self.is_sure() {
             info!(self.shared.log, "no order on old claims"; "server" => server.to_string());
             return None;
         }
         let addr = self.addr()?;
-        let after = self.holder.state().order_count()?;
+        let after = self.runner.state().order_count()?;
         let holder = self.shared.settings.vm.clone();
         let order = Order {
             server: server.clone(),
@@ -278,21 +282,21 @@
         let now = self.shared.now();
         match answer {
             OrderResponse::Accepted => {
-                self.holder.state().record_accepted(step, time, now);
+                self.runner.state().record_accepted(step, time, now);
                 if matches!(step, OrderAction::UnloadAdapter(..)) {
                     // Requests use it still; its place is free once a report says so.
-                    self.holder.state().forget_order_count();
+                    self.runner.state().forget_order_count();
                 }
             }
-            OrderResponse::Holds => self.holder.state().record_in_force(step, now),
+            OrderResponse::Holds => self.runner.state().record_in_force(step, now),
             OrderResponse::Conflict | OrderResponse::Unknown | OrderResponse::Busy => {
-                self.holder.state().forget_order_count();
+                self.runner.state().forget_order_count();
                 sleep(REPORT_AGE).await;
             }
             OrderResponse::Fenced
             | OrderResponse::Misdirected
             | OrderResponse::Invalid => {
-                self.holder.state().forget_order_count();
+                self.runner.state().forget_order_count();
             }
         }
     }
--- a/crates/gate/src/enqueue.rs
+++ b/crates/gate/src/enqueue.rs
@@ -105,7 +105,7 @@
 
 /// The daemon that holds a service's queue.
 fn holder(shared: &Shared, service: &ServiceName) -> Option<(MemberId, SocketAddr)> {
-    let known = shared.known();
+    let known = shared.membership();
     let (claim, _) = known.claims.get(&pool_key(service)?)?;
     let row = known.member_row(claim.holder?)?;
     Some((row.member, row.peer_addr))
@@ -115,7 +115,7 @@
 pub async fn wait(job: &Job, avoid: &[ServerName]) -> Queued {
     let shared = &job.shared;
     let began = shared.now();
-    if shared.is_silent(&job.service, began) {
+    if shared.is_queue_holder_unresponsive(&job.service, began) {
         return Queued::Silent;
     }
     let Some((member, addr)) = holder(shared, &job.service) else {
@@ -130,7 +130,7 @@
     };
     asked.placed = matches!(queued, Queued::Send(..));
     if queued == Queued::Silent {
-        shared.note_silent(&job.service, shared.now() + SILENT_TIME);
+        shared.mark_queue_holder_unresponsive(&job.service, shared.now() + SILENT_TIME);
     }
     shared.metrics.count(Step::Turn, queued.name());
     let waited = shared.now().saturating_duration_since(began);
--- a/crates/gate/src/front.rs
+++ b/crates/gate/src/front.rs
@@ -56,7 +56,7 @@
 }
 
 async fn serve_connection(shared: Arc<Shared>, stream: TcpStream) {
-    let idle = shared.declared().map(|declared| declared.limits.idle_timeout);
+    let idle = shared.declarations().map(|declared| declared.limits.idle_timeout);
     let idle = idle.unwrap_or_default() + IDLE_SLACK;
     let answer = {
         let shared = shared.clone();
--- a/crates/gate/src/observe.rs
+++ b/crates/gate/src/introspection.rs
@@ -12,13 +12,13 @@
 use serde::Serialize;
 use serde_with::{DisplayFromStr, DurationMilliSeconds, serde_as};
 
-use crate::follow;
 use crate::shared::Shared;
+use crate::table_sync;
 
 /// What a daemon believes, and how old that is.
 #[serde_as]
 #[derive(Debug, Serialize)]
-pub struct Dump {
+pub struct DaemonState {
     /// The VM.
     pub vm: VmName,
     /// The process.
@@ -37,22 +37,22 @@
     /// The revision of the declarations in force.
     pub revision: Option<u64>,
     /// The copies of the store's tables.
-    pub tables: Vec<TableDump>,
+    pub tables: Vec<TableState>,
     /// The daemons in the table.
-    pub members: Vec<MemberDump>,
+    pub members: Vec<MemberState>,
     /// The claims, and the daemons that hold them.
-    pub claims: IndexMap<String, ClaimDump>,
+    pub claims: IndexMap<String, ClaimState>,
     /// The backend servers.
-    pub servers: IndexMap<ServerName, ServerDump>,
+    pub servers: IndexMap<ServerName, ServerState>,
     /// The runners whose claims this daemon holds.
-    pub held: IndexMap<ServerName, HeldDump>,
+    pub held: IndexMap<ServerName, HeldRunnerState>,
     /// How many requests wait in the plain services' queues that this daemon holds.
     pub queues: IndexMap<ServiceName, usize>,
 }
 
 /// A copy of a table.
 #[derive(Debug, Serialize)]
-pub struct TableDump {
+pub struct TableState {
     /// The table.
     pub name: &'static str,
     /// Up to which version the copy is complete.
@@ -64,7 +64,7 @@
 /// A daemon in the table.
 #[serde_as]
 #[derive(Debug, Serialize)]
-pub struct MemberDump {
+pub struct MemberState {
     /// Its VM.
     pub vm: VmName,
     /// Its process.
@@ -79,7 +79,7 @@
 /// A claim.
 #[serde_as]
 #[derive(Debug, Serialize)]
-pub struct ClaimDump {
+pub struct ClaimState {
     /// The process that holds it.
     #[serde_as(as = "Option<DisplayFromStr>")]
     pub holder: Option<MemberId>,
@@ -91,7 +91,7 @@
 
 /// A backend server.
 #[derive(Debug, Serialize)]
-pub struct ServerDump {
+pub struct ServerState {
     /// Its service.
     pub service: String,
     /// Whether it starts, serves, or leaves.
@@ -105,7 +105,7 @@
 /// A runner whose claim this daemon holds.
 #[serde_as]
 #[derive(Debug, Serialize)]
-pub struct HeldDump {
+pub struct HeldRunnerState {
     /// The models that it holds, as far as is known.
     pub models: Vec<String>,
     /// The number of orders that it has accepted; unknown after a lost answer.
@@ -130,20 +130,20 @@
     shared.metrics.render(shared.active.count())
 }
 
-async fn state(State(shared): State<Arc<Shared>>) -> Json<Dump> {
-    Json(dump(&shared))
+async fn state(State(shared): State<Arc<Shared>>) -> Json<DaemonState> {
+    Json(daemon_state(&shared))
 }
 
 /// Gathers what the daemon believes.
-pub fn dump(shared: &Shared) -> Dump {
-    Dump {
+pub fn daemon_state(shared: &Shared) -> DaemonState {
+    DaemonState {
         vm: shared.settings.vm.clone(),
         member: shared.peers.me,
-        uptime: shared.age(),
+        uptime: shared.uptime(),
         ready: shared.is_ready(),
-        leaving: *shared.leaving.borrow(),
+        leaving: *shared.shutting_down.borrow(),
         active: shared.active.count(),
-        revision: shared.declared().map(|declared| declared.revision.0),
+        revision: shared.declarations().map(|declared| declared.revision.0),
         tables: tables(shared),
         members: members(shared),
         claims: claims(shared),
@@ -157,20 +157,25 @@
     }
 }
 
-fn tables(shared: &Shared) -> Vec<TableDump> {
-    let table = |(table, news): (&Arc<follow::Table>, Option<(u64, u32)>)| TableDump {
-        name: table.name,
-        version: news.map(|(version, _)| version),
-        age_ms: news.map(|(_, age)| age),
-    };
-    follow::tables(shared).into_iter().zip(follow::news(shared)).map(table).collect()
+fn tables(shared: &Shared) -> Vec<TableState> {
+    let table =
+        |(table, news): (&Arc<table_sync::SyncedTable>, Option<(u64, u32)>)| TableState {
+            name: table.name,
+            version: news.map(|(version, _)| version),
+            age_ms: news.map(|(_, age)| age),
+        };
+    table_sync::tables(shared)
+        .into_iter()
+        .zip(table_sync::announcements(shared))
+        .map(table)
+        .collect()
 }
 
-fn members(shared: &Shared) -> Vec<MemberDump> {
+fn members(shared: &Shared) -> Vec<MemberState> {
     let now = shared.now();
-    let known = shared.known();
+    let known = shared.membership();
     let member =
-        |(vm, (row, _)): (&VmName, &(chestnut_member::MemberRow, u64))| MemberDump {
+        |(vm, (row, _)): (&VmName, &(chestnut_member::MemberRow, u64))| MemberState {
             vm: vm.clone(),
             member: row.member,
             alive: row.member == shared.peers.me || shared.is_alive(row.member, now),
@@ -179,22 +184,22 @@
     known.members.iter().map(member).collect()
 }
 
-fn claims(shared: &Shared) -> IndexMap<String, ClaimDump> {
-    let known = shared.known();
+fn claims(shared: &Shared) -> IndexMap<String, ClaimState> {
+    let known = shared.membership();
     let claim =
         |(key, (row, version)): (&ClaimKey, &(chestnut_member::ClaimRow, u64))| {
             let dump =
-                ClaimDump { holder: row.holder, fence: row.fence.0, version: *version };
+                ClaimState { holder: row.holder, fence: row.fence.0, version: *version };
             (key.to_string(), dump)
         };
     known.claims.iter().map(claim).collect()
 }
 
-fn servers(shared: &Shared) -> IndexMap<ServerName, ServerDump> {
+fn servers(shared: &Shared) -> IndexMap<ServerName, ServerState> {
     let now = shared.now();
     let fleet = shared.fleet();
     let server = |(_, server): (_, &chestnut_pool::Server)| {
-        let dump = ServerDump {
+        let dump = ServerState {
             service: server.entry.service.to_string(),
             phase: format!("{:?}", server.entry.phase),
             open: fleet.accepts_requests(server, now)
@@ -206,12 +211,12 @@
     fleet.iter().map(server).collect()
 }
 
-fn held(shared: &Shared) -> IndexMap<ServerName, HeldDump> {
+fn held(shared: &Shared) -> IndexMap<ServerName, HeldRunnerState> {
     let now = shared.now();
-    let holders = shared.holders().clone();
-    let held = |(name, holder): (ServerName, Arc<crate::holder::Holder>)| {
+    let holders = shared.held_runners().clone();
+    let held = |(name, holder): (ServerName, Arc<crate::holder::HeldRunner>)| {
         let state = holder.state();
-        let dump = HeldDump {
+        let dump = HeldRunnerState {
             models: state.models().iter().map(ToString::to_string).collect(),
             orders: state.order_count(),
             busy: state.order_time_left(now),
--- a/crates/gate/src/job.rs
+++ b/crates/gate/src/job.rs
@@ -12,7 +12,7 @@
 use slog::info;
 
 use crate::metrics::Span;
-use crate::shared::{Active, Shared};
+use crate::shared::{ActiveRequests, Shared};
 
 /// The mean length of answers against callers' guesses, which are right at the median.
 const GUESS_MEAN: f64 = 1.5;
@@ -60,7 +60,7 @@
     /// The service that it goes to.
     pub service: ServiceName,
     /// Counts the request among those that are being served.
-    pub active: Active,
+    pub active: ActiveRequests,
     /// When its head was read.
     pub arrived: Instant,
     /// When the caller or the route gives up.
--- a/crates/gate/src/lib.rs
+++ b/crates/gate/src/lib.rs
@@ -11,17 +11,18 @@
 //!
 //! A runner is picked by asking ([`ask`]) the daemons that hold the runners' claims; a
 //! plain service's server by waiting ([`enqueue`]) in the service's [`queue`].
-//! [`members`] and [`claims`] settle who that is; a [`holder`] knows from [`sums`] what
-//! is in flight at its runner, [`grant`]s requests their turn and gives orders by its
+//! [`members`] and [`claims`] settle who that is; a [`holder`] knows from [`usage_reports`] what
+//! is in flight at its runner, grants ([`admission`]) requests their turn and gives orders by its
 //! [`driver`]; the [`planner`] says which model goes where,
-//! and keeps what was [`learnt`] of the runners. Daemons exchange
+//! and keeps what was learnt ([`persisted_timings`]) of the runners. Daemons exchange
 //! datagrams: [`message`], [`peers`], [`receive`].
 //!
-//! Beside it, [`follow`] keeps [`mirror`]s of the [`store`]'s tables, [`registry`] takes
+//! Beside it, [`table_sync`] keeps [`table_replica`]s of the [`store`]'s tables, [`registry`] takes
 //! in declarations and backend servers from them, and [`directory`] tells callers where
-//! to connect; [`observe`] shows operators the [`metrics`] and what the daemon believes.
+//! to connect; [`introspection`] shows operators the [`metrics`] and what the daemon believes.
 //! All of it goes through one [`client`] and meets in [`shared`].
 
+pub mod admission;
 pub mod answer;
 pub mod ask;
 pub mod attempt;
@@ -33,19 +34,16 @@
 pub mod driver;
 pub mod enqueue;
 pub mod events;
-pub mod follow;
 pub mod front;
-pub mod grant;
 pub mod holder;
+pub mod introspection;
 pub mod job;
-pub mod learnt;
 pub mod logs;
 pub mod members;
 pub mod message;
 pub mod metrics;
-pub mod mirror;
-pub mod observe;
 pub mod peers;
+pub mod persisted_timings;
 pub mod pick;
 pub mod planner;
 pub mod queue;
@@ -57,7 +55,9 @@
 pub mod settings;
 pub mod shared;
 pub mod store;
-pub mod sums;
+pub mod table_replica;
+pub mod table_sync;
+pub mod usage_reports;
 
 pub use command::main;
 pub use settings::Settings;
--- a/crates/gate/src/logs.rs
+++ b/crates/gate/src/logs.rs
@@ -11,7 +11,7 @@
 const WAITING_LINES: usize = 4096;
 
 /// The name of the thread that writes.
-pub const THREAD: &str = "log lines";
+pub const WRITER_THREAD: &str = "log lines";
 
 /// Creates the process's logger.
 pub fn logger(vm: &str) -> Logger {
@@ -22,7 +22,7 @@
 pub fn logger_to(out: impl Write + Send + 'static, vm: &str) -> Logger {
     let json = slog_json::Json::new(out).add_default_keys().build();
     let lines = slog_async::Async::new(json.fuse()).chan_size(WAITING_LINES);
-    let lines = lines.thread_name(THREAD.to_owned()).build();
+    let lines = lines.thread_name(WRITER_THREAD.to_owned()).build();
     let filtered = lines.filter_level(Level::Info).fuse();
     Logger::root(filtered, o!("vm" => vm.to_owned()))
 }
--- a/crates/gate/src/members.rs
+++ b/crates/gate/src/members.rs
@@ -17,22 +17,22 @@
 use slog::{info, warn};
 use tokio::time::sleep;
 
-use crate::follow::{self, Follower, OWN};
 use crate::message::{Beat, Message};
 use crate::shared::Shared;
+use crate::table_sync::{self, ChangeHandler, SYSTEM_TABLE};
 use crate::{claims, store};
 
 /// How keys of daemons' rows begin; the VM's name follows.
-pub const PREFIX: &str = "daemon:";
+pub const KEY_PREFIX: &str = "daemon:";
 
 /// How often a daemon says that it lives.
-const BEAT_PERIOD: Duration = Duration::from_millis(250);
+const HEARTBEAT_PERIOD: Duration = Duration::from_millis(250);
 
 /// How long a daemon may be silent to all before its row is removed.
 ///
 /// Longer than a garbage of lost datagrams, shorter than the time in which a killed
 /// process is back; what it held can't be used meanwhile.
-pub const SILENCE: Duration = Duration::from_millis(1500);
+pub const FAILURE_TIMEOUT: Duration = Duration::from_millis(1500);
 
 /// How often a daemon that starts looks whether it can serve.
 const START_LOOK: Duration = Duration::from_millis(10);
@@ -41,12 +41,12 @@
 const PAUSE: Duration = Duration::from_millis(200);
 
 /// Takes in the table of daemons.
-pub struct Members(pub Arc<Shared>);
+pub struct MemberHandler(pub Arc<Shared>);
 
-impl Follower for Members {
-    fn changed(&mut self, change: Change) {
+impl ChangeHandler for MemberHandler {
+    fn on_change(&mut self, change: Change) {
         let Self(shared) = self;
-        let name = change.key.strip_prefix(PREFIX).unwrap_or_default();
+        let name = change.key.strip_prefix(KEY_PREFIX).unwrap_or_default();
         let Ok(vm) = VmName::try_from(name) else { return };
         let row = change.value.as_ref().map(|value| serde_json::from_slice(value));
         let row: Option<MemberRow> = match row.transpose() {
@@ -57,7 +57,7 @@
                 None
             }
         };
-        let mut known = shared.known();
+        let mut known = shared.membership();
         match row {
             Some(row) => {
                 info!(shared.log, "daemon listed"; "member" => vm.to_string(),
@@ -72,10 +72,10 @@
         }
     }
 
-    fn settled(&mut self) {
+    fn on_batch_end(&mut self) {
         let Self(shared) = self;
         let neighbours = {
-            let mut known = shared.known();
+            let mut known = shared.membership();
             known.record_first_seen(shared.now());
             Neighbours::find(&known, &shared.settings.vm, shared.peers.me)
         };
@@ -86,12 +86,12 @@
 /// Says regularly that the daemon lives.
 ///
 /// Apart from everything that waits for the store: a daemon whose calls hang is alive.
-pub async fn run_beats(shared: Arc<Shared>) {
+pub async fn run_heartbeats(shared: Arc<Shared>) {
     loop {
         // Notes when the daemon has stood still.
-        shared.is_waking();
+        shared.is_resuming();
         beat(&shared);
-        sleep(BEAT_PERIOD).await;
+        sleep(HEARTBEAT_PERIOD).await;
     }
 }
 
@@ -102,21 +102,21 @@
     wait_until_known(&shared).await;
     join(&shared).await;
     loop {
-        claims::tick(&shared).await;
+        claims::update_claims(&shared).await;
         remove_silent(&shared).await;
         if is_removed(&shared) {
             info!(shared.log, "own row was removed, joining again");
             join(&shared).await;
         }
-        sleep(BEAT_PERIOD).await;
+        sleep(HEARTBEAT_PERIOD).await;
     }
 }
 
 async fn wait_until_known(shared: &Shared) {
-    let mut own = shared.own_read.subscribe();
+    let mut own = shared.system_table_loaded.subscribe();
     // The sender lives in `shared`, so that waiting can't fail.
     let _ = own.wait_for(|read| *read).await;
-    while !shared.is_known() {
+    while !shared.is_initialized() {
         sleep(START_LOOK).await;
     }
 }
@@ -135,23 +135,23 @@
 
 /// Learns which process ran on this VM before, if its row still stands.
 fn find_previous(shared: &Shared) {
-    let known = shared.known();
+    let known = shared.membership();
     let row = known.members.get(&shared.settings.vm);
     if let Some((row, _)) = row
         && row.member != shared.peers.me
     {
-        shared.note_previous(row.member);
+        shared.set_previous_incarnation(row.member);
     }
 }
 
 async fn put_row(shared: &Shared, vm: &str, row: &MemberRow) -> Result<(), String> {
     let value = serde_json::to_vec(row).map_err(|error| error.to_string())?;
-    let commit = Transaction::default().put(OWN, &key(vm), value);
+    let commit = Transaction::default().put(SYSTEM_TABLE, &key(vm), value);
     match store::commit(shared, &commit).await {
         Ok(TransactionOutcome::Done { version }) => {
-            follow::note_own(shared, &commit, version);
+            table_sync::record_own_writes(shared, &commit, version);
             let vm = shared.settings.vm.clone();
-            shared.known().members.insert(vm, (row.clone(), version));
+            shared.membership().members.insert(vm, (row.clone(), version));
             Ok(())
         }
         Ok(answer) => Err(format!("{answer:?}")),
@@ -164,22 +164,22 @@
     MemberRow {
         member: shared.peers.me,
         domain: settings.domain.clone(),
-        caller_addr: settings.callers,
+        caller_addr: settings.caller_addr,
         peer_addr: settings.peer_addr(),
-        ops_addr: settings.rows_addr(),
-        leaving: *shared.leaving.borrow(),
+        ops_addr: settings.table_changes_addr(),
+        leaving: *shared.shutting_down.borrow(),
         weight: settings.weight(),
     }
 }
 
 /// The key of a daemon's row.
 fn key(vm: &str) -> String {
-    format!("{PREFIX}{vm}")
+    format!("{KEY_PREFIX}{vm}")
 }
 
 /// Where a daemon says what changed in its copies of the store's tables.
-pub fn rows_addr(shared: &Shared, member: MemberId) -> Option<SocketAddr> {
-    let known = shared.known();
+pub fn table_changes_addr(shared: &Shared, member: MemberId) -> Option<SocketAddr> {
+    let known = shared.membership();
     known.member_row(member).map(|row| row.ops_addr)
 }
 
@@ -187,9 +187,9 @@
 fn beat(shared: &Shared) {
     let now = shared.now();
     let beat = Beat {
-        leaving: *shared.leaving.borrow(),
+        leaving: *shared.shutting_down.borrow(),
         heard: shared.peers.alive(now),
-        tables: follow::news(shared),
+        tables: table_sync::announcements(shared),
     };
     let addrs: Vec<SocketAddr> = shared.neighbours().addrs.values().copied().collect();
     for addr in addrs {
@@ -202,8 +202,8 @@
 /// Each of them tells a few more, so that most know it after a few hops; the rest learn of
 /// it from the next beat. Told to all neighbours by all, each change of a table was more
 /// than three quarters of what daemons send each other.
-pub fn tell_news(shared: &Shared) {
-    let news = follow::news(shared);
+pub fn announce_tables(shared: &Shared) {
+    let news = table_sync::announcements(shared);
     let lacking: Vec<SocketAddr> = {
         let neighbours = shared.neighbours();
         let lacks = |member: MemberId| shared.peers.lacks(member, &news);
@@ -216,9 +216,9 @@
 }
 
 /// Tells all daemons that this one leaves, so that none sends callers to it.
-pub fn say_leaving(shared: &Shared) {
+pub fn announce_shutdown(shared: &Shared) {
     let beat = Beat { leaving: true, ..Beat::default() };
-    for (_, addr) in others(shared) {
+    for (_, addr) in other_daemons(shared) {
         shared.peers.send(addr, Message::Beat(beat.clone()));
     }
 }
@@ -260,22 +260,22 @@
 }
 
 /// All other daemons and where they receive datagrams.
-pub fn others(shared: &Shared) -> Vec<(MemberId, SocketAddr)> {
+pub fn other_daemons(shared: &Shared) -> Vec<(MemberId, SocketAddr)> {
     let me = shared.peers.me;
-    let known = shared.known();
+    let known = shared.membership();
     let rows = known.members.values().map(|(row, _)| (row.member, row.peer_addr));
     rows.filter(|(member, _)| *member != me).collect()
 }
 
 /// The number of daemons, this one included.
-pub fn count(shared: &Shared) -> usize {
-    shared.known().members.len().max(1)
+pub fn daemon_count(shared: &Shared) -> usize {
+    shared.membership().members.len().max(1)
 }
 
 /// Takes in a beat of another daemon.
-pub fn heard(shared: &Shared, from: MemberId, beat: &Beat) {
-    follow::hear(shared, from, &beat.tables);
-    let mut known = shared.known();
+pub fn record_heartbeat(shared: &Shared, from: MemberId, beat: &Beat) {
+    table_sync::record_announcements(shared, from, &beat.tables);
+    let mut known = shared.membership();
     match beat.leaving {
         true => drop(known.leaving.insert(from)),
         false => drop(known.leaving.swap_remove(&from)),
@@ -287,7 +287,7 @@
 /// Not right after this daemon itself has stood still: others were not heard then since it
 /// did not listen, and would lose their claims for nothing.
 async fn remove_silent(shared: &Shared) {
-    if shared.is_waking() {
+    if shared.is_resuming() {
         return;
     }
     for (vm, row, version) in silent(shared) {
@@ -311,20 +311,20 @@
 /// Has a transaction act only while the own row stands; nothing if it does not.
 fn check_own(shared: &Shared, commit: Transaction) -> Option<Transaction> {
     let vm = &shared.settings.vm;
-    let known = shared.known();
+    let known = shared.membership();
     let (_, version) = known.own_row(vm, shared.peers.me)?;
-    Some(commit.require_version(OWN, &key(vm.as_str()), version))
+    Some(commit.require_version(SYSTEM_TABLE, &key(vm.as_str()), version))
 }
 
 /// Watched daemons that neither this one nor others hear.
 fn silent(shared: &Shared) -> Vec<(VmName, MemberRow, u64)> {
     let now = shared.now();
     let peers = &shared.peers;
-    let known = shared.known();
+    let known = shared.membership();
     let quiet = |member| match peers.heard(member) {
-        Some(heard) => now.saturating_duration_since(heard.at) > SILENCE,
+        Some(heard) => now.saturating_duration_since(heard.at) > FAILURE_TIMEOUT,
         // It has just joined, or was gone before this daemon started.
-        None => known.is_stable(member, now, SILENCE * 2),
+        None => known.is_stable(member, now, FAILURE_TIMEOUT * 2),
     };
     watched_vms(&known, &shared.settings.vm)
         .into_iter()
@@ -337,14 +337,15 @@
 }
 
 fn is_removed(shared: &Shared) -> bool {
-    let known = shared.known();
+    let known = shared.membership();
     known.own_row(&shared.settings.vm, shared.peers.me).is_none()
 }
 
 /// Removes the own row at the end.
-pub async fn resign(shared: &Shared) {
+pub async fn remove_own_row(shared: &Shared) {
     let vm = &shared.settings.vm;
-    let version = shared.known().own_row(vm, shared.peers.me).map(|(_, version)| version);
+    let version =
+        shared.membership().own_row(vm, shared.peers.me).map(|(_, version)| version);
     let Some(version) = version else { return };
     if let Err(fault) = store::commit(shared, &removal(vm, version)).await {
         warn!(shared.log, "own row remains"; "error" => fault.to_string());
@@ -354,5 +355,7 @@
 /// The removal of a daemon's row, if it stands as it was when that was decided.
 fn removal(vm: &VmName, version: u64) -> Transaction {
     let key = key(vm.as_str());
-    Transaction::default().require_version(OWN, &key, version).remove(OWN, &key)
+    Transaction::default()
+        .require_version(SYSTEM_TABLE, &key, version)
+        .remove(SYSTEM_TABLE, &key)
 }
--- a/crates/gate/src/learnt.rs
+++ b/crates/gate/src/persisted_timings.rs
@@ -15,19 +15,19 @@
 use chestnut_pool::timing::LearnedTimings;
 use slog::{info, warn};
 
-use crate::follow::{Follower, OWN};
 use crate::shared::Shared;
 use crate::store;
+use crate::table_sync::{ChangeHandler, SYSTEM_TABLE};
 
 /// How keys of rows with what was learnt begin; the service follows.
-pub const PREFIX: &str = "engine:";
+pub const KEY_PREFIX: &str = "engine:";
 
 /// How often a service's row is written, at most.
 const PERIOD: Duration = Duration::from_secs(3);
 
 /// What the store holds of a service's runners, and when this daemon last wrote it.
 #[derive(Debug, Default)]
-pub struct Kept {
+pub struct PersistedTimings {
     learnt: LearnedTimings,
     written: Option<Instant>,
     /// When this daemon last told the planner what it has learnt.
@@ -35,12 +35,12 @@
 }
 
 /// Takes in what was learnt.
-pub struct EngineRows(pub Arc<Shared>);
+pub struct EngineTimingsHandler(pub Arc<Shared>);
 
-impl Follower for EngineRows {
-    fn changed(&mut self, change: Change) {
+impl ChangeHandler for EngineTimingsHandler {
+    fn on_change(&mut self, change: Change) {
         let Self(shared) = self;
-        let name = change.key.strip_prefix(PREFIX).unwrap_or_default();
+        let name = change.key.strip_prefix(KEY_PREFIX).unwrap_or_default();
         let Ok(service) = ServiceName::try_from(name) else { return };
         let Some(value) = &change.value else { return };
         match serde_json::from_slice::<LearnedTimings>(value) {
@@ -49,8 +49,8 @@
                     "version" => change.version, "models" => learnt.models.len(),
                     "step_us" => learnt.step_time.as_micros() as u64,
                     "stay_ms" => learnt.service_time.as_millis() as u64);
-                shared.speeds().merge(&learnt);
-                shared.kept().entry(service).or_default().learnt = learnt;
+                shared.engine_timings().merge(&learnt);
+                shared.persisted_timings().entry(service).or_default().learnt = learnt;
             }
             Err(error) => warn!(shared.log, "engine's row refused"; "key" => &change.key,
                 "error" => error.to_string()),
@@ -59,10 +59,10 @@
 }
 
 /// What the holder of a service's runners has learnt, if the planner is to be told.
-pub fn news(shared: &Shared, service: &ServiceName) -> Option<LearnedTimings> {
+pub fn unreported(shared: &Shared, service: &ServiceName) -> Option<LearnedTimings> {
     let now = shared.now();
-    let learnt = shared.speeds().learned();
-    let mut kept = shared.kept();
+    let learnt = shared.engine_timings().learned();
+    let mut kept = shared.persisted_timings();
     let kept = kept.entry(service.clone()).or_default();
     let recent = |at: Instant| now.saturating_duration_since(at) < PERIOD;
     let due = !learnt.models.is_empty()
@@ -75,11 +75,11 @@
 }
 
 /// Writes what was learnt of a service's runners, if it is news.
-pub fn keep(shared: &Arc<Shared>, service: &ServiceName) {
+pub fn persist(shared: &Arc<Shared>, service: &ServiceName) {
     let now = shared.now();
-    let learnt = shared.speeds().learned_by_all();
+    let learnt = shared.engine_timings().learned_by_all();
     {
-        let mut kept = shared.kept();
+        let mut kept = shared.persisted_timings();
         let kept = kept.entry(service.clone()).or_default();
         let recent = |at: Instant| now.saturating_duration_since(at) < PERIOD;
         if kept.written.is_some_and(recent) || !learnt.differs_from(&kept.learnt) {
@@ -89,7 +89,11 @@
     }
     // Numbers and names always serialize.
     let value = serde_json::to_vec(&learnt).unwrap_or_default();
-    let commit = Transaction::default().put(OWN, &format!("{PREFIX}{service}"), value);
+    let commit = Transaction::default().put(
+        SYSTEM_TABLE,
+        &format!("{KEY_PREFIX}{service}"),
+        value,
+    );
     tokio::spawn(write(shared.clone(), commit));
 }
 
--- a/crates/gate/src/pick.rs
+++ b/crates/gate/src/pick.rs
@@ -57,7 +57,7 @@
     tried: &[ServerName],
 ) -> Result<Place, NoPlace> {
     let limit = Instant::from_std(residence_limit(job));
-    let mut listed = job.shared.listed.subscribe();
+    let mut listed = job.shared.server_updates.subscribe();
     let mut avoid = tried.to_vec();
     loop {
         listed.borrow_and_update();
@@ -169,7 +169,7 @@
     let server = fleet.get(chosen.key)?;
     let (name, born) = (server.entry.name.clone(), server.entry.started_at_ms);
     let addr = server.entry.address;
-    let registry = job.shared.tables.servers.news(job.shared.now());
+    let registry = job.shared.tables.servers.announcement(job.shared.now());
     info!(job.shared.log, "server picked"; "id" => job.id(), "server" => name.to_string(),
         "target" => job.call.target.as_ref().map(|target| target.to_string()),
         "cost_ms" => chosen.bid.cost_ms as u64, "requests" => chosen.bid.requests,
--- a/crates/gate/src/planner.rs
+++ b/crates/gate/src/planner.rs
@@ -23,7 +23,7 @@
 use crate::message::Message;
 use crate::metrics::Step;
 use crate::shared::Shared;
-use crate::{holder, learnt, members};
+use crate::{holder, members, persisted_timings};
 
 /// How often the planner plans and daemons tell it what is asked for.
 const PERIOD: Duration = Duration::from_millis(250);
@@ -35,30 +35,35 @@
 
 /// What callers have asked of this daemon, by service and model.
 #[derive(Debug, Default)]
-pub struct Counts {
+pub struct DemandCounters {
     asked: IndexMap<ServiceName, IndexMap<ModelName, DemandCounts>>,
 }
 
-impl Counts {
+impl DemandCounters {
     /// Adds to what was asked of a model.
-    pub fn add(&mut self, service: &ServiceName, model: &ModelName, asked: DemandCounts) {
+    pub fn record(
+        &mut self,
+        service: &ServiceName,
+        model: &ModelName,
+        asked: DemandCounts,
+    ) {
         let models = self.asked.entry(service.clone()).or_default();
         *models.entry(model.clone()).or_default() += asked;
     }
 }
 
-/// Counts for the planner what was asked of a model.
-pub fn note(
+/// DemandCounters for the planner what was asked of a model.
+pub fn record_demand(
     shared: &Shared,
     service: &ServiceName,
     model: &ModelName,
     asked: DemandCounts,
 ) {
-    shared.counts().add(service, model, asked);
+    shared.demand_counters().record(service, model, asked);
 }
 
 /// Takes in what callers have asked of a daemon.
-pub fn take(
+pub fn apply_demand(
     shared: &Shared,
     from: MemberId,
     (service, part): (ServiceName, usize),
@@ -66,16 +71,16 @@
     lost: Vec<ServerName>,
 ) {
     let now = shared.now();
-    let mut plans = shared.plans();
+    let mut plans = shared.planners();
     let placing = plans.entry(service).or_insert_with(|| PlacementPlanner::new(now));
     placing.update_demand(from, part, asked);
     placing.record_unreachable(from, lost, now);
 }
 
 /// Takes in that a runner's holder could not make a move.
-pub fn fail(shared: &Shared, change: &Move) {
+pub fn record_failed_move(shared: &Shared, change: &Move) {
     let now = shared.now();
-    for placing in shared.plans().values_mut() {
+    for placing in shared.planners().values_mut() {
         placing.record_failure(change, now);
     }
 }
@@ -84,19 +89,25 @@
 pub async fn run(shared: Arc<Shared>) {
     loop {
         sleep(PERIOD).await;
-        let Some(declared) = shared.declared() else { continue };
+        let Some(declared) = shared.declarations() else { continue };
         for (name, service) in &declared.services {
             let Some(engine) = &service.engine else { continue };
             let asked = own_counts(&shared, name);
             let lost = unreachable(&shared, name);
             match planner_of(&shared, name) {
                 Planner::Here => {
-                    take(&shared, shared.peers.me, (name.clone(), 0), asked, lost);
+                    apply_demand(
+                        &shared,
+                        shared.peers.me,
+                        (name.clone(), 0),
+                        asked,
+                        lost,
+                    );
                     plan_service(&shared, name, engine);
-                    learnt::keep(&shared, name);
+                    persisted_timings::persist(&shared, name);
                 }
                 Planner::There(addr) => {
-                    shared.plans().swap_remove(name);
+                    shared.planners().swap_remove(name);
                     tell(&shared, addr, name, &asked, &lost);
                 }
                 Planner::Nobody => {}
@@ -113,7 +124,7 @@
     asked: &[(ModelName, DemandCounts)],
     lost: &[ServerName],
 ) {
-    let mut learnt = learnt::news(shared, service);
+    let mut learnt = persisted_timings::unreported(shared, service);
     // The first part goes in any case, for the servers that are lost.
     let parts = asked.len().div_ceil(PART_MODELS).max(1);
     for part in 0..parts {
@@ -137,7 +148,7 @@
 }
 
 fn planner_of(shared: &Shared, service: &ServiceName) -> Planner {
-    let known = shared.known();
+    let known = shared.membership();
     let claim = pool_key(service).and_then(|key| known.claims.get(&key).copied());
     let Some(holder) = claim.and_then(|(row, _)| row.holder) else {
         return Planner::Nobody;
@@ -150,7 +161,7 @@
 }
 
 fn own_counts(shared: &Shared, service: &ServiceName) -> Vec<(ModelName, DemandCounts)> {
-    let counts = shared.counts();
+    let counts = shared.demand_counters();
     let models = counts.asked.get(service).into_iter().flatten();
     models.map(|(model, asked)| (model.clone(), *asked)).collect()
 }
@@ -166,16 +177,16 @@
 
 fn plan_service(shared: &Shared, service: &ServiceName, engine: &Engine) {
     let now = shared.now();
-    let daemons = members::count(shared);
+    let daemons = members::daemon_count(shared);
     let mut runners = runners(shared, service);
-    if let Some(placing) = shared.plans().get(service) {
+    if let Some(placing) = shared.planners().get(service) {
         runners.retain(|runner| !placing.is_unreachable(&runner.name, daemons, now));
     }
     let fixed = fixed(shared, &runners);
     let bound = shared.bounds.borrow().loads(engine);
     let changes: Vec<Move> = {
-        let mut plans = shared.plans();
-        let speeds = shared.speeds();
+        let mut plans = shared.planners();
+        let speeds = shared.engine_timings();
         let scene = PlacementInput {
             runners: &runners,
             fixed: &fixed,
@@ -206,21 +217,21 @@
     let orderless = |name: &&ServerName| {
         let key = ClaimKey::Server((*name).clone());
         let holder = {
-            let known = shared.known();
+            let known = shared.membership();
             known.claims.get(&key).and_then(|(row, _)| row.holder)
         };
         let alive = holder.is_some_and(|holder| {
             holder == shared.peers.me || shared.is_alive(holder, now)
         });
-        !alive || shared.turn(&key).is_some_and(|from| now < from)
+        !alive || shared.order_start_time(&key).is_some_and(|from| now < from)
     };
     runners.iter().map(|runner| &runner.name).filter(orderless).cloned().collect()
 }
 
 fn send(shared: &Shared, change: Move) {
-    if let Some(holder) = shared.holder(&change.server) {
-        holder.change(change, None, shared.now());
-    } else if let Some(addr) = holder::addr(shared, &change.server) {
+    if let Some(holder) = shared.held_runner(&change.server) {
+        holder.request_move(change, None, shared.now());
+    } else if let Some(addr) = holder::holder_addr(shared, &change.server) {
         shared.peers.send(addr, Message::Move(change));
     }
 }
--- a/crates/gate/src/queue.rs
+++ b/crates/gate/src/queue.rs
@@ -106,8 +106,8 @@
 
 /// The plain services whose claims this daemon holds.
 fn held(shared: &Shared) -> Vec<ServiceName> {
-    let Some(declared) = shared.declared() else { return Vec::new() };
-    let known = shared.known();
+    let Some(declared) = shared.declarations() else { return Vec::new() };
+    let known = shared.membership();
     let mine = |service: &ServiceName| {
         let claim = pool_key(service).and_then(|key| known.claims.get(&key));
         claim.is_some_and(|(row, _)| row.holder == Some(shared.peers.me))
@@ -197,7 +197,7 @@
 
 /// Takes in the servers that the registry lists.
 fn list(shared: &Shared, queue: &ServiceQueue, now: Instant) {
-    let version = *shared.listed.borrow();
+    let version = *shared.server_updates.borrow();
     let old = |at: Instant| now.saturating_duration_since(at) >= LIST_TIME;
     if queue.state().listed.is_some_and(|(seen, at)| seen == version && !old(at)) {
         return;
--- a/crates/gate/src/read.rs
+++ b/crates/gate/src/read.rs
@@ -55,7 +55,7 @@
     body: Incoming,
 ) -> Result<Job, Unread> {
     let arrived = shared.now();
-    let active = shared.active.enter();
+    let active = shared.active.start();
     let call = match shared.dialect.read_call(&head) {
         Ok(call) => call,
         Err(fault) => {
@@ -64,7 +64,7 @@
         }
     };
     let refused = |refusal| Unread { refusal, id: call.id.clone() };
-    if shared.is_closing() {
+    if shared.is_refusing_requests() {
         return Err(refused(closing()));
     }
     let declared =
@@ -96,9 +96,9 @@
 
 /// The declarations in force; a daemon that has just started waits for them.
 async fn declared(shared: &Shared) -> Option<Arc<Declarations>> {
-    if !shared.is_known() {
-        let mut declared = shared.declared.subscribe();
-        let mut listed = shared.listed.subscribe();
+    if !shared.is_initialized() {
+        let mut declared = shared.declarations.subscribe();
+        let mut listed = shared.server_updates.subscribe();
         let known = async {
             declared.wait_for(Option::is_some).await.is_ok()
                 && listed.wait_for(|count| *count > 0).await.is_ok()
@@ -106,7 +106,7 @@
         // What is not known by then is refused.
         let _ = timeout(START_TIME, known).await;
     }
-    shared.declared()
+    shared.declarations()
 }
 
 fn closing() -> Refusal {
@@ -122,7 +122,7 @@
 fn unknown_yet(shared: &Shared) -> Refusal {
     let message = "the daemon has just started and knows no routes yet; use another";
     // The store does not answer; entries of servers come back after it has.
-    let away = shared.age() > STORE_TIME;
+    let away = shared.uptime() > STORE_TIME;
     let after = if away { RELIST_GRACE } else { START_TIME };
     Refusal::not_run(RefusalCode::Leaving, message).with_retry_after(after)
 }
--- a/crates/gate/src/receive.rs
+++ b/crates/gate/src/receive.rs
@@ -3,11 +3,11 @@
 use std::net::SocketAddr;
 use std::sync::Arc;
 
-use crate::grant::{self, Question};
+use crate::admission::{self, AdmissionRequest};
 use crate::message::{Message, Packet, Verdict};
 use crate::peers::Reply;
 use crate::shared::Shared;
-use crate::{ask, follow, members, planner, queue, sums};
+use crate::{ask, members, planner, queue, table_sync, usage_reports};
 
 /// Takes in datagrams for as long as the daemon runs.
 pub async fn run(shared: Arc<Shared>) {
@@ -19,10 +19,19 @@
 
 fn take(shared: &Arc<Shared>, packet: Packet, from: SocketAddr) {
     match packet.message {
-        Message::Beat(beat) => members::heard(shared, packet.from, &beat),
-        Message::News(tables) => follow::hear(shared, packet.from, &tables),
+        Message::Beat(beat) => members::record_heartbeat(shared, packet.from, &beat),
+        Message::News(tables) => {
+            table_sync::record_announcements(shared, packet.from, &tables)
+        }
         Message::Sum { server, usage, target, begun } => {
-            sums::take(shared, packet.from, &server, usage, target.as_ref(), begun);
+            usage_reports::apply(
+                shared,
+                packet.from,
+                &server,
+                usage,
+                target.as_ref(),
+                begun,
+            );
         }
         Message::Ask { number, servers, want } => {
             let bids = ask::answer(shared, servers, &want);
@@ -30,11 +39,15 @@
         }
         Message::Take { number, server, want, missed } => {
             let reply = Reply::There(from);
-            match shared.holder(&server) {
+            match shared.held_runner(&server) {
                 Some(holder) => {
                     let asker = (packet.from, number);
-                    let question = Question { asker, want, missed };
-                    grant::take(shared, &holder, question, reply);
+                    let question = AdmissionRequest {
+                        key: asker,
+                        request: want,
+                        adapter_missing: missed,
+                    };
+                    admission::request_admission(shared, &holder, question, reply);
                 }
                 None => {
                     let verdict = Verdict::Moved;
@@ -43,8 +56,8 @@
             }
         }
         Message::Leave { number, server } => {
-            if let Some(holder) = shared.holder(&server) {
-                grant::leave(&holder, (packet.from, number));
+            if let Some(holder) = shared.held_runner(&server) {
+                admission::withdraw(&holder, (packet.from, number));
             }
         }
         Message::Enqueue { number, service, want } => {
@@ -61,15 +74,15 @@
         }
         Message::Demand { service, part, asked, lost, learnt } => {
             if let Some(learnt) = learnt {
-                shared.speeds().merge(&learnt);
+                shared.engine_timings().merge(&learnt);
             }
-            planner::take(shared, packet.from, (service, part), asked, lost);
+            planner::apply_demand(shared, packet.from, (service, part), asked, lost);
         }
         Message::Move(change) => {
-            if let Some(holder) = shared.holder(&change.server) {
-                holder.change(change, Some(from), shared.now());
+            if let Some(holder) = shared.held_runner(&change.server) {
+                holder.request_move(change, Some(from), shared.now());
             }
         }
-        Message::Failed(change) => planner::fail(shared, &change),
+        Message::Failed(change) => planner::record_failed_move(shared, &change),
     }
 }
--- a/crates/gate/src/registry.rs
+++ b/crates/gate/src/registry.rs
@@ -7,23 +7,23 @@
 use chestnut_edge::{Change, ServerEntry};
 use slog::{info, warn};
 
-use crate::follow::Follower;
 use crate::shared::Shared;
+use crate::table_sync::ChangeHandler;
 
 /// Takes in the operators' declarations.
-pub struct Declarations(pub Arc<Shared>);
+pub struct DeclarationsHandler(pub Arc<Shared>);
 
 /// Takes in the registry of backend servers.
-pub struct Servers(pub Arc<Shared>);
+pub struct ServerHandler(pub Arc<Shared>);
 
-impl Follower for Declarations {
-    fn changed(&mut self, change: Change) {
+impl ChangeHandler for DeclarationsHandler {
+    fn on_change(&mut self, change: Change) {
         let Self(shared) = self;
         if change.key != shared.dialect.declarations_key() {
             return;
         }
         match change.value {
-            Some(value) => adopt(shared, &value),
+            Some(value) => apply_declarations(shared, &value),
             // The last declarations stay in force: their removal names no others.
             None => warn!(shared.log, "declarations removed, the last ones stay"),
         }
@@ -31,7 +31,7 @@
 }
 
 /// Brings declarations into force unless later ones are.
-pub fn adopt(shared: &Shared, value: &Bytes) {
+pub fn apply_declarations(shared: &Shared, value: &Bytes) {
     let declared = match shared.dialect.read_declarations(value) {
         Ok(declared) => declared,
         Err(error) => {
@@ -40,18 +40,18 @@
         }
     };
     let revision = declared.revision;
-    let known = shared.declared().map(|known| known.revision);
+    let known = shared.declarations().map(|known| known.revision);
     if known.is_some_and(|known| known >= revision) {
         return;
     }
     let routes = declared.routes.len();
-    shared.declared.send_replace(Some(Arc::new(declared)));
+    shared.declarations.send_replace(Some(Arc::new(declared)));
     info!(shared.log, "declarations in force";
         "revision" => revision.0, "before" => known.unwrap_or(Revision(0)).0, "routes" => routes);
 }
 
-impl Follower for Servers {
-    fn changed(&mut self, change: Change) {
+impl ChangeHandler for ServerHandler {
+    fn on_change(&mut self, change: Change) {
         let Self(shared) = self;
         let Some(value) = change.value else {
             unlist(shared, &change.key, change.version);
@@ -73,16 +73,16 @@
         }
     }
 
-    fn settled(&mut self) {
+    fn on_batch_end(&mut self) {
         let now = self.0.now();
-        if *self.0.listed.borrow() == 0 {
+        if *self.0.server_updates.borrow() == 0 {
             self.0.fleet().start_grace(now);
         }
         self.0.fleet().remove_missing(now);
-        self.0.listed.send_modify(|count| *count += 1);
+        self.0.server_updates.send_modify(|count| *count += 1);
     }
 
-    fn regained(&mut self) {
+    fn on_store_recovery(&mut self) {
         let now = self.0.now();
         self.0.fleet().start_grace(now);
     }
--- a/crates/gate/src/run.rs
+++ b/crates/gate/src/run.rs
@@ -14,15 +14,17 @@
 use tokio::signal::unix::{SignalKind, signal};
 use tokio::time::{sleep, timeout};
 
-use crate::claims::Claims;
-use crate::follow::Own;
-use crate::learnt::EngineRows;
-use crate::members::Members;
+use crate::claims::ClaimHandler;
+use crate::members::MemberHandler;
 use crate::peers::Peers;
-use crate::registry::{Declarations, Servers};
+use crate::persisted_timings::EngineTimingsHandler;
+use crate::registry::{DeclarationsHandler, ServerHandler};
 use crate::settings::Settings;
 use crate::shared::Shared;
-use crate::{directory, follow, front, members, observe, planner, receive, sums};
+use crate::table_sync::SystemTableHandler;
+use crate::{
+    directory, front, introspection, members, planner, receive, table_sync, usage_reports,
+};
 
 /// How long a leaving daemon takes requests that callers send to addresses they hold.
 ///
@@ -77,28 +79,28 @@
     // First of all: a signal that comes before ends the process.
     let mut term = signal(SignalKind::terminate()).change_context(StartError::Signals)?;
     let mut hup = signal(SignalKind::hangup()).change_context(StartError::Signals)?;
-    let callers = bind(settings.callers).await?;
-    let readiness = bind(settings.readiness).await?;
-    let directory = bind(settings.directory).await?;
-    let rows = bind(settings.rows_addr()).await?;
+    let callers = bind(settings.caller_addr).await?;
+    let readiness = bind(settings.readiness_addr).await?;
+    let directory = bind(settings.directory_addr).await?;
+    let rows = bind(settings.table_changes_addr()).await?;
     let me = MemberId(rand::random());
     let peer_addr = settings.peer_addr();
     let peers = Peers::bind(me, peer_addr, clock.clone(), log.clone()).await;
     let peers = peers.change_context(StartError::Bind(peer_addr))?;
     let shared = Arc::new(Shared::new(settings, dialect, clock, log, peers));
-    info!(shared.log, "started"; "callers" => shared.settings.callers.to_string(),
-        "directory" => shared.settings.directory.to_string());
+    info!(shared.log, "started"; "callers" => shared.settings.caller_addr.to_string(),
+        "directory" => shared.settings.directory_addr.to_string());
 
     follow_tables(&shared);
     tokio::spawn(receive::run(shared.clone()));
     tokio::spawn(members::run(shared.clone()));
-    tokio::spawn(members::run_beats(shared.clone()));
-    tokio::spawn(sums::repeat(shared.clone()));
+    tokio::spawn(members::run_heartbeats(shared.clone()));
+    tokio::spawn(usage_reports::repeat_reports(shared.clone()));
     tokio::spawn(planner::run(shared.clone()));
     tokio::spawn(front::run(shared.clone(), callers));
-    tokio::spawn(serve(readiness, directory::readiness(shared.clone())));
-    tokio::spawn(serve(directory, directory::directory(shared.clone())));
-    tokio::spawn(serve(rows, directory::rows(shared.clone())));
+    tokio::spawn(serve(readiness, directory::readiness_router(shared.clone())));
+    tokio::spawn(serve(directory, directory::directory_router(shared.clone())));
+    tokio::spawn(serve(rows, directory::table_changes_router(shared.clone())));
     tokio::spawn(show(shared.clone()));
     tokio::spawn(tidy(shared.clone()));
     loop {
@@ -115,16 +117,20 @@
 
 fn follow_tables(shared: &Arc<Shared>) {
     let tables = &shared.tables;
-    let declarations = Declarations(shared.clone());
-    tokio::spawn(follow::run(shared.clone(), tables.declared.clone(), declarations));
-    let servers = Servers(shared.clone());
-    tokio::spawn(follow::run(shared.clone(), tables.servers.clone(), servers));
-    let own = Own {
-        members: Members(shared.clone()),
-        claims: Claims(shared.clone()),
-        engines: EngineRows(shared.clone()),
+    let declarations = DeclarationsHandler(shared.clone());
+    tokio::spawn(table_sync::run(
+        shared.clone(),
+        tables.declarations.clone(),
+        declarations,
+    ));
+    let servers = ServerHandler(shared.clone());
+    tokio::spawn(table_sync::run(shared.clone(), tables.servers.clone(), servers));
+    let own = SystemTableHandler {
+        members: MemberHandler(shared.clone()),
+        claims: ClaimHandler(shared.clone()),
+        timings: EngineTimingsHandler(shared.clone()),
     };
-    tokio::spawn(follow::run(shared.clone(), tables.own.clone(), own));
+    tokio::spawn(table_sync::run(shared.clone(), tables.system.clone(), own));
 }
 
 /// Takes over what changed in the settings file; nothing is interrupted by it.
@@ -147,22 +153,22 @@
 /// Takes no new callers, and finishes what is in flight.
 async fn leave(shared: &Shared) {
     info!(shared.log, "leaving");
-    shared.leaving.send_replace(true);
+    shared.shutting_down.send_replace(true);
     // From now on its claims fall to others.
-    shared.known().leaving.insert(shared.peers.me);
-    members::say_leaving(shared);
+    shared.membership().leaving.insert(shared.peers.me);
+    members::announce_shutdown(shared);
     let stop = shared.bounds.borrow().stop;
     let limit = stop.saturating_sub(STOP_MARGIN);
     let finished = async {
         sleep(LEAVE_TIME).await;
-        shared.closing.send_replace(true);
+        shared.refusing_requests.send_replace(true);
         while shared.active.count() > 0 {
             sleep(LEAVE_CHECK).await;
         }
         sleep(FLUSH_TIME).await;
     };
     let whole = timeout(limit, finished).await.is_ok();
-    members::resign(shared).await;
+    members::remove_own_row(shared).await;
     info!(shared.log, "left"; "finished" => whole);
 }
 
@@ -178,9 +184,9 @@
 ///
 /// A port that something else has taken is no reason to serve no callers.
 async fn show(shared: Arc<Shared>) {
-    let Some(addr) = shared.settings.metrics else { return };
+    let Some(addr) = shared.settings.metrics_addr else { return };
     match bind(addr).await {
-        Ok(listener) => serve(listener, observe::router(shared)).await,
+        Ok(listener) => serve(listener, introspection::router(shared)).await,
         Err(error) => {
             warn!(shared.log, "metrics not served"; "error" => error.to_string());
         }
--- a/crates/gate/src/serve.rs
+++ b/crates/gate/src/serve.rs
@@ -68,7 +68,7 @@
 
 /// Asks callers to open another connection, elsewhere, if the daemon is leaving.
 fn closing(shared: &Shared, mut response: Response<OutBody>) -> Response<OutBody> {
-    if *shared.leaving.borrow() {
+    if *shared.shutting_down.borrow() {
         let close = http::HeaderValue::from_static("close");
         response.headers_mut().insert(http::header::CONNECTION, close);
     }
@@ -79,9 +79,9 @@
 
 async fn run(job: Job) -> Result<Response<OutBody>, Refused> {
     let mut job = Box::new(job);
-    job.shared.note_request(&job.service);
+    job.shared.record_request(&job.service);
     if let Some(target) = &job.call.target {
-        planner::note(&job.shared, &job.service, &target.model, job.asked());
+        planner::record_demand(&job.shared, &job.service, &target.model, job.asked());
     }
     let mut tried = Vec::new();
     let mut lacking: Option<ServerName> = None;
@@ -166,7 +166,7 @@
 
 /// Takes a repeat out of the service's budget, if there is one.
 fn take_repeat(job: &Job, cause: &'static str) -> bool {
-    let granted = job.shared.take_repeat(&job.service);
+    let granted = job.shared.try_take_retry(&job.service);
     if granted {
         job.shared.metrics.count(Step::Repeat, cause);
     }
--- a/crates/gate/src/settings.rs
+++ b/crates/gate/src/settings.rs
@@ -69,18 +69,24 @@
     /// The VM's own address.
     pub ip: IpAddr,
     /// Where callers send requests.
-    pub callers: SocketAddr,
+    #[serde(rename = "callers")]
+    pub caller_addr: SocketAddr,
     /// Where the platform asks whether the daemon is ready.
-    pub readiness: SocketAddr,
+    #[serde(rename = "readiness")]
+    pub readiness_addr: SocketAddr,
     /// Where callers ask which address to use.
-    pub directory: SocketAddr,
+    #[serde(rename = "directory")]
+    pub directory_addr: SocketAddr,
     /// Where metrics and the daemon's state are shown; nowhere if it is left out.
+    #[serde(rename = "metrics")]
     #[serde(default)]
-    pub metrics: Option<SocketAddr>,
+    pub metrics_addr: Option<SocketAddr>,
     /// The first and the last port for traffic between daemons.
-    pub ports: (u16, u16),
+    #[serde(rename = "ports")]
+    pub peer_ports: (u16, u16),
     /// The platform's store.
-    pub store: SocketAddr,
+    #[serde(rename = "store")]
+    pub store_addr: SocketAddr,
     /// The processor time that the daemon has, in cores.
     #[serde(default = "whole_core")]
     pub cores: f64,
@@ -168,12 +174,12 @@
 
     /// Where datagrams of other daemons are received.
     pub fn peer_addr(&self) -> SocketAddr {
-        SocketAddr::new(self.ip, self.ports.0)
+        SocketAddr::new(self.ip, self.peer_ports.0)
     }
 
     /// Where other daemons ask for changes of the store's tables.
-    pub fn rows_addr(&self) -> SocketAddr {
-        SocketAddr::new(self.ip, self.ports.1)
+    pub fn table_changes_addr(&self) -> SocketAddr {
+        SocketAddr::new(self.ip, self.peer_ports.1)
     }
 
     /// The daemon's weight among those that claims fall to.
@@ -182,7 +188,7 @@
     }
 
     fn check(&self) -> Result<(), SettingsError> {
-        let (first, last) = self.ports;
+        let (first, last) = self.peer_ports;
         if first == 0 || last <= first {
             return Err(SettingsError::Value(
                 "ports",
--- a/crates/gate/src/shared.rs
+++ b/crates/gate/src/shared.rs
@@ -14,23 +14,23 @@
 use tokio::sync::watch;
 
 use crate::client::Client;
-use crate::follow::{self, OWN, Table};
-use crate::holder::Holder;
-use crate::learnt::Kept;
+use crate::holder::HeldRunner;
 use crate::members::{self, Neighbours};
 use crate::metrics::Metrics;
 use crate::peers::Peers;
-use crate::planner::Counts;
+use crate::persisted_timings::PersistedTimings;
+use crate::planner::DemandCounters;
 use crate::queue::ServiceQueue;
 use crate::settings::{Bounds, Settings};
+use crate::table_sync::{self, SYSTEM_TABLE, SyncedTable};
 
 /// A count of requests that are being served.
 #[derive(Debug, Default, Clone)]
-pub struct Active(Arc<()>);
+pub struct ActiveRequests(Arc<()>);
 
-impl Active {
-    /// Counts a request until the copy that is returned is dropped.
-    pub fn enter(&self) -> Self {
+impl ActiveRequests {
+    /// DemandCounters a request until the copy that is returned is dropped.
+    pub fn start(&self) -> Self {
         self.clone()
     }
 
@@ -43,11 +43,11 @@
 /// Copies of the store's tables.
 pub struct Tables {
     /// What operators declare.
-    pub declared: Arc<Table>,
+    pub declarations: Arc<SyncedTable>,
     /// The registry of backend servers.
-    pub servers: Arc<Table>,
+    pub servers: Arc<SyncedTable>,
     /// The system's own: daemons and claims.
-    pub own: Arc<Table>,
+    pub system: Arc<SyncedTable>,
 }
 
 /// What the parts of the daemon share.
@@ -71,39 +71,39 @@
     /// Datagrams to and from other daemons.
     pub peers: Peers,
     /// When the daemon started.
-    pub started: Instant,
+    pub started_at: Instant,
     /// The declarations in force; nothing until they are first known.
-    pub declared: watch::Sender<Option<Arc<Declarations>>>,
+    pub declarations: watch::Sender<Option<Arc<Declarations>>>,
     /// Grows with each change of what backend servers say of themselves.
-    pub listed: watch::Sender<u64>,
+    pub server_updates: watch::Sender<u64>,
     /// Whether the daemon was told to stop.
-    pub leaving: watch::Sender<bool>,
+    pub shutting_down: watch::Sender<bool>,
     /// Whether the daemon takes no more requests.
-    pub closing: watch::Sender<bool>,
+    pub refusing_requests: watch::Sender<bool>,
     /// Callers' requests that are being served.
-    pub active: Active,
+    pub active: ActiveRequests,
     /// Copies of the store's tables.
     pub tables: Tables,
     /// Whether daemons and claims were read.
-    pub own_read: watch::Sender<bool>,
+    pub system_table_loaded: watch::Sender<bool>,
     fleet: Mutex<Fleet>,
-    known: Mutex<MembershipRows>,
+    membership: Mutex<MembershipRows>,
     /// The daemons that this one exchanges beats with.
     neighbours: Mutex<Neighbours>,
-    holders: Mutex<IndexMap<ServerName, Arc<Holder>>>,
+    held_runners: Mutex<IndexMap<ServerName, Arc<HeldRunner>>>,
     queues: Mutex<IndexMap<ServiceName, Arc<ServiceQueue>>>,
     /// Until when the holders of plain services' queues are not asked.
-    silent: Mutex<IndexMap<ServiceName, Instant>>,
+    unresponsive_queue_holders: Mutex<IndexMap<ServiceName, Instant>>,
     budgets: Mutex<IndexMap<ServiceName, RetryBudget>>,
-    speeds: Mutex<EngineTimings>,
-    kept: Mutex<IndexMap<ServiceName, Kept>>,
-    counts: Mutex<Counts>,
-    plans: Mutex<IndexMap<ServiceName, PlacementPlanner>>,
+    engine_timings: Mutex<EngineTimings>,
+    persisted_timings: Mutex<IndexMap<ServiceName, PersistedTimings>>,
+    demand_counters: Mutex<DemandCounters>,
+    planners: Mutex<IndexMap<ServiceName, PlacementPlanner>>,
     /// From when on this daemon may give orders under claims that it took.
-    turns: Mutex<IndexMap<ClaimKey, Instant>>,
+    order_start_times: Mutex<IndexMap<ClaimKey, Instant>>,
     /// The process that ran on this VM before.
-    previous: Mutex<Option<MemberId>>,
-    wake: Mutex<SuspensionDetector>,
+    previous_incarnation: Mutex<Option<MemberId>>,
+    suspension: Mutex<SuspensionDetector>,
 }
 
 impl Shared {
@@ -115,16 +115,16 @@
         log: Logger,
         peers: Peers,
     ) -> Self {
-        let table = |name| Arc::new(Table::new(name));
+        let table = |name| Arc::new(SyncedTable::new(name));
         let tables = Tables {
-            declared: table(dialect.declarations_table()),
+            declarations: table(dialect.declarations_table()),
             servers: table(dialect.servers_table()),
-            own: table(OWN),
+            system: table(SYSTEM_TABLE),
         };
         Self {
-            started: clock.now(),
+            started_at: clock.now(),
             bounds: watch::Sender::new(settings.bounds.clone()),
-            active: Active::default(),
+            active: ActiveRequests::default(),
             peers,
             settings,
             dialect,
@@ -132,26 +132,26 @@
             clock,
             log,
             metrics: Metrics::new(),
-            declared: watch::Sender::new(None),
-            listed: watch::Sender::new(0),
-            leaving: watch::Sender::new(false),
-            closing: watch::Sender::new(false),
+            declarations: watch::Sender::new(None),
+            server_updates: watch::Sender::new(0),
+            shutting_down: watch::Sender::new(false),
+            refusing_requests: watch::Sender::new(false),
             tables,
-            own_read: watch::Sender::new(false),
+            system_table_loaded: watch::Sender::new(false),
             fleet: Mutex::default(),
-            known: Mutex::default(),
+            membership: Mutex::default(),
             neighbours: Mutex::default(),
-            holders: Mutex::default(),
+            held_runners: Mutex::default(),
             queues: Mutex::default(),
-            silent: Mutex::default(),
+            unresponsive_queue_holders: Mutex::default(),
             budgets: Mutex::default(),
-            speeds: Mutex::default(),
-            kept: Mutex::default(),
-            counts: Mutex::default(),
-            plans: Mutex::default(),
-            turns: Mutex::default(),
-            previous: Mutex::default(),
-            wake: Mutex::default(),
+            engine_timings: Mutex::default(),
+            persisted_timings: Mutex::default(),
+            demand_counters: Mutex::default(),
+            planners: Mutex::default(),
+            order_start_times: Mutex::default(),
+            previous_incarnation: Mutex::default(),
+            suspension: Mutex::default(),
         }
     }
 
@@ -166,8 +166,8 @@
     }
 
     /// Daemons and claims.
-    pub fn known(&self) -> MutexGuard<'_, MembershipRows> {
-        self.known.lock().expect("no holder of the lock panics")
+    pub fn membership(&self) -> MutexGuard<'_, MembershipRows> {
+        self.membership.lock().expect("no holder of the lock panics")
     }
 
     /// The daemons that this one exchanges beats with.
@@ -184,13 +184,13 @@
     }
 
     /// The runners whose claims this daemon holds.
-    pub fn holders(&self) -> MutexGuard<'_, IndexMap<ServerName, Arc<Holder>>> {
-        self.holders.lock().expect("no holder of the lock panics")
+    pub fn held_runners(&self) -> MutexGuard<'_, IndexMap<ServerName, Arc<HeldRunner>>> {
+        self.held_runners.lock().expect("no holder of the lock panics")
     }
 
     /// A runner whose claim this daemon holds.
-    pub fn holder(&self, server: &ServerName) -> Option<Arc<Holder>> {
-        self.holders().get(server).cloned()
+    pub fn held_runner(&self, server: &ServerName) -> Option<Arc<HeldRunner>> {
+        self.held_runners().get(server).cloned()
     }
 
     /// The queues of plain services whose claims this daemon holds.
@@ -199,88 +199,104 @@
     }
 
     /// Notes that the holder of a service's queue does not answer.
-    pub fn note_silent(&self, service: &ServiceName, until: Instant) {
-        let mut silent = self.silent.lock().expect("no holder of the lock panics");
+    pub fn mark_queue_holder_unresponsive(&self, service: &ServiceName, until: Instant) {
+        let mut silent =
+            self.unresponsive_queue_holders.lock().expect("no holder of the lock panics");
         silent.insert(service.clone(), until);
     }
 
     /// Whether the holder of a service's queue did not answer lately.
-    pub fn is_silent(&self, service: &ServiceName, now: Instant) -> bool {
-        let silent = self.silent.lock().expect("no holder of the lock panics");
+    pub fn is_queue_holder_unresponsive(
+        &self,
+        service: &ServiceName,
+        now: Instant,
+    ) -> bool {
+        let silent =
+            self.unresponsive_queue_holders.lock().expect("no holder of the lock panics");
         silent.get(service).is_some_and(|until| now < *until)
     }
 
     /// How fast runners read prompts.
-    pub fn speeds(&self) -> MutexGuard<'_, EngineTimings> {
-        self.speeds.lock().expect("no holder of the lock panics")
+    pub fn engine_timings(&self) -> MutexGuard<'_, EngineTimings> {
+        self.engine_timings.lock().expect("no holder of the lock panics")
     }
 
     /// What the store holds of how runners work, by service.
-    pub fn kept(&self) -> MutexGuard<'_, IndexMap<ServiceName, Kept>> {
-        self.kept.lock().expect("no holder of the lock panics")
+    pub fn persisted_timings(
+        &self,
+    ) -> MutexGuard<'_, IndexMap<ServiceName, PersistedTimings>> {
+        self.persisted_timings.lock().expect("no holder of the lock panics")
     }
 
     /// What callers have asked of this daemon's models.
-    pub fn counts(&self) -> MutexGuard<'_, Counts> {
-        self.counts.lock().expect("no holder of the lock panics")
+    pub fn demand_counters(&self) -> MutexGuard<'_, DemandCounters> {
+        self.demand_counters.lock().expect("no holder of the lock panics")
     }
 
     /// What is known of the services that this daemon plans for.
-    pub fn plans(&self) -> MutexGuard<'_, IndexMap<ServiceName, PlacementPlanner>> {
-        self.plans.lock().expect("no holder of the lock panics")
+    pub fn planners(&self) -> MutexGuard<'_, IndexMap<ServiceName, PlacementPlanner>> {
+        self.planners.lock().expect("no holder of the lock panics")
     }
 
     /// How long ago the daemon started.
-    pub fn age(&self) -> Duration {
-        self.now().saturating_duration_since(self.started)
+    pub fn uptime(&self) -> Duration {
+        self.now().saturating_duration_since(self.started_at)
     }
 
     /// Whether the daemon has stood still lately, so that news may be from before.
-    pub fn is_waking(&self) -> bool {
+    pub fn is_resuming(&self) -> bool {
         let now = self.now();
-        let mut wake = self.wake.lock().expect("no holder of the lock panics");
+        let mut wake = self.suspension.lock().expect("no holder of the lock panics");
         if let Some(gap) = wake.check(self.clock.suspended_time(), now) {
             warn!(self.log, "stood still"; "ms" => gap.as_millis() as u64);
-            for table in follow::tables(self) {
-                table.mirror().doubt();
+            for table in table_sync::tables(self) {
+                table.replica().clear_confirmation();
             }
         }
         wake.is_settling(now)
     }
 
     /// Notes from when on orders may be given under a claim.
-    pub fn note_turn(&self, key: ClaimKey, from: Instant) {
-        self.turns.lock().expect("no holder of the lock panics").insert(key, from);
+    pub fn set_order_start_time(&self, key: ClaimKey, from: Instant) {
+        self.order_start_times
+            .lock()
+            .expect("no holder of the lock panics")
+            .insert(key, from);
     }
 
     /// From when on orders may be given under a claim.
-    pub fn turn(&self, key: &ClaimKey) -> Option<Instant> {
-        self.turns.lock().expect("no holder of the lock panics").get(key).copied()
+    pub fn order_start_time(&self, key: &ClaimKey) -> Option<Instant> {
+        self.order_start_times
+            .lock()
+            .expect("no holder of the lock panics")
+            .get(key)
+            .copied()
     }
 
     /// Notes the process that ran on this VM before.
-    pub fn note_previous(&self, member: MemberId) {
-        *self.previous.lock().expect("no holder of the lock panics") = Some(member);
+    pub fn set_previous_incarnation(&self, member: MemberId) {
+        *self.previous_incarnation.lock().expect("no holder of the lock panics") =
+            Some(member);
     }
 
     /// The process that ran on this VM before.
-    pub fn previous(&self) -> Option<MemberId> {
-        *self.previous.lock().expect("no holder of the lock panics")
+    pub fn previous_incarnation(&self) -> Option<MemberId> {
+        *self.previous_incarnation.lock().expect("no holder of the lock panics")
     }
 
     /// Whether this VM's daemon was there before, so that others have their claims.
-    pub fn is_back(&self) -> bool {
-        self.previous().is_some()
+    pub fn is_restart(&self) -> bool {
+        self.previous_incarnation().is_some()
     }
 
     /// The declarations in force.
-    pub fn declared(&self) -> Option<Arc<Declarations>> {
-        self.declared.borrow().clone()
+    pub fn declarations(&self) -> Option<Arc<Declarations>> {
+        self.declarations.borrow().clone()
     }
 
     /// How the service of a runner runs models.
     pub fn engine_of(&self, server: &ServerName) -> Option<Arc<Engine>> {
-        let declared = self.declared()?;
+        let declared = self.declarations()?;
         let service = {
             let fleet = self.fleet();
             fleet.get(fleet.key(server)?)?.entry.service.clone()
@@ -291,27 +307,27 @@
     /// Whether the daemon can serve: declarations and servers are known, and it
     /// was not told to stop.
     pub fn is_ready(&self) -> bool {
-        self.is_known() && !*self.leaving.borrow()
+        self.is_initialized() && !*self.shutting_down.borrow()
     }
 
     /// Whether declarations and servers are known.
-    pub fn is_known(&self) -> bool {
-        self.declared.borrow().is_some() && *self.listed.borrow() > 0
+    pub fn is_initialized(&self) -> bool {
+        self.declarations.borrow().is_some() && *self.server_updates.borrow() > 0
     }
 
     /// Whether a leaving daemon takes no more requests.
-    pub fn is_closing(&self) -> bool {
-        *self.closing.borrow()
+    pub fn is_refusing_requests(&self) -> bool {
+        *self.refusing_requests.borrow()
     }
 
     /// Takes note of a request for a service.
-    pub fn note_request(&self, service: &ServiceName) {
+    pub fn record_request(&self, service: &ServiceName) {
         let (window, now) = (self.bounds.borrow().retry_window, self.now());
         self.with_budget(service, |budget| budget.record_request(window, now));
     }
 
     /// Takes a repeat out of the service's budget, if there is one.
-    pub fn take_repeat(&self, service: &ServiceName) -> bool {
+    pub fn try_take_retry(&self, service: &ServiceName) -> bool {
         let now = self.now();
         let bounds = self.bounds.borrow().clone();
         let bound = RetryBound {
@@ -319,8 +335,8 @@
             slack: bounds.retry_slack,
             window: bounds.retry_window,
         };
-        let known = *self.own_read.borrow();
-        let daemons = known.then(|| members::count(self));
+        let known = *self.system_table_loaded.borrow();
+        let daemons = known.then(|| members::daemon_count(self));
         self.with_budget(service, |budget| budget.try_take(bound, daemons, now))
     }
 
@@ -330,7 +346,7 @@
         act: impl FnOnce(&mut RetryBudget) -> T,
     ) -> T {
         let mut budgets = self.budgets.lock().expect("no holder of the lock panics");
-        let new = || RetryBudget::new(self.started);
+        let new = || RetryBudget::new(self.started_at);
         act(budgets.entry(service.clone()).or_insert_with(new))
     }
 }
--- a/crates/gate/src/store.rs
+++ b/crates/gate/src/store.rs
@@ -9,8 +9,8 @@
 use http::{Request, Response, StatusCode};
 
 use crate::metrics::{Span, Step};
-use crate::mirror::Changes;
 use crate::shared::Shared;
+use crate::table_replica::TableChanges;
 
 /// How long the store may take for a call that does not wait for changes.
 const CALL_TIME: Duration = Duration::from_millis(1500);
@@ -21,32 +21,32 @@
 
 /// Why a call failed; a transaction may have acted nonetheless.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct StoreFault(pub String);
+pub struct StoreError(pub String);
 
-impl Display for StoreFault {
+impl Display for StoreError {
     fn fmt(&self, f: &mut Formatter<'_>) -> fmt::Result {
         write!(f, "the store did not answer ({}); it is asked again", self.0)
     }
 }
 
-impl std::error::Error for StoreFault {}
+impl std::error::Error for StoreError {}
 
 /// Commits a transaction.
 pub async fn commit(
     shared: &Shared,
     commit: &Transaction,
-) -> Result<TransactionOutcome, StoreFault> {
+) -> Result<TransactionOutcome, StoreError> {
     let answer = call(shared, shared.dialect.write_commit(commit), CALL_TIME).await?;
     let (status, body) = (answer.status(), answer.into_body());
     let read = shared.dialect.read_commit(status, &body);
-    read.map_err(|error| StoreFault(error.to_string()))
+    read.map_err(|error| StoreError(error.to_string()))
 }
 
 /// Reads all rows of a table, and the version up to which they are complete.
-pub async fn table(
+pub async fn read_table(
     shared: &Shared,
     table: &str,
-) -> Result<(Vec<Change>, u64), StoreFault> {
+) -> Result<(Vec<Change>, u64), StoreError> {
     let mut rows: Vec<Change> = Vec::new();
     let mut version = None;
     loop {
@@ -66,13 +66,13 @@
     shared: &Shared,
     table: &str,
     after: Option<&str>,
-) -> Result<Page, StoreFault> {
+) -> Result<Page, StoreError> {
     let answer = call(shared, shared.dialect.write_scan(table, after), CALL_TIME).await?;
     if answer.status() != StatusCode::OK {
-        return Err(StoreFault(format!("status {}", answer.status())));
+        return Err(StoreError(format!("status {}", answer.status())));
     }
     let page = shared.dialect.read_page(answer.body());
-    page.map_err(|error| StoreFault(error.to_string()))
+    page.map_err(|error| StoreError(error.to_string()))
 }
 
 /// Makes a call.
@@ -80,8 +80,8 @@
     shared: &Shared,
     request: Request<Bytes>,
     wait: Duration,
-) -> Result<Response<Bytes>, StoreFault> {
-    let store = shared.settings.store;
+) -> Result<Response<Bytes>, StoreError> {
+    let store = shared.settings.store_addr;
     let began = shared.now();
     let answer = shared.client.call(store, request, ANSWER_LIMIT, wait).await;
     shared.metrics.observe(Span::Store, shared.now().saturating_duration_since(began));
@@ -89,34 +89,34 @@
         Ok(answer) => shared.metrics.count(Step::Store, answer.status().as_str()),
         Err(_) => shared.metrics.count(Step::Store, "lost"),
     }
-    answer.map_err(|fault| StoreFault(fault.to_string()))
+    answer.map_err(|fault| StoreError(fault.to_string()))
 }
 
 /// What is wanted of another daemon's copy.
 #[derive(Debug, Clone, Copy)]
-pub struct Fetch {
+pub struct FetchLimits {
     /// The most bytes that it is to send.
-    pub limit: usize,
+    pub max_bytes: usize,
     /// How long it may take.
-    pub wait: Duration,
+    pub timeout: Duration,
 }
 
 /// Asks another daemon what changed in its copy of a table.
-pub async fn peer_changes(
+pub async fn fetch_peer_changes(
     shared: &Shared,
     addr: SocketAddr,
     table: &str,
     after: u64,
-    Fetch { limit, wait }: Fetch,
-) -> Result<Changes, StoreFault> {
+    FetchLimits { max_bytes: limit, timeout: wait }: FetchLimits,
+) -> Result<TableChanges, StoreError> {
     let uri = format!("/changes/{table}/{after}/{limit}");
     let request = Request::builder().uri(uri).body(Bytes::new());
-    let request = request.map_err(|error| StoreFault(error.to_string()))?;
+    let request = request.map_err(|error| StoreError(error.to_string()))?;
     let answer = shared.client.call(addr, request, ANSWER_LIMIT, wait).await;
-    let answer = answer.map_err(|fault| StoreFault(fault.to_string()))?;
+    let answer = answer.map_err(|fault| StoreError(fault.to_string()))?;
     if answer.status() != StatusCode::OK {
-        return Err(StoreFault(format!("status {} of a daemon", answer.status())));
+        return Err(StoreError(format!("status {} of a daemon", answer.status())));
     }
     let changes = postcard::from_bytes(answer.body());
-    changes.map_err(|error| StoreFault(format!("a daemon's changes: {error}")))
+    changes.map_err(|error| StoreError(format!("a daemon's changes: {error}")))
 }
--- a/crates/gate/src/mirror.rs
+++ b/crates/gate/src/table_replica.rs
@@ -21,20 +21,21 @@
     pub value: Option<Vec<u8>>,
 }
 
-/// Changes of a table as daemons pass them on.
+/// TableChanges of a table as daemons pass them on.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Changes {
+pub struct TableChanges {
     /// The rows that changed.
     pub rows: Vec<Row>,
     /// Whether these are all rows there are.
-    pub whole: bool,
+    #[serde(rename = "whole")]
+    pub snapshot: bool,
     /// Up to which version this is complete.
     pub version: u64,
 }
 
 /// A copy of a table of the store.
 #[derive(Debug, Default)]
-pub struct Mirror {
+pub struct TableReplica {
     rows: IndexMap<String, (u64, Bytes)>,
     removed: IndexMap<String, u64>,
     /// Removals up to this version may have been forgotten.
@@ -42,37 +43,37 @@
     /// Up to which version the copy is complete; nothing before the first read.
     version: Option<u64>,
     /// When the store last said that the copy is complete.
-    confirmed: Option<Instant>,
+    confirmed_at: Option<Instant>,
 }
 
-impl Mirror {
+impl TableReplica {
     /// Up to which version the copy is complete.
     pub fn version(&self) -> Option<u64> {
         self.version
     }
 
     /// When the store last said that the copy is complete.
-    pub fn confirmed(&self) -> Option<Instant> {
-        self.confirmed
+    pub fn confirmed_at(&self) -> Option<Instant> {
+        self.confirmed_at
     }
 
     /// Takes note that the store said at `at` that nothing changed after `version`.
-    pub fn confirm(&mut self, version: u64, at: Instant) {
+    pub fn record_confirmation(&mut self, version: u64, at: Instant) {
         if self.version.is_some_and(|own| own >= version) {
-            self.confirmed = self.confirmed.max(Some(at));
+            self.confirmed_at = self.confirmed_at.max(Some(at));
         }
     }
 
     /// Forgets when the store last said that the copy is complete.
-    pub fn doubt(&mut self) {
-        self.confirmed = None;
+    pub fn clear_confirmation(&mut self) {
+        self.confirmed_at = None;
     }
 
     /// Takes in changes up to `version`; returns those that are new.
     ///
     /// A row of which a newer state is known stays: a read that was answered late
     /// must not bring back what was replaced.
-    pub fn take(&mut self, changes: Vec<Change>, version: u64) -> Vec<Change> {
+    pub fn apply(&mut self, changes: Vec<Change>, version: u64) -> Vec<Change> {
         let fresh: Vec<Change> =
             changes.into_iter().filter(|change| self.take_one(change)).collect();
         self.version = self.version.max(Some(version));
@@ -86,14 +87,18 @@
     /// for rows that the copy has. A daemon whose own row was not in it went on as if that
     /// row stood: the others did not know the daemon and sent it no beats, and it took them
     /// for silent and removed their rows, four times a second, without end.
-    pub fn note(&mut self, change: &Change) {
+    pub fn apply_own_write(&mut self, change: &Change) {
         self.take_one(change);
     }
 
     /// Takes in all rows as of `version`; returns what changed by that.
     ///
     /// Nothing if the copy is newer.
-    pub fn take_whole(&mut self, rows: Vec<Change>, version: u64) -> Option<Vec<Change>> {
+    pub fn apply_snapshot(
+        &mut self,
+        rows: Vec<Change>,
+        version: u64,
+    ) -> Option<Vec<Change>> {
         if self.version.is_some_and(|own| own > version) {
             return None;
         }
@@ -104,13 +109,13 @@
             .filter(|key| !listed(key))
             .map(|key| Change { key: key.clone(), version, value: None })
             .collect();
-        let mut fresh = self.take(missing, version);
-        fresh.extend(self.take(rows, version));
+        let mut fresh = self.apply(missing, version);
+        fresh.extend(self.apply(rows, version));
         Some(fresh)
     }
 
     /// What changed after a version.
-    pub fn changes(&self, after: u64) -> Option<Changes> {
+    pub fn changes_since(&self, after: u64) -> Option<TableChanges> {
         let version = self.version?;
         let whole = after < self.forgotten;
         let after = if whole { 0 } else { after };
@@ -127,7 +132,7 @@
         let present = self.rows.iter().map(row);
         let removed = self.removed.iter().map(gone);
         let rows = present.chain(removed).filter(|row| row.version > after).collect();
-        Some(Changes { rows, whole, version })
+        Some(TableChanges { rows, snapshot: whole, version })
     }
 
     fn take_one(&mut self, change: &Change) -> bool {
--- a/crates/gate/src/follow.rs
+++ b/crates/gate/src/table_sync.rs
@@ -20,10 +20,10 @@
 
 use crate::backoff::Backoff;
 use crate::message::TableNews;
-use crate::mirror::{Changes, Mirror};
 use crate::shared::Shared;
-use crate::store::{self, Fetch, StoreFault};
-use crate::{claims, learnt, members};
+use crate::store::{self, FetchLimits, StoreError};
+use crate::table_replica::{TableChanges, TableReplica};
+use crate::{claims, members, persisted_timings};
 
 /// The part of [`fresh`] for which the store may hold the reader's call that waits for
 /// changes; the beats' period and an answer's delay take of the rest.
@@ -45,7 +45,7 @@
 /// which a row is removed, two hundred that start together remove each other's rows.
 const FRESH_MOST: Duration = Duration::from_millis(1500);
 
-const _: () = assert!(FRESH_MOST.as_millis() <= members::SILENCE.as_millis());
+const _: () = assert!(FRESH_MOST.as_millis() <= members::FAILURE_TIMEOUT.as_millis());
 
 /// How much later than the first daemon each next one reads the store itself, so
 /// that one read serves all.
@@ -57,10 +57,12 @@
 /// What is fetched from another daemon while the store can be read.
 ///
 /// More than this goes faster over the store's wide link than over a daemon's.
-const FETCH: Fetch = Fetch { limit: 64 << 10, wait: Duration::from_millis(250) };
+const FETCH: FetchLimits =
+    FetchLimits { max_bytes: 64 << 10, timeout: Duration::from_millis(250) };
 
 /// What is fetched from another daemon while the store turns this one away.
-const FETCH_ALL: Fetch = Fetch { limit: 8 << 20, wait: Duration::from_millis(2500) };
+const FETCH_ALL: FetchLimits =
+    FetchLimits { max_bytes: 8 << 20, timeout: Duration::from_millis(2500) };
 
 /// The pause between reads of a table that changes all the time.
 const READ_PAUSE: Duration = Duration::from_millis(150);
@@ -77,67 +79,81 @@
 const SETTLED: Duration = Duration::from_secs(1);
 
 /// Who takes in what changed.
-pub trait Follower: Send {
+pub trait ChangeHandler: Send {
     /// A row was written or removed.
-    fn changed(&mut self, change: Change);
+    fn on_change(&mut self, change: Change);
 
     /// The changes that were known are all taken in.
-    fn settled(&mut self) {}
+    fn on_batch_end(&mut self) {}
 
     /// The store could not be read for a while and can be again.
-    fn regained(&mut self) {}
+    fn on_store_recovery(&mut self) {}
 }
 
 /// A table of the store that daemons follow.
-pub struct Table {
+pub struct SyncedTable {
     /// Its name.
     pub name: &'static str,
     /// The copy.
-    pub mirror: std::sync::Mutex<Mirror>,
+    pub replica: std::sync::Mutex<TableReplica>,
     /// A daemon that knows a newer version.
-    pub newer: watch::Sender<Option<(MemberId, u64)>>,
+    pub newer_version: watch::Sender<Option<(MemberId, u64)>>,
 }
 
-impl Table {
+impl SyncedTable {
     /// Creates an empty copy.
     pub fn new(name: &'static str) -> Self {
-        Self { name, mirror: Default::default(), newer: watch::Sender::new(None) }
+        Self {
+            name,
+            replica: Default::default(),
+            newer_version: watch::Sender::new(None),
+        }
     }
 
     /// The copy.
-    pub fn mirror(&self) -> std::sync::MutexGuard<'_, Mirror> {
-        self.mirror.lock().expect("no holder of the lock panics")
+    pub fn replica(&self) -> std::sync::MutexGuard<'_, TableReplica> {
+        self.replica.lock().expect("no holder of the lock panics")
     }
 
     /// How long ago the store confirmed the copy.
     pub fn age(&self, now: Instant) -> Option<Duration> {
-        Some(now.saturating_duration_since(self.mirror().confirmed()?))
+        Some(now.saturating_duration_since(self.replica().confirmed_at()?))
     }
 
     /// What this daemon says of the table in its beats: the version, and how many
     /// milliseconds ago the store confirmed it.
-    pub fn news(&self, now: Instant) -> TableNews {
+    pub fn announcement(&self, now: Instant) -> TableNews {
         let age = self.age(now)?;
-        Some((self.mirror().version()?, age.as_millis() as u32))
+        Some((self.replica().version()?, age.as_millis() as u32))
     }
 
     /// Takes in what another daemon says of the table.
-    pub fn hear(&self, from: MemberId, version: u64, age_ms: u32, now: Instant) {
+    pub fn record_announcement(
+        &self,
+        from: MemberId,
+        version: u64,
+        age_ms: u32,
+        now: Instant,
+    ) {
         let confirmed = now.checked_sub(Duration::from_millis(age_ms.into()));
-        let mut mirror = self.mirror();
+        let mut mirror = self.replica();
         if let Some(confirmed) = confirmed {
-            mirror.confirm(version, confirmed);
+            mirror.record_confirmation(version, confirmed);
         }
         if mirror.version().is_some_and(|own| own < version) {
-            self.newer.send_replace(Some((from, version)));
+            self.newer_version.send_replace(Some((from, version)));
         }
     }
 }
 
 /// Follows a table for as long as the daemon runs.
-pub async fn run(shared: Arc<Shared>, table: Arc<Table>, follower: impl Follower) {
+pub async fn run(
+    shared: Arc<Shared>,
+    table: Arc<SyncedTable>,
+    follower: impl ChangeHandler,
+) {
     let outage = Outage { since: None };
-    let mut follow = Follow {
+    let mut follow = TableSync {
         shared,
         table,
         follower,
@@ -155,9 +171,9 @@
     since: Option<Instant>,
 }
 
-struct Follow<F> {
+struct TableSync<F> {
     shared: Arc<Shared>,
-    table: Arc<Table>,
+    table: Arc<SyncedTable>,
     follower: F,
     outage: Outage,
     /// Whether the last call of the store failed.
@@ -176,14 +192,14 @@
     Nobody,
 }
 
-impl<F: Follower> Follow<F> {
+impl<F: ChangeHandler> TableSync<F> {
     async fn step(&mut self) {
         self.note_outage();
         let result = match self.source() {
             Source::Store(hold) => self.read_store(hold).await,
             Source::Peer(addr) => self.read_peer(addr).await,
             Source::Nobody => {
-                let mut newer = self.table.newer.subscribe();
+                let mut newer = self.table.newer_version.subscribe();
                 newer.borrow_and_update();
                 // Either there is news or it is time to look again.
                 let _ = timeout(LOOK, newer.changed()).await;
@@ -192,7 +208,7 @@
         };
         match result {
             Ok(()) => {}
-            Err(StoreFault(why)) => {
+            Err(StoreError(why)) => {
                 warn!(self.shared.log, "table not read"; "table" => self.table.name,
                     "error" => why, "age_ms" => self.age().map(|age| age.as_millis() as u64));
                 sleep(PAUSE).await;
@@ -205,12 +221,12 @@
         let now = self.shared.now();
         let rank = rank(&self.shared, self.table.name);
         let may_call = self.backoff.is_over(rank, now);
-        if self.table.mirror().version().is_none() {
+        if self.table.replica().version().is_none() {
             let first = Source::Store(Duration::ZERO);
             return if may_call { first } else { Source::Nobody };
         }
         // Right after its start a daemon knows no others and takes itself for the reader.
-        let settled = self.shared.age() > SETTLED;
+        let settled = self.shared.uptime() > SETTLED;
         if rank == 0 && settled && may_call {
             return Source::Store(fresh(&self.shared) / HOLD_PART);
         }
@@ -232,44 +248,44 @@
 
     /// A daemon that knows a newer version and was heard from lately.
     fn newer_peer(&self, now: Instant) -> Option<SocketAddr> {
-        let (member, version) = (*self.table.newer.borrow())?;
-        let own = self.table.mirror().version()?;
+        let (member, version) = (*self.table.newer_version.borrow())?;
+        let own = self.table.replica().version()?;
         let alive = self.shared.is_alive(member, now);
         if version <= own || !alive {
             return None;
         }
-        members::rows_addr(&self.shared, member)
+        members::table_changes_addr(&self.shared, member)
     }
 
-    async fn read_peer(&mut self, addr: SocketAddr) -> Result<(), StoreFault> {
-        let own = self.table.mirror().version().unwrap_or_default();
+    async fn read_peer(&mut self, addr: SocketAddr) -> Result<(), StoreError> {
+        let own = self.table.replica().version().unwrap_or_default();
         let fetch = if self.turned_away { FETCH_ALL } else { FETCH };
         let changes =
-            store::peer_changes(&self.shared, addr, self.table.name, own, fetch);
+            store::fetch_peer_changes(&self.shared, addr, self.table.name, own, fetch);
         let changes = match changes.await {
             Ok(changes) => changes,
             Err(_) if !self.turned_away => return self.read_store(Duration::ZERO).await,
             Err(fault) => {
                 // Another daemon may know it too, and says so in its next beat.
-                self.table.newer.send_replace(None);
+                self.table.newer_version.send_replace(None);
                 return Err(fault);
             }
         };
         if self.take(changes) {
-            members::tell_news(&self.shared);
+            members::announce_tables(&self.shared);
         }
         Ok(())
     }
 
     /// Takes in what another daemon says changed; returns whether any of it is new.
-    fn take(&mut self, changes: Changes) -> bool {
-        let Changes { rows, whole, version } = changes;
+    fn take(&mut self, changes: TableChanges) -> bool {
+        let TableChanges { rows, snapshot: whole, version } = changes;
         let rows: Vec<Change> = rows.into_iter().map(Change::from).collect();
         let fresh = {
-            let mut mirror = self.table.mirror();
+            let mut mirror = self.table.replica();
             match whole {
-                true => mirror.take_whole(rows, version).unwrap_or_default(),
-                false => mirror.take(rows, version),
+                true => mirror.apply_snapshot(rows, version).unwrap_or_default(),
+                false => mirror.apply(rows, version),
             }
         };
         let news = !fresh.is_empty();
@@ -277,7 +293,7 @@
         news
     }
 
-    async fn read_store(&mut self, hold: Duration) -> Result<(), StoreFault> {
+    async fn read_store(&mut self, hold: Duration) -> Result<(), StoreError> {
         let result = self.ask_store(hold).await;
         match &result {
             Ok(()) => self.backoff.answered(),
@@ -286,8 +302,8 @@
         result
     }
 
-    async fn ask_store(&mut self, hold: Duration) -> Result<(), StoreFault> {
-        let version = self.table.mirror().version();
+    async fn ask_store(&mut self, hold: Duration) -> Result<(), StoreError> {
+        let version = self.table.replica().version();
         let Some(after) = version else { return self.read_whole().await };
         let request =
             self.shared.dialect.write_changes_request(self.table.name, after, hold);
@@ -297,7 +313,7 @@
         let (status, body) = (answer.status(), answer.into_body());
         let delta = self.shared.dialect.read_changes(status, &body);
         self.turned_away = delta.is_err();
-        let Some(delta) = delta.map_err(|error| StoreFault(error.to_string()))? else {
+        let Some(delta) = delta.map_err(|error| StoreError(error.to_string()))? else {
             info!(self.shared.log, "history gone, reading the table whole";
                 "table" => self.table.name, "version" => after);
             return self.read_whole().await;
@@ -305,29 +321,29 @@
         let busy = !delta.changes.is_empty();
         let now = self.shared.now();
         let fresh = {
-            let mut mirror = self.table.mirror();
-            let fresh = mirror.take(delta.changes, delta.version);
-            mirror.confirm(delta.version, now);
+            let mut mirror = self.table.replica();
+            let fresh = mirror.apply(delta.changes, delta.version);
+            mirror.record_confirmation(delta.version, now);
             fresh
         };
         self.hand_on(fresh);
         if busy {
             // Others learn of it at once, and the store is not asked for each row.
-            members::tell_news(&self.shared);
+            members::announce_tables(&self.shared);
             sleep(READ_PAUSE).await;
         }
         Ok(())
     }
 
-    async fn read_whole(&mut self) -> Result<(), StoreFault> {
-        let (rows, version) = store::table(&self.shared, self.table.name).await?;
+    async fn read_whole(&mut self) -> Result<(), StoreError> {
+        let (rows, version) = store::read_table(&self.shared, self.table.name).await?;
         let now = self.shared.now();
         let fresh = {
-            let mut mirror = self.table.mirror();
-            let fresh = mirror.take_whole(rows, version);
+            let mut mirror = self.table.replica();
+            let fresh = mirror.apply_snapshot(rows, version);
             let fresh =
-                fresh.ok_or_else(|| StoreFault(format!("an old read, {version}")))?;
-            mirror.confirm(version, now);
+                fresh.ok_or_else(|| StoreError(format!("an old read, {version}")))?;
+            mirror.record_confirmation(version, now);
             fresh
         };
         self.hand_on(fresh);
@@ -336,9 +352,9 @@
 
     fn hand_on(&mut self, fresh: Vec<Change>) {
         for change in fresh {
-            self.follower.changed(change);
+            self.follower.on_change(change);
         }
-        self.follower.settled();
+        self.follower.on_batch_end();
     }
 
     /// Tells the follower when the store is back after an outage.
@@ -355,7 +371,7 @@
                 info!(self.shared.log, "store regained"; "table" => self.table.name,
                     "lost_ms" => now.duration_since(since).as_millis() as u64);
                 self.outage.since = None;
-                self.follower.regained();
+                self.follower.on_store_recovery();
             }
             _ => {}
         }
@@ -371,7 +387,7 @@
 /// This daemon's place in the order in which daemons read a table; 0 is the reader.
 fn rank(shared: &Shared, table: &str) -> usize {
     let me = &shared.settings.vm;
-    let known = shared.known();
+    let known = shared.membership();
     let now = shared.now();
     let own = weighted_rendezvous_rank(table, me.as_str(), shared.settings.weight());
     let others = known.members.iter().filter(|(vm, (row, _))| {
@@ -382,65 +398,65 @@
 }
 
 /// The tables that a daemon follows.
-pub fn tables(shared: &Shared) -> [&Arc<Table>; 3] {
-    [&shared.tables.declared, &shared.tables.servers, &shared.tables.own]
+pub fn tables(shared: &Shared) -> [&Arc<SyncedTable>; 3] {
+    [&shared.tables.declarations, &shared.tables.servers, &shared.tables.system]
 }
 
 /// What this daemon says of its tables to others.
-pub fn news(shared: &Shared) -> Vec<TableNews> {
+pub fn announcements(shared: &Shared) -> Vec<TableNews> {
     let now = shared.now();
-    tables(shared).into_iter().map(|table| table.news(now)).collect()
+    tables(shared).into_iter().map(|table| table.announcement(now)).collect()
 }
 
 /// Takes in what another daemon says of its tables.
-pub fn hear(shared: &Shared, from: MemberId, news: &[TableNews]) {
-    if shared.is_waking() {
+pub fn record_announcements(shared: &Shared, from: MemberId, news: &[TableNews]) {
+    if shared.is_resuming() {
         // It may have waited in the socket for as long as the daemon stood still.
         return;
     }
     let now = shared.now();
     for (table, news) in tables(shared).into_iter().zip(news) {
         if let Some((version, age)) = news {
-            table.hear(from, *version, *age, now);
+            table.record_announcement(from, *version, *age, now);
         }
     }
 }
 
 /// The system's own table: daemons and claims, told apart by the start of the key.
-pub const OWN: &str = "chestnut";
+pub const SYSTEM_TABLE: &str = "chestnut";
 
 /// Takes note of the rows of the system's own table that this daemon has written.
-pub fn note_own(shared: &Shared, commit: &Transaction, version: u64) {
-    let mut mirror = shared.tables.own.mirror();
-    for write in commit.writes.iter().filter(|write| write.table == OWN) {
+pub fn record_own_writes(shared: &Shared, commit: &Transaction, version: u64) {
+    let mut mirror = shared.tables.system.replica();
+    for write in commit.writes.iter().filter(|write| write.table == SYSTEM_TABLE) {
         let (key, value) = (write.key.clone(), write.value.clone());
-        mirror.note(&Change { key, version, value });
+        mirror.apply_own_write(&Change { key, version, value });
     }
 }
 
 /// Takes in the system's own table.
-pub struct Own {
+pub struct SystemTableHandler {
     /// Takes in daemons.
-    pub members: members::Members,
+    pub members: members::MemberHandler,
     /// Takes in claims.
-    pub claims: claims::Claims,
+    pub claims: claims::ClaimHandler,
     /// Takes in what was learnt of runners.
-    pub engines: learnt::EngineRows,
+    pub timings: persisted_timings::EngineTimingsHandler,
 }
 
-impl Follower for Own {
-    fn changed(&mut self, change: Change) {
-        if change.key.starts_with(members::PREFIX) {
-            self.members.changed(change);
-        } else if change.key.starts_with(claims::PREFIX) {
-            self.claims.changed(change);
-        } else if change.key.starts_with(learnt::PREFIX) {
-            self.engines.changed(change);
+impl ChangeHandler for SystemTableHandler {
+    fn on_change(&mut self, change: Change) {
+        if change.key.starts_with(members::KEY_PREFIX) {
+            self.members.on_change(change);
+        } else if change.key.starts_with(claims::KEY_PREFIX) {
+            self.claims.on_change(change);
+        } else if change.key.starts_with(persisted_timings::KEY_PREFIX) {
+            self.timings.on_change(change);
         }
     }
 
-    fn settled(&mut self) {
-        self.members.settled();
-        self.claims.settled();
+    fn on_batch_end(&mut self) {
+        self.members.on_batch_end();
+        self.claims.on_batch_end();
     }
 }
--- a/crates/gate/src/sums.rs
+++ b/crates/gate/src/usage_reports.rs
@@ -10,7 +10,7 @@
 
 use crate::message::{Begun, Message};
 use crate::shared::Shared;
-use crate::{grant, holder};
+use crate::{admission, holder};
 
 /// How often sums that are not zero are repeated.
 ///
@@ -19,7 +19,7 @@
 const REPEAT: Duration = Duration::from_secs(1);
 
 /// Tells a runner's holder what this daemon has in flight there now.
-pub fn tell(
+pub fn report(
     shared: &Shared,
     key: ServerKey,
     target: Option<TargetModel>,
@@ -43,15 +43,15 @@
     target: Option<TargetModel>,
     begun: Option<Begun>,
 ) {
-    if shared.holder(&server).is_some() {
-        take(shared, shared.peers.me, &server, usage, target.as_ref(), begun);
-    } else if let Some(addr) = holder::addr(shared, &server) {
+    if shared.held_runner(&server).is_some() {
+        apply(shared, shared.peers.me, &server, usage, target.as_ref(), begun);
+    } else if let Some(addr) = holder::holder_addr(shared, &server) {
         shared.peers.send(addr, Message::Sum { server, usage, target, begun });
     }
 }
 
 /// Takes in what a daemon has in flight at a runner.
-pub fn take(
+pub fn apply(
     shared: &Shared,
     from: MemberId,
     server: &ServerName,
@@ -59,7 +59,7 @@
     target: Option<&TargetModel>,
     begun: Option<Begun>,
 ) {
-    let Some(holder) = shared.holder(server) else { return };
+    let Some(holder) = shared.held_runner(server) else { return };
     let now = shared.now();
     {
         let mut state = holder.state();
@@ -69,14 +69,14 @@
         }
     }
     if let Some(begun) = begun {
-        grant::begun(shared, &holder, from, begun);
+        admission::record_first_event(shared, &holder, from, begun);
     }
     // What has ended makes room.
     holder.changed.notify_one();
 }
 
 /// Repeats sums that are not zero.
-pub async fn repeat(shared: Arc<Shared>) {
+pub async fn repeat_reports(shared: Arc<Shared>) {
     loop {
         sleep(REPEAT).await;
         let sums: Vec<(ServerName, Usage)> = {
--- a/crates/gate/tests/settings.rs
+++ b/crates/gate/tests/settings.rs
@@ -27,8 +27,8 @@
     assert_eq!(settings.vm.as_str(), "entry-1");
     assert_eq!(settings.weight(), 25);
     assert_eq!(settings.peer_addr().port(), 7000);
-    assert_eq!(settings.rows_addr().port(), 7010);
-    assert_eq!(settings.metrics.map(|addr| addr.port()), Some(9464));
+    assert_eq!(settings.table_changes_addr().port(), 7010);
+    assert_eq!(settings.metrics_addr.map(|addr| addr.port()), Some(9464));
 }
 
 #[test]
--- a/crates/gate/tests/mirror.rs
+++ b/crates/gate/tests/table_replica.rs
@@ -4,7 +4,7 @@
 
 use bytes::Bytes;
 use chestnut_edge::Change;
-use chestnut_gate::mirror::Mirror;
+use chestnut_gate::table_replica::TableReplica;
 use indexmap::IndexMap;
 use proptest::prelude::*;
 
@@ -83,7 +83,7 @@
 /// What a follower has made of the changes that it was told.
 #[derive(Default)]
 struct Follower {
-    mirror: Mirror,
+    mirror: TableReplica,
     rows: IndexMap<String, Change>,
 }
 
@@ -101,32 +101,32 @@
 
     /// Takes in a row that this daemon has just written.
     fn note(&mut self, change: Change) {
-        self.mirror.note(&change);
+        self.mirror.apply_own_write(&change);
         self.rows.insert(change.key.clone(), change);
     }
 
     fn follow(&mut self, table: &Table, old: u64) {
         let after = self.mirror.version().unwrap_or_default();
         let version = table.version.saturating_sub(old * 3).max(after);
-        let fresh = self.mirror.take(table.changes(after, version), version);
+        let fresh = self.mirror.apply(table.changes(after, version), version);
         self.hand_on(fresh);
     }
 
     fn read_whole(&mut self, table: &Table, old: u64) {
         let version = table.version.saturating_sub(old * 3);
         let rows = table.rows(version).into_values().collect();
-        let fresh = self.mirror.take_whole(rows, version);
+        let fresh = self.mirror.apply_snapshot(rows, version);
         self.hand_on(fresh.unwrap_or_default());
     }
 
-    fn ask(&mut self, peer: &Mirror) {
+    fn ask(&mut self, peer: &TableReplica) {
         let own = self.mirror.version().unwrap_or_default();
-        let Some(changes) = peer.changes(own) else { return };
+        let Some(changes) = peer.changes_since(own) else { return };
         let version = changes.version;
         let rows: Vec<Change> = changes.rows.into_iter().map(Change::from).collect();
-        let fresh = match changes.whole {
-            true => self.mirror.take_whole(rows, version).unwrap_or_default(),
-            false => self.mirror.take(rows, version),
+        let fresh = match changes.snapshot {
+            true => self.mirror.apply_snapshot(rows, version).unwrap_or_default(),
+            false => self.mirror.apply(rows, version),
         };
         self.hand_on(fresh);
     }
@@ -172,13 +172,13 @@
     // A daemon that lags says that the store has just confirmed its copy. One that
     // knows less must not take its own copy for up to date by that.
     let now = Instant::now();
-    let mut mirror = Mirror::default();
-    mirror.take(Vec::new(), 10);
-    mirror.confirm(12, now);
-    assert_eq!(mirror.confirmed(), None);
-    mirror.confirm(10, now);
-    mirror.confirm(10, now - Duration::from_secs(1));
-    assert_eq!(mirror.confirmed(), Some(now));
+    let mut mirror = TableReplica::default();
+    mirror.apply(Vec::new(), 10);
+    mirror.record_confirmation(12, now);
+    assert_eq!(mirror.confirmed_at(), None);
+    mirror.record_confirmation(10, now);
+    mirror.record_confirmation(10, now - Duration::from_secs(1));
+    assert_eq!(mirror.confirmed_at(), Some(now));
 }
 
 #[test]
--- a/crates/lab/src/logs.rs
+++ b/crates/lab/src/logs.rs
@@ -12,7 +12,7 @@
 use std::time::{Duration, Instant};
 
 use bpaf::Bpaf;
-use chestnut_gate::logs::{THREAD, logger_to};
+use chestnut_gate::logs::{WRITER_THREAD, logger_to};
 use slog::{Discard, Logger, info, o};
 
 use crate::cost;
@@ -108,7 +108,7 @@
         // Threads that have ended are not counted.
         Cost {
             serving: cost::processor(SERVING),
-            writing: cost::processor(THREAD),
+            writing: cost::processor(WRITER_THREAD),
             slowest,
         }
     });
