--- a/crates/gate/src/admission.rs
+++ b/crates/gate/src/admission.rs
@@ -1,8 +1,8 @@
-//! Says when daemons may send requests to a runner.
+//! Admits requests of all daemons to a runner.
 //!
-//! Daemons ask, repeat their question while they wait, and are told to send, or that
-//! this runner is not to be had. What is lost on the way is asked again; a question
-//! that was answered gets the same answer again.
+//! A daemon requests admission, repeats its request while it waits, and is told to send
+//! or that this runner is not available. Lost messages are covered by the repetition; a
+//! repeated request that was already decided gets the same verdict again.
 
 use std::sync::{Arc, Weak};
 use std::time::{Duration, Instant};
@@ -22,310 +22,338 @@
 use crate::peers::Reply;
 use crate::shared::Shared;
 
-/// How long a question that was answered is remembered.
+/// How long a decided request is remembered.
 ///
-/// Daemons ask again within a fraction of a second, and first events come later.
-const MEMORY: Duration = Duration::from_secs(3);
+/// Daemons repeat a request within a fraction of a second, and first events arrive later.
+const DECISION_TTL: Duration = Duration::from_secs(3);
 
-/// How long the lane sleeps at most; sums of daemons that died fade meanwhile.
-const PATIENCE: Duration = Duration::from_millis(250);
+/// The longest time between two checks of the prefill queue; usage reports of dead
+/// daemons decay in the meantime.
+const MAX_CHECK_INTERVAL: Duration = Duration::from_millis(250);
 
-/// The share of a prompt of which it may be unknown whether the runner keeps it, for the
-/// time of its reading to be learnt from.
+/// The largest share of a prompt that may be uncertainly cached if its prefill time is to
+/// count as a measurement.
 ///
-/// Reading looks faster than it is by half of that at most. With less, prompts of many
-/// sessions, whose parts few requests share, teach next to nothing.
-const DOUBTFUL_SHARE: f64 = 0.15;
+/// It makes prefill look faster by half that share at most. With a smaller share, prompts
+/// of many sessions, whose prefixes few requests have in common, provide next to no
+/// measurements.
+const MAX_UNCERTAIN_SHARE: f64 = 0.15;
 
-/// Asks when a request may be sent.
+/// A daemon's request to be admitted to a runner.
 pub struct AdmissionRequest {
-    /// Names the request.
+    /// Identifies the request: the daemon and its number.
     pub key: RequestKey,
-    /// What it needs.
+    /// What the request needs.
     pub request: GenerationRequest,
-    /// Whether the runner has just said that it does not have the adapter.
+    /// Whether the runner has just rejected the request because it lacks the adapter.
     pub adapter_missing: bool,
 }
 
-/// Who waits to send to a runner.
+/// The requests that wait for admission to a runner, and those decided recently.
 #[derive(Default)]
 pub struct AdmissionTable {
-    last: u64,
-    open: IndexMap<RequestKey, Entry>,
+    last_ticket: u64,
+    entries: IndexMap<RequestKey, AdmissionEntry>,
 }
 
-struct Entry {
+struct AdmissionEntry {
     ticket: Ticket,
-    want: GenerationRequest,
-    /// The prompt tokens that the runner had to read when the request was sent.
-    unread: u32,
-    /// Whether that number is known; the runner may keep parts from before this holder.
-    sure: bool,
-    /// Where the answer goes; nothing once a request of this daemon has it.
+    request: GenerationRequest,
+    /// Prompt tokens that were not cached at the runner when the request was sent.
+    uncached_tokens: u32,
+    /// Whether `uncached_tokens` is reliable; the runner may have cached parts before
+    /// this daemon held its claim.
+    is_certain: bool,
+    /// Where the verdict goes; `None` once a request of this daemon has received it.
     reply: Option<Reply<Verdict>>,
-    /// What became of it and when, once it is decided.
-    decided: Option<(Verdict, Instant)>,
+    /// The verdict and its time, once decided.
+    decision: Option<(Verdict, Instant)>,
 }
 
 impl AdmissionTable {
-    /// What became of a request that was asked for before.
-    fn verdict(&self, asker: RequestKey) -> Option<Verdict> {
-        let entry = self.open.get(&asker)?;
-        Some(entry.decided.map_or(Verdict::Queued, |(verdict, _)| verdict))
+    /// The verdict on a request that was entered before.
+    fn verdict(&self, key: RequestKey) -> Option<Verdict> {
+        let entry = self.entries.get(&key)?;
+        Some(entry.decision.map_or(Verdict::Queued, |(verdict, _)| verdict))
     }
 
-    fn enter(
+    fn insert(
         &mut self,
-        asker: RequestKey,
-        want: GenerationRequest,
+        key: RequestKey,
+        request: GenerationRequest,
         reply: Reply<Verdict>,
         now: Instant,
     ) -> Ticket {
-        let fresh = |at: Instant| now.saturating_duration_since(at) < MEMORY;
-        self.open.retain(|_, entry| entry.decided.is_none_or(|(_, at)| fresh(at)));
-        self.last += 1;
-        let ticket = Ticket(self.last);
-        let (unread, reply) = (want.size.prompt, Some(reply));
-        let entry = Entry { ticket, want, unread, sure: false, reply, decided: None };
-        self.open.insert(asker, entry);
+        let is_recent = |at: Instant| now.saturating_duration_since(at) < DECISION_TTL;
+        self.entries
+            .retain(|_, entry| entry.decision.is_none_or(|(_, at)| is_recent(at)));
+        self.last_ticket += 1;
+        let ticket = Ticket(self.last_ticket);
+        let (uncached_tokens, reply) = (request.size.prompt, Some(reply));
+        let entry = AdmissionEntry {
+            ticket,
+            request,
+            uncached_tokens,
+            is_certain: false,
+            reply,
+            decision: None,
+        };
+        self.entries.insert(key, entry);
         ticket
     }
 
-    fn find(&mut self, ticket: Ticket) -> Option<(RequestKey, &mut Entry)> {
-        let mut open = self.open.iter_mut();
-        let (asker, entry) = open.find(|(_, entry)| entry.ticket == ticket)?;
-        Some((*asker, entry))
+    fn find(&mut self, ticket: Ticket) -> Option<(RequestKey, &mut AdmissionEntry)> {
+        let mut entries = self.entries.iter_mut();
+        let (key, entry) = entries.find(|(_, entry)| entry.ticket == ticket)?;
+        Some((*key, entry))
     }
 
     fn undecided(&self) -> Vec<Ticket> {
-        let open = self.open.values().filter(|entry| entry.decided.is_none());
-        open.map(|entry| entry.ticket).collect()
+        let entries = self.entries.values().filter(|entry| entry.decision.is_none());
+        entries.map(|entry| entry.ticket).collect()
     }
 }
 
-/// Takes in that a daemon wants to send a request.
+/// Queues a request for admission, or repeats the verdict if it was entered before.
 pub fn request_admission(
     shared: &Arc<Shared>,
-    holder: &Arc<HeldRunner>,
-    question: AdmissionRequest,
+    runner: &Arc<HeldRunner>,
+    admission: AdmissionRequest,
     reply: Reply<Verdict>,
 ) {
-    let AdmissionRequest { key: asker, request: want, adapter_missing: missed } =
-        question;
-    let known = holder.admissions().verdict(asker);
-    if let Some(verdict) = known {
-        return answer(shared, asker.1, reply, verdict);
+    let AdmissionRequest { key, request, adapter_missing } = admission;
+    let known_verdict = runner.admissions().verdict(key);
+    if let Some(verdict) = known_verdict {
+        return send_verdict(shared, key.1, reply, verdict);
     }
-    let Some(engine) = shared.engine_of(&holder.server) else {
-        return answer(shared, asker.1, reply, Verdict::Denied);
+    let Some(engine) = shared.engine_of(&runner.server) else {
+        return send_verdict(shared, key.1, reply, Verdict::Denied);
     };
     if let Reply::There(addr) = &reply {
-        let message = Message::Taken { number: asker.1, verdict: Verdict::Queued };
+        let message = Message::Taken { number: key.1, verdict: Verdict::Queued };
         shared.peers.send(*addr, message);
     }
     let now = shared.now();
-    let ticket = holder.admissions().enter(asker, want.clone(), reply, now);
-    let ready = adapter_ready(holder, &want, missed, &engine, now);
-    enqueue(shared, holder, ticket, &want, ready);
+    let ticket = runner.admissions().insert(key, request.clone(), reply, now);
+    let ready = adapter_ready_at(runner, &request, adapter_missing, &engine, now);
+    enqueue(shared, runner, ticket, &request, ready);
     if ready.is_none() {
-        let (shared, holder) = (shared.clone(), holder.clone());
-        tokio::spawn(
-            async move { prepare(&shared, &holder, ticket, want, missed).await },
-        );
+        let (shared, runner) = (shared.clone(), runner.clone());
+        tokio::spawn(async move {
+            load_adapter(&shared, &runner, ticket, request, adapter_missing).await
+        });
     }
-    holder.changed.notify_one();
+    runner.changed.notify_one();
 }
 
-/// When the runner has the adapter; nothing if it has to be loaded.
-fn adapter_ready(
-    holder: &HeldRunner,
-    want: &GenerationRequest,
-    missed: bool,
+/// When the adapter is ready at the runner; `None` if it has to be loaded.
+fn adapter_ready_at(
+    runner: &HeldRunner,
+    request: &GenerationRequest,
+    adapter_missing: bool,
     engine: &Engine,
     now: Instant,
 ) -> Option<Instant> {
-    match holder.state().adapter_state(&want.target, engine.adapter_slots, now) {
-        AdapterState::Ready if !missed => Some(now),
-        AdapterState::Loading(left) if !missed => Some(now + left),
+    match runner.state().adapter_state(&request.target, engine.adapter_slots, now) {
+        AdapterState::Ready if !adapter_missing => Some(now),
+        AdapterState::Loading(left) if !adapter_missing => Some(now + left),
         _ => None,
     }
 }
 
 fn enqueue(
     shared: &Shared,
-    holder: &HeldRunner,
+    runner: &HeldRunner,
     ticket: Ticket,
-    want: &GenerationRequest,
+    request: &GenerationRequest,
     ready: Option<Instant>,
 ) {
     let now = shared.now();
-    let mut state = holder.state();
-    let work = state.prefill_time(want, &shared.engine_timings());
+    let mut state = runner.state();
+    let prefill_time = state.prefill_time(request, &shared.engine_timings());
     state.prefill_queue.push(QueuedPrompt {
         ticket,
-        prefill_time: work,
-        kv_tokens: want.size.tokens(),
-        urgency: want.urgency,
-        target: now + want.target_time,
-        deadline: now + want.wait_limit,
+        prefill_time,
+        kv_tokens: request.size.tokens(),
+        urgency: request.urgency,
+        target: now + request.target_time,
+        deadline: now + request.wait_limit,
         adapter_ready_at: ready,
     });
 }
 
-/// Has the adapter of a request that waits loaded.
-async fn prepare(
+/// Loads the adapter of a queued request; denies the request if that fails.
+async fn load_adapter(
     shared: &Shared,
-    holder: &HeldRunner,
+    runner: &HeldRunner,
     ticket: Ticket,
-    want: GenerationRequest,
-    missed: bool,
+    request: GenerationRequest,
+    adapter_missing: bool,
 ) {
-    match holder.load_adapter(want.target, missed).await {
+    match runner.load_adapter(request.target, adapter_missing).await {
         Some(ready) => {
-            holder.state().prefill_queue.set_adapter_ready(ticket, shared.now() + ready)
+            runner.state().prefill_queue.set_adapter_ready(ticket, shared.now() + ready)
         }
-        None => decide(shared, holder, ticket, Verdict::Denied),
+        None => decide(shared, runner, ticket, Verdict::Denied),
     }
-    holder.changed.notify_one();
+    runner.changed.notify_one();
 }
 
-/// Takes in that a request is not sent after all.
-pub fn withdraw(holder: &HeldRunner, asker: RequestKey) {
-    let Some(entry) = holder.admissions().open.swap_remove(&asker) else { return };
-    holder.state().prefill_queue.remove(entry.ticket);
-    holder.changed.notify_one();
+/// Removes a request that its daemon no longer wants to send.
+pub fn withdraw(runner: &HeldRunner, key: RequestKey) {
+    let Some(entry) = runner.admissions().entries.swap_remove(&key) else { return };
+    runner.state().prefill_queue.remove(entry.ticket);
+    runner.changed.notify_one();
 }
 
-/// Takes in the first event of a request that was sent in its turn.
+/// Records the first event of an admitted request.
 pub fn record_first_event(
     shared: &Shared,
-    holder: &HeldRunner,
+    runner: &HeldRunner,
     from: MemberId,
-    begun: Begun,
+    first_event: Begun,
 ) {
-    let (ticket, model, unread, sure) = {
-        let desk = holder.admissions();
-        let Some(entry) = desk.open.get(&(from, begun.number)) else { return };
-        (entry.ticket, entry.want.target.model.clone(), entry.unread, entry.sure)
+    let (ticket, model, uncached_tokens, is_certain) = {
+        let admissions = runner.admissions();
+        let Some(entry) = admissions.entries.get(&(from, first_event.number)) else {
+            return;
+        };
+        (
+            entry.ticket,
+            entry.request.target.model.clone(),
+            entry.uncached_tokens,
+            entry.is_certain,
+        )
     };
-    let time = Duration::from_millis(begun.after_ms.into());
-    let base = shared.engine_timings().first_event_overhead(&model);
-    let free = holder.state().prefill_queue.record_first_event(ticket, time, base);
-    if free && sure {
-        shared.engine_timings().record_first_event(&model, unread, time);
+    let time = Duration::from_millis(first_event.after_ms.into());
+    let overhead = shared.engine_timings().first_event_overhead(&model);
+    let engine_was_free =
+        runner.state().prefill_queue.record_first_event(ticket, time, overhead);
+    if engine_was_free && is_certain {
+        shared.engine_timings().record_first_event(&model, uncached_tokens, time);
     }
 }
 
-/// Sees to a runner's lane until its claim is lost.
-pub async fn run(shared: Arc<Shared>, holder: Weak<HeldRunner>) {
+/// Admits requests to a runner until its claim is lost.
+pub async fn run(shared: Arc<Shared>, runner: Weak<HeldRunner>) {
     loop {
-        let Some(held) = holder.upgrade() else { return };
-        let Some(until) = next(&shared, &held) else { continue };
+        let Some(runner) = runner.upgrade() else { return };
+        let Some(until) = decide_next(&shared, &runner) else { continue };
         let until = tokio::time::Instant::from_std(until);
-        // Either something changed or it is time to look again.
-        let _ = timeout_at(until, held.changed.notified()).await;
+        // Ends early when the runner's state changes.
+        let _ = timeout_at(until, runner.changed.notified()).await;
     }
 }
 
-/// Decides about the next request; returns until when nothing more can be decided.
-fn next(shared: &Shared, holder: &HeldRunner) -> Option<Instant> {
+/// Decides the next request; returns when to check again if none can be decided now.
+fn decide_next(shared: &Shared, runner: &HeldRunner) -> Option<Instant> {
     let now = shared.now();
-    let later = now + PATIENCE;
-    let Some(room) = room(shared, holder, now) else {
-        deny_all(shared, holder);
-        return Some(later);
+    let latest_check = now + MAX_CHECK_INTERVAL;
+    let Some(free_capacity) = free_capacity(shared, runner, now) else {
+        deny_all(shared, runner);
+        return Some(latest_check);
     };
-    let next = holder.state().prefill_queue.next_action(room, now);
-    match next {
-        PrefillAction::Send(waiting) => {
-            decide(shared, holder, waiting.ticket, Verdict::Send)
+    let action = runner.state().prefill_queue.next_action(free_capacity, now);
+    match action {
+        PrefillAction::Send(queued) => {
+            decide(shared, runner, queued.ticket, Verdict::Send)
         }
-        PrefillAction::Expired(waiting) => {
-            decide(shared, holder, waiting.ticket, Verdict::Denied)
+        PrefillAction::Expired(queued) => {
+            decide(shared, runner, queued.ticket, Verdict::Denied)
         }
-        PrefillAction::WaitUntil(until) => return Some(until.min(later)),
-        PrefillAction::Idle => return Some(later),
+        PrefillAction::WaitUntil(until) => return Some(until.min(latest_check)),
+        PrefillAction::Idle => return Some(latest_check),
     }
     None
 }
 
-/// Sends all that wait elsewhere: the runner takes no new requests.
+/// Denies all queued requests, because the runner accepts no new ones.
 ///
-/// A request that waited through the runner's notice would reach it after the time
-/// in which all daemons have to stop sending.
-fn deny_all(shared: &Shared, holder: &HeldRunner) {
-    let waiting = holder.admissions().undecided();
-    for ticket in waiting {
-        decide(shared, holder, ticket, Verdict::Denied);
+/// A request that waited out the runner's notice would reach it after the time within
+/// which all daemons must stop sending.
+fn deny_all(shared: &Shared, runner: &HeldRunner) {
+    let queued = runner.admissions().undecided();
+    for ticket in queued {
+        decide(shared, runner, ticket, Verdict::Denied);
     }
 }
 
-/// Decides what becomes of a request and tells who asked.
-fn decide(shared: &Shared, holder: &HeldRunner, ticket: Ticket, verdict: Verdict) {
+/// Decides a request and sends the verdict to its daemon.
+fn decide(shared: &Shared, runner: &HeldRunner, ticket: Ticket, verdict: Verdict) {
     let now = shared.now();
-    let (asker, reply, want) = {
-        let mut desk = holder.admissions();
-        let Some((asker, entry)) = desk.find(ticket) else { return };
-        entry.decided = Some((verdict, now));
+    let (key, reply, request) = {
+        let mut admissions = runner.admissions();
+        let Some((key, entry)) = admissions.find(ticket) else { return };
+        entry.decision = Some((verdict, now));
         let reply = match &entry.reply {
             Some(Reply::There(addr)) => Some(Reply::There(*addr)),
             _ => entry.reply.take(),
         };
-        (asker, reply, entry.want.clone())
+        (key, reply, entry.request.clone())
     };
     match verdict {
-        Verdict::Send => note_sent(shared, holder, ticket, &want),
+        Verdict::Send => record_sent_request(shared, runner, ticket, &request),
         Verdict::Denied | Verdict::Queued | Verdict::Moved => {
-            holder.state().prefill_queue.remove(ticket);
-            info!(shared.log, "turn denied"; "server" => holder.server.to_string(),
-                "daemon" => asker.0.to_string(), "number" => asker.1);
+            runner.state().prefill_queue.remove(ticket);
+            info!(shared.log, "admission denied"; "server" => runner.server.to_string(),
+                "daemon" => key.0.to_string(), "number" => key.1);
         }
     }
     if let Some(reply) = reply {
-        answer(shared, asker.1, reply, verdict);
+        send_verdict(shared, key.1, reply, verdict);
     }
 }
 
-fn note_sent(
+fn record_sent_request(
     shared: &Shared,
-    holder: &HeldRunner,
+    runner: &HeldRunner,
     ticket: Ticket,
-    want: &GenerationRequest,
+    request: &GenerationRequest,
 ) {
     let now = shared.now();
-    let capacity = shared.engine_of(&holder.server).map_or(0, |engine| engine.kv_tokens);
-    let (unread, sure) = {
-        let mut state = holder.state();
-        let unread = state.uncached_tokens(want);
-        let doubtful = state.prefix_cache.uncertain_tokens(&want.target, &want.parts);
-        state.prefix_cache.record_sent(&want.target, &want.parts, capacity);
-        state.mark_adapter_used(&want.target, now);
-        (unread, f64::from(doubtful) <= DOUBTFUL_SHARE * f64::from(unread))
+    let kv_capacity =
+        shared.engine_of(&runner.server).map_or(0, |engine| engine.kv_tokens);
+    let (uncached_tokens, is_certain) = {
+        let mut state = runner.state();
+        let uncached_tokens = state.uncached_tokens(request);
+        let uncertain_tokens =
+            state.prefix_cache.uncertain_tokens(&request.target, &request.parts);
+        state.prefix_cache.record_sent(&request.target, &request.parts, kv_capacity);
+        state.mark_adapter_used(&request.target, now);
+        (
+            uncached_tokens,
+            f64::from(uncertain_tokens)
+                <= MAX_UNCERTAIN_SHARE * f64::from(uncached_tokens),
+        )
     };
-    if let Some((_, entry)) = holder.admissions().find(ticket) {
-        (entry.unread, entry.sure) = (unread, sure);
+    if let Some((_, entry)) = runner.admissions().find(ticket) {
+        (entry.uncached_tokens, entry.is_certain) = (uncached_tokens, is_certain);
     }
 }
 
-fn answer(shared: &Shared, number: u64, reply: Reply<Verdict>, verdict: Verdict) {
+fn send_verdict(shared: &Shared, number: u64, reply: Reply<Verdict>, verdict: Verdict) {
     reply.send(&shared.peers, verdict, |verdict| Message::Taken { number, verdict });
 }
 
-/// What the runner has room for; nothing if it takes no new requests.
-fn room(shared: &Shared, holder: &HeldRunner, now: Instant) -> Option<RunnerCapacity> {
-    let open = {
+/// The runner's free capacity; `None` if it accepts no new requests.
+fn free_capacity(
+    shared: &Shared,
+    runner: &HeldRunner,
+    now: Instant,
+) -> Option<RunnerCapacity> {
+    let is_listed = {
         let fleet = shared.fleet();
-        let server = fleet.get(fleet.key(&holder.server)?)?;
+        let server = fleet.get(fleet.key(&runner.server)?)?;
         fleet.is_listed(server, now)
     };
-    if !open {
+    if !is_listed {
         return None;
     }
-    let engine = shared.engine_of(&holder.server)?;
-    let total = holder.state().total_usage(now);
+    let engine = shared.engine_of(&runner.server)?;
+    let usage = runner.state().total_usage(now);
     Some(RunnerCapacity {
-        requests: engine.slots.saturating_sub(total.requests),
-        kv_tokens: engine.usable_kv_tokens().saturating_sub(total.kv_tokens),
+        requests: engine.slots.saturating_sub(usage.requests),
+        kv_tokens: engine.usable_kv_tokens().saturating_sub(usage.kv_tokens),
         max_event_gap: shared
             .declarations()
             .and_then(|declared| declared.min_event_gap()),
--- a/crates/gate/src/claims.rs
+++ b/crates/gate/src/claims.rs
@@ -1,8 +1,8 @@
-//! Which daemon gives a runner its orders, and which plans for a service.
+//! Which daemon sends orders to a runner, and which plans for a service.
 //!
-//! A claim is a row that names holder and fence. It is taken in a transaction that
-//! checks the row's version, and only once the former holder's own row is gone;
-//! engines refuse orders with an older fence.
+//! A claim is a row with the holder and its fence. A daemon takes a claim in a
+//! transaction that checks the row's version, and only after the former holder's own row
+//! was removed; engines refuse orders with an older fence.
 
 use std::sync::Arc;
 use std::time::{Duration, Instant};
@@ -16,21 +16,21 @@
 use crate::table_sync::{self, ChangeHandler, SYSTEM_TABLE};
 use crate::{holder, metrics, queue, store};
 
-/// How keys of claims' rows begin; the claim follows.
+/// Prefix of the keys of claims; the claim's name follows.
 pub const KEY_PREFIX: &str = "claim:";
 
-/// How long a daemon waits after its start before it takes claims that nobody holds.
+/// How long a daemon waits after its start before it takes claims without a holder.
 ///
-/// All daemons start at the same moment; the first one would take everything and
-/// hand most of it over again.
-const GATHER: Duration = Duration::from_millis(1500);
+/// When all daemons start at once, the first would otherwise take every claim and hand
+/// most of them over again.
+const STARTUP_GRACE: Duration = Duration::from_millis(1500);
 
-/// What is added to the time between orders of two holders.
+/// Added to the minimum time between the orders of two holders.
 ///
-/// For orders of the former holder that were on their way when its claim was taken.
-const TURN_MARGIN: Duration = Duration::from_millis(500);
+/// Covers orders that the former holder had sent when its claim was taken.
+const HANDOVER_MARGIN: Duration = Duration::from_millis(500);
 
-/// Takes in the table of claims.
+/// Handles rows of claims.
 pub struct ClaimHandler(pub Arc<Shared>);
 
 impl ChangeHandler for ClaimHandler {
@@ -42,20 +42,20 @@
         let row: Option<ClaimRow> = match row.transpose() {
             Ok(row) => row,
             Err(error) => {
-                warn!(shared.log, "claim refused"; "key" => &change.key,
+                warn!(shared.log, "invalid claim row ignored"; "key" => &change.key,
                     "error" => error.to_string());
                 None
             }
         };
-        let before = take(shared, key.clone(), row, change.version);
+        let previous = record_claim(shared, key.clone(), row, change.version);
         let me = Some(shared.peers.me);
         let holder = row.and_then(|row| row.holder);
-        let (was, is) = (before == me, holder == me);
-        if holder != before && before.is_some() {
-            // Another VM gives the orders from now on.
-            shared.set_order_start_time(key, turn_from(shared));
+        let (was_mine, is_mine) = (previous == me, holder == me);
+        if holder != previous && previous.is_some() {
+            // Another daemon sends the orders from now on.
+            shared.set_order_start_time(key, next_order_time(shared));
         }
-        if was && !is {
+        if was_mine && !is_mine {
             shared.metrics.count(metrics::Step::Claim, "lost");
             info!(shared.log, "claim lost"; "claim" => &change.key,
                 "version" => change.version);
@@ -69,102 +69,111 @@
     }
 }
 
-/// Notes a claim's row; returns its holder before.
-fn take(
+/// Records a claim's row unless a newer one is recorded; returns the previous holder.
+fn record_claim(
     shared: &Shared,
     key: ClaimKey,
     row: Option<ClaimRow>,
     version: u64,
 ) -> Option<chestnut_base::MemberId> {
-    let mut known = shared.membership();
+    let mut membership = shared.membership();
     match row {
         Some(row) => {
-            let newer = |(_, old): &&(ClaimRow, u64)| *old < version;
-            let before = known.claims.get(&key).copied();
-            if before.as_ref().is_none_or(|old| newer(&old)) {
-                known.claims.insert(key, (row, version));
+            let is_newer = |(_, old): &&(ClaimRow, u64)| *old < version;
+            let previous = membership.claims.get(&key).copied();
+            if previous.as_ref().is_none_or(|old| is_newer(&old)) {
+                membership.claims.insert(key, (row, version));
             }
-            before.and_then(|(row, _)| row.holder)
+            previous.and_then(|(row, _)| row.holder)
         }
-        None => known.claims.swap_remove(&key).and_then(|(row, _)| row.holder),
+        None => membership.claims.swap_remove(&key).and_then(|(row, _)| row.holder),
     }
 }
 
-/// Takes, hands over and gives up claims.
+/// Takes, hands over and releases claims according to [`plan_claims`].
 pub async fn update_claims(shared: &Arc<Shared>) {
-    let read = *shared.system_table_loaded.borrow();
-    let gathered = shared.uptime() >= GATHER || shared.is_restart();
-    if !read || !gathered {
+    let is_loaded = *shared.system_table_loaded.borrow();
+    let past_startup = shared.uptime() >= STARTUP_GRACE || shared.is_restart();
+    if !is_loaded || !past_startup {
         return;
     }
-    let keys = keys(shared);
-    let steps = {
-        let known = shared.membership();
-        plan_claims(&known, &shared.settings.vm, shared.peers.me, &keys, shared.now())
-            .changes
+    let claim_keys = claim_keys(shared);
+    let changes = {
+        let membership = shared.membership();
+        plan_claims(
+            &membership,
+            &shared.settings.vm,
+            shared.peers.me,
+            &claim_keys,
+            shared.now(),
+        )
+        .changes
     };
-    if steps.is_empty() {
+    if changes.is_empty() {
         return;
     }
-    let fresh: Vec<bool> = steps.iter().map(|step| is_fresh(shared, step)).collect();
-    let commit = steps.iter().fold(Transaction::default(), add);
-    match store::commit(shared, &commit).await {
+    let at_once: Vec<bool> =
+        changes.iter().map(|change| may_order_at_once(shared, change)).collect();
+    let transaction = changes.iter().fold(Transaction::default(), add_change);
+    match store::commit(shared, &transaction).await {
         Ok(TransactionOutcome::Done { version }) => {
-            table_sync::record_own_writes(shared, &commit, version);
-            for (step, fresh) in steps.into_iter().zip(fresh) {
-                took(shared, step, version, fresh);
+            table_sync::record_own_writes(shared, &transaction, version);
+            for (change, at_once) in changes.into_iter().zip(at_once) {
+                record_change(shared, change, version, at_once);
             }
             holder::sync_claims(shared);
             queue::follow_claims(shared);
         }
         Ok(TransactionOutcome::Conflict) => {
-            info!(shared.log, "claims changed meanwhile"; "steps" => steps.len());
+            info!(shared.log, "claims changed concurrently"; "steps" => changes.len());
         }
         Ok(TransactionOutcome::Refused) => {}
-        Err(fault) => warn!(shared.log, "claims not taken"; "error" => fault.to_string()),
+        Err(error) => {
+            warn!(shared.log, "failed to update claims"; "error" => error.to_string())
+        }
     }
 }
 
-fn add(commit: Transaction, step: &ClaimChange) -> Transaction {
-    let key = format!("{KEY_PREFIX}{}", step.key);
+fn add_change(transaction: Transaction, change: &ClaimChange) -> Transaction {
+    let key = format!("{KEY_PREFIX}{}", change.key);
     // Claims are plain structs, which always serialize.
-    let value = serde_json::to_vec(&step.row).unwrap_or_default();
-    commit.require_version(SYSTEM_TABLE, &key, step.expected_version).put(
+    let value = serde_json::to_vec(&change.row).unwrap_or_default();
+    transaction.require_version(SYSTEM_TABLE, &key, change.expected_version).put(
         SYSTEM_TABLE,
         &key,
         value,
     )
 }
 
-/// Whether no other VM can have given orders under the claim lately.
-fn is_fresh(shared: &Shared, step: &ClaimChange) -> bool {
-    let known = shared.membership();
-    let holder = known.claims.get(&step.key).and_then(|(row, _)| row.holder);
-    // An earlier process on this VM is the same holder to the engine.
-    step.expected_version == 0
+/// Whether no other VM can have sent orders under the claim recently.
+fn may_order_at_once(shared: &Shared, change: &ClaimChange) -> bool {
+    let membership = shared.membership();
+    let holder = membership.claims.get(&change.key).and_then(|(row, _)| row.holder);
+    // To the engine, an earlier process on this VM is the same holder.
+    change.expected_version == 0
         || holder.is_some() && holder == shared.previous_incarnation()
 }
 
-fn took(shared: &Shared, step: ClaimChange, version: u64, fresh: bool) {
-    take(shared, step.key.clone(), Some(step.row), version);
-    let mine = step.row.holder == Some(shared.peers.me);
-    let from = if fresh { shared.now() } else { turn_from(shared) };
-    if mine {
-        shared.set_order_start_time(step.key.clone(), from);
+fn record_change(shared: &Shared, change: ClaimChange, version: u64, at_once: bool) {
+    record_claim(shared, change.key.clone(), Some(change.row), version);
+    let is_mine = change.row.holder == Some(shared.peers.me);
+    let from = if at_once { shared.now() } else { next_order_time(shared) };
+    if is_mine {
+        shared.set_order_start_time(change.key.clone(), from);
     }
-    let outcome = if mine { "taken" } else { "handed over" };
+    let outcome = if is_mine { "taken" } else { "handed over" };
     shared.metrics.count(metrics::Step::Claim, outcome);
     info!(shared.log, "claim {outcome}";
-        "claim" => step.key.to_string(), "fence" => step.row.fence.0, "version" => version);
+        "claim" => change.key.to_string(), "fence" => change.row.fence.0, "version" => version);
 }
 
-fn turn_from(shared: &Shared) -> Instant {
-    shared.now() + shared.bounds.borrow().turn + TURN_MARGIN
+fn next_order_time(shared: &Shared) -> Instant {
+    shared.now() + shared.bounds.borrow().turn + HANDOVER_MARGIN
 }
 
-/// Everything that is claimed: runners that are listed, and all services, for their
-/// planners or their queues.
-fn keys(shared: &Shared) -> Vec<ClaimKey> {
+/// All claims there should be: one for each listed runner and one for each service, whose
+/// holder plans it or runs its queue.
+fn claim_keys(shared: &Shared) -> Vec<ClaimKey> {
     let Some(declared) = shared.declarations() else { return Vec::new() };
     let engines: Vec<&ServiceName> = declared
         .services
@@ -186,13 +195,14 @@
     PoolName::try_from(service.as_str()).ok().map(ClaimKey::Pool)
 }
 
-/// The fence under which this daemon may give a runner orders now.
+/// The fence under which this daemon may send orders to a runner now; `None` if it may
+/// not.
 pub fn fence(shared: &Shared, server: &ServerName) -> Option<Fence> {
     let key = ClaimKey::Server(server.clone());
-    let turn = shared.order_start_time(&key);
-    let known = shared.membership();
-    let (row, _) = known.claims.get(&key)?;
-    let mine = row.holder == Some(shared.peers.me);
-    let open = turn.is_none_or(|from| shared.now() >= from);
-    (mine && open).then_some(row.fence)
+    let order_start = shared.order_start_time(&key);
+    let membership = shared.membership();
+    let (row, _) = membership.claims.get(&key)?;
+    let is_mine = row.holder == Some(shared.peers.me);
+    let may_order = order_start.is_none_or(|from| shared.now() >= from);
+    (is_mine && may_order).then_some(row.fence)
 }
--- a/crates/gate/src/holder.rs
+++ b/crates/gate/src/holder.rs
@@ -1,7 +1,7 @@
 //! What this daemon does for a runner whose claim it holds.
 //!
-//! It sums what all daemons have in flight there, says when the next prompt may be
-//! sent ([`grant`](crate::admission)), and gives the runner its orders
+//! It adds up the usage that all daemons report, admits requests
+//! ([`admission`](crate::admission)), and sends the runner its orders
 //! ([`driver`](crate::driver)).
 
 use std::net::SocketAddr;
@@ -21,78 +21,86 @@
 use crate::planner;
 use crate::shared::Shared;
 
-/// How long a wanted change of models is good for.
+/// How long after its receipt a move may still be started.
 ///
-/// The planner repeats it four times a second while it stands.
-const MOVE_TIME: Duration = Duration::from_millis(1000);
+/// The planner repeats a move four times a second while it is planned.
+const MOVE_TTL: Duration = Duration::from_millis(1000);
 
-/// Commands that wait for a runner.
-const QUEUE: usize = 256;
+/// The number of commands that may be queued for a runner.
+const MAX_QUEUED_COMMANDS: usize = 256;
 
 /// A runner whose claim this daemon holds.
 pub struct HeldRunner {
     /// The runner's name.
     pub server: ServerName,
     admissions: Mutex<AdmissionTable>,
-    /// Wakes whoever sees to the runner's lane.
+    /// Wakes the task that admits requests to the runner.
     pub changed: Notify,
     state: Mutex<RunnerView>,
     commands: mpsc::Sender<Command>,
 }
 
-/// What a runner is to do.
+/// A command for the task that sends the runner its orders.
 enum Command {
-    /// Load an adapter, and say in how long it is there.
-    Adapter {
+    /// Load an adapter, and reply with the time until it is ready.
+    LoadAdapter {
         target: TargetModel,
-        /// Whether the runner has just said that it does not have it.
-        missed: bool,
+        /// Whether the runner has just rejected a request because it lacks the adapter.
+        adapter_missing: bool,
         reply: oneshot::Sender<Option<Duration>>,
     },
-    /// Change the models.
+    /// Load or unload models.
     Move {
-        change: Move,
-        at: Instant,
-        /// The planner, if it is another daemon.
+        planned: Move,
+        received_at: Instant,
+        /// Where to report a failure; `None` if this daemon is the planner.
         planner: Option<SocketAddr>,
     },
 }
 
 impl HeldRunner {
-    /// What is known of the runner.
+    /// Locks this daemon's view of the runner.
     pub fn state(&self) -> MutexGuard<'_, RunnerView> {
         self.state.lock().expect("no holder of the lock panics")
     }
 
-    /// Who waits to send to it.
+    /// Locks the requests that wait for admission or were decided recently.
     pub fn admissions(&self) -> MutexGuard<'_, AdmissionTable> {
         self.admissions.lock().expect("no holder of the lock panics")
     }
 
-    /// Asks for an adapter; returns in how long it is there.
+    /// Has an adapter loaded; returns the time until it is ready, or `None` if it can't
+    /// be loaded.
     pub async fn load_adapter(
         &self,
         target: TargetModel,
-        missed: bool,
+        adapter_missing: bool,
     ) -> Option<Duration> {
-        let (reply, answer) = oneshot::channel();
-        // A full queue is a runner that does not answer orders.
-        self.commands.try_send(Command::Adapter { target, missed, reply }).ok()?;
-        answer.await.ok().flatten()
+        let (reply, response) = oneshot::channel();
+        // The queue is full only if the runner doesn't respond to orders.
+        self.commands
+            .try_send(Command::LoadAdapter { target, adapter_missing, reply })
+            .ok()?;
+        response.await.ok().flatten()
     }
 
-    /// Asks for a change of models for a planner, which may be another daemon.
-    pub fn request_move(&self, change: Move, planner: Option<SocketAddr>, at: Instant) {
-        // The planner repeats what still stands.
-        drop(self.commands.try_send(Command::Move { change, at, planner }));
+    /// Queues a move for a planner, which may be another daemon.
+    pub fn request_move(
+        &self,
+        planned: Move,
+        planner: Option<SocketAddr>,
+        received_at: Instant,
+    ) {
+        // If the queue is full the move is dropped; the planner repeats it.
+        drop(self.commands.try_send(Command::Move { planned, received_at, planner }));
     }
 }
 
-/// Starts and ends holders as claims come and go.
+/// Starts and stops [`HeldRunner`]s as claims are taken and lost.
 pub fn sync_claims(shared: &Arc<Shared>) {
-    let held: Vec<ServerName> = {
-        let known = shared.membership();
-        let claims = known.claims.iter();
+    let held_servers: Vec<ServerName> = {
+        let membership = shared.membership();
+        let claims = membership.claims.iter();
         let mine = claims.filter(|(_, (row, _))| row.holder == Some(shared.peers.me));
         let runners = mine.filter_map(|(key, _)| match key {
             ClaimKey::Server(name) => Some(name.clone()),
@@ -100,42 +108,45 @@
         });
         runners.collect()
     };
-    let mut holders = shared.held_runners();
-    holders.retain(|name, _| held.contains(name));
-    for name in held {
-        holders.entry(name.clone()).or_insert_with(|| start(shared.clone(), name));
+    let mut held_runners = shared.held_runners();
+    held_runners.retain(|name, _| held_servers.contains(name));
+    for name in held_servers {
+        held_runners
+            .entry(name.clone())
+            .or_insert_with(|| start_runner(shared.clone(), name));
     }
 }
 
-fn start(shared: Arc<Shared>, server: ServerName) -> Arc<HeldRunner> {
-    let (commands, receiver) = mpsc::channel(QUEUE);
+fn start_runner(shared: Arc<Shared>, server: ServerName) -> Arc<HeldRunner> {
+    let (commands, receiver) = mpsc::channel(MAX_QUEUED_COMMANDS);
     let (admissions, changed, state) =
         (Mutex::default(), Notify::new(), Mutex::default());
-    let holder = Arc::new(HeldRunner { server, admissions, changed, state, commands });
-    tokio::spawn(drive(shared.clone(), Arc::downgrade(&holder), receiver));
-    tokio::spawn(admission::run(shared, Arc::downgrade(&holder)));
-    holder
+    let runner = Arc::new(HeldRunner { server, admissions, changed, state, commands });
+    tokio::spawn(run_commands(shared.clone(), Arc::downgrade(&runner), receiver));
+    tokio::spawn(admission::run(shared, Arc::downgrade(&runner)));
+    runner
 }
 
-/// Carries out commands one after another until the claim is lost.
-async fn drive(
+/// Executes commands one after another until the claim is lost.
+async fn run_commands(
     shared: Arc<Shared>,
-    holder: Weak<HeldRunner>,
+    runner: Weak<HeldRunner>,
     mut commands: mpsc::Receiver<Command>,
 ) {
     while let Some(command) = commands.recv().await {
-        let fresh = |at| shared.now().saturating_duration_since(at) < MOVE_TIME;
-        let Some(holder) = holder.upgrade() else { return };
-        let driver = Driver { shared: &shared, runner: &holder };
+        let is_recent =
+            |received_at| shared.now().saturating_duration_since(received_at) < MOVE_TTL;
+        let Some(runner) = runner.upgrade() else { return };
+        let driver = Driver { shared: &shared, runner: &runner };
         match command {
-            Command::Adapter { target, missed, reply } => {
-                let ready = driver.load_adapter(&target, missed).await;
-                // Whoever asked may have given up.
-                let _ = reply.send(ready);
+            Command::LoadAdapter { target, adapter_missing, reply } => {
+                let ready_in = driver.load_adapter(&target, adapter_missing).await;
+                // The requester may have stopped waiting.
+                let _ = reply.send(ready_in);
             }
-            Command::Move { change, at, planner } if fresh(at) => {
-                if !driver.apply_move(&change).await {
-                    tell_failed(&shared, change, planner);
+            Command::Move { planned, received_at, planner } if is_recent(received_at) => {
+                if !driver.apply_move(&planned).await {
+                    report_failed_move(&shared, planned, planner);
                 }
             }
             Command::Move { .. } => {}
@@ -143,16 +154,16 @@
     }
 }
 
-fn tell_failed(shared: &Shared, change: Move, planner: Option<SocketAddr>) {
+fn report_failed_move(shared: &Shared, planned: Move, planner: Option<SocketAddr>) {
     match planner {
-        Some(addr) => shared.peers.send(addr, Message::Failed(change)),
-        None => planner::record_failed_move(shared, &change),
+        Some(addr) => shared.peers.send(addr, Message::Failed(planned)),
+        None => planner::record_failed_move(shared, &planned),
     }
 }
 
-/// Where the holder of a runner's claim receives datagrams.
+/// Where the holder of a runner's claim receives datagrams; `None` if it has no holder.
 pub fn holder_addr(shared: &Shared, server: &ServerName) -> Option<SocketAddr> {
-    let known = shared.membership();
-    let (row, _) = known.claims.get(&ClaimKey::Server(server.clone()))?;
-    known.member_row(row.holder?).map(|row| row.peer_addr)
+    let membership = shared.membership();
+    let (row, _) = membership.claims.get(&ClaimKey::Server(server.clone()))?;
+    membership.member_row(row.holder?).map(|row| row.peer_addr)
 }
--- a/crates/gate/src/members.rs
+++ b/crates/gate/src/members.rs
@@ -1,9 +1,9 @@
-//! Which daemons there are.
+//! Cluster membership.
 //!
-//! Each daemon has a row in the store from its start to its end. Daemons send each
-//! other beats; one that nobody hears any more has its row removed by those that
-//! watch it, and only then may others take over what it held. The row's removal is
-//! what all daemons go by: a beat that one link loses proves nothing.
+//! Each daemon has a row in the store from its start to its end. Daemons exchange
+//! heartbeats. When none receives a daemon's heartbeats any more, those that watch it
+//! remove its row, and only then may others take over its claims. All daemons go by the
+//! removal of the row, since heartbeats lost on one link prove nothing.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -22,25 +22,25 @@
 use crate::table_sync::{self, ChangeHandler, SYSTEM_TABLE};
 use crate::{claims, store};
 
-/// How keys of daemons' rows begin; the VM's name follows.
+/// Prefix of the keys of daemons' rows; the VM's name follows.
 pub const KEY_PREFIX: &str = "daemon:";
 
-/// How often a daemon says that it lives.
+/// How often a daemon sends heartbeats.
 const HEARTBEAT_PERIOD: Duration = Duration::from_millis(250);
 
-/// How long a daemon may be silent to all before its row is removed.
+/// How long all daemons may miss a daemon's heartbeats before its row is removed.
 ///
-/// Longer than a garbage of lost datagrams, shorter than the time in which a killed
-/// process is back; what it held can't be used meanwhile.
+/// Longer than a burst of lost datagrams, shorter than a killed process takes to restart.
+/// The daemon's claims can't be used in the meantime.
 pub const FAILURE_TIMEOUT: Duration = Duration::from_millis(1500);
 
-/// How often a daemon that starts looks whether it can serve.
-const START_LOOK: Duration = Duration::from_millis(10);
+/// How often a starting daemon checks whether it can serve.
+const STARTUP_POLL_PERIOD: Duration = Duration::from_millis(10);
 
-/// The pause after a failed call of the store.
-const PAUSE: Duration = Duration::from_millis(200);
+/// Delay before a failed write of the own row is retried.
+const RETRY_DELAY: Duration = Duration::from_millis(200);
 
-/// Takes in the table of daemons.
+/// Handles rows of daemons.
 pub struct MemberHandler(pub Arc<Shared>);
 
 impl ChangeHandler for MemberHandler {
@@ -52,22 +52,22 @@
         let row: Option<MemberRow> = match row.transpose() {
             Ok(row) => row,
             Err(error) => {
-                warn!(shared.log, "daemon's row refused"; "key" => &change.key,
+                warn!(shared.log, "invalid row of a daemon ignored"; "key" => &change.key,
                     "error" => error.to_string());
                 None
             }
         };
-        let mut known = shared.membership();
+        let mut membership = shared.membership();
         match row {
             Some(row) => {
                 info!(shared.log, "daemon listed"; "member" => vm.to_string(),
                     "version" => change.version, "leaving" => row.leaving);
-                known.members.insert(vm, (row, change.version));
+                membership.members.insert(vm, (row, change.version));
             }
             None => {
-                info!(shared.log, "daemon gone"; "member" => vm.to_string(),
+                info!(shared.log, "daemon removed"; "member" => vm.to_string(),
                     "version" => change.version);
-                known.members.swap_remove(&vm);
+                membership.members.swap_remove(&vm);
             }
         }
     }
@@ -75,36 +75,38 @@
     fn on_batch_end(&mut self) {
         let Self(shared) = self;
         let neighbours = {
-            let mut known = shared.membership();
-            known.record_first_seen(shared.now());
-            Neighbours::find(&known, &shared.settings.vm, shared.peers.me)
+            let mut membership = shared.membership();
+            membership.record_first_seen(shared.now());
+            Neighbours::select(&membership, &shared.settings.vm, shared.peers.me)
         };
         *shared.neighbours() = neighbours;
     }
 }
 
-/// Says regularly that the daemon lives.
+/// Sends heartbeats for as long as the daemon runs.
 ///
-/// Apart from everything that waits for the store: a daemon whose calls hang is alive.
+/// Separate from every task that waits for the store, since a daemon whose calls hang is
+/// still alive.
 pub async fn run_heartbeats(shared: Arc<Shared>) {
     loop {
-        // Notes when the daemon has stood still.
+        // Detects a suspension of the daemon before the heartbeat goes out.
         shared.is_resuming();
-        beat(&shared);
+        send_heartbeat(&shared);
         sleep(HEARTBEAT_PERIOD).await;
     }
 }
 
-/// Joins, takes claims, and watches others.
+/// Joins the cluster, then updates claims and watches other daemons.
 ///
-/// The daemon joins once it can serve: callers are sent to all that have joined.
+/// The daemon joins once it can serve, since callers are directed to every daemon that
+/// has joined.
 pub async fn run(shared: Arc<Shared>) {
-    wait_until_known(&shared).await;
+    wait_until_initialized(&shared).await;
     join(&shared).await;
     loop {
         claims::update_claims(&shared).await;
-        remove_silent(&shared).await;
-        if is_removed(&shared) {
+        remove_unresponsive(&shared).await;
+        if is_own_row_missing(&shared) {
             info!(shared.log, "own row was removed, joining again");
             join(&shared).await;
         }
@@ -112,31 +114,31 @@
     }
 }
 
-async fn wait_until_known(shared: &Shared) {
-    let mut own = shared.system_table_loaded.subscribe();
-    // The sender lives in `shared`, so that waiting can't fail.
-    let _ = own.wait_for(|read| *read).await;
+async fn wait_until_initialized(shared: &Shared) {
+    let mut loaded = shared.system_table_loaded.subscribe();
+    // `shared` owns the sender, so the channel can't be closed.
+    let _ = loaded.wait_for(|is_loaded| *is_loaded).await;
     while !shared.is_initialized() {
-        sleep(START_LOOK).await;
+        sleep(STARTUP_POLL_PERIOD).await;
     }
 }
 
-/// Writes the own row, over that of an earlier process on this VM.
+/// Writes the own row, replacing that of an earlier process on this VM.
 async fn join(shared: &Shared) {
     let row = own_row(shared);
     let vm = shared.settings.vm.as_str();
-    find_previous(shared);
-    while let Err(why) = put_row(shared, vm, &row).await {
-        warn!(shared.log, "not joined yet"; "why" => why);
-        sleep(PAUSE).await;
+    record_previous_incarnation(shared);
+    while let Err(reason) = write_row(shared, vm, &row).await {
+        warn!(shared.log, "failed to join, retrying"; "why" => reason);
+        sleep(RETRY_DELAY).await;
     }
     info!(shared.log, "joined"; "me" => shared.peers.me.to_string());
 }
 
-/// Learns which process ran on this VM before, if its row still stands.
-fn find_previous(shared: &Shared) {
-    let known = shared.membership();
-    let row = known.members.get(&shared.settings.vm);
+/// Records the earlier process on this VM, if its row still exists.
+fn record_previous_incarnation(shared: &Shared) {
+    let membership = shared.membership();
+    let row = membership.members.get(&shared.settings.vm);
     if let Some((row, _)) = row
         && row.member != shared.peers.me
     {
@@ -144,18 +146,18 @@
     }
 }
 
-async fn put_row(shared: &Shared, vm: &str, row: &MemberRow) -> Result<(), String> {
+async fn write_row(shared: &Shared, vm: &str, row: &MemberRow) -> Result<(), String> {
     let value = serde_json::to_vec(row).map_err(|error| error.to_string())?;
-    let commit = Transaction::default().put(SYSTEM_TABLE, &key(vm), value);
-    match store::commit(shared, &commit).await {
+    let transaction = Transaction::default().put(SYSTEM_TABLE, &row_key(vm), value);
+    match store::commit(shared, &transaction).await {
         Ok(TransactionOutcome::Done { version }) => {
-            table_sync::record_own_writes(shared, &commit, version);
+            table_sync::record_own_writes(shared, &transaction, version);
             let vm = shared.settings.vm.clone();
             shared.membership().members.insert(vm, (row.clone(), version));
             Ok(())
         }
-        Ok(answer) => Err(format!("{answer:?}")),
-        Err(fault) => Err(fault.to_string()),
+        Ok(outcome) => Err(format!("{outcome:?}")),
+        Err(error) => Err(error.to_string()),
     }
 }
 
@@ -172,190 +174,192 @@
     }
 }
 
-/// The key of a daemon's row.
-fn key(vm: &str) -> String {
+fn row_key(vm: &str) -> String {
     format!("{KEY_PREFIX}{vm}")
 }
 
-/// Where a daemon says what changed in its copies of the store's tables.
+/// Where a daemon serves the changes of its table replicas; `None` if it has no row.
 pub fn table_changes_addr(shared: &Shared, member: MemberId) -> Option<SocketAddr> {
-    let known = shared.membership();
-    known.member_row(member).map(|row| row.ops_addr)
+    let membership = shared.membership();
+    membership.member_row(member).map(|row| row.ops_addr)
 }
 
-/// Tells others that the daemon lives.
-fn beat(shared: &Shared) {
+/// Sends a heartbeat to all neighbours.
+fn send_heartbeat(shared: &Shared) {
     let now = shared.now();
-    let beat = Beat {
+    let heartbeat = Beat {
         leaving: *shared.shutting_down.borrow(),
         heard: shared.peers.alive(now),
         tables: table_sync::announcements(shared),
     };
     let addrs: Vec<SocketAddr> = shared.neighbours().addrs.values().copied().collect();
     for addr in addrs {
-        shared.peers.send(addr, Message::Beat(beat.clone()));
+        shared.peers.send(addr, Message::Beat(heartbeat.clone()));
     }
 }
 
-/// Tells a few others at once that the copies of the store's tables have changed.
+/// Announces changed table replicas to a few neighbours at once.
 ///
-/// Each of them tells a few more, so that most know it after a few hops; the rest learn of
-/// it from the next beat. Told to all neighbours by all, each change of a table was more
-/// than three quarters of what daemons send each other.
+/// Each of them announces them to a few more, which reaches most daemons within a few
+/// hops; the rest learn of them from the next heartbeat. When every daemon announced each
+/// change to all its neighbours, that was more than three quarters of the traffic between
+/// daemons.
 pub fn announce_tables(shared: &Shared) {
-    let news = table_sync::announcements(shared);
-    let lacking: Vec<SocketAddr> = {
+    let announcements = table_sync::announcements(shared);
+    let outdated: Vec<SocketAddr> = {
         let neighbours = shared.neighbours();
-        let lacks = |member: MemberId| shared.peers.lacks(member, &news);
+        let lacks = |member: MemberId| shared.peers.lacks(member, &announcements);
         let addrs = neighbours.addrs.iter();
         addrs.filter(|(member, _)| lacks(**member)).map(|(_, addr)| *addr).collect()
     };
-    for addr in lacking.into_iter().sample(&mut rand::rng(), FAN_OUT) {
-        shared.peers.send(addr, Message::News(news.clone()));
+    for addr in outdated.into_iter().sample(&mut rand::rng(), ANNOUNCEMENT_FAN_OUT) {
+        shared.peers.send(addr, Message::News(announcements.clone()));
     }
 }
 
-/// Tells all daemons that this one leaves, so that none sends callers to it.
+/// Announces to all daemons that this one shuts down, so that none directs callers to it.
 pub fn announce_shutdown(shared: &Shared) {
-    let beat = Beat { leaving: true, ..Beat::default() };
+    let heartbeat = Beat { leaving: true, ..Beat::default() };
     for (_, addr) in other_daemons(shared) {
-        shared.peers.send(addr, Message::Beat(beat.clone()));
+        shared.peers.send(addr, Message::Beat(heartbeat.clone()));
     }
 }
 
-/// Up to how many daemons all exchange beats with all.
+/// Up to this many daemons, each exchanges heartbeats with every other.
 ///
-/// Ten daemons send 400 beats a second in all; 78 would send 24,000.
-const MESH: usize = 12;
+/// Ten daemons send 400 heartbeats a second in all; 78 would send 24,000.
+const MAX_FULL_MESH: usize = 12;
 
-/// The number of others that a daemon tells at once that a table has changed.
-const FAN_OUT: usize = 4;
+/// The number of neighbours that a daemon sends an announcement to.
+const ANNOUNCEMENT_FAN_OUT: usize = 4;
 
-/// The daemons that a daemon exchanges beats with: all of a few, else those that it
-/// watches and those that watch it.
+/// The daemons that a daemon exchanges heartbeats with: all others in a small cluster,
+/// else those that it watches and those that watch it.
 #[derive(Debug, Default)]
 pub struct Neighbours {
     addrs: IndexMap<MemberId, SocketAddr>,
 }
 
 impl Neighbours {
-    /// Whether beats of a daemon are expected.
+    /// Whether heartbeats of a daemon are expected.
     pub fn expects(&self, member: MemberId) -> bool {
         self.addrs.contains_key(&member)
     }
 
-    fn find(known: &MembershipRows, vm: &VmName, me: MemberId) -> Self {
-        let few = known.members.len() <= MESH;
-        let near: Vec<VmName> = match few {
-            true => known.members.keys().cloned().collect(),
-            false => {
-                watched_vms(known, vm).into_iter().chain(watchers(known, vm)).collect()
-            }
+    fn select(membership: &MembershipRows, vm: &VmName, me: MemberId) -> Self {
+        let is_small = membership.members.len() <= MAX_FULL_MESH;
+        let nearby: Vec<VmName> = match is_small {
+            true => membership.members.keys().cloned().collect(),
+            false => watched_vms(membership, vm)
+                .into_iter()
+                .chain(watchers(membership, vm))
+                .collect(),
         };
-        let rows = near.iter().filter_map(|vm| known.members.get(vm));
+        let rows = nearby.iter().filter_map(|vm| membership.members.get(vm));
         let others = rows.filter(|(row, _)| row.member != me);
         let addrs = others.map(|(row, _)| (row.member, row.peer_addr)).collect();
         Self { addrs }
     }
 }
 
-/// All other daemons and where they receive datagrams.
+/// All other daemons and the addresses where they receive datagrams.
 pub fn other_daemons(shared: &Shared) -> Vec<(MemberId, SocketAddr)> {
     let me = shared.peers.me;
-    let known = shared.membership();
-    let rows = known.members.values().map(|(row, _)| (row.member, row.peer_addr));
+    let membership = shared.membership();
+    let rows = membership.members.values().map(|(row, _)| (row.member, row.peer_addr));
     rows.filter(|(member, _)| *member != me).collect()
 }
 
-/// The number of daemons, this one included.
+/// The number of daemons that have a row, and at least 1.
 pub fn daemon_count(shared: &Shared) -> usize {
     shared.membership().members.len().max(1)
 }
 
-/// Takes in a beat of another daemon.
-pub fn record_heartbeat(shared: &Shared, from: MemberId, beat: &Beat) {
-    table_sync::record_announcements(shared, from, &beat.tables);
-    let mut known = shared.membership();
-    match beat.leaving {
-        true => drop(known.leaving.insert(from)),
-        false => drop(known.leaving.swap_remove(&from)),
+/// Records a heartbeat of another daemon.
+pub fn record_heartbeat(shared: &Shared, from: MemberId, heartbeat: &Beat) {
+    table_sync::record_announcements(shared, from, &heartbeat.tables);
+    let mut membership = shared.membership();
+    match heartbeat.leaving {
+        true => drop(membership.leaving.insert(from)),
+        false => drop(membership.leaving.swap_remove(&from)),
     }
 }
 
-/// Removes the rows of daemons that nobody hears.
+/// Removes the rows of unresponsive daemons.
 ///
-/// Not right after this daemon itself has stood still: others were not heard then since it
-/// did not listen, and would lose their claims for nothing.
-async fn remove_silent(shared: &Shared) {
+/// Not right after a suspension of this daemon: it received no heartbeats meanwhile, and
+/// others would lose their claims for no reason.
+async fn remove_unresponsive(shared: &Shared) {
     if shared.is_resuming() {
         return;
     }
-    for (vm, row, version) in silent(shared) {
-        info!(shared.log, "daemon is silent, removing its row"; "member" => vm.to_string(),
+    for (vm, row, version) in unresponsive(shared) {
+        info!(shared.log, "daemon is unresponsive, removing its row"; "member" => vm.to_string(),
             "version" => version, "id" => row.member.to_string());
-        let commit = removal(&vm, version);
-        // Who is no member itself is not sent beats, and hears nobody.
-        let Some(commit) = check_own(shared, commit) else { return };
-        match store::commit(shared, &commit).await {
+        let transaction = row_removal(&vm, version);
+        // A daemon without a row is sent no heartbeats, so it can't judge others.
+        let Some(transaction) = require_own_row(shared, transaction) else { return };
+        match store::commit(shared, &transaction).await {
             Ok(TransactionOutcome::Done { .. }) => {}
-            Ok(answer) => {
-                info!(shared.log, "row not removed"; "why" => format!("{answer:?}"))
+            Ok(outcome) => {
+                info!(shared.log, "row not removed"; "why" => format!("{outcome:?}"))
             }
-            Err(fault) => {
-                warn!(shared.log, "row not removed"; "error" => fault.to_string());
+            Err(error) => {
+                warn!(shared.log, "row not removed"; "error" => error.to_string());
             }
         }
     }
 }
 
-/// Has a transaction act only while the own row stands; nothing if it does not.
-fn check_own(shared: &Shared, commit: Transaction) -> Option<Transaction> {
+/// Makes a transaction conditional on the own row; `None` if there is no such row.
+fn require_own_row(shared: &Shared, transaction: Transaction) -> Option<Transaction> {
     let vm = &shared.settings.vm;
-    let known = shared.membership();
-    let (_, version) = known.own_row(vm, shared.peers.me)?;
-    Some(commit.require_version(SYSTEM_TABLE, &key(vm.as_str()), version))
+    let membership = shared.membership();
+    let (_, version) = membership.own_row(vm, shared.peers.me)?;
+    Some(transaction.require_version(SYSTEM_TABLE, &row_key(vm.as_str()), version))
 }
 
-/// Watched daemons that neither this one nor others hear.
-fn silent(shared: &Shared) -> Vec<(VmName, MemberRow, u64)> {
+/// Watched daemons whose heartbeats neither this daemon nor any other receives.
+fn unresponsive(shared: &Shared) -> Vec<(VmName, MemberRow, u64)> {
     let now = shared.now();
     let peers = &shared.peers;
-    let known = shared.membership();
-    let quiet = |member| match peers.heard(member) {
+    let membership = shared.membership();
+    let is_unresponsive = |member| match peers.heard(member) {
         Some(heard) => now.saturating_duration_since(heard.at) > FAILURE_TIMEOUT,
         // It has just joined, or was gone before this daemon started.
-        None => known.is_stable(member, now, FAILURE_TIMEOUT * 2),
+        None => membership.is_stable(member, now, FAILURE_TIMEOUT * 2),
     };
-    watched_vms(&known, &shared.settings.vm)
+    watched_vms(&membership, &shared.settings.vm)
         .into_iter()
         .filter_map(|vm| {
-            let (row, version) = known.members.get(&vm)?;
-            let gone = quiet(row.member) && !peers.is_vouched_for(row.member, now);
-            gone.then(|| (vm, row.clone(), *version))
+            let (row, version) = membership.members.get(&vm)?;
+            let is_down =
+                is_unresponsive(row.member) && !peers.is_vouched_for(row.member, now);
+            is_down.then(|| (vm, row.clone(), *version))
         })
         .collect()
 }
 
-fn is_removed(shared: &Shared) -> bool {
-    let known = shared.membership();
-    known.own_row(&shared.settings.vm, shared.peers.me).is_none()
+fn is_own_row_missing(shared: &Shared) -> bool {
+    let membership = shared.membership();
+    membership.own_row(&shared.settings.vm, shared.peers.me).is_none()
 }
 
-/// Removes the own row at the end.
+/// Removes the own row when the daemon shuts down.
 pub async fn remove_own_row(shared: &Shared) {
     let vm = &shared.settings.vm;
     let version =
         shared.membership().own_row(vm, shared.peers.me).map(|(_, version)| version);
     let Some(version) = version else { return };
-    if let Err(fault) = store::commit(shared, &removal(vm, version)).await {
-        warn!(shared.log, "own row remains"; "error" => fault.to_string());
+    if let Err(error) = store::commit(shared, &row_removal(vm, version)).await {
+        warn!(shared.log, "failed to remove own row"; "error" => error.to_string());
     }
 }
 
-/// The removal of a daemon's row, if it stands as it was when that was decided.
-fn removal(vm: &VmName, version: u64) -> Transaction {
-    let key = key(vm.as_str());
+/// Removes a daemon's row if it still has the version on which that was decided.
+fn row_removal(vm: &VmName, version: u64) -> Transaction {
+    let row_key = row_key(vm.as_str());
     Transaction::default()
-        .require_version(SYSTEM_TABLE, &key, version)
-        .remove(SYSTEM_TABLE, &key)
+        .require_version(SYSTEM_TABLE, &row_key, version)
+        .remove(SYSTEM_TABLE, &row_key)
 }
--- a/crates/gate/src/store.rs
+++ b/crates/gate/src/store.rs
@@ -1,4 +1,4 @@
-//! Calls of the platform's store, and of other daemons for their copies of it.
+//! Calls to the platform's store, and to other daemons for their replicas of its tables.
 
 use std::fmt::{self, Display, Formatter};
 use std::net::SocketAddr;
@@ -12,34 +12,35 @@
 use crate::shared::Shared;
 use crate::table_replica::TableChanges;
 
-/// How long the store may take for a call that does not wait for changes.
-const CALL_TIME: Duration = Duration::from_millis(1500);
+/// Time limit of a store call that doesn't wait for changes.
+const CALL_TIMEOUT: Duration = Duration::from_millis(1500);
 
-/// The largest answer that is read, in bytes; the store sends 1 MB at most, and
-/// Base64 makes a row a third longer.
-const ANSWER_LIMIT: usize = 8 << 20;
+/// The largest response body that is read. The store sends 1 MB at most, and Base64 makes
+/// a row a third longer.
+const MAX_RESPONSE_BYTES: usize = 8 << 20;
 
-/// Why a call failed; a transaction may have acted nonetheless.
+/// Reason for a failed call. A transaction may have taken effect nonetheless.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct StoreError(pub String);
 
 impl Display for StoreError {
     fn fmt(&self, f: &mut Formatter<'_>) -> fmt::Result {
-        write!(f, "the store did not answer ({}); it is asked again", self.0)
+        write!(f, "the store did not respond ({}); the call is retried", self.0)
     }
 }
 
 impl std::error::Error for StoreError {}
 
-/// Commits a transaction.
+/// Commits a transaction. After an error it is unknown whether it took effect.
 pub async fn commit(
     shared: &Shared,
-    commit: &Transaction,
+    transaction: &Transaction,
 ) -> Result<TransactionOutcome, StoreError> {
-    let answer = call(shared, shared.dialect.write_commit(commit), CALL_TIME).await?;
-    let (status, body) = (answer.status(), answer.into_body());
-    let read = shared.dialect.read_commit(status, &body);
-    read.map_err(|error| StoreError(error.to_string()))
+    let response =
+        call(shared, shared.dialect.write_commit(transaction), CALL_TIMEOUT).await?;
+    let (status, body) = (response.status(), response.into_body());
+    let outcome = shared.dialect.read_commit(status, &body);
+    outcome.map_err(|error| StoreError(error.to_string()))
 }
 
 /// Reads all rows of a table, and the version up to which they are complete.
@@ -52,7 +53,7 @@
     loop {
         let after = rows.last().map(|row| row.key.clone());
         let page = rows_after(shared, table, after.as_deref()).await?;
-        // The first page is the oldest: changes after it are read again.
+        // The first page is the oldest; changes made after it are read again later.
         let version = *version.get_or_insert(page.version);
         let more = page.more && !page.rows.is_empty();
         rows.extend(page.rows);
@@ -67,56 +68,59 @@
     table: &str,
     after: Option<&str>,
 ) -> Result<Page, StoreError> {
-    let answer = call(shared, shared.dialect.write_scan(table, after), CALL_TIME).await?;
-    if answer.status() != StatusCode::OK {
-        return Err(StoreError(format!("status {}", answer.status())));
+    let response =
+        call(shared, shared.dialect.write_scan(table, after), CALL_TIMEOUT).await?;
+    if response.status() != StatusCode::OK {
+        return Err(StoreError(format!("status {}", response.status())));
     }
-    let page = shared.dialect.read_page(answer.body());
+    let page = shared.dialect.read_page(response.body());
     page.map_err(|error| StoreError(error.to_string()))
 }
 
-/// Makes a call.
+/// Sends a request to the store and records its duration and status.
 pub async fn call(
     shared: &Shared,
     request: Request<Bytes>,
-    wait: Duration,
+    timeout: Duration,
 ) -> Result<Response<Bytes>, StoreError> {
     let store = shared.settings.store_addr;
-    let began = shared.now();
-    let answer = shared.client.call(store, request, ANSWER_LIMIT, wait).await;
-    shared.metrics.observe(Span::Store, shared.now().saturating_duration_since(began));
-    match &answer {
-        Ok(answer) => shared.metrics.count(Step::Store, answer.status().as_str()),
+    let started_at = shared.now();
+    let response = shared.client.call(store, request, MAX_RESPONSE_BYTES, timeout).await;
+    shared
+        .metrics
+        .observe(Span::Store, shared.now().saturating_duration_since(started_at));
+    match &response {
+        Ok(response) => shared.metrics.count(Step::Store, response.status().as_str()),
         Err(_) => shared.metrics.count(Step::Store, "lost"),
     }
-    answer.map_err(|fault| StoreError(fault.to_string()))
+    response.map_err(|error| StoreError(error.to_string()))
 }
 
-/// What is wanted of another daemon's copy.
+/// Limits of a request for another daemon's changes.
 #[derive(Debug, Clone, Copy)]
 pub struct FetchLimits {
-    /// The most bytes that it is to send.
+    /// The largest response that the other daemon may send, in bytes.
     pub max_bytes: usize,
-    /// How long it may take.
+    /// How long the request may take.
     pub timeout: Duration,
 }
 
-/// Asks another daemon what changed in its copy of a table.
+/// Fetches the changes after a version from another daemon's replica of a table.
 pub async fn fetch_peer_changes(
     shared: &Shared,
     addr: SocketAddr,
     table: &str,
     after: u64,
-    FetchLimits { max_bytes: limit, timeout: wait }: FetchLimits,
+    FetchLimits { max_bytes: limit, timeout }: FetchLimits,
 ) -> Result<TableChanges, StoreError> {
     let uri = format!("/changes/{table}/{after}/{limit}");
     let request = Request::builder().uri(uri).body(Bytes::new());
     let request = request.map_err(|error| StoreError(error.to_string()))?;
-    let answer = shared.client.call(addr, request, ANSWER_LIMIT, wait).await;
-    let answer = answer.map_err(|fault| StoreError(fault.to_string()))?;
-    if answer.status() != StatusCode::OK {
-        return Err(StoreError(format!("status {} of a daemon", answer.status())));
+    let response = shared.client.call(addr, request, MAX_RESPONSE_BYTES, timeout).await;
+    let response = response.map_err(|error| StoreError(error.to_string()))?;
+    if response.status() != StatusCode::OK {
+        return Err(StoreError(format!("peer returned status {}", response.status())));
     }
-    let changes = postcard::from_bytes(answer.body());
-    changes.map_err(|error| StoreError(format!("a daemon's changes: {error}")))
+    let changes = postcard::from_bytes(response.body());
+    changes.map_err(|error| StoreError(format!("invalid changes from a peer: {error}")))
 }
--- a/crates/gate/src/table_replica.rs
+++ b/crates/gate/src/table_replica.rs
@@ -1,4 +1,5 @@
-//! A copy of a table of the store, and what changed in it lately.
+//! An in-memory replica of a table of the store, with tombstones of recently removed
+//! rows.
 
 use std::time::Instant;
 
@@ -7,99 +8,98 @@
 use indexmap::IndexMap;
 use serde::{Deserialize, Serialize};
 
-/// Removed rows that are remembered, to tell others of their removal.
-const REMOVED_LIMIT: usize = 1024;
+/// The number of tombstones that are retained, so that other daemons learn of removals.
+const MAX_TOMBSTONES: usize = 1024;
 
-/// A row as daemons pass it on.
+/// A row as daemons send it to each other.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Row {
     /// The row's key.
     pub key: String,
-    /// The version of its last write.
+    /// The version of its last write or removal.
     pub version: u64,
-    /// The content; nothing if the row was removed.
+    /// The content; `None` if the row was removed.
     pub value: Option<Vec<u8>>,
 }
 
-/// TableChanges of a table as daemons pass them on.
+/// Changes of a table as daemons send them to each other.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct TableChanges {
-    /// The rows that changed.
+    /// The rows that changed, or all rows of a snapshot.
     pub rows: Vec<Row>,
-    /// Whether these are all rows there are.
+    /// Whether `rows` holds the whole table, so that rows missing from it were removed.
     #[serde(rename = "whole")]
     pub snapshot: bool,
-    /// Up to which version this is complete.
+    /// The version up to which the changes are complete.
     pub version: u64,
 }
 
-/// A copy of a table of the store.
+/// A replica of a table of the store.
 #[derive(Debug, Default)]
 pub struct TableReplica {
     rows: IndexMap<String, (u64, Bytes)>,
-    removed: IndexMap<String, u64>,
-    /// Removals up to this version may have been forgotten.
-    forgotten: u64,
-    /// Up to which version the copy is complete; nothing before the first read.
+    tombstones: IndexMap<String, u64>,
+    /// Tombstones up to this version may have been pruned.
+    pruned_version: u64,
+    /// The version up to which the replica is complete; `None` before the first read.
     version: Option<u64>,
-    /// When the store last said that the copy is complete.
+    /// When the store last confirmed that the replica is complete.
     confirmed_at: Option<Instant>,
 }
 
 impl TableReplica {
-    /// Up to which version the copy is complete.
+    /// The version up to which the replica is complete; `None` before the first read.
     pub fn version(&self) -> Option<u64> {
         self.version
     }
 
-    /// When the store last said that the copy is complete.
+    /// When the store last confirmed that the replica is complete.
     pub fn confirmed_at(&self) -> Option<Instant> {
         self.confirmed_at
     }
 
-    /// Takes note that the store said at `at` that nothing changed after `version`.
+    /// Records that at `at` the store had no changes after `version`; ignored if the
+    /// replica is older than that.
     pub fn record_confirmation(&mut self, version: u64, at: Instant) {
-        if self.version.is_some_and(|own| own >= version) {
+        if self.version.is_some_and(|current| current >= version) {
             self.confirmed_at = self.confirmed_at.max(Some(at));
         }
     }
 
-    /// Forgets when the store last said that the copy is complete.
+    /// Discards the last confirmation, so that the replica counts as outdated.
     pub fn clear_confirmation(&mut self) {
         self.confirmed_at = None;
     }
 
-    /// Takes in changes up to `version`; returns those that are new.
+    /// Applies changes up to `version`; returns those that were new.
     ///
-    /// A row of which a newer state is known stays: a read that was answered late
-    /// must not bring back what was replaced.
+    /// A row with a newer version is left alone: a delayed response must not bring back
+    /// what was replaced.
     pub fn apply(&mut self, changes: Vec<Change>, version: u64) -> Vec<Change> {
-        let fresh: Vec<Change> =
-            changes.into_iter().filter(|change| self.take_one(change)).collect();
+        let applied: Vec<Change> =
+            changes.into_iter().filter(|change| self.apply_change(change)).collect();
         self.version = self.version.max(Some(version));
-        fresh
+        applied
     }
 
-    /// Takes in a row that this daemon has written itself; the copy is as complete as
-    /// before.
+    /// Applies a row that this daemon has written itself; the replica's version stays.
     ///
-    /// A read of all rows tells that a row was removed by leaving it out, which only shows
-    /// for rows that the copy has. A daemon whose own row was not in it went on as if that
-    /// row stood: the others did not know the daemon and sent it no beats, and it took them
-    /// for silent and removed their rows, four times a second, without end.
+    /// A snapshot shows a removal by leaving the row out, which is noticed only for rows
+    /// that the replica holds. Without its own row here, a daemon whose row had been
+    /// removed went on as if it stood: the others sent it no heartbeats, and it took them
+    /// for unresponsive and removed their rows, four times a second, without end.
     pub fn apply_own_write(&mut self, change: &Change) {
-        self.take_one(change);
+        self.apply_change(change);
     }
 
-    /// Takes in all rows as of `version`; returns what changed by that.
-    ///
-    /// Nothing if the copy is newer.
+    /// Replaces all rows by those as of `version`; returns what changed, or `None` if the
+    /// replica is newer.
     pub fn apply_snapshot(
         &mut self,
         rows: Vec<Change>,
         version: u64,
     ) -> Option<Vec<Change>> {
-        if self.version.is_some_and(|own| own > version) {
+        if self.version.is_some_and(|current| current > version) {
             return None;
         }
         let listed = |key: &String| rows.iter().any(|row| row.key == *key);
@@ -109,57 +109,58 @@
             .filter(|key| !listed(key))
             .map(|key| Change { key: key.clone(), version, value: None })
             .collect();
-        let mut fresh = self.apply(missing, version);
-        fresh.extend(self.apply(rows, version));
-        Some(fresh)
+        let mut applied = self.apply(missing, version);
+        applied.extend(self.apply(rows, version));
+        Some(applied)
     }
 
-    /// What changed after a version.
+    /// The changes after a version, or a snapshot if tombstones after it were pruned;
+    /// `None` before the first read.
     pub fn changes_since(&self, after: u64) -> Option<TableChanges> {
         let version = self.version?;
-        let whole = after < self.forgotten;
-        let after = if whole { 0 } else { after };
+        let snapshot = after < self.pruned_version;
+        let after = if snapshot { 0 } else { after };
         let row = |(key, (version, value)): (&String, &(u64, Bytes))| Row {
             key: key.clone(),
             version: *version,
             value: Some(value.to_vec()),
         };
-        let gone = |(key, version): (&String, &u64)| Row {
+        let tombstone = |(key, version): (&String, &u64)| Row {
             key: key.clone(),
             version: *version,
             value: None,
         };
         let present = self.rows.iter().map(row);
-        let removed = self.removed.iter().map(gone);
-        let rows = present.chain(removed).filter(|row| row.version > after).collect();
-        Some(TableChanges { rows, snapshot: whole, version })
+        let tombstones = self.tombstones.iter().map(tombstone);
+        let rows = present.chain(tombstones).filter(|row| row.version > after).collect();
+        Some(TableChanges { rows, snapshot, version })
     }
 
-    fn take_one(&mut self, change: &Change) -> bool {
-        let known = self.rows.get(&change.key).map(|(version, _)| *version);
-        let known = known.or(self.removed.get(&change.key).copied());
-        if known.is_some_and(|known| known >= change.version) {
+    fn apply_change(&mut self, change: &Change) -> bool {
+        let current = self.rows.get(&change.key).map(|(version, _)| *version);
+        let current = current.or(self.tombstones.get(&change.key).copied());
+        if current.is_some_and(|current| current >= change.version) {
             return false;
         }
         match &change.value {
             Some(value) => {
-                self.removed.shift_remove(&change.key);
+                self.tombstones.shift_remove(&change.key);
                 self.rows.insert(change.key.clone(), (change.version, value.clone()));
             }
             None => {
                 self.rows.swap_remove(&change.key);
-                self.removed.insert(change.key.clone(), change.version);
-                self.forget_removed();
+                self.tombstones.insert(change.key.clone(), change.version);
+                self.prune_tombstones();
             }
         }
         true
     }
 
-    fn forget_removed(&mut self) {
-        while self.removed.len() > REMOVED_LIMIT
-            && let Some((_, version)) = self.removed.shift_remove_index(0)
+    fn prune_tombstones(&mut self) {
+        while self.tombstones.len() > MAX_TOMBSTONES
+            && let Some((_, version)) = self.tombstones.shift_remove_index(0)
         {
-            self.forgotten = self.forgotten.max(version);
+            self.pruned_version = self.pruned_version.max(version);
         }
     }
 }
--- a/crates/gate/src/table_sync.rs
+++ b/crates/gate/src/table_sync.rs
@@ -1,11 +1,11 @@
-//! Keeps copies of the store's tables up to date.
+//! Keeps replicas of the store's tables up to date.
 //!
-//! One daemon reads a table closely: the store answers its waiting call as soon as a
-//! row changes. The others learn from daemons' beats that a newer version is known,
-//! and fetch what changed from whoever knows it; that costs the store nothing. A
-//! daemon reads the store itself when nobody says that the store has confirmed the
-//! copy lately: the reader may be gone, frozen or cut off, and changes have to be in
-//! force in time nonetheless. A daemon that the store turns away learns from others.
+//! One daemon, the reader of a table, long-polls the store, which responds as soon as a
+//! row changes. The others learn from heartbeats that a newer version exists and fetch
+//! the changes from the daemon that has it, at no cost to the store. A daemon polls the
+//! store itself when no daemon has lately reported that the store confirmed the replica's
+//! version: the reader may be down, suspended or partitioned, and changes must still be
+//! in force in time. A daemon that can't reach the store gets changes from others.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -25,83 +25,84 @@
 use crate::table_replica::{TableChanges, TableReplica};
 use crate::{claims, members, persisted_timings};
 
-/// The part of [`fresh`] for which the store may hold the reader's call that waits for
-/// changes; the beats' period and an answer's delay take of the rest.
-const HOLD_PART: u32 = 3;
+/// [`freshness_limit`] divided by this is how long the store may hold the reader's long
+/// poll. The rest is for the heartbeat period and the delay of the response.
+const HOLD_DIVISOR: u32 = 3;
 
-/// How much later than the store holds a call its answer may come.
-const HOLD_SLACK: Duration = Duration::from_millis(300);
+/// How long after the end of its hold a long poll's response may arrive.
+const HOLD_RESPONSE_MARGIN: Duration = Duration::from_millis(300);
 
-/// The share of the time in which changes have to be in force for which a copy counts as
-/// up to date after the store confirmed it.
+/// The share of the time in which changes must be in force for which a replica counts as
+/// current after a confirmation by the store.
 ///
-/// A read of its own takes a daemon some milliseconds. The word of the store takes up to a
-/// call's hold and, among thousands of daemons, three or four beats.
-const FRESH_SHARE: f64 = 0.75;
+/// A direct read takes a daemon a few milliseconds. A confirmation takes up to the hold
+/// of a long poll and, among thousands of daemons, three or four heartbeats.
+const FRESHNESS_SHARE: f64 = 0.75;
 
-/// How long a copy counts as up to date at most, whatever the operators allow.
+/// Upper bound on the time for which a replica counts as current.
 ///
-/// Daemons know from the copies who watches whom. With copies older than the silence after
-/// which a row is removed, two hundred that start together remove each other's rows.
-const FRESH_MOST: Duration = Duration::from_millis(1500);
+/// Replicas determine which daemon watches which. If they may be older than the
+/// failure-detection timeout, two hundred daemons that start together remove each other's
+/// rows.
+const MAX_FRESHNESS: Duration = Duration::from_millis(1500);
 
-const _: () = assert!(FRESH_MOST.as_millis() <= members::FAILURE_TIMEOUT.as_millis());
+const _: () = assert!(MAX_FRESHNESS.as_millis() <= members::FAILURE_TIMEOUT.as_millis());
 
-/// How much later than the first daemon each next one reads the store itself, so
-/// that one read serves all.
-const STAGGER: Duration = Duration::from_millis(40);
+/// Delay per rank before a daemon polls the store itself, so that one read serves all.
+const READ_STAGGER: Duration = Duration::from_millis(40);
 
-/// How often a daemon looks whether its copy is up to date.
-const LOOK: Duration = Duration::from_millis(100);
+/// How often a daemon checks whether its replica is current.
+const CHECK_PERIOD: Duration = Duration::from_millis(100);
 
-/// What is fetched from another daemon while the store can be read.
+/// Limits of a fetch from another daemon while the store is reachable.
 ///
-/// More than this goes faster over the store's wide link than over a daemon's.
-const FETCH: FetchLimits =
+/// Larger changes transfer faster over the store's link than over a daemon's.
+const FETCH_LIMITS: FetchLimits =
     FetchLimits { max_bytes: 64 << 10, timeout: Duration::from_millis(250) };
 
-/// What is fetched from another daemon while the store turns this one away.
-const FETCH_ALL: FetchLimits =
+/// Limits of a fetch from another daemon while this one can't reach the store.
+const OUTAGE_FETCH_LIMITS: FetchLimits =
     FetchLimits { max_bytes: 8 << 20, timeout: Duration::from_millis(2500) };
 
-/// The pause between reads of a table that changes all the time.
-const READ_PAUSE: Duration = Duration::from_millis(150);
+/// Delay between long polls of a table that changes continuously.
+const MIN_POLL_INTERVAL: Duration = Duration::from_millis(150);
 
-/// The pause after a read that failed, in which news of others may come.
-const PAUSE: Duration = Duration::from_millis(60);
+/// Delay after a failed read, during which other daemons may announce changes.
+const ERROR_DELAY: Duration = Duration::from_millis(60);
 
-/// After how long without the store's word its return is worth telling.
+/// Age of a replica from which on the store counts as unreachable, and its return is
+/// reported to the handler.
 ///
-/// Entries of servers lapse after three of their beats without the store.
-const OUTAGE: Duration = Duration::from_millis(2500);
+/// Entries of servers expire after three of their heartbeats without the store.
+const OUTAGE_THRESHOLD: Duration = Duration::from_millis(2500);
 
-/// How long after its start a daemon knows which others there are.
-const SETTLED: Duration = Duration::from_secs(1);
+/// Time after the start in which a daemon may not have received the other daemons' rows.
+const STARTUP_TIME: Duration = Duration::from_secs(1);
 
-/// Who takes in what changed.
+/// Receives the changes of a table.
 pub trait ChangeHandler: Send {
-    /// A row was written or removed.
+    /// Called for each row that was written or removed.
     fn on_change(&mut self, change: Change);
 
-    /// The changes that were known are all taken in.
+    /// Called after all changes of a read.
     fn on_batch_end(&mut self) {}
 
-    /// The store could not be read for a while and can be again.
+    /// Called when the store is reachable again after an outage.
     fn on_store_recovery(&mut self) {}
 }
 
-/// A table of the store that daemons follow.
+/// A table of the store with this daemon's replica of it.
 pub struct SyncedTable {
-    /// Its name.
+    /// The table's name in the store.
     pub name: &'static str,
-    /// The copy.
+    /// This daemon's replica.
     pub replica: std::sync::Mutex<TableReplica>,
-    /// A daemon that knows a newer version.
+    /// A newer version and the daemon that announced it.
     pub newer_version: watch::Sender<Option<(MemberId, u64)>>,
 }
 
 impl SyncedTable {
-    /// Creates an empty copy.
+    /// Creates a table with an empty replica.
     pub fn new(name: &'static str) -> Self {
         Self {
             name,
@@ -110,24 +111,24 @@
         }
     }
 
-    /// The copy.
+    /// Locks the replica.
     pub fn replica(&self) -> std::sync::MutexGuard<'_, TableReplica> {
         self.replica.lock().expect("no holder of the lock panics")
     }
 
-    /// How long ago the store confirmed the copy.
+    /// Time since the store confirmed the replica; `None` before the first confirmation.
     pub fn age(&self, now: Instant) -> Option<Duration> {
         Some(now.saturating_duration_since(self.replica().confirmed_at()?))
     }
 
-    /// What this daemon says of the table in its beats: the version, and how many
-    /// milliseconds ago the store confirmed it.
+    /// The replica's version and the milliseconds since the store confirmed it, as sent
+    /// in heartbeats.
     pub fn announcement(&self, now: Instant) -> TableNews {
         let age = self.age(now)?;
         Some((self.replica().version()?, age.as_millis() as u32))
     }
 
-    /// Takes in what another daemon says of the table.
+    /// Records which version another daemon has, and how old its confirmation is.
     pub fn record_announcement(
         &self,
         from: MemberId,
@@ -136,37 +137,36 @@
         now: Instant,
     ) {
         let confirmed = now.checked_sub(Duration::from_millis(age_ms.into()));
-        let mut mirror = self.replica();
+        let mut replica = self.replica();
         if let Some(confirmed) = confirmed {
-            mirror.record_confirmation(version, confirmed);
+            replica.record_confirmation(version, confirmed);
         }
-        if mirror.version().is_some_and(|own| own < version) {
+        if replica.version().is_some_and(|own| own < version) {
             self.newer_version.send_replace(Some((from, version)));
         }
     }
 }
 
-/// Follows a table for as long as the daemon runs.
+/// Keeps a table's replica up to date for as long as the daemon runs.
 pub async fn run(
     shared: Arc<Shared>,
     table: Arc<SyncedTable>,
-    follower: impl ChangeHandler,
+    handler: impl ChangeHandler,
 ) {
     let outage = Outage { since: None };
-    let mut follow = TableSync {
+    let mut sync = TableSync {
         shared,
         table,
-        follower,
+        handler,
         outage,
-        turned_away: false,
+        store_unavailable: false,
         backoff: Backoff::default(),
     };
     loop {
-        follow.step().await;
+        sync.step().await;
     }
 }
 
-/// How long the store has not been heard of.
 struct Outage {
     since: Option<Instant>,
 }
@@ -174,79 +174,79 @@
 struct TableSync<F> {
     shared: Arc<Shared>,
     table: Arc<SyncedTable>,
-    follower: F,
+    handler: F,
     outage: Outage,
-    /// Whether the last call of the store failed.
-    turned_away: bool,
-    /// When the store may be called again after a failed call.
+    /// Whether the last call to the store failed.
+    store_unavailable: bool,
+    /// Delays calls to the store after failed ones.
     backoff: Backoff,
 }
 
 /// Where the next changes come from.
 enum Source {
-    /// The store, which may hold its answer that long.
+    /// The store, which may hold its response for that long.
     Store(Duration),
-    /// A daemon that knows a newer version.
+    /// A daemon that has a newer version.
     Peer(SocketAddr),
-    /// Nothing is needed.
-    Nobody,
+    /// Nowhere for now: the replica is current, or the store may not be called yet.
+    Idle,
 }
 
 impl<F: ChangeHandler> TableSync<F> {
     async fn step(&mut self) {
-        self.note_outage();
-        let result = match self.source() {
+        self.detect_outage();
+        let result = match self.choose_source() {
             Source::Store(hold) => self.read_store(hold).await,
-            Source::Peer(addr) => self.read_peer(addr).await,
-            Source::Nobody => {
-                let mut newer = self.table.newer_version.subscribe();
-                newer.borrow_and_update();
-                // Either there is news or it is time to look again.
-                let _ = timeout(LOOK, newer.changed()).await;
+            Source::Peer(addr) => self.fetch_from_peer(addr).await,
+            Source::Idle => {
+                let mut newer_version = self.table.newer_version.subscribe();
+                newer_version.borrow_and_update();
+                // Ends early when a newer version is announced.
+                let _ = timeout(CHECK_PERIOD, newer_version.changed()).await;
                 return;
             }
         };
         match result {
             Ok(()) => {}
-            Err(StoreError(why)) => {
-                warn!(self.shared.log, "table not read"; "table" => self.table.name,
-                    "error" => why, "age_ms" => self.age().map(|age| age.as_millis() as u64));
-                sleep(PAUSE).await;
+            Err(StoreError(reason)) => {
+                warn!(self.shared.log, "table read failed"; "table" => self.table.name,
+                    "error" => reason, "age_ms" => self.age().map(|age| age.as_millis() as u64));
+                sleep(ERROR_DELAY).await;
             }
         }
     }
 
-    /// Decides where the next changes come from.
-    fn source(&self) -> Source {
+    fn choose_source(&self) -> Source {
         let now = self.shared.now();
-        let rank = rank(&self.shared, self.table.name);
+        let rank = reader_rank(&self.shared, self.table.name);
         let may_call = self.backoff.is_over(rank, now);
         if self.table.replica().version().is_none() {
             let first = Source::Store(Duration::ZERO);
-            return if may_call { first } else { Source::Nobody };
+            return if may_call { first } else { Source::Idle };
         }
-        // Right after its start a daemon knows no others and takes itself for the reader.
-        let settled = self.shared.uptime() > SETTLED;
-        if rank == 0 && settled && may_call {
-            return Source::Store(fresh(&self.shared) / HOLD_PART);
+        // Right after its start a daemon has seen no others and would take itself for the
+        // reader.
+        let past_startup = self.shared.uptime() > STARTUP_TIME;
+        if rank == 0 && past_startup && may_call {
+            return Source::Store(freshness_limit(&self.shared) / HOLD_DIVISOR);
         }
         if let Some(addr) = self.newer_peer(now) {
             return Source::Peer(addr);
         }
-        let limit = fresh(&self.shared) + STAGGER * rank.min(10) as u32;
+        let limit = freshness_limit(&self.shared) + READ_STAGGER * rank.min(10) as u32;
         match self.age() {
-            Some(age) if age < limit => Source::Nobody,
-            _ if !may_call => Source::Nobody,
+            Some(age) if age < limit => Source::Idle,
+            _ if !may_call => Source::Idle,
             _ => Source::Store(Duration::ZERO),
         }
     }
 
-    /// How long ago the store confirmed the copy.
+    /// Time since the store confirmed the replica.
     fn age(&self) -> Option<Duration> {
         self.table.age(self.shared.now())
     }
 
-    /// A daemon that knows a newer version and was heard from lately.
+    /// The address of a live daemon that has a newer version.
     fn newer_peer(&self, now: Instant) -> Option<SocketAddr> {
         let (member, version) = (*self.table.newer_version.borrow())?;
         let own = self.table.replica().version()?;
@@ -257,44 +257,48 @@
         members::table_changes_addr(&self.shared, member)
     }
 
-    async fn read_peer(&mut self, addr: SocketAddr) -> Result<(), StoreError> {
+    async fn fetch_from_peer(&mut self, addr: SocketAddr) -> Result<(), StoreError> {
         let own = self.table.replica().version().unwrap_or_default();
-        let fetch = if self.turned_away { FETCH_ALL } else { FETCH };
+        let fetch =
+            if self.store_unavailable { OUTAGE_FETCH_LIMITS } else { FETCH_LIMITS };
         let changes =
             store::fetch_peer_changes(&self.shared, addr, self.table.name, own, fetch);
         let changes = match changes.await {
             Ok(changes) => changes,
-            Err(_) if !self.turned_away => return self.read_store(Duration::ZERO).await,
-            Err(fault) => {
-                // Another daemon may know it too, and says so in its next beat.
+            Err(_) if !self.store_unavailable => {
+                return self.read_store(Duration::ZERO).await;
+            }
+            Err(error) => {
+                // Other daemons that have the version announce it in their next
+                // heartbeat.
                 self.table.newer_version.send_replace(None);
-                return Err(fault);
+                return Err(error);
             }
         };
-        if self.take(changes) {
+        if self.apply_peer_changes(changes) {
             members::announce_tables(&self.shared);
         }
         Ok(())
     }
 
-    /// Takes in what another daemon says changed; returns whether any of it is new.
-    fn take(&mut self, changes: TableChanges) -> bool {
-        let TableChanges { rows, snapshot: whole, version } = changes;
+    /// Applies changes from another daemon; returns whether any was new.
+    fn apply_peer_changes(&mut self, changes: TableChanges) -> bool {
+        let TableChanges { rows, snapshot, version } = changes;
         let rows: Vec<Change> = rows.into_iter().map(Change::from).collect();
-        let fresh = {
-            let mut mirror = self.table.replica();
-            match whole {
-                true => mirror.apply_snapshot(rows, version).unwrap_or_default(),
-                false => mirror.apply(rows, version),
+        let new_changes = {
+            let mut replica = self.table.replica();
+            match snapshot {
+                true => replica.apply_snapshot(rows, version).unwrap_or_default(),
+                false => replica.apply(rows, version),
             }
         };
-        let news = !fresh.is_empty();
-        self.hand_on(fresh);
-        news
+        let any_new = !new_changes.is_empty();
+        self.dispatch(new_changes);
+        any_new
     }
 
     async fn read_store(&mut self, hold: Duration) -> Result<(), StoreError> {
-        let result = self.ask_store(hold).await;
+        let result = self.poll_store(hold).await;
         match &result {
             Ok(()) => self.backoff.answered(),
             Err(_) => self.backoff.failed(self.shared.now()),
@@ -302,145 +306,153 @@
         result
     }
 
-    async fn ask_store(&mut self, hold: Duration) -> Result<(), StoreError> {
+    async fn poll_store(&mut self, hold: Duration) -> Result<(), StoreError> {
         let version = self.table.replica().version();
-        let Some(after) = version else { return self.read_whole().await };
+        let Some(after) = version else { return self.read_full_table().await };
         let request =
             self.shared.dialect.write_changes_request(self.table.name, after, hold);
-        let answer = store::call(&self.shared, request, hold + HOLD_SLACK).await;
-        self.turned_away = answer.is_err();
-        let answer = answer?;
-        let (status, body) = (answer.status(), answer.into_body());
+        let response =
+            store::call(&self.shared, request, hold + HOLD_RESPONSE_MARGIN).await;
+        self.store_unavailable = response.is_err();
+        let response = response?;
+        let (status, body) = (response.status(), response.into_body());
         let delta = self.shared.dialect.read_changes(status, &body);
-        self.turned_away = delta.is_err();
+        self.store_unavailable = delta.is_err();
         let Some(delta) = delta.map_err(|error| StoreError(error.to_string()))? else {
-            info!(self.shared.log, "history gone, reading the table whole";
+            info!(self.shared.log, "change history expired, reading the whole table";
                 "table" => self.table.name, "version" => after);
-            return self.read_whole().await;
+            return self.read_full_table().await;
         };
-        let busy = !delta.changes.is_empty();
+        let has_changes = !delta.changes.is_empty();
         let now = self.shared.now();
-        let fresh = {
-            let mut mirror = self.table.replica();
-            let fresh = mirror.apply(delta.changes, delta.version);
-            mirror.record_confirmation(delta.version, now);
-            fresh
+        let new_changes = {
+            let mut replica = self.table.replica();
+            let new_changes = replica.apply(delta.changes, delta.version);
+            replica.record_confirmation(delta.version, now);
+            new_changes
         };
-        self.hand_on(fresh);
-        if busy {
-            // Others learn of it at once, and the store is not asked for each row.
+        self.dispatch(new_changes);
+        if has_changes {
+            // Others are notified at once, and rows that change in quick succession share
+            // a poll.
             members::announce_tables(&self.shared);
-            sleep(READ_PAUSE).await;
+            sleep(MIN_POLL_INTERVAL).await;
         }
         Ok(())
     }
 
-    async fn read_whole(&mut self) -> Result<(), StoreError> {
+    async fn read_full_table(&mut self) -> Result<(), StoreError> {
         let (rows, version) = store::read_table(&self.shared, self.table.name).await?;
         let now = self.shared.now();
-        let fresh = {
-            let mut mirror = self.table.replica();
-            let fresh = mirror.apply_snapshot(rows, version);
-            let fresh =
-                fresh.ok_or_else(|| StoreError(format!("an old read, {version}")))?;
-            mirror.record_confirmation(version, now);
-            fresh
+        let new_changes = {
+            let mut replica = self.table.replica();
+            let new_changes = replica.apply_snapshot(rows, version);
+            let new_changes = new_changes
+                .ok_or_else(|| StoreError(format!("stale read at version {version}")))?;
+            replica.record_confirmation(version, now);
+            new_changes
         };
-        self.hand_on(fresh);
+        self.dispatch(new_changes);
         Ok(())
     }
 
-    fn hand_on(&mut self, fresh: Vec<Change>) {
-        for change in fresh {
-            self.follower.on_change(change);
+    fn dispatch(&mut self, new_changes: Vec<Change>) {
+        for change in new_changes {
+            self.handler.on_change(change);
         }
-        self.follower.on_batch_end();
+        self.handler.on_batch_end();
     }
 
-    /// Tells the follower when the store is back after an outage.
-    fn note_outage(&mut self) {
+    /// Logs the start and the end of an outage, and notifies the handler of the end.
+    fn detect_outage(&mut self) {
         let now = self.shared.now();
         let age = self.age();
         match (age, self.outage.since) {
-            (Some(age), None) if age > OUTAGE => {
-                warn!(self.shared.log, "store lost"; "table" => self.table.name,
+            (Some(age), None) if age > OUTAGE_THRESHOLD => {
+                warn!(self.shared.log, "store unreachable"; "table" => self.table.name,
                     "age_ms" => age.as_millis() as u64);
                 self.outage.since = Some(now);
             }
-            (Some(age), Some(since)) if age < OUTAGE => {
-                info!(self.shared.log, "store regained"; "table" => self.table.name,
+            (Some(age), Some(since)) if age < OUTAGE_THRESHOLD => {
+                info!(self.shared.log, "store reachable again"; "table" => self.table.name,
                     "lost_ms" => now.duration_since(since).as_millis() as u64);
                 self.outage.since = None;
-                self.follower.on_store_recovery();
+                self.handler.on_store_recovery();
             }
             _ => {}
         }
     }
 }
 
-/// How long a copy counts as up to date after the store confirmed it.
-fn fresh(shared: &Shared) -> Duration {
+/// How long a replica counts as current after a confirmation by the store.
+fn freshness_limit(shared: &Shared) -> Duration {
     let bounds = shared.bounds.borrow();
-    bounds.apply.min(bounds.leave).mul_f64(FRESH_SHARE).min(FRESH_MOST)
+    bounds.apply.min(bounds.leave).mul_f64(FRESHNESS_SHARE).min(MAX_FRESHNESS)
 }
 
-/// This daemon's place in the order in which daemons read a table; 0 is the reader.
-fn rank(shared: &Shared, table: &str) -> usize {
+/// This daemon's rank among the live daemons that may read a table; 0 is the reader.
+fn reader_rank(shared: &Shared, table: &str) -> usize {
     let me = &shared.settings.vm;
-    let known = shared.membership();
+    let membership = shared.membership();
     let now = shared.now();
     let own = weighted_rendezvous_rank(table, me.as_str(), shared.settings.weight());
-    let others = known.members.iter().filter(|(vm, (row, _))| {
-        *vm != me && known.accepts_claims(row) && shared.is_alive(row.member, now)
+    let others = membership.members.iter().filter(|(vm, (row, _))| {
+        *vm != me && membership.accepts_claims(row) && shared.is_alive(row.member, now)
     });
     let rank = |vm: &VmName, weight| weighted_rendezvous_rank(table, vm.as_str(), weight);
     others.filter(|(vm, (row, _))| rank(vm, row.weight) > own).count()
 }
 
-/// The tables that a daemon follows.
+/// The tables that a daemon replicates, in the order in which heartbeats list them.
 pub fn tables(shared: &Shared) -> [&Arc<SyncedTable>; 3] {
     [&shared.tables.declarations, &shared.tables.servers, &shared.tables.system]
 }
 
-/// What this daemon says of its tables to others.
+/// The version and age of each replica, as sent in heartbeats.
 pub fn announcements(shared: &Shared) -> Vec<TableNews> {
     let now = shared.now();
     tables(shared).into_iter().map(|table| table.announcement(now)).collect()
 }
 
-/// Takes in what another daemon says of its tables.
-pub fn record_announcements(shared: &Shared, from: MemberId, news: &[TableNews]) {
+/// Records which versions of the tables another daemon has.
+pub fn record_announcements(
+    shared: &Shared,
+    from: MemberId,
+    announcements: &[TableNews],
+) {
     if shared.is_resuming() {
-        // It may have waited in the socket for as long as the daemon stood still.
+        // The message may have waited in the socket for as long as the daemon was
+        // suspended.
         return;
     }
     let now = shared.now();
-    for (table, news) in tables(shared).into_iter().zip(news) {
-        if let Some((version, age)) = news {
+    for (table, announcement) in tables(shared).into_iter().zip(announcements) {
+        if let Some((version, age)) = announcement {
             table.record_announcement(from, *version, *age, now);
         }
     }
 }
 
-/// The system's own table: daemons and claims, told apart by the start of the key.
+/// The system's own table of daemons, claims and engine timings, distinguished by key
+/// prefix.
 pub const SYSTEM_TABLE: &str = "chestnut";
 
-/// Takes note of the rows of the system's own table that this daemon has written.
-pub fn record_own_writes(shared: &Shared, commit: &Transaction, version: u64) {
-    let mut mirror = shared.tables.system.replica();
-    for write in commit.writes.iter().filter(|write| write.table == SYSTEM_TABLE) {
+/// Applies rows of the system table that this daemon has committed to its replica.
+pub fn record_own_writes(shared: &Shared, transaction: &Transaction, version: u64) {
+    let mut replica = shared.tables.system.replica();
+    for write in transaction.writes.iter().filter(|write| write.table == SYSTEM_TABLE) {
         let (key, value) = (write.key.clone(), write.value.clone());
-        mirror.apply_own_write(&Change { key, version, value });
+        replica.apply_own_write(&Change { key, version, value });
     }
 }
 
-/// Takes in the system's own table.
+/// Passes each change of the system table to the handler for its key prefix.
 pub struct SystemTableHandler {
-    /// Takes in daemons.
+    /// Handles rows of daemons.
     pub members: members::MemberHandler,
-    /// Takes in claims.
+    /// Handles rows of claims.
     pub claims: claims::ClaimHandler,
-    /// Takes in what was learnt of runners.
+    /// Handles rows of engine timings.
     pub timings: persisted_timings::EngineTimingsHandler,
 }
 
--- a/crates/gate/tests/table_replica.rs
+++ b/crates/gate/tests/table_replica.rs
@@ -1,4 +1,4 @@
-//! A copy of a table, under any order of changes, whole reads, late and old answers.
+//! A replica under any order of changes, snapshots, and delayed responses.
 
 use std::time::{Duration, Instant};
 
@@ -8,14 +8,14 @@
 use indexmap::IndexMap;
 use proptest::prelude::*;
 
-/// The table itself, with its whole history.
+/// The reference table, with its whole history.
 #[derive(Default)]
-struct Table {
+struct ReferenceTable {
     version: u64,
     history: Vec<Change>,
 }
 
-impl Table {
+impl ReferenceTable {
     fn write(&mut self, key: u8, value: Option<u8>) {
         self.version += 3;
         let value = value.map(|value| Bytes::from(vec![value]));
@@ -47,49 +47,50 @@
 }
 
 #[derive(Debug, Clone)]
-enum Op {
+enum Operation {
     Write {
         key: u8,
         value: Option<u8>,
     },
-    /// The near copy's daemon writes a row itself, and knows it by the answer.
-    Own {
+    /// The daemon of the direct replica writes a row itself and applies it on the
+    /// response.
+    OwnWrite {
         key: u8,
         value: u8,
     },
-    /// Reads changes; the answer is from some writes ago.
-    Follow {
-        old: u64,
+    /// The direct replica reads changes; the response lags some writes behind.
+    ReadChanges {
+        lag: u64,
     },
-    /// Reads everything; the answer is from some writes ago.
-    Whole {
-        old: u64,
+    /// The direct replica reads a snapshot that lags some writes behind.
+    ReadSnapshot {
+        lag: u64,
     },
-    /// Takes what another daemon's copy says changed.
-    Peer,
+    /// The indirect replica fetches changes from the direct one.
+    FetchPeer,
 }
 
-fn op() -> impl Strategy<Value = Op> {
+fn operation() -> impl Strategy<Value = Operation> {
     let value = prop_oneof![3 => any::<u8>().prop_map(Some), 1 => Just(None)];
     prop_oneof![
-        6 => (0u8..5, value).prop_map(|(key, value)| Op::Write { key, value }),
-        2 => (0u8..5, any::<u8>()).prop_map(|(key, value)| Op::Own { key, value }),
-        4 => (0u64..4).prop_map(|old| Op::Follow { old }),
-        1 => (0u64..4).prop_map(|old| Op::Whole { old }),
-        2 => Just(Op::Peer),
+        6 => (0u8..5, value).prop_map(|(key, value)| Operation::Write { key, value }),
+        2 => (0u8..5, any::<u8>()).prop_map(|(key, value)| Operation::OwnWrite { key, value }),
+        4 => (0u64..4).prop_map(|lag| Operation::ReadChanges { lag }),
+        1 => (0u64..4).prop_map(|lag| Operation::ReadSnapshot { lag }),
+        2 => Just(Operation::FetchPeer),
     ]
 }
 
-/// What a follower has made of the changes that it was told.
+/// A replica, and the rows that result from the changes it returned.
 #[derive(Default)]
-struct Follower {
-    mirror: TableReplica,
+struct Reader {
+    replica: TableReplica,
     rows: IndexMap<String, Change>,
 }
 
-impl Follower {
-    fn hand_on(&mut self, fresh: Vec<Change>) {
-        for change in fresh {
+impl Reader {
+    fn record(&mut self, applied: Vec<Change>) {
+        for change in applied {
             let before = self.rows.get(&change.key).map_or(0, |row| row.version);
             assert!(change.version > before, "{change:?} after {before}");
             match change.value {
@@ -99,99 +100,99 @@
         }
     }
 
-    /// Takes in a row that this daemon has just written.
-    fn note(&mut self, change: Change) {
-        self.mirror.apply_own_write(&change);
+    /// Applies a row that this daemon has just written.
+    fn apply_own_write(&mut self, change: Change) {
+        self.replica.apply_own_write(&change);
         self.rows.insert(change.key.clone(), change);
     }
 
-    fn follow(&mut self, table: &Table, old: u64) {
-        let after = self.mirror.version().unwrap_or_default();
-        let version = table.version.saturating_sub(old * 3).max(after);
-        let fresh = self.mirror.apply(table.changes(after, version), version);
-        self.hand_on(fresh);
+    fn read_changes(&mut self, table: &ReferenceTable, lag: u64) {
+        let after = self.replica.version().unwrap_or_default();
+        let version = table.version.saturating_sub(lag * 3).max(after);
+        let applied = self.replica.apply(table.changes(after, version), version);
+        self.record(applied);
     }
 
-    fn read_whole(&mut self, table: &Table, old: u64) {
-        let version = table.version.saturating_sub(old * 3);
+    fn read_snapshot(&mut self, table: &ReferenceTable, lag: u64) {
+        let version = table.version.saturating_sub(lag * 3);
         let rows = table.rows(version).into_values().collect();
-        let fresh = self.mirror.apply_snapshot(rows, version);
-        self.hand_on(fresh.unwrap_or_default());
+        let applied = self.replica.apply_snapshot(rows, version);
+        self.record(applied.unwrap_or_default());
     }
 
-    fn ask(&mut self, peer: &TableReplica) {
-        let own = self.mirror.version().unwrap_or_default();
+    fn fetch_peer(&mut self, peer: &TableReplica) {
+        let own = self.replica.version().unwrap_or_default();
         let Some(changes) = peer.changes_since(own) else { return };
         let version = changes.version;
         let rows: Vec<Change> = changes.rows.into_iter().map(Change::from).collect();
-        let fresh = match changes.snapshot {
-            true => self.mirror.apply_snapshot(rows, version).unwrap_or_default(),
-            false => self.mirror.apply(rows, version),
+        let applied = match changes.snapshot {
+            true => self.replica.apply_snapshot(rows, version).unwrap_or_default(),
+            false => self.replica.apply(rows, version),
         };
-        self.hand_on(fresh);
+        self.record(applied);
     }
 }
 
 proptest! {
-    // A server that left, or a configuration that was replaced, must not come back by a
-    // read that was answered late; and in the end the copy is the table.
+    // A delayed read must not bring back a server that was removed or a configuration
+    // that was replaced, and in the end the replica equals the table.
     #[test]
-    fn a_copy_only_goes_forward(ops in prop::collection::vec(op(), 1..120)) {
-        let (mut table, mut near, mut far) =
-            (Table::default(), Follower::default(), Follower::default());
-        for op in ops {
-            match op {
-                Op::Write { key, value } => table.write(key, value),
-                Op::Own { key, value } => {
+    fn replica_never_goes_back(operations in prop::collection::vec(operation(), 1..120)) {
+        let (mut table, mut direct, mut indirect) =
+            (ReferenceTable::default(), Reader::default(), Reader::default());
+        for operation in operations {
+            match operation {
+                Operation::Write { key, value } => table.write(key, value),
+                Operation::OwnWrite { key, value } => {
                     table.write(key, Some(value));
-                    near.note(table.history.last().expect("it was written").clone());
+                    direct.apply_own_write(table.history.last().expect("it was written").clone());
                 }
-                Op::Follow { old } => near.follow(&table, old),
-                Op::Whole { old } => near.read_whole(&table, old),
-                Op::Peer => far.ask(&near.mirror),
+                Operation::ReadChanges { lag } => direct.read_changes(&table, lag),
+                Operation::ReadSnapshot { lag } => direct.read_snapshot(&table, lag),
+                Operation::FetchPeer => indirect.fetch_peer(&direct.replica),
             }
         }
-        // The history may be gone by now.
+        // Half of the runs end with a snapshot, as after a loss of the change history.
         match table.version % 2 {
-            0 => near.follow(&table, 0),
-            _ => near.read_whole(&table, 0),
+            0 => direct.read_changes(&table, 0),
+            _ => direct.read_snapshot(&table, 0),
         }
-        far.ask(&near.mirror);
-        for follower in [&near, &far] {
-            let mut rows: Vec<_> = follower.rows.values().cloned().collect();
-            let mut truth: Vec<_> = table.rows(table.version).into_values().collect();
+        indirect.fetch_peer(&direct.replica);
+        for reader in [&direct, &indirect] {
+            let mut rows: Vec<_> = reader.rows.values().cloned().collect();
+            let mut expected: Vec<_> = table.rows(table.version).into_values().collect();
             rows.sort_by(|a, b| a.key.cmp(&b.key));
-            truth.sort_by(|a, b| a.key.cmp(&b.key));
-            prop_assert_eq!(rows, truth);
+            expected.sort_by(|a, b| a.key.cmp(&b.key));
+            prop_assert_eq!(rows, expected);
         }
     }
 }
 
 #[test]
-fn an_old_version_confirms_nothing() {
-    // A daemon that lags says that the store has just confirmed its copy. One that
-    // knows less must not take its own copy for up to date by that.
+fn confirmation_of_a_newer_version_is_ignored() {
+    // A daemon that lags behind receives a confirmation of a version that it doesn't have
+    // yet. Its own replica must not count as confirmed by that.
     let now = Instant::now();
-    let mut mirror = TableReplica::default();
-    mirror.apply(Vec::new(), 10);
-    mirror.record_confirmation(12, now);
-    assert_eq!(mirror.confirmed_at(), None);
-    mirror.record_confirmation(10, now);
-    mirror.record_confirmation(10, now - Duration::from_secs(1));
-    assert_eq!(mirror.confirmed_at(), Some(now));
+    let mut replica = TableReplica::default();
+    replica.apply(Vec::new(), 10);
+    replica.record_confirmation(12, now);
+    assert_eq!(replica.confirmed_at(), None);
+    replica.record_confirmation(10, now);
+    replica.record_confirmation(10, now - Duration::from_secs(1));
+    assert_eq!(replica.confirmed_at(), Some(now));
 }
 
 #[test]
-fn an_own_row_that_was_removed_is_missed() {
-    // A daemon writes its row and is frozen before it reads anything more; others remove
-    // the row, and the store forgets its history. The daemon reads all rows there are, and
-    // learns that its own is gone.
-    let (mut table, mut near) = (Table::default(), Follower::default());
+fn snapshot_reveals_removal_of_own_row() {
+    // A daemon writes its row and is suspended before it reads anything more. Others
+    // remove the row, and the store drops that part of its history. The daemon has to
+    // notice from a snapshot that its row is gone.
+    let (mut table, mut direct) = (ReferenceTable::default(), Reader::default());
     table.write(1, Some(1));
-    near.follow(&table, 0);
+    direct.read_changes(&table, 0);
     table.write(2, Some(2));
-    near.note(table.history.last().expect("it was written").clone());
+    direct.apply_own_write(table.history.last().expect("it was written").clone());
     table.write(2, None);
-    near.read_whole(&table, 0);
-    assert!(!near.rows.contains_key("2"), "{:?}", near.rows);
+    direct.read_snapshot(&table, 0);
+    assert!(!direct.rows.contains_key("2"), "{:?}", direct.rows);
 }
