--- a/crates/gate/src/directory.rs
+++ b/crates/gate/src/directory.rs
@@ -1,4 +1,5 @@
-//! Tells callers where to connect, and the platform whether the daemon is ready.
+//! HTTP endpoints for callers, which look up a daemon's address, for the platform's
+//! readiness check, and for other daemons, which fetch table changes.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -15,96 +16,96 @@
 use crate::shared::Shared;
 use crate::table_sync;
 
-/// How long callers keep an answer.
+/// How long callers may cache a response.
 ///
-/// Short, so that callers leave a daemon that stops or died within a second or
-/// three; a question costs some 30 µs.
-const HOLD: Duration = Duration::from_secs(1);
+/// Short, so that callers leave a daemon that stops or dies within one to three seconds;
+/// a request costs about 30 µs.
+const RESPONSE_TTL: Duration = Duration::from_secs(1);
 
-/// The addresses that one answer holds at most; callers read no more.
-const ADDRESS_LIMIT: usize = 64;
+/// The number of addresses in a response; callers read no more.
+const MAX_ADDRESSES: usize = 64;
 
-/// Tells callers where to connect.
+/// Serves the addresses of the daemons that callers can connect to.
 pub fn directory_router(shared: Arc<Shared>) -> Router {
     let path = shared.dialect.directory_path();
-    Router::new().route(path, get(addresses)).with_state(shared)
+    Router::new().route(path, get(list_addresses)).with_state(shared)
 }
 
-/// Tells the platform whether the daemon is ready.
+/// Serves the platform's readiness check.
 pub fn readiness_router(shared: Arc<Shared>) -> Router {
     let path = shared.dialect.readiness_path();
-    Router::new().route(path, get(ready)).with_state(shared)
+    Router::new().route(path, get(readiness)).with_state(shared)
 }
 
-async fn addresses(
+async fn list_addresses(
     State(shared): State<Arc<Shared>>,
     RawQuery(_query): RawQuery,
 ) -> Response {
-    let addresses = ready_addresses(&shared);
+    let addresses = usable_addresses(&shared);
     if addresses.is_empty() {
         return StatusCode::SERVICE_UNAVAILABLE.into_response();
     }
-    let hold = HOLD.min(shared.bounds.borrow().directory);
-    let answer = shared.dialect.write_directory(&addresses, hold);
-    answer.map(|body| axum::body::Body::new(Full::new(body))).into_response()
+    let max_age = RESPONSE_TTL.min(shared.bounds.borrow().directory);
+    let response = shared.dialect.write_directory(&addresses, max_age);
+    response.map(|body| axum::body::Body::new(Full::new(body))).into_response()
 }
 
-/// Where callers can connect: daemons that have joined and neither leave nor are
-/// silent.
-fn ready_addresses(shared: &Shared) -> Vec<SocketAddr> {
+/// The addresses of daemons that have joined, are not shutting down, and are alive.
+fn usable_addresses(shared: &Shared) -> Vec<SocketAddr> {
     let now = shared.now();
-    let known = shared.membership();
+    let membership = shared.membership();
     let me = shared.peers.me;
-    let own = shared.is_ready();
-    let rows: Vec<&MemberRow> = known.members.values().map(|(row, _)| row).collect();
-    let ready = |row: &MemberRow| match row.member == me {
-        true => own,
-        false => known.accepts_claims(row) && shared.is_alive(row.member, now),
+    let own_ready = shared.is_ready();
+    let rows: Vec<&MemberRow> = membership.members.values().map(|(row, _)| row).collect();
+    let is_ready = |row: &MemberRow| match row.member == me {
+        true => own_ready,
+        false => membership.accepts_claims(row) && shared.is_alive(row.member, now),
     };
-    let addresses = |which: &dyn Fn(&MemberRow) -> bool| -> Vec<SocketAddr> {
-        let open = rows.iter().filter(|row| which(row));
-        open.map(|row| row.caller_addr).take(ADDRESS_LIMIT).collect()
+    let addresses = |filter: &dyn Fn(&MemberRow) -> bool| -> Vec<SocketAddr> {
+        let matching = rows.iter().filter(|row| filter(row));
+        matching.map(|row| row.caller_addr).take(MAX_ADDRESSES).collect()
     };
-    let open = addresses(&ready);
-    if !open.is_empty() {
-        return open;
+    let ready = addresses(&is_ready);
+    if !ready.is_empty() {
+        return ready;
     }
-    // All have just started, or none hears the others: any may serve, and says when
-    // to come back if it can't.
-    let listed = addresses(&|row| known.accepts_claims(row));
-    if !listed.is_empty() {
-        return listed;
+    // All have just started, or none receives heartbeats of others. Any daemon may serve;
+    // one that can't gives the caller a retry delay.
+    let joined = addresses(&|row| membership.accepts_claims(row));
+    if !joined.is_empty() {
+        return joined;
     }
-    // A daemon that has started while the store is away knows neither routes nor others.
-    // Callers that it sends to itself are refused; those that it tells nothing ask another.
+    // A daemon that starts while the store is unavailable has neither routes nor the rows
+    // of others. Callers directed to it would be refused; with an empty response they try
+    // another directory.
     if shared.is_initialized() { vec![shared.settings.caller_addr] } else { Vec::new() }
 }
 
-async fn ready(State(shared): State<Arc<Shared>>) -> StatusCode {
+async fn readiness(State(shared): State<Arc<Shared>>) -> StatusCode {
     match shared.is_ready() {
         true => StatusCode::OK,
         false => StatusCode::SERVICE_UNAVAILABLE,
     }
 }
 
-/// Tells other daemons what changed in the copies of the store's tables.
+/// Serves the changes of this daemon's table replicas to other daemons.
 pub fn table_changes_router(shared: Arc<Shared>) -> Router {
     Router::new()
-        .route("/changes/{table}/{after}/{limit}", get(changes))
+        .route("/changes/{table}/{after}/{limit}", get(table_changes))
         .with_state(shared)
 }
 
-async fn changes(
+async fn table_changes(
     State(shared): State<Arc<Shared>>,
-    Path((table, after, limit)): Path<(String, u64, usize)>,
+    Path((table, after, max_bytes)): Path<(String, u64, usize)>,
 ) -> Response {
     let tables = table_sync::tables(&shared);
-    let table = tables.into_iter().find(|one| one.name == table);
+    let table = tables.into_iter().find(|candidate| candidate.name == table);
     let changes = table.and_then(|table| table.replica().changes_since(after));
     match changes.map(|changes| postcard::to_allocvec(&changes)) {
-        // Some sixty daemons that fetch a large configuration from one over a thin link
-        // have it long after its time; the store's link is wide.
-        Some(Ok(bytes)) if bytes.len() > limit => {
+        // If some sixty daemons fetch a large configuration from one over its thin link,
+        // they get it long after the deadline. The store's link is wide.
+        Some(Ok(bytes)) if bytes.len() > max_bytes => {
             StatusCode::PAYLOAD_TOO_LARGE.into_response()
         }
         Some(Ok(bytes)) => bytes.into_response(),
--- a/crates/gate/src/driver.rs
+++ b/crates/gate/src/driver.rs
@@ -1,8 +1,9 @@
-//! Gives a runner its orders.
+//! Sends a runner its orders.
 //!
-//! A runner carries out one order at a time. Each order names the number of orders
-//! that the runner has accepted before, so that one whose answer was lost can't act
-//! after a later one: what the runner holds is known whenever an order is given.
+//! A runner executes one order at a time. Each order states how many orders the runner
+//! must have accepted before it, so that an order whose response was lost can't take
+//! effect after a later one. What the runner holds is therefore known whenever an order
+//! is sent.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -23,137 +24,140 @@
 use crate::metrics::Step;
 use crate::shared::Shared;
 
-/// How long an engine may take to answer an order or a question.
+/// How long an engine may take to respond to an order or a report request.
 ///
-/// It answers within its link's delay; an order without an answer may act later.
-const ANSWER_TIME: Duration = Duration::from_millis(250);
+/// It responds within the delay of its link. An order without a response may still take
+/// effect later.
+const RESPONSE_TIMEOUT: Duration = Duration::from_millis(250);
 
 /// The largest report that is read, in bytes.
-const REPORT_LIMIT: usize = 1 << 20;
+const MAX_REPORT_BYTES: usize = 1 << 20;
 
-/// How old an engine's report may be, at most.
+/// How far an engine's report may lag behind its state.
 ///
-/// After an answer that did not fit, a newer report is needed.
-const REPORT_AGE: Duration = Duration::from_millis(300);
+/// After a response that contradicts this daemon's view, a report is requested only after
+/// this time.
+const MAX_REPORT_LAG: Duration = Duration::from_millis(300);
 
-/// How long the load of an adapter takes.
+/// The assumed load time of an adapter.
 ///
-/// Engines fetch one in 5 to 14 ms while few are on their way.
+/// Engines fetch an adapter in 5 to 14 ms while few are being fetched.
 const ADAPTER_TIME: Duration = Duration::from_millis(16);
 
-/// How often models that are being unloaded are looked for.
-const UNLOAD_POLL: Duration = Duration::from_millis(100);
+/// How often the end of a model's unload is checked for.
+const UNLOAD_POLL_PERIOD: Duration = Duration::from_millis(100);
 
-/// How long runs on a model may take to end before its unload is given up.
-const UNLOAD_TIME: Duration = Duration::from_secs(10);
+/// How long the requests on a model may take to end before its unload is abandoned.
+const UNLOAD_TIMEOUT: Duration = Duration::from_secs(10);
 
-/// How long after its decision a model's load may begin.
+/// How long after the start of its move a model's load may be ordered.
 ///
-/// Loads from the weight store are paced when they are decided; loads that waited for
-/// room would begin together with later ones.
-const CHANGE_TIME: Duration = Duration::from_millis(1500);
+/// Loads from the weight store are paced at the time of planning; loads that waited for
+/// memory would coincide with later ones.
+const MAX_LOAD_DELAY: Duration = Duration::from_millis(1500);
 
-/// Steps that the load of an adapter may take: making room, loading, and both once
-/// more after an answer that did not fit.
-const ADAPTER_STEPS: usize = 4;
+/// Rounds of orders for one adapter: unloading another, loading, and both once more after
+/// a response that contradicts this daemon's view.
+const MAX_ADAPTER_ORDERS: usize = 4;
 
-/// Gives a runner its orders.
+/// Sends a runner its orders.
 pub struct Driver<'a> {
-    /// The daemon.
+    /// The daemon's shared state.
     pub shared: &'a Shared,
     /// The runner.
     pub runner: &'a HeldRunner,
 }
 
 impl Driver<'_> {
-    /// Has an adapter loaded; returns in how long it is there.
+    /// Has an adapter loaded; returns the time until it is ready, or `None` if it can't
+    /// be loaded.
     pub async fn load_adapter(
         &self,
         target: &TargetModel,
-        missed: bool,
+        adapter_missing: bool,
     ) -> Option<Duration> {
-        if missed {
+        if adapter_missing {
             self.runner.state().mark_adapter_missing(target);
         }
-        for _ in 0..ADAPTER_STEPS {
-            self.known().await?;
-            let places = self.engine()?.adapter_slots;
-            let need =
-                self.runner.state().adapter_need(target, places, self.shared.now());
+        for _ in 0..MAX_ADAPTER_ORDERS {
+            self.ensure_report().await?;
+            let slots = self.engine()?.adapter_slots;
+            let need = self.runner.state().adapter_need(target, slots, self.shared.now());
             match need {
-                AdapterNeed::ReadyIn(time) => return Some(time),
+                AdapterNeed::ReadyIn(duration) => return Some(duration),
                 AdapterNeed::SlotsInUse => return None,
-                AdapterNeed::Order(step) => drop(self.order(step, ADAPTER_TIME).await),
+                AdapterNeed::Order(action) => drop(self.send(action, ADAPTER_TIME).await),
             }
         }
         None
     }
 
-    /// Changes the models: makes room first, then loads; returns whether it was or is
-    /// being done.
-    pub async fn apply_move(&self, change: &Move) -> bool {
-        if !self.is_at_rest() {
-            // An earlier move is under way.
+    /// Executes a move: unloads models until the new one fits, then loads it. Returns
+    /// whether the move was made or is in progress.
+    pub async fn apply_move(&self, planned: &Move) -> bool {
+        if !self.is_idle() {
+            // An earlier move is in progress.
             return true;
         }
-        if self.known().await.is_none() {
+        if self.ensure_report().await.is_none() {
             return false;
         }
-        let began = self.shared.now();
-        let held = |model: &ModelName| self.runner.state().models().contains(model);
-        if change.load.as_ref().is_some_and(held) {
+        let started_at = self.shared.now();
+        let is_loaded = |model: &ModelName| self.runner.state().models().contains(model);
+        if planned.load.as_ref().is_some_and(is_loaded) {
             return true;
         }
-        for model in change.drop.iter().filter(|model| held(model)) {
-            if change.load.as_ref().is_some_and(|load| self.fits(load)) {
+        for model in planned.drop.iter().filter(|model| is_loaded(model)) {
+            if planned.load.as_ref().is_some_and(|load| self.fits(load)) {
                 break;
             }
-            if !self.unload(model).await {
+            if !self.unload_model(model).await {
                 return false;
             }
         }
-        let late = self.shared.now().duration_since(began) > CHANGE_TIME;
-        match &change.load {
-            // The load was counted for its time; the planner counts it again.
-            Some(_) if late => true,
-            Some(model) => self.load(model).await,
+        let is_late = self.shared.now().duration_since(started_at) > MAX_LOAD_DELAY;
+        match &planned.load {
+            // The load was paced for an earlier time; the planner plans it again.
+            Some(_) if is_late => true,
+            Some(model) => self.load_model(model).await,
             None => true,
         }
     }
 
-    async fn load(&self, model: &ModelName) -> bool {
+    async fn load_model(&self, model: &ModelName) -> bool {
         if !self.fits(model) {
             let server = self.runner.server.to_string();
-            info!(self.shared.log, "no room for a model"; "server" => server,
+            info!(self.shared.log, "not enough memory for a model"; "server" => server,
                 "model" => model.to_string());
             return false;
         }
-        let time = self.load_time(model);
-        let answer = self.order(OrderAction::Load(model.clone()), time).await;
-        matches!(answer, Some(OrderResponse::Accepted | OrderResponse::Holds))
+        let duration = self.load_time(model);
+        let response = self.send(OrderAction::Load(model.clone()), duration).await;
+        matches!(response, Some(OrderResponse::Accepted | OrderResponse::Holds))
     }
 
-    /// Has a model unloaded and waits until its runs have ended.
-    async fn unload(&self, model: &ModelName) -> bool {
-        let answer = self.order(OrderAction::Unload(model.clone()), UNLOAD_POLL).await;
-        match answer {
+    /// Has a model unloaded and waits until the requests on it have ended.
+    async fn unload_model(&self, model: &ModelName) -> bool {
+        let response =
+            self.send(OrderAction::Unload(model.clone()), UNLOAD_POLL_PERIOD).await;
+        match response {
             Some(OrderResponse::Holds) => return true,
             Some(OrderResponse::Accepted) => {}
             _ => return false,
         }
-        // Its runs end first; nothing else may be ordered until then.
+        // The model's requests end first; no other order may be sent until then.
         self.runner.state().forget_order_count();
-        let limit = self.shared.now() + UNLOAD_TIME;
-        while self.shared.now() < limit {
-            sleep(UNLOAD_POLL).await;
-            if self.known().await.is_some() {
+        let deadline = self.shared.now() + UNLOAD_TIMEOUT;
+        while self.shared.now() < deadline {
+            sleep(UNLOAD_POLL_PERIOD).await;
+            if self.ensure_report().await.is_some() {
                 return true;
             }
         }
         false
     }
 
-    /// Whether a model fits beside what the runner holds.
+    /// Whether the runner has memory for a model besides those that it holds.
     fn fits(&self, model: &ModelName) -> bool {
         self.engine().is_some_and(|engine| self.runner.state().fits(model, &engine))
     }
@@ -162,15 +166,17 @@
         let engine = self.engine();
         let declared = engine.as_ref().and_then(|engine| engine.models.get(model));
         let entry = self.entry();
-        let known = declared.zip(entry);
-        known.map_or(ANSWER_TIME, |(declared, entry)| entry.load_time(model, declared))
+        let known_model = declared.zip(entry);
+        known_model.map_or(RESPONSE_TIMEOUT, |(declared, entry)| {
+            entry.load_time(model, declared)
+        })
     }
 
     fn engine(&self) -> Option<Arc<Engine>> {
         self.shared.engine_of(&self.runner.server)
     }
 
-    fn is_at_rest(&self) -> bool {
+    fn is_idle(&self) -> bool {
         self.runner.state().order_time_left(self.shared.now()).is_zero()
     }
 
@@ -184,47 +190,50 @@
         self.entry().map(|entry| entry.address)
     }
 
-    /// Asks the runner what it holds unless that is known.
-    async fn known(&self) -> Option<()> {
+    /// Requests a report from the runner unless its state is known; `None` if it stays
+    /// unknown.
+    async fn ensure_report(&self) -> Option<()> {
         if self.runner.state().order_count().is_some() {
             return Some(());
         }
-        if !self.is_at_rest() {
+        if !self.is_idle() {
             return None;
         }
         let addr = self.addr()?;
         let request = self.shared.dialect.write_report_request();
         let client = &self.shared.client;
-        let answer = client.call(addr, request, REPORT_LIMIT, ANSWER_TIME).await;
-        let report = match answer {
-            Ok(answer) => self.shared.dialect.read_report(answer.body()),
-            Err(fault) => {
-                info!(self.shared.log, "no report"; "server" => self.runner.server.to_string(),
-                    "error" => fault.to_string());
+        let response =
+            client.call(addr, request, MAX_REPORT_BYTES, RESPONSE_TIMEOUT).await;
+        let report = match response {
+            Ok(response) => self.shared.dialect.read_report(response.body()),
+            Err(error) => {
+                info!(self.shared.log, "no response to report request"; "server" => self.runner.server.to_string(),
+                    "error" => error.to_string());
                 return None;
             }
         };
         match report {
             Ok(report) => {
-                let current = report.started_at_ms
+                let same_process = report.started_at_ms
                     == self.entry().and_then(|entry| entry.started_at_ms);
                 let now = self.shared.now();
-                let taken = current && self.runner.state().apply_report(&report, now);
-                info!(self.shared.log, "report"; "server" => self.runner.server.to_string(),
-                    "orders" => report.accepted_orders, "busy" => report.busy, "taken" => taken,
+                let applied =
+                    same_process && self.runner.state().apply_report(&report, now);
+                info!(self.shared.log, "report received"; "server" => self.runner.server.to_string(),
+                    "orders" => report.accepted_orders, "busy" => report.busy, "taken" => applied,
                     "models" => report.models.len());
-                taken.then_some(())
+                applied.then_some(())
             }
             Err(error) => {
-                warn!(self.shared.log, "report refused"; "server" => self.runner.server.to_string(),
+                warn!(self.shared.log, "invalid report ignored"; "server" => self.runner.server.to_string(),
                     "error" => error.to_string());
                 None
             }
         }
     }
 
-    /// Whether the claims are known well enough to give an order by them.
-    fn is_sure(&self) -> bool {
+    /// Whether the replica of the claims is recent enough to send an order under them.
+    fn has_current_claims(&self) -> bool {
         let now = self.shared.now();
         let fenced = self.shared.bounds.borrow().fenced;
         let age = match self.shared.is_resuming() {
@@ -234,64 +243,67 @@
         suspension::may_send_order(fenced, age)
     }
 
-    /// Gives an order; returns the answer if the order could be given.
-    async fn order(&self, step: OrderAction, time: Duration) -> Option<OrderResponse> {
+    /// Sends an order that is assumed to take `duration`; returns the response, or `None`
+    /// if the order could not be sent.
+    async fn send(
+        &self,
+        action: OrderAction,
+        duration: Duration,
+    ) -> Option<OrderResponse> {
         let server = &self.runner.server;
         let fence = claims::fence(self.shared, server)?;
-        if !self.is_sure() {
-            info!(self.shared.log, "no order on old claims"; "server" => server.to_string());
+        if !self.has_current_claims() {
+            info!(self.shared.log, "order withheld, claims are outdated"; "server" => server.to_string());
             return None;
         }
         let addr = self.addr()?;
-        let after = self.runner.state().order_count()?;
+        let expected_orders = self.runner.state().order_count()?;
         let holder = self.shared.settings.vm.clone();
-        let order = Order {
-            server: server.clone(),
-            action: step,
-            expected_orders: after,
-            holder,
-            fence,
-        };
+        let order =
+            Order { server: server.clone(), action, expected_orders, holder, fence };
         let request = self.shared.dialect.write_order(&order);
         let client = &self.shared.client;
-        let answer = client.call(addr, request, REPORT_LIMIT, ANSWER_TIME).await;
-        let answer = match answer {
-            Ok(answer) => {
-                self.shared.dialect.read_order_response(answer.status(), answer.headers())
-            }
-            Err(fault) => {
-                info!(self.shared.log, "order not answered"; "server" => server.to_string(),
-                    "error" => fault.to_string());
+        let response =
+            client.call(addr, request, MAX_REPORT_BYTES, RESPONSE_TIMEOUT).await;
+        let response = match response {
+            Ok(response) => self
+                .shared
+                .dialect
+                .read_order_response(response.status(), response.headers()),
+            Err(error) => {
+                info!(self.shared.log, "no response to order"; "server" => server.to_string(),
+                    "error" => error.to_string());
                 OrderResponse::Unknown
             }
         };
-        self.shared.metrics.count(Step::Order, answer.name());
-        info!(self.shared.log, "order"; "server" => server.to_string(),
-            "step" => format!("{:?}", order.action), "after" => after,
-            "fence" => fence.0, "answer" => format!("{answer:?}"));
-        self.take_answer(&order.action, answer, time).await;
-        Some(answer)
+        self.shared.metrics.count(Step::Order, response.name());
+        info!(self.shared.log, "order sent"; "server" => server.to_string(),
+            "step" => format!("{:?}", order.action), "after" => expected_orders,
+            "fence" => fence.0, "answer" => format!("{response:?}"));
+        self.apply_response(&order.action, response, duration).await;
+        Some(response)
     }
 
-    async fn take_answer(
+    async fn apply_response(
         &self,
-        step: &OrderAction,
-        answer: OrderResponse,
-        time: Duration,
+        action: &OrderAction,
+        response: OrderResponse,
+        duration: Duration,
     ) {
         let now = self.shared.now();
-        match answer {
+        match response {
             OrderResponse::Accepted => {
-                self.runner.state().record_accepted(step, time, now);
-                if matches!(step, OrderAction::UnloadAdapter(..)) {
-                    // Requests use it still; its place is free once a report says so.
+                self.runner.state().record_accepted(action, duration, now);
+                if matches!(action, OrderAction::UnloadAdapter(..)) {
+                    // Requests still use the adapter; its slot is free once a report
+                    // shows that.
                     self.runner.state().forget_order_count();
                 }
             }
-            OrderResponse::Holds => self.runner.state().record_in_force(step, now),
+            OrderResponse::Holds => self.runner.state().record_in_force(action, now),
             OrderResponse::Conflict | OrderResponse::Unknown | OrderResponse::Busy => {
                 self.runner.state().forget_order_count();
-                sleep(REPORT_AGE).await;
+                sleep(MAX_REPORT_LAG).await;
             }
             OrderResponse::Fenced
             | OrderResponse::Misdirected
--- a/crates/gate/src/persisted_timings.rs
+++ b/crates/gate/src/persisted_timings.rs
@@ -1,11 +1,11 @@
-//! Keeps what was learnt of runners for daemons that start.
+//! Persists learned engine timings for daemons that start.
 //!
-//! A daemon that has just started knows nothing of the engines; until it has learnt how
-//! fast they read, it sends prompts at a rate that suits none of them. After a loss of
-//! power all daemons start at the same moment, with all callers returning. The planner of
-//! a service therefore writes what it has learnt to the store, seldom and only if it
-//! changed; the copy of the table that each daemon reads at its start holds it. Holders of
-//! runners tell the planner what they have learnt.
+//! Without timings, a daemon that has just started sends prompts at a rate that suits no
+//! engine until it has learned their prefill rates. After a power loss all daemons start
+//! at once, while all callers return. The planner of a service therefore writes its
+//! timings to the store, at a limited rate and only when they have changed; a daemon gets
+//! them with its first read of the table. Holders of runners send the planner what they
+//! have learned.
 
 use std::sync::Arc;
 use std::time::{Duration, Instant};
@@ -19,22 +19,24 @@
 use crate::store;
 use crate::table_sync::{ChangeHandler, SYSTEM_TABLE};
 
-/// How keys of rows with what was learnt begin; the service follows.
+/// Prefix of the keys of engine timings; the service follows.
 pub const KEY_PREFIX: &str = "engine:";
 
-/// How often a service's row is written, at most.
-const PERIOD: Duration = Duration::from_secs(3);
+/// The minimum time between two writes of a service's row, and between two reports to its
+/// planner.
+const MIN_UPDATE_INTERVAL: Duration = Duration::from_secs(3);
 
-/// What the store holds of a service's runners, and when this daemon last wrote it.
+/// The engine timings of a service in the store, and when this daemon last wrote or
+/// reported its own.
 #[derive(Debug, Default)]
 pub struct PersistedTimings {
-    learnt: LearnedTimings,
-    written: Option<Instant>,
-    /// When this daemon last told the planner what it has learnt.
-    told: Option<Instant>,
+    timings: LearnedTimings,
+    written_at: Option<Instant>,
+    /// When this daemon last sent its timings to the planner.
+    reported_at: Option<Instant>,
 }
 
-/// Takes in what was learnt.
+/// Handles rows of engine timings.
 pub struct EngineTimingsHandler(pub Arc<Shared>);
 
 impl ChangeHandler for EngineTimingsHandler {
@@ -44,65 +46,72 @@
         let Ok(service) = ServiceName::try_from(name) else { return };
         let Some(value) = &change.value else { return };
         match serde_json::from_slice::<LearnedTimings>(value) {
-            Ok(learnt) => {
+            Ok(timings) => {
                 info!(shared.log, "engine known"; "service" => name,
-                    "version" => change.version, "models" => learnt.models.len(),
-                    "step_us" => learnt.step_time.as_micros() as u64,
-                    "stay_ms" => learnt.service_time.as_millis() as u64);
-                shared.engine_timings().merge(&learnt);
-                shared.persisted_timings().entry(service).or_default().learnt = learnt;
+                    "version" => change.version, "models" => timings.models.len(),
+                    "step_us" => timings.step_time.as_micros() as u64,
+                    "stay_ms" => timings.service_time.as_millis() as u64);
+                shared.engine_timings().merge(&timings);
+                shared.persisted_timings().entry(service).or_default().timings = timings;
+            }
+            Err(error) => {
+                warn!(shared.log, "invalid engine timings ignored"; "key" => &change.key,
+                "error" => error.to_string())
             }
-            Err(error) => warn!(shared.log, "engine's row refused"; "key" => &change.key,
-                "error" => error.to_string()),
         }
     }
 }
 
-/// What the holder of a service's runners has learnt, if the planner is to be told.
+/// The timings to send to a service's planner; `None` if they match the persisted ones or
+/// were sent recently.
 pub fn unreported(shared: &Shared, service: &ServiceName) -> Option<LearnedTimings> {
     let now = shared.now();
-    let learnt = shared.engine_timings().learned();
-    let mut kept = shared.persisted_timings();
-    let kept = kept.entry(service.clone()).or_default();
-    let recent = |at: Instant| now.saturating_duration_since(at) < PERIOD;
-    let due = !learnt.models.is_empty()
-        && learnt.differs_from(&kept.learnt)
-        && !kept.told.is_some_and(recent);
-    due.then(|| {
-        kept.told = Some(now);
-        learnt
+    let timings = shared.engine_timings().learned();
+    let mut persisted = shared.persisted_timings();
+    let persisted = persisted.entry(service.clone()).or_default();
+    let is_recent = |at: Instant| now.saturating_duration_since(at) < MIN_UPDATE_INTERVAL;
+    let is_due = !timings.models.is_empty()
+        && timings.differs_from(&persisted.timings)
+        && !persisted.reported_at.is_some_and(is_recent);
+    is_due.then(|| {
+        persisted.reported_at = Some(now);
+        timings
     })
 }
 
-/// Writes what was learnt of a service's runners, if it is news.
+/// Writes a service's engine timings if they differ from the persisted ones and none were
+/// written recently.
 pub fn persist(shared: &Arc<Shared>, service: &ServiceName) {
     let now = shared.now();
-    let learnt = shared.engine_timings().learned_by_all();
+    let timings = shared.engine_timings().learned_by_all();
     {
-        let mut kept = shared.persisted_timings();
-        let kept = kept.entry(service.clone()).or_default();
-        let recent = |at: Instant| now.saturating_duration_since(at) < PERIOD;
-        if kept.written.is_some_and(recent) || !learnt.differs_from(&kept.learnt) {
+        let mut persisted = shared.persisted_timings();
+        let persisted = persisted.entry(service.clone()).or_default();
+        let is_recent =
+            |at: Instant| now.saturating_duration_since(at) < MIN_UPDATE_INTERVAL;
+        if persisted.written_at.is_some_and(is_recent)
+            || !timings.differs_from(&persisted.timings)
+        {
             return;
         }
-        kept.written = Some(now);
+        persisted.written_at = Some(now);
     }
     // Numbers and names always serialize.
-    let value = serde_json::to_vec(&learnt).unwrap_or_default();
-    let commit = Transaction::default().put(
+    let value = serde_json::to_vec(&timings).unwrap_or_default();
+    let transaction = Transaction::default().put(
         SYSTEM_TABLE,
         &format!("{KEY_PREFIX}{service}"),
         value,
     );
-    tokio::spawn(write(shared.clone(), commit));
+    tokio::spawn(write_row(shared.clone(), transaction));
 }
 
-async fn write(shared: Arc<Shared>, commit: Transaction) {
-    match store::commit(&shared, &commit).await {
+async fn write_row(shared: Arc<Shared>, transaction: Transaction) {
+    match store::commit(&shared, &transaction).await {
         Ok(TransactionOutcome::Done { .. }) => {}
-        Ok(answer) => warn!(shared.log, "what was learnt is not kept";
-            "answer" => format!("{answer:?}")),
-        Err(fault) => warn!(shared.log, "what was learnt is not kept";
-            "error" => fault.to_string()),
+        Ok(outcome) => warn!(shared.log, "failed to persist engine timings";
+            "answer" => format!("{outcome:?}")),
+        Err(error) => warn!(shared.log, "failed to persist engine timings";
+            "error" => error.to_string()),
     }
 }
--- a/crates/gate/src/planner.rs
+++ b/crates/gate/src/planner.rs
@@ -1,9 +1,9 @@
-//! Plans which runner holds which model, for the services whose planner's claim
-//! this daemon holds.
+//! Plans which runner holds which model, for the services whose planner's claim this
+//! daemon holds.
 //!
-//! Every daemon counts what callers ask for and tells the planner. The planner's
-//! word is only a wish: a runner's holder carries it out if it fits, so that two
-//! planners at the same time waste loads but break nothing.
+//! Every daemon counts its callers' demand and sends it to the planner. The planner's
+//! moves are only requests: a runner's holder makes a move if it is possible, so that two
+//! planners at the same time waste loads but do no harm.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -25,221 +25,221 @@
 use crate::shared::Shared;
 use crate::{holder, members, persisted_timings};
 
-/// How often the planner plans and daemons tell it what is asked for.
-const PERIOD: Duration = Duration::from_millis(250);
+/// How often moves are planned and daemons send their demand to the planner.
+const PLAN_PERIOD: Duration = Duration::from_millis(250);
 
-/// The models in one part of what a daemon tells of its callers.
+/// The number of models in one datagram of a demand report.
 ///
-/// With names of 16 bytes 8 KB, beside as much of what was learnt.
-const PART_MODELS: usize = 128;
+/// With names of 16 bytes that is 8 KB, beside as much for learned engine timings.
+const MODELS_PER_PART: usize = 128;
 
-/// What callers have asked of this daemon, by service and model.
+/// The demand of this daemon's callers since its start, by service and model.
 #[derive(Debug, Default)]
 pub struct DemandCounters {
-    asked: IndexMap<ServiceName, IndexMap<ModelName, DemandCounts>>,
+    by_service: IndexMap<ServiceName, IndexMap<ModelName, DemandCounts>>,
 }
 
 impl DemandCounters {
-    /// Adds to what was asked of a model.
+    /// Adds to the demand for a model.
     pub fn record(
         &mut self,
         service: &ServiceName,
         model: &ModelName,
-        asked: DemandCounts,
+        demand: DemandCounts,
     ) {
-        let models = self.asked.entry(service.clone()).or_default();
-        *models.entry(model.clone()).or_default() += asked;
+        let models = self.by_service.entry(service.clone()).or_default();
+        *models.entry(model.clone()).or_default() += demand;
     }
 }
 
-/// DemandCounters for the planner what was asked of a model.
+/// Adds to the demand for a model that is sent to the planner.
 pub fn record_demand(
     shared: &Shared,
     service: &ServiceName,
     model: &ModelName,
-    asked: DemandCounts,
+    demand: DemandCounts,
 ) {
-    shared.demand_counters().record(service, model, asked);
+    shared.demand_counters().record(service, model, demand);
 }
 
-/// Takes in what callers have asked of a daemon.
+/// Applies one part of a daemon's demand, and the servers that it can't connect to.
 pub fn apply_demand(
     shared: &Shared,
     from: MemberId,
     (service, part): (ServiceName, usize),
-    asked: Vec<(ModelName, DemandCounts)>,
-    lost: Vec<ServerName>,
+    demand: Vec<(ModelName, DemandCounts)>,
+    unreachable: Vec<ServerName>,
 ) {
     let now = shared.now();
-    let mut plans = shared.planners();
-    let placing = plans.entry(service).or_insert_with(|| PlacementPlanner::new(now));
-    placing.update_demand(from, part, asked);
-    placing.record_unreachable(from, lost, now);
+    let mut planners = shared.planners();
+    let planner = planners.entry(service).or_insert_with(|| PlacementPlanner::new(now));
+    planner.update_demand(from, part, demand);
+    planner.record_unreachable(from, unreachable, now);
 }
 
-/// Takes in that a runner's holder could not make a move.
-pub fn record_failed_move(shared: &Shared, change: &Move) {
+/// Records that a runner's holder could not make a move.
+pub fn record_failed_move(shared: &Shared, planned: &Move) {
     let now = shared.now();
-    for placing in shared.planners().values_mut() {
-        placing.record_failure(change, now);
+    for planner in shared.planners().values_mut() {
+        planner.record_failure(planned, now);
     }
 }
 
-/// Tells planners what is asked for, and plans where this daemon is the planner.
+/// Sends demand to the planners, and plans the services whose planner this daemon is.
 pub async fn run(shared: Arc<Shared>) {
     loop {
-        sleep(PERIOD).await;
+        sleep(PLAN_PERIOD).await;
         let Some(declared) = shared.declarations() else { continue };
         for (name, service) in &declared.services {
             let Some(engine) = &service.engine else { continue };
-            let asked = own_counts(&shared, name);
-            let lost = unreachable(&shared, name);
-            match planner_of(&shared, name) {
-                Planner::Here => {
+            let demand = own_demand(&shared, name);
+            let unreachable = unreachable_servers(&shared, name);
+            match locate_planner(&shared, name) {
+                PlannerLocation::Local => {
                     apply_demand(
                         &shared,
                         shared.peers.me,
                         (name.clone(), 0),
-                        asked,
-                        lost,
+                        demand,
+                        unreachable,
                     );
                     plan_service(&shared, name, engine);
                     persisted_timings::persist(&shared, name);
                 }
-                Planner::There(addr) => {
+                PlannerLocation::Remote(addr) => {
                     shared.planners().swap_remove(name);
-                    tell(&shared, addr, name, &asked, &lost);
+                    send_demand(&shared, addr, name, &demand, &unreachable);
                 }
-                Planner::Nobody => {}
+                PlannerLocation::Unknown => {}
             }
         }
     }
 }
 
-/// Tells a planner what was asked of this daemon, and what it has learnt.
-fn tell(
+/// Sends a planner this daemon's demand and the engine timings that it has learned.
+fn send_demand(
     shared: &Shared,
     planner: SocketAddr,
     service: &ServiceName,
-    asked: &[(ModelName, DemandCounts)],
-    lost: &[ServerName],
+    demand: &[(ModelName, DemandCounts)],
+    unreachable: &[ServerName],
 ) {
-    let mut learnt = persisted_timings::unreported(shared, service);
-    // The first part goes in any case, for the servers that are lost.
-    let parts = asked.len().div_ceil(PART_MODELS).max(1);
+    let mut timings = persisted_timings::unreported(shared, service);
+    // At least one part is sent, since it also lists the unreachable servers.
+    let parts = demand.len().div_ceil(MODELS_PER_PART).max(1);
     for part in 0..parts {
-        let from = part * PART_MODELS;
-        let to = asked.len().min(from + PART_MODELS);
+        let from = part * MODELS_PER_PART;
+        let to = demand.len().min(from + MODELS_PER_PART);
         let message = Message::Demand {
             service: service.clone(),
             part,
-            asked: asked[from..to].to_vec(),
-            lost: lost.to_vec(),
-            learnt: learnt.take(),
+            asked: demand[from..to].to_vec(),
+            lost: unreachable.to_vec(),
+            learnt: timings.take(),
         };
         shared.peers.send(planner, message);
     }
 }
 
-enum Planner {
-    Here,
-    There(SocketAddr),
-    Nobody,
+enum PlannerLocation {
+    Local,
+    Remote(SocketAddr),
+    Unknown,
 }
 
-fn planner_of(shared: &Shared, service: &ServiceName) -> Planner {
-    let known = shared.membership();
-    let claim = pool_key(service).and_then(|key| known.claims.get(&key).copied());
+fn locate_planner(shared: &Shared, service: &ServiceName) -> PlannerLocation {
+    let membership = shared.membership();
+    let claim = pool_key(service).and_then(|key| membership.claims.get(&key).copied());
     let Some(holder) = claim.and_then(|(row, _)| row.holder) else {
-        return Planner::Nobody;
+        return PlannerLocation::Unknown;
     };
     if holder == shared.peers.me {
-        return Planner::Here;
+        return PlannerLocation::Local;
     }
-    let row = known.member_row(holder);
-    row.map_or(Planner::Nobody, |row| Planner::There(row.peer_addr))
+    let row = membership.member_row(holder);
+    row.map_or(PlannerLocation::Unknown, |row| PlannerLocation::Remote(row.peer_addr))
 }
 
-fn own_counts(shared: &Shared, service: &ServiceName) -> Vec<(ModelName, DemandCounts)> {
-    let counts = shared.demand_counters();
-    let models = counts.asked.get(service).into_iter().flatten();
-    models.map(|(model, asked)| (model.clone(), *asked)).collect()
+fn own_demand(shared: &Shared, service: &ServiceName) -> Vec<(ModelName, DemandCounts)> {
+    let counters = shared.demand_counters();
+    let models = counters.by_service.get(service).into_iter().flatten();
+    models.map(|(model, demand)| (model.clone(), *demand)).collect()
 }
 
 /// Servers of a service that this daemon can't connect to.
-fn unreachable(shared: &Shared, service: &ServiceName) -> Vec<ServerName> {
+fn unreachable_servers(shared: &Shared, service: &ServiceName) -> Vec<ServerName> {
     let now = shared.now();
     let fleet = shared.fleet();
-    let ours = fleet.iter().filter(|(_, server)| server.entry.service == *service);
-    let lost = ours.filter(|(_, server)| server.health.is_unreachable(now));
-    lost.map(|(_, server)| server.entry.name.clone()).collect()
+    let of_service = fleet.iter().filter(|(_, server)| server.entry.service == *service);
+    let unreachable = of_service.filter(|(_, server)| server.health.is_unreachable(now));
+    unreachable.map(|(_, server)| server.entry.name.clone()).collect()
 }
 
 fn plan_service(shared: &Shared, service: &ServiceName, engine: &Engine) {
     let now = shared.now();
     let daemons = members::daemon_count(shared);
-    let mut runners = runners(shared, service);
-    if let Some(placing) = shared.planners().get(service) {
-        runners.retain(|runner| !placing.is_unreachable(&runner.name, daemons, now));
+    let mut runners = listed_runners(shared, service);
+    if let Some(planner) = shared.planners().get(service) {
+        runners.retain(|runner| !planner.is_unreachable(&runner.name, daemons, now));
     }
-    let fixed = fixed(shared, &runners);
-    let bound = shared.bounds.borrow().loads(engine);
-    let changes: Vec<Move> = {
-        let mut plans = shared.planners();
-        let speeds = shared.engine_timings();
-        let scene = PlacementInput {
+    let locked = locked_runners(shared, &runners);
+    let load_bound = shared.bounds.borrow().loads(engine);
+    let moves: Vec<Move> = {
+        let mut planners = shared.planners();
+        let timings = shared.engine_timings();
+        let input = PlacementInput {
             runners: &runners,
-            fixed: &fixed,
+            fixed: &locked,
             engine,
-            load_bound: bound,
-            timings: &speeds,
+            load_bound,
+            timings: &timings,
         };
-        let Some(placing) = plans.get_mut(service) else { return };
-        for change in placing.plan(&scene, now) {
-            let demand = change.load.as_ref().map(|model| placing.demand(model));
+        let Some(planner) = planners.get_mut(service) else { return };
+        for planned in planner.plan(&input, now) {
+            let demand = planned.load.as_ref().map(|model| planner.demand(model));
             shared.metrics.count(Step::Move, "planned");
-            info!(shared.log, "move planned"; "server" => change.server.to_string(),
-                "load" => change.load.as_ref().map(|model| model.to_string()),
-                "drop" => format!("{:?}", change.drop), "demand" => demand);
+            info!(shared.log, "move planned"; "server" => planned.server.to_string(),
+                "load" => planned.load.as_ref().map(|model| model.to_string()),
+                "drop" => format!("{:?}", planned.drop), "demand" => demand);
         }
-        placing.steps().collect()
+        planner.steps().collect()
     };
-    // Repeated while they stand, so that a lost message only delays them.
-    for change in changes {
-        send(shared, change);
+    // Moves are repeated while they are planned, so that a lost message only delays them.
+    for planned in moves {
+        send_move(shared, planned);
     }
 }
 
-/// Runners that nobody can give orders to now: the daemon that held the claim is gone,
-/// or the one that has just taken it waits for its turn.
-fn fixed(shared: &Shared, runners: &[ServerEntry]) -> Vec<ServerName> {
+/// Runners that can't be sent orders now: the holder of their claim is gone, or has just
+/// taken the claim and must wait before its first order.
+fn locked_runners(shared: &Shared, runners: &[ServerEntry]) -> Vec<ServerName> {
     let now = shared.now();
-    let orderless = |name: &&ServerName| {
+    let accepts_no_orders = |name: &&ServerName| {
         let key = ClaimKey::Server((*name).clone());
         let holder = {
-            let known = shared.membership();
-            known.claims.get(&key).and_then(|(row, _)| row.holder)
+            let membership = shared.membership();
+            membership.claims.get(&key).and_then(|(row, _)| row.holder)
         };
         let alive = holder.is_some_and(|holder| {
             holder == shared.peers.me || shared.is_alive(holder, now)
         });
         !alive || shared.order_start_time(&key).is_some_and(|from| now < from)
     };
-    runners.iter().map(|runner| &runner.name).filter(orderless).cloned().collect()
+    runners.iter().map(|runner| &runner.name).filter(accepts_no_orders).cloned().collect()
 }
 
-fn send(shared: &Shared, change: Move) {
-    if let Some(holder) = shared.held_runner(&change.server) {
-        holder.request_move(change, None, shared.now());
-    } else if let Some(addr) = holder::holder_addr(shared, &change.server) {
-        shared.peers.send(addr, Message::Move(change));
+fn send_move(shared: &Shared, planned: Move) {
+    if let Some(runner) = shared.held_runner(&planned.server) {
+        runner.request_move(planned, None, shared.now());
+    } else if let Some(addr) = holder::holder_addr(shared, &planned.server) {
+        shared.peers.send(addr, Message::Move(planned));
     }
 }
 
-fn runners(shared: &Shared, service: &ServiceName) -> Vec<ServerEntry> {
+fn listed_runners(shared: &Shared, service: &ServiceName) -> Vec<ServerEntry> {
     let now = shared.now();
     let fleet = shared.fleet();
-    let ours = fleet.iter().filter(|(_, server)| server.entry.service == *service);
-    let listed = ours.filter(|(_, server)| fleet.is_listed(server, now));
+    let of_service = fleet.iter().filter(|(_, server)| server.entry.service == *service);
+    let listed = of_service.filter(|(_, server)| fleet.is_listed(server, now));
     listed.map(|(_, server)| server.entry.clone()).collect()
 }
--- a/crates/gate/src/registry.rs
+++ b/crates/gate/src/registry.rs
@@ -1,4 +1,4 @@
-//! Takes in declarations and what backend servers say of themselves.
+//! Handles rows of declarations and of backend servers.
 
 use std::sync::Arc;
 
@@ -10,10 +10,10 @@
 use crate::shared::Shared;
 use crate::table_sync::ChangeHandler;
 
-/// Takes in the operators' declarations.
+/// Handles the row of the operators' declarations.
 pub struct DeclarationsHandler(pub Arc<Shared>);
 
-/// Takes in the registry of backend servers.
+/// Handles rows of the registry of backend servers.
 pub struct ServerHandler(pub Arc<Shared>);
 
 impl ChangeHandler for DeclarationsHandler {
@@ -24,51 +24,53 @@
         }
         match change.value {
             Some(value) => apply_declarations(shared, &value),
-            // The last declarations stay in force: their removal names no others.
-            None => warn!(shared.log, "declarations removed, the last ones stay"),
+            // Without new declarations the last ones stay in force.
+            None => {
+                warn!(shared.log, "declarations removed, the last ones stay in force")
+            }
         }
     }
 }
 
-/// Brings declarations into force unless later ones are.
+/// Puts declarations in force unless the current ones have the same or a later revision.
 pub fn apply_declarations(shared: &Shared, value: &Bytes) {
-    let declared = match shared.dialect.read_declarations(value) {
-        Ok(declared) => declared,
+    let declarations = match shared.dialect.read_declarations(value) {
+        Ok(declarations) => declarations,
         Err(error) => {
-            warn!(shared.log, "declarations refused"; "error" => error.to_string());
+            warn!(shared.log, "invalid declarations ignored"; "error" => error.to_string());
             return;
         }
     };
-    let revision = declared.revision;
-    let known = shared.declarations().map(|known| known.revision);
-    if known.is_some_and(|known| known >= revision) {
+    let revision = declarations.revision;
+    let current = shared.declarations().map(|current| current.revision);
+    if current.is_some_and(|current| current >= revision) {
         return;
     }
-    let routes = declared.routes.len();
-    shared.declarations.send_replace(Some(Arc::new(declared)));
+    let routes = declarations.routes.len();
+    shared.declarations.send_replace(Some(Arc::new(declarations)));
     info!(shared.log, "declarations in force";
-        "revision" => revision.0, "before" => known.unwrap_or(Revision(0)).0, "routes" => routes);
+        "revision" => revision.0, "before" => current.unwrap_or(Revision(0)).0, "routes" => routes);
 }
 
 impl ChangeHandler for ServerHandler {
     fn on_change(&mut self, change: Change) {
         let Self(shared) = self;
         let Some(value) = change.value else {
-            unlist(shared, &change.key, change.version);
+            mark_missing(shared, &change.key, change.version);
             return;
         };
         match shared.dialect.read_server(&change.key, &value) {
             Ok(entry) => {
                 info!(shared.log, "server listed"; "server" => entry.name.to_string(),
                     "version" => change.version, "service" => entry.service.to_string(),
-                    "phase" => format!("{:?}", entry.phase), "models" => names(&entry));
+                    "phase" => format!("{:?}", entry.phase), "models" => model_names(&entry));
                 shared.fleet().update(entry);
             }
             Err(error) => {
-                // An entry that can't be read names no server to use.
-                warn!(shared.log, "server's entry refused"; "key" => &change.key,
+                // A server whose entry can't be read must not be used.
+                warn!(shared.log, "invalid server entry ignored"; "key" => &change.key,
                     "version" => change.version, "error" => error.to_string());
-                unlist(shared, &change.key, change.version);
+                mark_missing(shared, &change.key, change.version);
             }
         }
     }
@@ -88,13 +90,14 @@
     }
 }
 
-/// The models that a server holds, for logs.
-fn names(entry: &ServerEntry) -> String {
-    let names: Vec<&str> = entry.models.iter().map(|held| held.model.as_str()).collect();
-    names.join(" ")
+/// The names of a server's models, for logs.
+fn model_names(entry: &ServerEntry) -> String {
+    let model_names: Vec<&str> =
+        entry.models.iter().map(|loaded| loaded.model.as_str()).collect();
+    model_names.join(" ")
 }
 
-fn unlist(shared: &Shared, key: &str, version: u64) {
+fn mark_missing(shared: &Shared, key: &str, version: u64) {
     let Ok(name) = ServerName::try_from(key) else { return };
     info!(shared.log, "server gone from the registry"; "server" => key, "version" => version);
     shared.fleet().mark_missing(&name, shared.now());
--- a/crates/gate/src/usage_reports.rs
+++ b/crates/gate/src/usage_reports.rs
@@ -1,4 +1,4 @@
-//! Tells the holders of runners what this daemon has in flight there.
+//! Reports what this daemon has in flight at runners to the holders of their claims.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -12,18 +12,19 @@
 use crate::shared::Shared;
 use crate::{admission, holder};
 
-/// How often sums that are not zero are repeated.
+/// How often usage other than zero is reported again.
 ///
-/// A lost datagram leaves a holder's total wrong for that long; a holder that takes
-/// a claim over knows all sums after it.
-const REPEAT: Duration = Duration::from_secs(1);
+/// After a lost datagram the holder's total is wrong for up to this long, and a new
+/// holder of a claim has all reports after it.
+const REPEAT_PERIOD: Duration = Duration::from_secs(1);
 
-/// Tells a runner's holder what this daemon has in flight there now.
+/// Reports this daemon's current usage of a runner to its holder. `target` is the model
+/// of a request that was just sent, `first_event` that of an admitted request.
 pub fn report(
     shared: &Shared,
     key: ServerKey,
     target: Option<TargetModel>,
-    begun: Option<Begun>,
+    first_event: Option<Begun>,
 ) {
     let (server, usage) = {
         let fleet = shared.fleet();
@@ -33,61 +34,63 @@
         }
         (server.entry.name.clone(), server.own_usage)
     };
-    tell_sum(shared, server, usage, target, begun);
+    send_report(shared, server, usage, target, first_event);
 }
 
-fn tell_sum(
+fn send_report(
     shared: &Shared,
     server: ServerName,
     usage: Usage,
     target: Option<TargetModel>,
-    begun: Option<Begun>,
+    first_event: Option<Begun>,
 ) {
     if shared.held_runner(&server).is_some() {
-        apply(shared, shared.peers.me, &server, usage, target.as_ref(), begun);
+        apply(shared, shared.peers.me, &server, usage, target.as_ref(), first_event);
     } else if let Some(addr) = holder::holder_addr(shared, &server) {
-        shared.peers.send(addr, Message::Sum { server, usage, target, begun });
+        shared
+            .peers
+            .send(addr, Message::Sum { server, usage, target, begun: first_event });
     }
 }
 
-/// Takes in what a daemon has in flight at a runner.
+/// Applies a daemon's report on a runner that this daemon holds; ignored for others.
 pub fn apply(
     shared: &Shared,
     from: MemberId,
     server: &ServerName,
     usage: Usage,
     target: Option<&TargetModel>,
-    begun: Option<Begun>,
+    first_event: Option<Begun>,
 ) {
-    let Some(holder) = shared.held_runner(server) else { return };
+    let Some(runner) = shared.held_runner(server) else { return };
     let now = shared.now();
     {
-        let mut state = holder.state();
+        let mut state = runner.state();
         state.update_usage(from, usage, now);
         if let Some(target) = target {
             state.mark_adapter_used(target, now);
         }
     }
-    if let Some(begun) = begun {
-        admission::record_first_event(shared, &holder, from, begun);
+    if let Some(first_event) = first_event {
+        admission::record_first_event(shared, &runner, from, first_event);
     }
-    // What has ended makes room.
-    holder.changed.notify_one();
+    // Requests that ended free capacity for queued ones.
+    runner.changed.notify_one();
 }
 
-/// Repeats sums that are not zero.
+/// Repeats the reports on all runners that this daemon uses.
 pub async fn repeat_reports(shared: Arc<Shared>) {
     loop {
-        sleep(REPEAT).await;
-        let sums: Vec<(ServerName, Usage)> = {
+        sleep(REPEAT_PERIOD).await;
+        let reports: Vec<(ServerName, Usage)> = {
             let fleet = shared.fleet();
-            let busy = fleet.iter().filter(|(_, server)| server.own_usage.requests > 0);
-            busy.filter(|(_, server)| !server.entry.models.is_empty())
+            let used = fleet.iter().filter(|(_, server)| server.own_usage.requests > 0);
+            used.filter(|(_, server)| !server.entry.models.is_empty())
                 .map(|(_, server)| (server.entry.name.clone(), server.own_usage))
                 .collect()
         };
-        for (server, usage) in sums {
-            tell_sum(&shared, server, usage, None, None);
+        for (server, usage) in reports {
+            send_report(&shared, server, usage, None, None);
         }
     }
 }
