--- a/crates/gate/src/command.rs
+++ b/crates/gate/src/command.rs
@@ -11,14 +11,14 @@
 use crate::settings::Settings;
 use crate::{logs, run};
 
-/// The environment variable that names the settings file.
-const SETTINGS_VARIABLE: &str = "CHESTNUTLANE_CONFIG";
+/// Environment variable with the path of the settings file.
+const SETTINGS_ENV: &str = "CHESTNUTLANE_CONFIG";
 
-/// The exit code for settings that can't be used.
-const BAD_SETTINGS: u8 = 2;
+/// Exit code for invalid settings.
+const EXIT_INVALID_SETTINGS: u8 = 2;
 
-/// The exit code of a daemon that could not start.
-const NOT_STARTED: u8 = 1;
+/// Exit code for a daemon that could not start.
+const EXIT_START_FAILED: u8 = 1;
 
 /// Serves many bursty models from fewer accelerators: the daemon of an entry VM.
 ///
@@ -49,18 +49,18 @@
         Options::Check { file } => (file, true),
         Options::Run { file } => (file, false),
     };
-    let Some(file) = file.or_else(|| std::env::var_os(SETTINGS_VARIABLE).map(Into::into))
+    let Some(file) = file.or_else(|| std::env::var_os(SETTINGS_ENV).map(Into::into))
     else {
-        eprintln!("no settings file; name one or set {SETTINGS_VARIABLE}");
-        return ExitCode::from(BAD_SETTINGS);
+        eprintln!("no settings file; name one or set {SETTINGS_ENV}");
+        return ExitCode::from(EXIT_INVALID_SETTINGS);
     };
     match Settings::read(&file) {
         Err(error) => {
             eprintln!("{}: {error}", file.display());
-            ExitCode::from(BAD_SETTINGS)
+            ExitCode::from(EXIT_INVALID_SETTINGS)
         }
         Ok(settings) if check => {
-            println!("{}: fine, for {}", file.display(), settings.vm);
+            println!("{}: settings are valid, for {}", file.display(), settings.vm);
             ExitCode::SUCCESS
         }
         Ok(settings) => serve(settings, dialect),
@@ -72,8 +72,8 @@
     let runtime = match runtime {
         Ok(runtime) => runtime,
         Err(error) => {
-            eprintln!("the runtime can't start ({error}); free descriptors");
-            return ExitCode::from(NOT_STARTED);
+            eprintln!("can't start the runtime ({error}); free some file descriptors");
+            return ExitCode::from(EXIT_START_FAILED);
         }
     };
     let log = logs::logger(settings.vm.as_str());
@@ -81,7 +81,7 @@
         Ok(()) => ExitCode::SUCCESS,
         Err(report) => {
             eprintln!("{report:?}");
-            ExitCode::from(NOT_STARTED)
+            ExitCode::from(EXIT_START_FAILED)
         }
     }
 }
--- a/crates/gate/src/driver.rs
+++ b/crates/gate/src/driver.rs
@@ -219,7 +219,7 @@
                 let now = self.shared.now();
                 let applied =
                     same_process && self.runner.state().apply_report(&report, now);
-                info!(self.shared.log, "report received"; "server" => self.runner.server.to_string(),
+                info!(self.shared.log, "report"; "server" => self.runner.server.to_string(),
                     "orders" => report.accepted_orders, "busy" => report.busy, "taken" => applied,
                     "models" => report.models.len());
                 applied.then_some(())
@@ -277,7 +277,7 @@
             }
         };
         self.shared.metrics.count(Step::Order, response.name());
-        info!(self.shared.log, "order sent"; "server" => server.to_string(),
+        info!(self.shared.log, "order"; "server" => server.to_string(),
             "step" => format!("{:?}", order.action), "after" => expected_orders,
             "fence" => fence.0, "answer" => format!("{response:?}"));
         self.apply_response(&order.action, response, duration).await;
--- a/crates/gate/src/introspection.rs
+++ b/crates/gate/src/introspection.rs
@@ -1,4 +1,4 @@
-//! What operators can look at: metrics, and the daemon's state as JSON.
+//! HTTP endpoints for operators: metrics, and the daemon's state as JSON.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -15,90 +15,96 @@
 use crate::shared::Shared;
 use crate::table_sync;
 
-/// What a daemon believes, and how old that is.
+/// The daemon's view of the cluster, with the age of its table replicas.
 #[serde_as]
 #[derive(Debug, Serialize)]
 pub struct DaemonState {
-    /// The VM.
+    /// The VM that the daemon runs on.
     pub vm: VmName,
-    /// The process.
+    /// The daemon's process.
     #[serde_as(as = "DisplayFromStr")]
     pub member: MemberId,
-    /// How long the process has run.
+    /// Time since the start of the process.
     #[serde(rename = "uptime_ms")]
     #[serde_as(as = "DurationMilliSeconds<u64>")]
     pub uptime: Duration,
-    /// Whether it serves callers.
+    /// Whether the daemon can serve callers.
     pub ready: bool,
-    /// Whether it was told to stop.
-    pub leaving: bool,
-    /// Requests that are being served.
-    pub active: usize,
-    /// The revision of the declarations in force.
+    /// Whether the daemon is shutting down.
+    #[serde(rename = "leaving")]
+    pub shutting_down: bool,
+    /// The number of callers' requests in progress.
+    #[serde(rename = "active")]
+    pub active_requests: usize,
+    /// The revision of the declarations in force; `None` before the first ones.
     pub revision: Option<u64>,
-    /// The copies of the store's tables.
+    /// This daemon's replicas of the store's tables.
     pub tables: Vec<TableState>,
-    /// The daemons in the table.
+    /// The daemons that have a row.
     pub members: Vec<MemberState>,
-    /// The claims, and the daemons that hold them.
+    /// The claims and their holders, by key.
     pub claims: IndexMap<String, ClaimState>,
-    /// The backend servers.
+    /// The backend servers in the registry.
     pub servers: IndexMap<ServerName, ServerState>,
     /// The runners whose claims this daemon holds.
-    pub held: IndexMap<ServerName, HeldRunnerState>,
-    /// How many requests wait in the plain services' queues that this daemon holds.
+    #[serde(rename = "held")]
+    pub held_runners: IndexMap<ServerName, HeldRunnerState>,
+    /// The number of requests in each plain service's queue that this daemon holds.
     pub queues: IndexMap<ServiceName, usize>,
 }
 
-/// A copy of a table.
+/// This daemon's replica of a table.
 #[derive(Debug, Serialize)]
 pub struct TableState {
-    /// The table.
+    /// The table's name.
     pub name: &'static str,
-    /// Up to which version the copy is complete.
+    /// The version up to which the replica is complete; `None` before the first read.
     pub version: Option<u64>,
-    /// How long ago the store confirmed it, in milliseconds.
+    /// Milliseconds since the store confirmed the replica; `None` before the first
+    /// confirmation.
     pub age_ms: Option<u32>,
 }
 
-/// A daemon in the table.
+/// A daemon that has a row.
 #[serde_as]
 #[derive(Debug, Serialize)]
 pub struct MemberState {
-    /// Its VM.
+    /// The VM that it runs on.
     pub vm: VmName,
     /// Its process.
     #[serde_as(as = "DisplayFromStr")]
     pub member: MemberId,
-    /// Whether it is not known to be gone.
+    /// Whether it is not known to have failed.
     pub alive: bool,
-    /// Whether it takes claims and callers.
-    pub open: bool,
+    /// Whether it accepts claims and callers.
+    #[serde(rename = "open")]
+    pub accepts_claims: bool,
 }
 
 /// A claim.
 #[serde_as]
 #[derive(Debug, Serialize)]
 pub struct ClaimState {
-    /// The process that holds it.
+    /// The process that holds the claim, if any.
     #[serde_as(as = "Option<DisplayFromStr>")]
     pub holder: Option<MemberId>,
     /// The fence of the holder's orders.
     pub fence: u64,
-    /// The version of the row.
+    /// The version of the claim's row.
     pub version: u64,
 }
 
 /// A backend server.
 #[derive(Debug, Serialize)]
 pub struct ServerState {
-    /// Its service.
+    /// The service it belongs to.
     pub service: String,
-    /// Whether it starts, serves, or leaves.
+    /// The phase from its entry, such as starting, serving or leaving.
     pub phase: String,
-    /// Whether new requests may go there.
-    pub open: bool,
-    /// Requests of this daemon in flight there.
+    /// Whether new requests may be sent to it.
+    #[serde(rename = "open")]
+    pub accepts_requests: bool,
+    /// This daemon's requests in flight at the server.
     pub requests: usize,
 }
 
@@ -106,19 +112,20 @@
 #[serde_as]
 #[derive(Debug, Serialize)]
 pub struct HeldRunnerState {
-    /// The models that it holds, as far as is known.
+    /// The models that it holds, according to this daemon's view.
     pub models: Vec<String>,
-    /// The number of orders that it has accepted; unknown after a lost answer.
-    pub orders: Option<u64>,
-    /// How long its last order still takes.
+    /// The number of orders that it has accepted; unknown after a lost response.
+    #[serde(rename = "orders")]
+    pub accepted_orders: Option<u64>,
+    /// The remaining time of its last order.
     #[serde(rename = "busy_ms")]
     #[serde_as(as = "DurationMilliSeconds<u64>")]
-    pub busy: Duration,
-    /// Requests of all daemons in flight there.
+    pub order_time_left: Duration,
+    /// All daemons' requests in flight at the runner.
     pub requests: usize,
 }
 
-/// Serves metrics and the state.
+/// Serves `/metrics` and `/state`.
 pub fn router(shared: Arc<Shared>) -> Router {
     Router::new()
         .route("/metrics", get(metrics))
@@ -134,21 +141,21 @@
     Json(daemon_state(&shared))
 }
 
-/// Gathers what the daemon believes.
+/// Collects the daemon's state.
 pub fn daemon_state(shared: &Shared) -> DaemonState {
     DaemonState {
         vm: shared.settings.vm.clone(),
         member: shared.peers.me,
         uptime: shared.uptime(),
         ready: shared.is_ready(),
-        leaving: *shared.shutting_down.borrow(),
-        active: shared.active.count(),
+        shutting_down: *shared.shutting_down.borrow(),
+        active_requests: shared.active.count(),
         revision: shared.declarations().map(|declared| declared.revision.0),
         tables: tables(shared),
         members: members(shared),
         claims: claims(shared),
         servers: servers(shared),
-        held: held(shared),
+        held_runners: held_runners(shared),
         queues: shared
             .queues()
             .iter()
@@ -159,10 +166,12 @@
 
 fn tables(shared: &Shared) -> Vec<TableState> {
     let table =
-        |(table, news): (&Arc<table_sync::SyncedTable>, Option<(u64, u32)>)| TableState {
-            name: table.name,
-            version: news.map(|(version, _)| version),
-            age_ms: news.map(|(_, age)| age),
+        |(table, announcement): (&Arc<table_sync::SyncedTable>, Option<(u64, u32)>)| {
+            TableState {
+                name: table.name,
+                version: announcement.map(|(version, _)| version),
+                age_ms: announcement.map(|(_, age)| age),
+            }
         };
     table_sync::tables(shared)
         .into_iter()
@@ -173,56 +182,56 @@
 
 fn members(shared: &Shared) -> Vec<MemberState> {
     let now = shared.now();
-    let known = shared.membership();
+    let membership = shared.membership();
     let member =
         |(vm, (row, _)): (&VmName, &(chestnut_member::MemberRow, u64))| MemberState {
             vm: vm.clone(),
             member: row.member,
             alive: row.member == shared.peers.me || shared.is_alive(row.member, now),
-            open: known.accepts_claims(row),
+            accepts_claims: membership.accepts_claims(row),
         };
-    known.members.iter().map(member).collect()
+    membership.members.iter().map(member).collect()
 }
 
 fn claims(shared: &Shared) -> IndexMap<String, ClaimState> {
-    let known = shared.membership();
+    let membership = shared.membership();
     let claim =
         |(key, (row, version)): (&ClaimKey, &(chestnut_member::ClaimRow, u64))| {
-            let dump =
+            let state =
                 ClaimState { holder: row.holder, fence: row.fence.0, version: *version };
-            (key.to_string(), dump)
+            (key.to_string(), state)
         };
-    known.claims.iter().map(claim).collect()
+    membership.claims.iter().map(claim).collect()
 }
 
 fn servers(shared: &Shared) -> IndexMap<ServerName, ServerState> {
     let now = shared.now();
     let fleet = shared.fleet();
     let server = |(_, server): (_, &chestnut_pool::Server)| {
-        let dump = ServerState {
+        let state = ServerState {
             service: server.entry.service.to_string(),
             phase: format!("{:?}", server.entry.phase),
-            open: fleet.accepts_requests(server, now)
+            accepts_requests: fleet.accepts_requests(server, now)
                 && server.health.allows_requests(now),
             requests: server.own_usage.requests as usize,
         };
-        (server.entry.name.clone(), dump)
+        (server.entry.name.clone(), state)
     };
     fleet.iter().map(server).collect()
 }
 
-fn held(shared: &Shared) -> IndexMap<ServerName, HeldRunnerState> {
+fn held_runners(shared: &Shared) -> IndexMap<ServerName, HeldRunnerState> {
     let now = shared.now();
-    let holders = shared.held_runners().clone();
-    let held = |(name, holder): (ServerName, Arc<crate::holder::HeldRunner>)| {
-        let state = holder.state();
-        let dump = HeldRunnerState {
-            models: state.models().iter().map(ToString::to_string).collect(),
-            orders: state.order_count(),
-            busy: state.order_time_left(now),
-            requests: state.total_usage(now).requests as usize,
+    let runners = shared.held_runners().clone();
+    let runner = |(name, runner): (ServerName, Arc<crate::holder::HeldRunner>)| {
+        let view = runner.state();
+        let state = HeldRunnerState {
+            models: view.models().iter().map(ToString::to_string).collect(),
+            accepted_orders: view.order_count(),
+            order_time_left: view.order_time_left(now),
+            requests: view.total_usage(now).requests as usize,
         };
-        (name, dump)
+        (name, state)
     };
-    holders.into_iter().map(held).collect()
+    runners.into_iter().map(runner).collect()
 }
--- a/crates/gate/src/lib.rs
+++ b/crates/gate/src/lib.rs
@@ -1,26 +1,26 @@
-//! The daemon of an entry VM: callers on one side, backend servers on the other.
+//! The daemon of an entry VM, which forwards callers' requests to backend servers.
 //!
 //! Stages of a request, one module each:
 //!
 //! 1. [`front`] accepts the caller's connection,
-//! 2. [`read`] reads the request and finds its route; from then on it is a [`job`],
-//! 3. [`serve`] has a server [`pick`]ed and tries others as long as that is allowed,
-//! 4. [`attempt`] sends it to one server and waits for the answer's head,
-//! 5. [`answer`] passes the answer on, and lets another server go on where a
+//! 2. [`read`] reads the request and matches its route; from then on it is a [`job`],
+//! 3. [`serve`] has a server [`pick`]ed and tries others within the retry limits,
+//! 4. [`attempt`] sends it to one server and waits for the response head,
+//! 5. [`answer`] relays the response, and lets another server continue where a
 //!    stream of numbered [`events`] breaks.
 //!
-//! A runner is picked by asking ([`ask`]) the daemons that hold the runners' claims; a
-//! plain service's server by waiting ([`enqueue`]) in the service's [`queue`].
-//! [`members`] and [`claims`] settle who that is; a [`holder`] knows from [`usage_reports`] what
-//! is in flight at its runner, grants ([`admission`]) requests their turn and gives orders by its
-//! [`driver`]; the [`planner`] says which model goes where,
-//! and keeps what was learnt ([`persisted_timings`]) of the runners. Daemons exchange
-//! datagrams: [`message`], [`peers`], [`receive`].
+//! A runner is picked by requesting bids ([`ask`]) from the daemons that hold the
+//! runners' claims, a plain service's server by requesting a permit ([`enqueue`]) from
+//! the service's [`queue`]. [`members`] and [`claims`] determine the holders. The
+//! [`holder`] of a runner collects [`usage_reports`], decides on [`admission`], and sends
+//! orders with its [`driver`]. The [`planner`] assigns models to runners and writes
+//! [`persisted_timings`]. Daemons exchange datagrams: [`message`], [`peers`],
+//! [`receive`].
 //!
-//! Beside it, [`table_sync`] keeps [`table_replica`]s of the [`store`]'s tables, [`registry`] takes
-//! in declarations and backend servers from them, and [`directory`] tells callers where
-//! to connect; [`introspection`] shows operators the [`metrics`] and what the daemon believes.
-//! All of it goes through one [`client`] and meets in [`shared`].
+//! [`table_sync`] keeps a [`table_replica`] of each of the [`store`]'s tables, from which
+//! [`registry`] reads declarations and backend servers. [`directory`] tells callers where
+//! to connect; [`introspection`] serves [`metrics`] and the daemon's state. All requests
+//! go through one [`client`]; modules share their state in [`shared`].
 
 pub mod admission;
 pub mod answer;
--- a/crates/gate/src/planner.rs
+++ b/crates/gate/src/planner.rs
@@ -183,7 +183,7 @@
         runners.retain(|runner| !planner.is_unreachable(&runner.name, daemons, now));
     }
     let locked = locked_runners(shared, &runners);
-    let load_bound = shared.bounds.borrow().loads(engine);
+    let load_bound = shared.bounds.borrow().load_bound(engine);
     let moves: Vec<Move> = {
         let mut planners = shared.planners();
         let timings = shared.engine_timings();
--- a/crates/gate/src/run.rs
+++ b/crates/gate/src/run.rs
@@ -26,33 +26,34 @@
     directory, front, introspection, members, planner, receive, table_sync, usage_reports,
 };
 
-/// How long a leaving daemon takes requests that callers send to addresses they hold.
+/// How long a daemon that shuts down still accepts requests, which callers send to cached
+/// addresses.
 ///
-/// Callers keep an answer of the directory for a second, some three times as long;
-/// what is taken later may not be finished in time.
-const LEAVE_TIME: Duration = Duration::from_millis(2800);
+/// Callers cache a response of the directory for a second, some for three times as long.
+/// Requests accepted later might not finish in time.
+const DRAIN_TIME: Duration = Duration::from_millis(2800);
 
-/// How long the last answers may take to reach their callers.
+/// Time for the last responses to reach their callers.
 const FLUSH_TIME: Duration = Duration::from_millis(100);
 
-/// How often a leaving daemon looks whether it has finished.
-const LEAVE_CHECK: Duration = Duration::from_millis(20);
+/// How often a daemon that shuts down checks whether its requests have ended.
+const DRAIN_POLL_PERIOD: Duration = Duration::from_millis(20);
 
-/// What is left of the time to stop for the end of the process.
-const STOP_MARGIN: Duration = Duration::from_millis(400);
+/// The part of the time to stop that is reserved for the exit of the process.
+const EXIT_MARGIN: Duration = Duration::from_millis(400);
 
-/// How often the settings file is looked at.
+/// How often the settings file is read again.
 const RELOAD_PERIOD: Duration = Duration::from_secs(2);
 
-/// How often idle connections and servers that are gone are cleared away.
-const TIDY_PERIOD: Duration = Duration::from_secs(1);
+/// How often idle connections and servers missing from the registry are removed.
+const PRUNE_PERIOD: Duration = Duration::from_secs(1);
 
-/// A daemon that could not be started.
+/// Reason for which a daemon could not be started.
 #[derive(Debug)]
 pub enum StartError {
-    /// An address can't be bound.
+    /// The address can't be bound.
     Bind(SocketAddr),
-    /// Signals can't be received.
+    /// Signal handlers can't be installed.
     Signals,
 }
 
@@ -60,29 +61,33 @@
     fn fmt(&self, f: &mut Formatter<'_>) -> fmt::Result {
         match self {
             Self::Bind(addr) => {
-                write!(f, "{addr} can't be bound; choose a free address in the settings")
+                write!(f, "can't bind {addr}; choose a free address in the settings")
+            }
+            Self::Signals => {
+                write!(f, "can't receive signals; free some file descriptors")
             }
-            Self::Signals => write!(f, "signals can't be received; free descriptors"),
         }
     }
 }
 
 impl std::error::Error for StartError {}
 
-/// Runs a daemon until it was told to stop and has finished its work.
+/// Runs a daemon until it receives SIGTERM and has finished its requests.
 pub async fn run(
     settings: Settings,
     dialect: Arc<dyn Dialect>,
     clock: Arc<dyn Clock>,
     log: Logger,
 ) -> Result<(), Report<StartError>> {
-    // First of all: a signal that comes before ends the process.
-    let mut term = signal(SignalKind::terminate()).change_context(StartError::Signals)?;
-    let mut hup = signal(SignalKind::hangup()).change_context(StartError::Signals)?;
+    // Signals are handled before anything else is set up; before that they end the
+    // process.
+    let mut sigterm =
+        signal(SignalKind::terminate()).change_context(StartError::Signals)?;
+    let mut sighup = signal(SignalKind::hangup()).change_context(StartError::Signals)?;
     let callers = bind(settings.caller_addr).await?;
     let readiness = bind(settings.readiness_addr).await?;
     let directory = bind(settings.directory_addr).await?;
-    let rows = bind(settings.table_changes_addr()).await?;
+    let table_changes = bind(settings.table_changes_addr()).await?;
     let me = MemberId(rand::random());
     let peer_addr = settings.peer_addr();
     let peers = Peers::bind(me, peer_addr, clock.clone(), log.clone()).await;
@@ -91,7 +96,7 @@
     info!(shared.log, "started"; "callers" => shared.settings.caller_addr.to_string(),
         "directory" => shared.settings.directory_addr.to_string());
 
-    follow_tables(&shared);
+    start_table_sync(&shared);
     tokio::spawn(receive::run(shared.clone()));
     tokio::spawn(members::run(shared.clone()));
     tokio::spawn(members::run_heartbeats(shared.clone()));
@@ -100,22 +105,22 @@
     tokio::spawn(front::run(shared.clone(), callers));
     tokio::spawn(serve(readiness, directory::readiness_router(shared.clone())));
     tokio::spawn(serve(directory, directory::directory_router(shared.clone())));
-    tokio::spawn(serve(rows, directory::table_changes_router(shared.clone())));
-    tokio::spawn(show(shared.clone()));
-    tokio::spawn(tidy(shared.clone()));
+    tokio::spawn(serve(table_changes, directory::table_changes_router(shared.clone())));
+    tokio::spawn(serve_introspection(shared.clone()));
+    tokio::spawn(prune(shared.clone()));
     loop {
         tokio::select! {
-            _ = term.recv() => break,
-            _ = hup.recv() => reload(&shared),
+            _ = sigterm.recv() => break,
+            _ = sighup.recv() => reload(&shared),
             // The file may change without a signal.
             () = sleep(RELOAD_PERIOD) => reload(&shared),
         }
     }
-    leave(&shared).await;
+    shut_down(&shared).await;
     Ok(())
 }
 
-fn follow_tables(shared: &Arc<Shared>) {
+fn start_table_sync(shared: &Arc<Shared>) {
     let tables = &shared.tables;
     let declarations = DeclarationsHandler(shared.clone());
     tokio::spawn(table_sync::run(
@@ -125,70 +130,70 @@
     ));
     let servers = ServerHandler(shared.clone());
     tokio::spawn(table_sync::run(shared.clone(), tables.servers.clone(), servers));
-    let own = SystemTableHandler {
+    let system = SystemTableHandler {
         members: MemberHandler(shared.clone()),
         claims: ClaimHandler(shared.clone()),
         timings: EngineTimingsHandler(shared.clone()),
     };
-    tokio::spawn(table_sync::run(shared.clone(), tables.system.clone(), own));
+    tokio::spawn(table_sync::run(shared.clone(), tables.system.clone(), system));
 }
 
-/// Takes over what changed in the settings file; nothing is interrupted by it.
+/// Applies the bounds from the settings file without interrupting requests.
 fn reload(shared: &Shared) {
     let Some(path) = &shared.settings.path else { return };
     let settings = match Settings::read(path) {
         Ok(settings) => settings,
         Err(error) => {
-            warn!(shared.log, "settings not taken over"; "error" => error.to_string());
+            warn!(shared.log, "failed to reload settings"; "error" => error.to_string());
             return;
         }
     };
-    let same = *shared.bounds.borrow() == settings.bounds;
-    if !same {
-        info!(shared.log, "settings taken over"; "bounds" => format!("{:?}", settings.bounds));
+    let is_unchanged = *shared.bounds.borrow() == settings.bounds;
+    if !is_unchanged {
+        info!(shared.log, "settings reloaded"; "bounds" => format!("{:?}", settings.bounds));
         shared.bounds.send_replace(settings.bounds);
     }
 }
 
-/// Takes no new callers, and finishes what is in flight.
-async fn leave(shared: &Shared) {
+/// Stops accepting requests after a while, and waits for those in progress.
+async fn shut_down(shared: &Shared) {
     info!(shared.log, "leaving");
     shared.shutting_down.send_replace(true);
-    // From now on its claims fall to others.
+    // From now on its claims are assigned to others.
     shared.membership().leaving.insert(shared.peers.me);
     members::announce_shutdown(shared);
-    let stop = shared.bounds.borrow().stop;
-    let limit = stop.saturating_sub(STOP_MARGIN);
+    let stop_time = shared.bounds.borrow().stop;
+    let time_limit = stop_time.saturating_sub(EXIT_MARGIN);
     let finished = async {
-        sleep(LEAVE_TIME).await;
+        sleep(DRAIN_TIME).await;
         shared.refusing_requests.send_replace(true);
         while shared.active.count() > 0 {
-            sleep(LEAVE_CHECK).await;
+            sleep(DRAIN_POLL_PERIOD).await;
         }
         sleep(FLUSH_TIME).await;
     };
-    let whole = timeout(limit, finished).await.is_ok();
+    let finished_in_time = timeout(time_limit, finished).await.is_ok();
     members::remove_own_row(shared).await;
-    info!(shared.log, "left"; "finished" => whole);
+    info!(shared.log, "left"; "finished" => finished_in_time);
 }
 
-async fn tidy(shared: Arc<Shared>) {
+async fn prune(shared: Arc<Shared>) {
     loop {
-        sleep(TIDY_PERIOD).await;
+        sleep(PRUNE_PERIOD).await;
         shared.client.tidy();
         shared.fleet().remove_missing(shared.now());
     }
 }
 
-/// Serves metrics and the state, if the settings say where.
+/// Serves metrics and the daemon's state, if the settings have an address for them.
 ///
-/// A port that something else has taken is no reason to serve no callers.
-async fn show(shared: Arc<Shared>) {
+/// If the port is taken, the daemon serves callers nonetheless.
+async fn serve_introspection(shared: Arc<Shared>) {
     let Some(addr) = shared.settings.metrics_addr else { return };
     match bind(addr).await {
         Ok(listener) => serve(listener, introspection::router(shared)).await,
         Err(error) => {
-            warn!(shared.log, "metrics not served"; "error" => error.to_string());
+            warn!(shared.log, "failed to serve metrics"; "error" => error.to_string());
         }
     }
 }
@@ -198,6 +203,7 @@
 }
 
 async fn serve(listener: TcpListener, router: Router) {
-    // Serving ends with an error only if the listener is gone, and then so is this.
+    // Serving ends with an error only if the listener fails; then there is nothing left
+    // to serve.
     drop(axum::serve(listener, router).await);
 }
--- a/crates/gate/src/settings.rs
+++ b/crates/gate/src/settings.rs
@@ -1,4 +1,4 @@
-//! The daemon's settings: JSON with comments.
+//! The daemon's settings, in JSON with comments.
 
 use std::fmt::{self, Display, Formatter};
 use std::net::{IpAddr, SocketAddr};
@@ -12,16 +12,16 @@
 use serde::Deserialize;
 use serde_with::{DurationMilliSeconds, DurationSecondsWithFrac, serde_as};
 
-/// Settings that can't be used.
+/// Reason for which settings are rejected.
 #[derive(Debug)]
 pub enum SettingsError {
     /// The file can't be read.
     Read(std::io::Error),
-    /// The file is no JSON with comments.
+    /// The file isn't valid JSON with comments.
     Syntax(String),
-    /// A field is missing or has another type.
+    /// A field is missing or has the wrong type.
     Field(String),
-    /// A field's value can't be used.
+    /// A field's value is out of range; holds the field and the remedy.
     Value(&'static str, &'static str),
 }
 
@@ -31,11 +31,14 @@
             Self::Read(error) => {
                 write!(f, "the settings can't be read ({error}); name an existing file")
             }
-            Self::Syntax(why) => {
-                write!(f, "the settings are no JSON with comments ({why}); correct them")
+            Self::Syntax(reason) => {
+                write!(
+                    f,
+                    "the settings are not valid JSON with comments ({reason}); correct them"
+                )
             }
-            Self::Field(why) => {
-                write!(f, "{why}; see docs/CONFIGURATION.md for the fields")
+            Self::Field(reason) => {
+                write!(f, "{reason}; see docs/CONFIGURATION.md for the fields")
             }
             Self::Value(field, remedy) => write!(f, "`{field}` can't be used; {remedy}"),
         }
@@ -44,8 +47,8 @@
 
 impl std::error::Error for SettingsError {}
 
-/// The greatest number of cores that is believed.
-const MOST_CORES: f64 = 1024.0;
+/// The largest number of cores that is accepted.
+const MAX_CORES: f64 = 1024.0;
 
 fn whole_core() -> f64 {
     1.0
@@ -59,76 +62,79 @@
     1.0
 }
 
-/// The checked settings of one daemon.
+/// The validated settings of one daemon.
 #[derive(Debug, Clone, PartialEq, Deserialize)]
 pub struct Settings {
     /// The VM that the daemon runs on.
     pub vm: VmName,
     /// The VM's failure domain.
     pub domain: DomainName,
-    /// The VM's own address.
+    /// The VM's address, used for traffic between daemons.
     pub ip: IpAddr,
     /// Where callers send requests.
     #[serde(rename = "callers")]
     pub caller_addr: SocketAddr,
-    /// Where the platform asks whether the daemon is ready.
+    /// Where the platform checks whether the daemon is ready.
     #[serde(rename = "readiness")]
     pub readiness_addr: SocketAddr,
-    /// Where callers ask which address to use.
+    /// Where callers look up the addresses of daemons.
     #[serde(rename = "directory")]
     pub directory_addr: SocketAddr,
-    /// Where metrics and the daemon's state are shown; nowhere if it is left out.
+    /// Where metrics and the daemon's state are served; `None` turns them off.
     #[serde(rename = "metrics")]
     #[serde(default)]
     pub metrics_addr: Option<SocketAddr>,
-    /// The first and the last port for traffic between daemons.
+    /// Ports for traffic between daemons: the first for datagrams, the last for table
+    /// changes.
     #[serde(rename = "ports")]
     pub peer_ports: (u16, u16),
-    /// The platform's store.
+    /// The address of the platform's store.
     #[serde(rename = "store")]
     pub store_addr: SocketAddr,
-    /// The processor time that the daemon has, in cores.
+    /// The daemon's share of CPU time, in cores.
     #[serde(default = "whole_core")]
     pub cores: f64,
-    /// Times and bounds that the operators set.
+    /// Durations and bounds that the operators set; reloaded while the daemon runs.
     pub bounds: Bounds,
-    /// The file that the settings were read from.
+    /// The file that the settings were read from; `None` if they were not read from a
+    /// file.
     #[serde(skip)]
     pub path: Option<PathBuf>,
 }
 
-/// Times and bounds that the operators set.
+/// Durations and bounds that the operators set.
 #[serde_as]
 #[derive(Debug, Clone, PartialEq, Deserialize)]
 pub struct Bounds {
-    /// How long a process may take to stop after it was told to.
+    /// How long the process may take to exit after SIGTERM.
     #[serde(rename = "stop_s")]
     #[serde_as(as = "DurationSecondsWithFrac<f64>")]
     pub stop: Duration,
-    /// The longest that a caller may keep the directory's answer.
+    /// The longest that a caller may cache a response of the directory.
     #[serde(rename = "directory_s")]
     #[serde_as(as = "DurationSecondsWithFrac<f64>")]
     pub directory: Duration,
-    /// Repeats for each request of a service.
+    /// Retries allowed per request of a service.
     pub retry_ratio: f64,
-    /// Repeats besides, over all daemons.
+    /// Retries allowed beyond the ratio, over all daemons.
     pub retry_slack: f64,
-    /// The window in which repeats are counted.
+    /// The window in which requests and retries are counted.
     #[serde(rename = "retry_window_s")]
     #[serde_as(as = "DurationSecondsWithFrac<f64>")]
     pub retry_window: Duration,
     /// Whether engines refuse orders with an older fence.
     #[serde(default)]
     pub fenced: bool,
-    /// The least time between orders of two holders to one engine.
+    /// The minimum time between orders of two holders to one engine.
     #[serde(rename = "turn_ms")]
     #[serde_as(as = "DurationMilliSeconds<u64>")]
     pub turn: Duration,
-    /// How long declarations may take to be in force after the store has taken them.
+    /// The longest time from the store's commit of declarations until they are in force.
     #[serde(rename = "apply_ms", default = "two_seconds")]
     #[serde_as(as = "DurationMilliSeconds<u64>")]
     pub apply: Duration,
-    /// How long a server may be sent requests after the store has taken that it leaves.
+    /// How long a server may still be sent requests after the store has committed that it
+    /// is leaving.
     #[serde(rename = "leave_ms", default = "two_seconds")]
     #[serde_as(as = "DurationMilliSeconds<u64>")]
     pub leave: Duration,
@@ -136,14 +142,14 @@
     #[serde(rename = "load_window_s")]
     #[serde_as(as = "DurationSecondsWithFrac<f64>")]
     pub load_window: Duration,
-    /// How many times the declared rate the loads of a window may be, at least 1.
+    /// How many times the declared rate the loads of a window may reach; at least 1.
     #[serde(default = "no_overshoot")]
     pub load_overshoot: f64,
 }
 
 impl Bounds {
-    /// What operators allow of loads from the weight store.
-    pub fn loads(&self, engine: &Engine) -> LoadBound {
+    /// The bound on an engine's loads from the weight store.
+    pub fn load_bound(&self, engine: &Engine) -> LoadBound {
         LoadBound {
             rate: engine.loads_per_s,
             window: self.load_window,
@@ -153,14 +159,14 @@
 }
 
 impl Settings {
-    /// Reads and checks a settings file.
+    /// Reads and validates a settings file.
     pub fn read(path: &Path) -> Result<Self, SettingsError> {
         let text = std::fs::read_to_string(path).map_err(SettingsError::Read)?;
         let settings = Self::parse(&text)?;
         Ok(Self { path: Some(path.to_owned()), ..settings })
     }
 
-    /// Checks settings; unknown fields are passed over.
+    /// Parses and validates settings; unknown fields are ignored.
     pub fn parse(text: &str) -> Result<Self, SettingsError> {
         let options = jsonc_parser::ParseOptions::default();
         let value =
@@ -168,7 +174,7 @@
         let value = value.map_err(|error| SettingsError::Syntax(error.to_string()))?;
         let settings: Self = serde_json::from_value(value)
             .map_err(|error| SettingsError::Field(error.to_string()))?;
-        settings.check()?;
+        settings.validate()?;
         Ok(settings)
     }
 
@@ -177,25 +183,25 @@
         SocketAddr::new(self.ip, self.peer_ports.0)
     }
 
-    /// Where other daemons ask for changes of the store's tables.
+    /// Where other daemons fetch changes of the table replicas.
     pub fn table_changes_addr(&self) -> SocketAddr {
         SocketAddr::new(self.ip, self.peer_ports.1)
     }
 
-    /// The daemon's weight among those that claims fall to.
+    /// The daemon's weight in the assignment of claims, proportional to its cores.
     pub fn weight(&self) -> u32 {
         (self.cores * f64::from(ONE_CORE_WEIGHT)).round().max(1.0) as u32
     }
 
-    fn check(&self) -> Result<(), SettingsError> {
+    fn validate(&self) -> Result<(), SettingsError> {
         let (first, last) = self.peer_ports;
         if first == 0 || last <= first {
             return Err(SettingsError::Value(
                 "ports",
-                "give a first and a later last port",
+                "give a first port and a higher last port",
             ));
         }
-        if !(self.cores > 0.0 && self.cores <= MOST_CORES) {
+        if !(self.cores > 0.0 && self.cores <= MAX_CORES) {
             return Err(SettingsError::Value("cores", "give a number of cores above 0"));
         }
         if !(0.0..=1.0).contains(&self.bounds.retry_ratio) {
@@ -211,11 +217,11 @@
                 "give a number of 1 or more",
             ));
         }
-        let short = |time: Duration| time < Duration::from_millis(500);
-        if short(self.bounds.apply) {
+        let is_too_short = |time: Duration| time < Duration::from_millis(500);
+        if is_too_short(self.bounds.apply) {
             return Err(SettingsError::Value("bounds.apply_ms", "give 500 or more"));
         }
-        if short(self.bounds.leave) {
+        if is_too_short(self.bounds.leave) {
             return Err(SettingsError::Value("bounds.leave_ms", "give 500 or more"));
         }
         if self.bounds.stop < Duration::from_secs(1) {
--- a/crates/gate/src/shared.rs
+++ b/crates/gate/src/shared.rs
@@ -1,4 +1,4 @@
-//! What the parts of the daemon share.
+//! The state that the modules of the daemon share.
 
 use std::sync::{Arc, Mutex, MutexGuard};
 use std::time::{Duration, Instant};
@@ -24,45 +24,45 @@
 use crate::settings::{Bounds, Settings};
 use crate::table_sync::{self, SYSTEM_TABLE, SyncedTable};
 
-/// A count of requests that are being served.
+/// Counts the callers' requests in progress.
 #[derive(Debug, Default, Clone)]
 pub struct ActiveRequests(Arc<()>);
 
 impl ActiveRequests {
-    /// DemandCounters a request until the copy that is returned is dropped.
+    /// Counts a request until the returned guard is dropped.
     pub fn start(&self) -> Self {
         self.clone()
     }
 
-    /// The number of requests.
+    /// The number of requests in progress.
     pub fn count(&self) -> usize {
         Arc::strong_count(&self.0) - 1
     }
 }
 
-/// Copies of the store's tables.
+/// This daemon's replicas of the store's tables.
 pub struct Tables {
-    /// What operators declare.
+    /// The operators' declarations.
     pub declarations: Arc<SyncedTable>,
     /// The registry of backend servers.
     pub servers: Arc<SyncedTable>,
-    /// The system's own: daemons and claims.
+    /// The system's own table of daemons, claims and engine timings.
     pub system: Arc<SyncedTable>,
 }
 
-/// What the parts of the daemon share.
+/// The state that the modules of the daemon share.
 ///
-/// Locks are held for a few steps only, and never while anything is waited for.
+/// Locks are held only briefly and never across an await.
 pub struct Shared {
-    /// The settings that the daemon was started with.
+    /// The settings from the start of the daemon.
     pub settings: Settings,
-    /// Times and bounds as the settings file says now.
+    /// Durations and bounds from the settings file, updated when it changes.
     pub bounds: watch::Sender<Bounds>,
-    /// The deployment's adapter.
+    /// Translates between the daemon and the deployment's protocols and formats.
     pub dialect: Arc<dyn Dialect>,
-    /// The time.
+    /// The source of all times.
     pub clock: Arc<dyn Clock>,
-    /// Where decisions are logged.
+    /// The daemon's logger.
     pub log: Logger,
     /// Counters and histograms.
     pub metrics: Metrics,
@@ -72,42 +72,42 @@
     pub peers: Peers,
     /// When the daemon started.
     pub started_at: Instant,
-    /// The declarations in force; nothing until they are first known.
+    /// The declarations in force; `None` until the first are read.
     pub declarations: watch::Sender<Option<Arc<Declarations>>>,
-    /// Grows with each change of what backend servers say of themselves.
+    /// The number of updates from the registry of backend servers; 0 until it is read.
     pub server_updates: watch::Sender<u64>,
-    /// Whether the daemon was told to stop.
+    /// Whether the daemon has received SIGTERM.
     pub shutting_down: watch::Sender<bool>,
-    /// Whether the daemon takes no more requests.
+    /// Whether the daemon accepts no more requests.
     pub refusing_requests: watch::Sender<bool>,
-    /// Callers' requests that are being served.
+    /// Callers' requests in progress.
     pub active: ActiveRequests,
-    /// Copies of the store's tables.
+    /// This daemon's replicas of the store's tables.
     pub tables: Tables,
-    /// Whether daemons and claims were read.
+    /// Whether the system table has been read.
     pub system_table_loaded: watch::Sender<bool>,
     fleet: Mutex<Fleet>,
     membership: Mutex<MembershipRows>,
-    /// The daemons that this one exchanges beats with.
+    /// The daemons that this one exchanges heartbeats with.
     neighbours: Mutex<Neighbours>,
     held_runners: Mutex<IndexMap<ServerName, Arc<HeldRunner>>>,
     queues: Mutex<IndexMap<ServiceName, Arc<ServiceQueue>>>,
-    /// Until when the holders of plain services' queues are not asked.
+    /// Until when the holder of a plain service's queue is sent no requests.
     unresponsive_queue_holders: Mutex<IndexMap<ServiceName, Instant>>,
     budgets: Mutex<IndexMap<ServiceName, RetryBudget>>,
     engine_timings: Mutex<EngineTimings>,
     persisted_timings: Mutex<IndexMap<ServiceName, PersistedTimings>>,
     demand_counters: Mutex<DemandCounters>,
     planners: Mutex<IndexMap<ServiceName, PlacementPlanner>>,
-    /// From when on this daemon may give orders under claims that it took.
+    /// From when on this daemon may send orders under the claims that it has taken.
     order_start_times: Mutex<IndexMap<ClaimKey, Instant>>,
-    /// The process that ran on this VM before.
+    /// The daemon's previous process on this VM.
     previous_incarnation: Mutex<Option<MemberId>>,
     suspension: Mutex<SuspensionDetector>,
 }
 
 impl Shared {
-    /// Creates the state of a daemon that knows nothing yet.
+    /// Creates the state of a daemon that has read nothing from the store yet.
     pub fn new(
         settings: Settings,
         dialect: Arc<dyn Dialect>,
@@ -155,108 +155,113 @@
         }
     }
 
-    /// The time for intervals and deadlines.
+    /// The current monotonic time.
     pub fn now(&self) -> Instant {
         self.clock.now()
     }
 
-    /// The table of backend servers.
+    /// Locks the view of the backend servers.
     pub fn fleet(&self) -> MutexGuard<'_, Fleet> {
         self.fleet.lock().expect("no holder of the lock panics")
     }
 
-    /// Daemons and claims.
+    /// Locks the rows of daemons and claims.
     pub fn membership(&self) -> MutexGuard<'_, MembershipRows> {
         self.membership.lock().expect("no holder of the lock panics")
     }
 
-    /// The daemons that this one exchanges beats with.
+    /// Locks the set of daemons that this one exchanges heartbeats with.
     pub fn neighbours(&self) -> MutexGuard<'_, Neighbours> {
         self.neighbours.lock().expect("no holder of the lock panics")
     }
 
-    /// Whether a daemon is not known to be gone.
+    /// Whether a daemon is not known to have failed.
     ///
-    /// A neighbour that has sent nothing lately is; of others only their rows tell.
+    /// A neighbour counts as failed without recent heartbeats. Other daemons count as
+    /// alive; callers check whether they have a row.
     pub fn is_alive(&self, member: MemberId, now: Instant) -> bool {
         let expected = self.neighbours().expects(member);
         !expected || self.peers.is_alive(member, now)
     }
 
-    /// The runners whose claims this daemon holds.
+    /// Locks the runners whose claims this daemon holds.
     pub fn held_runners(&self) -> MutexGuard<'_, IndexMap<ServerName, Arc<HeldRunner>>> {
         self.held_runners.lock().expect("no holder of the lock panics")
     }
 
-    /// A runner whose claim this daemon holds.
+    /// A runner, if this daemon holds its claim.
     pub fn held_runner(&self, server: &ServerName) -> Option<Arc<HeldRunner>> {
         self.held_runners().get(server).cloned()
     }
 
-    /// The queues of plain services whose claims this daemon holds.
+    /// Locks the plain services' queues whose claims this daemon holds.
     pub fn queues(&self) -> MutexGuard<'_, IndexMap<ServiceName, Arc<ServiceQueue>>> {
         self.queues.lock().expect("no holder of the lock panics")
     }
 
-    /// Notes that the holder of a service's queue does not answer.
+    /// Records until when the unresponsive holder of a service's queue is sent no
+    /// requests.
     pub fn mark_queue_holder_unresponsive(&self, service: &ServiceName, until: Instant) {
-        let mut silent =
+        let mut unresponsive =
             self.unresponsive_queue_holders.lock().expect("no holder of the lock panics");
-        silent.insert(service.clone(), until);
+        unresponsive.insert(service.clone(), until);
     }
 
-    /// Whether the holder of a service's queue did not answer lately.
+    /// Whether the holder of a service's queue was recently unresponsive.
     pub fn is_queue_holder_unresponsive(
         &self,
         service: &ServiceName,
         now: Instant,
     ) -> bool {
-        let silent =
+        let unresponsive =
             self.unresponsive_queue_holders.lock().expect("no holder of the lock panics");
-        silent.get(service).is_some_and(|until| now < *until)
+        unresponsive.get(service).is_some_and(|until| now < *until)
     }
 
-    /// How fast runners read prompts.
+    /// Locks the learned engine timings.
     pub fn engine_timings(&self) -> MutexGuard<'_, EngineTimings> {
         self.engine_timings.lock().expect("no holder of the lock panics")
     }
 
-    /// What the store holds of how runners work, by service.
+    /// Locks the engine timings in the store, by service.
     pub fn persisted_timings(
         &self,
     ) -> MutexGuard<'_, IndexMap<ServiceName, PersistedTimings>> {
         self.persisted_timings.lock().expect("no holder of the lock panics")
     }
 
-    /// What callers have asked of this daemon's models.
+    /// Locks the counters of this daemon's demand.
     pub fn demand_counters(&self) -> MutexGuard<'_, DemandCounters> {
         self.demand_counters.lock().expect("no holder of the lock panics")
     }
 
-    /// What is known of the services that this daemon plans for.
+    /// Locks the planners of the services that this daemon plans for.
     pub fn planners(&self) -> MutexGuard<'_, IndexMap<ServiceName, PlacementPlanner>> {
         self.planners.lock().expect("no holder of the lock panics")
     }
 
-    /// How long ago the daemon started.
+    /// Time since the daemon started.
     pub fn uptime(&self) -> Duration {
         self.now().saturating_duration_since(self.started_at)
     }
 
-    /// Whether the daemon has stood still lately, so that news may be from before.
+    /// Whether the daemon was suspended recently, so that received messages may be
+    /// outdated. On detecting a suspension it clears the confirmations of all table
+    /// replicas.
     pub fn is_resuming(&self) -> bool {
         let now = self.now();
-        let mut wake = self.suspension.lock().expect("no holder of the lock panics");
-        if let Some(gap) = wake.check(self.clock.suspended_time(), now) {
-            warn!(self.log, "stood still"; "ms" => gap.as_millis() as u64);
+        let mut suspension =
+            self.suspension.lock().expect("no holder of the lock panics");
+        if let Some(gap) = suspension.check(self.clock.suspended_time(), now) {
+            warn!(self.log, "daemon was suspended"; "ms" => gap.as_millis() as u64);
             for table in table_sync::tables(self) {
                 table.replica().clear_confirmation();
             }
         }
-        wake.is_settling(now)
+        suspension.is_settling(now)
     }
 
-    /// Notes from when on orders may be given under a claim.
+    /// Sets from when on orders may be sent under a claim.
     pub fn set_order_start_time(&self, key: ClaimKey, from: Instant) {
         self.order_start_times
             .lock()
@@ -264,7 +269,7 @@
             .insert(key, from);
     }
 
-    /// From when on orders may be given under a claim.
+    /// From when on orders may be sent under a claim; `None` if there is no restriction.
     pub fn order_start_time(&self, key: &ClaimKey) -> Option<Instant> {
         self.order_start_times
             .lock()
@@ -273,28 +278,30 @@
             .copied()
     }
 
-    /// Notes the process that ran on this VM before.
+    /// Records the daemon's previous process on this VM.
     pub fn set_previous_incarnation(&self, member: MemberId) {
         *self.previous_incarnation.lock().expect("no holder of the lock panics") =
             Some(member);
     }
 
-    /// The process that ran on this VM before.
+    /// The daemon's previous process on this VM, if its row was found.
     pub fn previous_incarnation(&self) -> Option<MemberId> {
         *self.previous_incarnation.lock().expect("no holder of the lock panics")
     }
 
-    /// Whether this VM's daemon was there before, so that others have their claims.
+    /// Whether a previous process on this VM was found, so that claims are already
+    /// distributed.
     pub fn is_restart(&self) -> bool {
         self.previous_incarnation().is_some()
     }
 
-    /// The declarations in force.
+    /// The declarations in force; `None` until the first are read.
     pub fn declarations(&self) -> Option<Arc<Declarations>> {
         self.declarations.borrow().clone()
     }
 
-    /// How the service of a runner runs models.
+    /// The engine that a runner's service declares; `None` if the runner is unknown or
+    /// has none.
     pub fn engine_of(&self, server: &ServerName) -> Option<Arc<Engine>> {
         let declared = self.declarations()?;
         let service = {
@@ -304,29 +311,29 @@
         declared.services.get(&service)?.engine.clone()
     }
 
-    /// Whether the daemon can serve: declarations and servers are known, and it
-    /// was not told to stop.
+    /// Whether the daemon can serve: it has read declarations and servers, and is not
+    /// shutting down.
     pub fn is_ready(&self) -> bool {
         self.is_initialized() && !*self.shutting_down.borrow()
     }
 
-    /// Whether declarations and servers are known.
+    /// Whether declarations and servers have been read.
     pub fn is_initialized(&self) -> bool {
         self.declarations.borrow().is_some() && *self.server_updates.borrow() > 0
     }
 
-    /// Whether a leaving daemon takes no more requests.
+    /// Whether the daemon accepts no more requests, because it is shutting down.
     pub fn is_refusing_requests(&self) -> bool {
         *self.refusing_requests.borrow()
     }
 
-    /// Takes note of a request for a service.
+    /// Adds a request to the service's retry budget.
     pub fn record_request(&self, service: &ServiceName) {
         let (window, now) = (self.bounds.borrow().retry_window, self.now());
         self.with_budget(service, |budget| budget.record_request(window, now));
     }
 
-    /// Takes a repeat out of the service's budget, if there is one.
+    /// Takes a retry from the service's budget; returns whether there was one.
     pub fn try_take_retry(&self, service: &ServiceName) -> bool {
         let now = self.now();
         let bounds = self.bounds.borrow().clone();
@@ -335,18 +342,18 @@
             slack: bounds.retry_slack,
             window: bounds.retry_window,
         };
-        let known = *self.system_table_loaded.borrow();
-        let daemons = known.then(|| members::daemon_count(self));
+        let is_loaded = *self.system_table_loaded.borrow();
+        let daemons = is_loaded.then(|| members::daemon_count(self));
         self.with_budget(service, |budget| budget.try_take(bound, daemons, now))
     }
 
     fn with_budget<T>(
         &self,
         service: &ServiceName,
-        act: impl FnOnce(&mut RetryBudget) -> T,
+        update: impl FnOnce(&mut RetryBudget) -> T,
     ) -> T {
         let mut budgets = self.budgets.lock().expect("no holder of the lock panics");
         let new = || RetryBudget::new(self.started_at);
-        act(budgets.entry(service.clone()).or_insert_with(new))
+        update(budgets.entry(service.clone()).or_insert_with(new))
     }
 }
