--- a/crates/gate/src/attempt.rs
+++ b/crates/gate/src/attempt.rs
@@ -19,7 +19,7 @@
 use crate::message::FirstEvent;
 use crate::permit::Permit;
 use crate::shared::Shared;
-use crate::{planner, sums};
+use crate::{planner, usage_reports};
 
 /// How long a server may take to respond, as a multiple of the route's objective.
 ///
@@ -49,7 +49,7 @@
         let request = InFlightRequest { size: job.estimated_size(), responding: false };
         let key = target.key;
         shared.fleet().begin_request(key, request);
-        sums::tell(&shared, key, job.call.target.clone(), None);
+        usage_reports::report(&shared, key, job.call.target.clone(), None);
         let sent_at = shared.now();
         let number = target.number.filter(|_| job.call.target.is_none());
         let permit = number.map(|number| Permit { service: job.service.clone(), number });
@@ -87,14 +87,14 @@
         let after_ms =
             self.shared.now().saturating_duration_since(self.sent_at).as_millis() as u32;
         let first_event = number.map(|number| FirstEvent { number, after_ms });
-        sums::tell(&self.shared, self.key, None, first_event);
+        usage_reports::report(&self.shared, self.key, None, first_event);
     }
 }
 
 impl Drop for InFlight {
     fn drop(&mut self) {
         self.shared.fleet().end_request(self.key, self.request);
-        sums::tell(&self.shared, self.key, None, None);
+        usage_reports::report(&self.shared, self.key, None, None);
         if let Some((service, model)) =
             self.model.as_ref().filter(|_| self.request.responding)
         {
@@ -104,8 +104,8 @@
                 service_s: service_time.as_secs_f64(),
                 ..DemandCounts::default()
             };
-            planner::note(&self.shared, service, model, demand);
-            self.shared.speeds().record_service_time(service_time);
+            planner::record_demand(&self.shared, service, model, demand);
+            self.shared.engine_timings().record_service_time(service_time);
         }
         if let Some(permit) = self.permit.take() {
             permit.release(&self.shared, self.outcome);
@@ -258,7 +258,7 @@
     if let Some(timeout_after) = abandon_timeout(job) {
         early = timeout(timeout_after, &mut sending).await.ok();
         // It keeps waiting if the retry budget is used up.
-        if early.is_none() && job.shared.take_repeat(&job.service) {
+        if early.is_none() && job.shared.try_take_retry(&job.service) {
             return Err(AttemptError::Silent);
         }
     }
--- a/crates/gate/src/bidding.rs
+++ b/crates/gate/src/bidding.rs
@@ -20,8 +20,8 @@
 use tokio::sync::{mpsc, oneshot};
 use tokio::time::timeout;
 
-use crate::grant::{self, Question};
-use crate::holder::{self, Holder};
+use crate::admission::{self, AdmissionRequest};
+use crate::holder::{self, HeldRunner};
 use crate::job::Job;
 use crate::message::{AdmissionVerdict, Message};
 use crate::metrics::{Span, Step};
@@ -108,7 +108,7 @@
     let shared = &job.shared;
     let Some(target) = &job.call.target else { return Vec::new() };
     let now = shared.now();
-    let token_time = shared.speeds().token_time(&target.model);
+    let token_time = shared.engine_timings().token_time(&target.model);
     let fleet = shared.fleet();
     let allowed = job.attempts.restricted_to(|incarnation| {
         let listed = fleet.key(&incarnation.server).and_then(|key| fleet.get(key));
@@ -170,10 +170,10 @@
     let now = shared.now();
     let mut bids = IndexMap::new();
     for name in by_holder.local {
-        if let Some(holder) = shared.holder(&name) {
+        if let Some(holder) = shared.held_runner(&name) {
             bids.insert(
                 name,
-                bid(&holder.state(), request, &shared.speeds(), engine, now),
+                bid(&holder.state(), request, &shared.engine_timings(), engine, now),
             );
         }
     }
@@ -189,7 +189,7 @@
 }
 
 fn group_by_holder(shared: &Shared, runners: &[Runner]) -> ByHolder {
-    let known = shared.known();
+    let known = shared.membership();
     let mut by_holder = ByHolder::default();
     for runner in runners {
         let claim = known.claims.get(&ClaimKey::Server(runner.name.clone()));
@@ -230,9 +230,9 @@
 ) -> Vec<(ServerName, Bid)> {
     let now = shared.now();
     let bid_for = |name: ServerName| {
-        let holder = shared.holder(&name)?;
+        let holder = shared.held_runner(&name)?;
         let engine = shared.engine_of(&name)?;
-        let bid = bid(&holder.state(), request, &shared.speeds(), &engine, now);
+        let bid = bid(&holder.state(), request, &shared.engine_timings(), &engine, now);
         Some((name, bid))
     };
     servers.into_iter().filter_map(bid_for).collect()
@@ -281,7 +281,7 @@
     let started = job.shared.now();
     let (number, receiver) = job.shared.peers.open_request();
     let pending = PendingAdmission { job, server, number, decided: false };
-    let admission = match job.shared.holder(server) {
+    let admission = match job.shared.held_runner(server) {
         Some(holder) => pending.request_local(&holder, adapter_missing).await,
         None => pending.request_remote(receiver, adapter_missing).await,
     };
@@ -306,15 +306,15 @@
     /// Waits for admission to a runner that this daemon holds.
     async fn request_local(
         mut self,
-        holder: &Arc<Holder>,
+        holder: &Arc<HeldRunner>,
         adapter_missing: bool,
     ) -> Admission {
         let shared = &self.job.shared;
         let (sender, receiver) = oneshot::channel();
         let Some(want) = self.job.generation_request() else { return Admission::Denied };
         let asker = (shared.peers.me, self.number);
-        let question = Question { asker, want, missed: adapter_missing };
-        grant::take(shared, holder, question, ReplyTo::Local(sender));
+        let question = AdmissionRequest { key: asker, request: want, adapter_missing };
+        admission::request_admission(shared, holder, question, ReplyTo::Local(sender));
         let Ok(verdict) = timeout(ADMISSION_WAIT, receiver).await else {
             return Admission::Again;
         };
@@ -343,7 +343,7 @@
             let Some(request) = self.job.generation_request() else {
                 return Admission::Denied;
             };
-            let Some(addr) = holder::addr(shared, self.server) else { break };
+            let Some(addr) = holder::holder_addr(shared, self.server) else { break };
             let (number, server) = (self.number, self.server.clone());
             shared.peers.send(
                 addr,
@@ -388,9 +388,9 @@
         }
         let shared = &self.job.shared;
         let (number, server) = (self.number, self.server.clone());
-        if let Some(holder) = shared.holder(&server) {
-            grant::leave(&holder, (shared.peers.me, number));
-        } else if let Some(addr) = holder::addr(shared, &server) {
+        if let Some(holder) = shared.held_runner(&server) {
+            admission::withdraw(&holder, (shared.peers.me, number));
+        } else if let Some(addr) = holder::holder_addr(shared, &server) {
             shared.peers.send(addr, Message::Withdrawal { number, server });
         }
     }
--- a/crates/gate/src/job.rs
+++ b/crates/gate/src/job.rs
@@ -12,7 +12,7 @@
 use slog::info;
 
 use crate::metrics::Span;
-use crate::shared::{Active, Shared};
+use crate::shared::{ActiveRequests, Shared};
 
 /// The mean output length divided by callers' estimates, which match the median.
 const MEAN_TO_MEDIAN_OUTPUT: f64 = 1.5;
@@ -60,7 +60,7 @@
     /// The service, chosen from those of the route.
     pub service: ServiceName,
     /// Counts the request as active until dropped.
-    pub active: Active,
+    pub active: ActiveRequests,
     /// When its head was read; its objective and limits count from then.
     pub arrived_at: Instant,
     /// When the time budget of the caller or the timeout of the route ends.
--- a/crates/gate/src/permit.rs
+++ b/crates/gate/src/permit.rs
@@ -108,7 +108,7 @@
 
 /// The daemon that holds a service's queue, and where it receives datagrams.
 fn holder(shared: &Shared, service: &ServiceName) -> Option<(MemberId, SocketAddr)> {
-    let known = shared.known();
+    let known = shared.membership();
     let (claim, _) = known.claims.get(&pool_key(service)?)?;
     let row = known.member_row(claim.holder?)?;
     Some((row.member, row.peer_addr))
@@ -118,7 +118,7 @@
 pub async fn request_permit(job: &Job, avoid: &[ServerName]) -> PermitDecision {
     let shared = &job.shared;
     let started = shared.now();
-    if shared.is_silent(&job.service, started) {
+    if shared.is_queue_holder_unresponsive(&job.service, started) {
         return PermitDecision::Silent;
     }
     let Some((member, addr)) = holder(shared, &job.service) else {
@@ -133,7 +133,10 @@
     };
     pending.granted = matches!(decision, PermitDecision::Send(..));
     if decision == PermitDecision::Silent {
-        shared.note_silent(&job.service, shared.now() + UNRESPONSIVE_TIME);
+        shared.mark_queue_holder_unresponsive(
+            &job.service,
+            shared.now() + UNRESPONSIVE_TIME,
+        );
     }
     shared.metrics.count(Step::Turn, decision.label());
     let waited = shared.now().saturating_duration_since(started);
--- a/crates/gate/src/permit_queue.rs
+++ b/crates/gate/src/permit_queue.rs
@@ -108,8 +108,8 @@
 
 /// The plain services whose claims this daemon holds.
 fn held_services(shared: &Shared) -> Vec<ServiceName> {
-    let Some(declared) = shared.declared() else { return Vec::new() };
-    let known = shared.known();
+    let Some(declared) = shared.declarations() else { return Vec::new() };
+    let known = shared.membership();
     let is_held = |service: &ServiceName| {
         let claim = pool_key(service).and_then(|key| known.claims.get(&key));
         claim.is_some_and(|(row, _)| row.holder == Some(shared.peers.me))
@@ -199,7 +199,7 @@
 
 /// Updates the queue's servers from the registry if the list has changed or is too old.
 fn update_servers(shared: &Shared, queue: &ServiceQueue, now: Instant) {
-    let version = *shared.listed.borrow();
+    let version = *shared.server_updates.borrow();
     let too_old = |at: Instant| now.saturating_duration_since(at) >= SERVER_LIST_AGE;
     if queue.state().listed.is_some_and(|(used, at)| used == version && !too_old(at)) {
         return;
--- a/crates/gate/src/pick.rs
+++ b/crates/gate/src/pick.rs
@@ -57,7 +57,7 @@
     tried: &[ServerName],
 ) -> Result<Target, PickError> {
     let limit = Instant::from_std(residency_deadline(job));
-    let mut listed = job.shared.listed.subscribe();
+    let mut listed = job.shared.server_updates.subscribe();
     let mut avoid = tried.to_vec();
     loop {
         listed.borrow_and_update();
@@ -173,7 +173,7 @@
     let server = fleet.get(chosen.key)?;
     let (name, started_at) = (server.entry.name.clone(), server.entry.started_at_ms);
     let addr = server.entry.address;
-    let registry = job.shared.tables.servers.news(job.shared.now());
+    let registry = job.shared.tables.servers.announcement(job.shared.now());
     info!(job.shared.log, "server picked"; "id" => job.id(), "server" => name.to_string(),
         "target" => job.call.target.as_ref().map(|target| target.to_string()),
         "cost_ms" => chosen.bid.cost_ms as u64, "requests" => chosen.bid.requests,
--- a/crates/gate/src/read.rs
+++ b/crates/gate/src/read.rs
@@ -57,7 +57,7 @@
     body: Incoming,
 ) -> Result<Job, EarlyRefusal> {
     let arrived_at = shared.now();
-    let active = shared.active.enter();
+    let active = shared.active.start();
     let call = match shared.dialect.read_call(&head) {
         Ok(call) => call,
         Err(error) => {
@@ -66,7 +66,7 @@
         }
     };
     let refused = |refusal| EarlyRefusal { refusal, id: call.id.clone() };
-    if shared.is_closing() {
+    if shared.is_refusing_requests() {
         return Err(refused(shutting_down()));
     }
     let declarations = wait_for_declarations(&shared)
@@ -101,9 +101,9 @@
 
 /// The declarations in force; waits up to [`STARTUP_WAIT`] for them and for servers.
 async fn wait_for_declarations(shared: &Shared) -> Option<Arc<Declarations>> {
-    if !shared.is_known() {
-        let mut declared = shared.declared.subscribe();
-        let mut listed = shared.listed.subscribe();
+    if !shared.is_initialized() {
+        let mut declared = shared.declarations.subscribe();
+        let mut listed = shared.server_updates.subscribe();
         let available = async {
             declared.wait_for(Option::is_some).await.is_ok()
                 && listed.wait_for(|count| *count > 0).await.is_ok()
@@ -111,7 +111,7 @@
         // A timeout shows as missing declarations, which the caller of this refuses.
         let _ = timeout(STARTUP_WAIT, available).await;
     }
-    shared.declared()
+    shared.declarations()
 }
 
 fn shutting_down() -> Refusal {
@@ -128,7 +128,7 @@
     let message =
         "the daemon has just started and has no routes yet; use another address";
     // While the store is unavailable, callers wait as long as servers have to register again.
-    let store_unavailable = shared.age() > STORE_TIMEOUT;
+    let store_unavailable = shared.uptime() > STORE_TIMEOUT;
     let retry_after = if store_unavailable { RELIST_GRACE } else { STARTUP_WAIT };
     Refusal::not_run(RefusalCode::Leaving, message).with_retry_after(retry_after)
 }
--- a/crates/gate/src/receive.rs
+++ b/crates/gate/src/receive.rs
@@ -3,11 +3,11 @@
 use std::net::SocketAddr;
 use std::sync::Arc;
 
-use crate::grant::{self, Question};
+use crate::admission::{self, AdmissionRequest};
 use crate::message::{AdmissionVerdict, Message, Packet};
 use crate::peers::ReplyTo;
 use crate::shared::Shared;
-use crate::{bidding, follow, members, permit_queue, planner, sums};
+use crate::{bidding, members, permit_queue, planner, table_sync, usage_reports};
 
 /// Receives datagrams until the daemon ends.
 pub async fn run(shared: Arc<Shared>) {
@@ -19,10 +19,21 @@
 
 fn dispatch(shared: &Arc<Shared>, packet: Packet, from: SocketAddr) {
     match packet.message {
-        Message::Heartbeat(heartbeat) => members::heard(shared, packet.from, &heartbeat),
-        Message::TableUpdate(tables) => follow::hear(shared, packet.from, &tables),
+        Message::Heartbeat(heartbeat) => {
+            members::record_heartbeat(shared, packet.from, &heartbeat)
+        }
+        Message::TableUpdate(tables) => {
+            table_sync::record_announcements(shared, packet.from, &tables)
+        }
         Message::UsageReport { server, usage, target, first_event } => {
-            sums::take(shared, packet.from, &server, usage, target.as_ref(), first_event);
+            usage_reports::apply(
+                shared,
+                packet.from,
+                &server,
+                usage,
+                target.as_ref(),
+                first_event,
+            );
         }
         Message::BidRequest { number, servers, request } => {
             let bids = bidding::local_bids(shared, servers, &request);
@@ -30,12 +41,12 @@
         }
         Message::AdmissionRequest { number, server, request, adapter_missing } => {
             let reply = ReplyTo::Remote(from);
-            match shared.holder(&server) {
+            match shared.held_runner(&server) {
                 Some(holder) => {
                     let asker = (packet.from, number);
                     let question =
-                        Question { asker, want: request, missed: adapter_missing };
-                    grant::take(shared, &holder, question, reply);
+                        AdmissionRequest { key: asker, request, adapter_missing };
+                    admission::request_admission(shared, &holder, question, reply);
                 }
                 None => {
                     let verdict = AdmissionVerdict::Moved;
@@ -46,8 +57,8 @@
             }
         }
         Message::Withdrawal { number, server } => {
-            if let Some(holder) = shared.holder(&server) {
-                grant::leave(&holder, (packet.from, number));
+            if let Some(holder) = shared.held_runner(&server) {
+                admission::withdraw(&holder, (packet.from, number));
             }
         }
         Message::PermitRequest { number, service, request } => {
@@ -70,15 +81,21 @@
         }
         Message::DemandReport { service, part, demand, unreachable, learned } => {
             if let Some(learned) = learned {
-                shared.speeds().merge(&learned);
+                shared.engine_timings().merge(&learned);
             }
-            planner::take(shared, packet.from, (service, part), demand, unreachable);
+            planner::apply_demand(
+                shared,
+                packet.from,
+                (service, part),
+                demand,
+                unreachable,
+            );
         }
         Message::Move(change) => {
-            if let Some(holder) = shared.holder(&change.server) {
-                holder.change(change, Some(from), shared.now());
+            if let Some(holder) = shared.held_runner(&change.server) {
+                holder.request_move(change, Some(from), shared.now());
             }
         }
-        Message::MoveFailed(change) => planner::fail(shared, &change),
+        Message::MoveFailed(change) => planner::record_failed_move(shared, &change),
     }
 }
--- a/crates/gate/src/relay.rs
+++ b/crates/gate/src/relay.rs
@@ -251,7 +251,7 @@
                 let gap = now.saturating_duration_since(self.last_event_at);
                 self.timing.max_event_gap = self.timing.max_event_gap.max(gap);
                 if let Some(tokens) = self.event_tokens {
-                    self.job.shared.speeds().record_event_gap(gap, tokens);
+                    self.job.shared.engine_timings().record_event_gap(gap, tokens);
                 }
             }
         }
@@ -285,7 +285,7 @@
         info!(self.job.shared.log, "resuming the stream at another server";
             "id" => self.job.id(), "server" => self.server.to_string(), "why" => why,
             "after" => self.sequence.last());
-        while self.job.shared.take_repeat(&self.job.service) {
+        while self.job.shared.try_take_retry(&self.job.service) {
             self.job.shared.metrics.count(Step::Repeat, "resumed");
             let Ok(target) = pick(&self.job, None, &[]).await else { return false };
             match attempt(&self.job, &target, self.sequence.last()).await {
--- a/crates/gate/src/serve.rs
+++ b/crates/gate/src/serve.rs
@@ -71,7 +71,7 @@
     shared: &Shared,
     mut response: Response<ResponseBody>,
 ) -> Response<ResponseBody> {
-    if *shared.leaving.borrow() {
+    if *shared.shutting_down.borrow() {
         let close = http::HeaderValue::from_static("close");
         response.headers_mut().insert(http::header::CONNECTION, close);
     }
@@ -82,9 +82,9 @@
 
 async fn run(job: Job) -> Result<Response<ResponseBody>, Refused> {
     let mut job = Box::new(job);
-    job.shared.note_request(&job.service);
+    job.shared.record_request(&job.service);
     if let Some(target) = &job.call.target {
-        planner::note(&job.shared, &job.service, &target.model, job.demand());
+        planner::record_demand(&job.shared, &job.service, &target.model, job.demand());
     }
     let mut tried = Vec::new();
     let mut missing_adapter: Option<ServerName> = None;
@@ -172,7 +172,7 @@
 
 /// Takes a retry from the service's budget; `false` if it is used up.
 fn take_retry(job: &Job, cause: &'static str) -> bool {
-    let granted = job.shared.take_repeat(&job.service);
+    let granted = job.shared.try_take_retry(&job.service);
     if granted {
         job.shared.metrics.count(Step::Repeat, cause);
     }
--- /dev/null
+++ b/crates/gate/src/table_sync.rs
@@ -0,0 +1,474 @@
+//! Keeps replicas of the store's tables up to date.
+//!
+//! One daemon, the reader of a table, long-polls the store, which responds as soon as a
+//! row changes. The others learn from heartbeats that a newer version exists and fetch
+//! the changes from the daemon that has it, at no cost to the store. A daemon polls the
+//! store itself when no daemon has lately reported that the store confirmed the replica's
+//! version: the reader may be down, suspended or partitioned, and changes must still be
+//! in force in time. A daemon that can't reach the store gets changes from others.
+
+use std::net::SocketAddr;
+use std::sync::Arc;
+use std::time::{Duration, Instant};
+
+use chestnut_base::id::weighted_rendezvous_rank;
+use chestnut_base::{MemberId, VmName};
+use chestnut_edge::{Change, Transaction};
+use slog::{info, warn};
+use tokio::sync::watch;
+use tokio::time::{sleep, timeout};
+
+use crate::backoff::Backoff;
+use crate::message::TableFreshness;
+use crate::shared::Shared;
+use crate::store::{self, FetchLimits, StoreError};
+use crate::table_replica::{TableChanges, TableReplica};
+use crate::{claims, members, persisted_timings};
+
+/// [`freshness_limit`] divided by this is how long the store may hold the reader's long
+/// poll. The rest is for the heartbeat period and the delay of the response.
+const HOLD_DIVISOR: u32 = 3;
+
+/// How long after the end of its hold a long poll's response may arrive.
+const HOLD_RESPONSE_MARGIN: Duration = Duration::from_millis(300);
+
+/// The share of the time in which changes must be in force for which a replica counts as
+/// current after a confirmation by the store.
+///
+/// A direct read takes a daemon a few milliseconds. A confirmation takes up to the hold
+/// of a long poll and, among thousands of daemons, three or four heartbeats.
+const FRESHNESS_SHARE: f64 = 0.75;
+
+/// Upper bound on the time for which a replica counts as current.
+///
+/// Replicas determine which daemon watches which. If they may be older than the
+/// failure-detection timeout, two hundred daemons that start together remove each other's
+/// rows.
+const MAX_FRESHNESS: Duration = Duration::from_millis(1500);
+
+const _: () = assert!(MAX_FRESHNESS.as_millis() <= members::FAILURE_TIMEOUT.as_millis());
+
+/// Delay per rank before a daemon polls the store itself, so that one read serves all.
+const READ_STAGGER: Duration = Duration::from_millis(40);
+
+/// How often a daemon checks whether its replica is current.
+const CHECK_PERIOD: Duration = Duration::from_millis(100);
+
+/// Limits of a fetch from another daemon while the store is reachable.
+///
+/// Larger changes transfer faster over the store's link than over a daemon's.
+const FETCH_LIMITS: FetchLimits =
+    FetchLimits { max_bytes: 64 << 10, timeout: Duration::from_millis(250) };
+
+/// Limits of a fetch from another daemon while this one can't reach the store.
+const OUTAGE_FETCH_LIMITS: FetchLimits =
+    FetchLimits { max_bytes: 8 << 20, timeout: Duration::from_millis(2500) };
+
+/// Delay between long polls of a table that changes continuously.
+const MIN_POLL_INTERVAL: Duration = Duration::from_millis(150);
+
+/// Delay after a failed read, during which other daemons may announce changes.
+const ERROR_DELAY: Duration = Duration::from_millis(60);
+
+/// Age of a replica from which on the store counts as unreachable, and its return is
+/// reported to the handler.
+///
+/// Entries of servers expire after three of their heartbeats without the store.
+const OUTAGE_THRESHOLD: Duration = Duration::from_millis(2500);
+
+/// Time after the start in which a daemon may not have received the other daemons' rows.
+const STARTUP_TIME: Duration = Duration::from_secs(1);
+
+/// Receives the changes of a table.
+pub trait ChangeHandler: Send {
+    /// Called for each row that was written or removed.
+    fn on_change(&mut self, change: Change);
+
+    /// Called after all changes of a read.
+    fn on_batch_end(&mut self) {}
+
+    /// Called when the store is reachable again after an outage.
+    fn on_store_recovery(&mut self) {}
+}
+
+/// A table of the store with this daemon's replica of it.
+pub struct SyncedTable {
+    /// The table's name in the store.
+    pub name: &'static str,
+    /// This daemon's replica.
+    pub replica: std::sync::Mutex<TableReplica>,
+    /// A newer version and the daemon that announced it.
+    pub newer_version: watch::Sender<Option<(MemberId, u64)>>,
+}
+
+impl SyncedTable {
+    /// Creates a table with an empty replica.
+    pub fn new(name: &'static str) -> Self {
+        Self {
+            name,
+            replica: Default::default(),
+            newer_version: watch::Sender::new(None),
+        }
+    }
+
+    /// Locks the replica.
+    pub fn replica(&self) -> std::sync::MutexGuard<'_, TableReplica> {
+        self.replica.lock().expect("no holder of the lock panics")
+    }
+
+    /// Time since the store confirmed the replica; `None` before the first confirmation.
+    pub fn age(&self, now: Instant) -> Option<Duration> {
+        Some(now.saturating_duration_since(self.replica().confirmed_at()?))
+    }
+
+    /// The replica's version and the milliseconds since the store confirmed it, as sent
+    /// in heartbeats.
+    pub fn announcement(&self, now: Instant) -> TableFreshness {
+        let age = self.age(now)?;
+        Some((self.replica().version()?, age.as_millis() as u32))
+    }
+
+    /// Records which version another daemon has, and how old its confirmation is.
+    pub fn record_announcement(
+        &self,
+        from: MemberId,
+        version: u64,
+        age_ms: u32,
+        now: Instant,
+    ) {
+        let confirmed = now.checked_sub(Duration::from_millis(age_ms.into()));
+        let mut replica = self.replica();
+        if let Some(confirmed) = confirmed {
+            replica.record_confirmation(version, confirmed);
+        }
+        if replica.version().is_some_and(|own| own < version) {
+            self.newer_version.send_replace(Some((from, version)));
+        }
+    }
+}
+
+/// Keeps a table's replica up to date for as long as the daemon runs.
+pub async fn run(
+    shared: Arc<Shared>,
+    table: Arc<SyncedTable>,
+    handler: impl ChangeHandler,
+) {
+    let outage = Outage { since: None };
+    let mut sync = TableSync {
+        shared,
+        table,
+        handler,
+        outage,
+        store_unavailable: false,
+        backoff: Backoff::default(),
+    };
+    loop {
+        sync.step().await;
+    }
+}
+
+struct Outage {
+    since: Option<Instant>,
+}
+
+struct TableSync<F> {
+    shared: Arc<Shared>,
+    table: Arc<SyncedTable>,
+    handler: F,
+    outage: Outage,
+    /// Whether the last call to the store failed.
+    store_unavailable: bool,
+    /// Delays calls to the store after failed ones.
+    backoff: Backoff,
+}
+
+/// Where the next changes come from.
+enum Source {
+    /// The store, which may hold its response for that long.
+    Store(Duration),
+    /// A daemon that has a newer version.
+    Peer(SocketAddr),
+    /// Nowhere for now: the replica is current, or the store may not be called yet.
+    Idle,
+}
+
+impl<F: ChangeHandler> TableSync<F> {
+    async fn step(&mut self) {
+        self.detect_outage();
+        let result = match self.choose_source() {
+            Source::Store(hold) => self.read_store(hold).await,
+            Source::Peer(addr) => self.fetch_from_peer(addr).await,
+            Source::Idle => {
+                let mut newer_version = self.table.newer_version.subscribe();
+                newer_version.borrow_and_update();
+                // Ends early when a newer version is announced.
+                let _ = timeout(CHECK_PERIOD, newer_version.changed()).await;
+                return;
+            }
+        };
+        match result {
+            Ok(()) => {}
+            Err(StoreError(reason)) => {
+                warn!(self.shared.log, "table read failed"; "table" => self.table.name,
+                    "error" => reason, "age_ms" => self.age().map(|age| age.as_millis() as u64));
+                sleep(ERROR_DELAY).await;
+            }
+        }
+    }
+
+    fn choose_source(&self) -> Source {
+        let now = self.shared.now();
+        let rank = reader_rank(&self.shared, self.table.name);
+        let may_call = self.backoff.may_call(rank, now);
+        if self.table.replica().version().is_none() {
+            let first = Source::Store(Duration::ZERO);
+            return if may_call { first } else { Source::Idle };
+        }
+        // Right after its start a daemon has seen no others and would take itself for the
+        // reader.
+        let past_startup = self.shared.uptime() > STARTUP_TIME;
+        if rank == 0 && past_startup && may_call {
+            return Source::Store(freshness_limit(&self.shared) / HOLD_DIVISOR);
+        }
+        if let Some(addr) = self.newer_peer(now) {
+            return Source::Peer(addr);
+        }
+        let limit = freshness_limit(&self.shared) + READ_STAGGER * rank.min(10) as u32;
+        match self.age() {
+            Some(age) if age < limit => Source::Idle,
+            _ if !may_call => Source::Idle,
+            _ => Source::Store(Duration::ZERO),
+        }
+    }
+
+    /// Time since the store confirmed the replica.
+    fn age(&self) -> Option<Duration> {
+        self.table.age(self.shared.now())
+    }
+
+    /// The address of a live daemon that has a newer version.
+    fn newer_peer(&self, now: Instant) -> Option<SocketAddr> {
+        let (member, version) = (*self.table.newer_version.borrow())?;
+        let own = self.table.replica().version()?;
+        let alive = self.shared.is_alive(member, now);
+        if version <= own || !alive {
+            return None;
+        }
+        members::table_changes_addr(&self.shared, member)
+    }
+
+    async fn fetch_from_peer(&mut self, addr: SocketAddr) -> Result<(), StoreError> {
+        let own = self.table.replica().version().unwrap_or_default();
+        let fetch =
+            if self.store_unavailable { OUTAGE_FETCH_LIMITS } else { FETCH_LIMITS };
+        let changes =
+            store::fetch_peer_changes(&self.shared, addr, self.table.name, own, fetch);
+        let changes = match changes.await {
+            Ok(changes) => changes,
+            Err(_) if !self.store_unavailable => {
+                return self.read_store(Duration::ZERO).await;
+            }
+            Err(error) => {
+                // Other daemons that have the version announce it in their next
+                // heartbeat.
+                self.table.newer_version.send_replace(None);
+                return Err(error);
+            }
+        };
+        if self.apply_peer_changes(changes) {
+            members::announce_tables(&self.shared);
+        }
+        Ok(())
+    }
+
+    /// Applies changes from another daemon; returns whether any was new.
+    fn apply_peer_changes(&mut self, changes: TableChanges) -> bool {
+        let TableChanges { rows, snapshot, version } = changes;
+        let rows: Vec<Change> = rows.into_iter().map(Change::from).collect();
+        let new_changes = {
+            let mut replica = self.table.replica();
+            match snapshot {
+                true => replica.apply_snapshot(rows, version).unwrap_or_default(),
+                false => replica.apply(rows, version),
+            }
+        };
+        let any_new = !new_changes.is_empty();
+        self.dispatch(new_changes);
+        any_new
+    }
+
+    async fn read_store(&mut self, hold: Duration) -> Result<(), StoreError> {
+        let result = self.poll_store(hold).await;
+        match &result {
+            Ok(()) => self.backoff.record_success(),
+            Err(_) => self.backoff.record_failure(self.shared.now()),
+        }
+        result
+    }
+
+    async fn poll_store(&mut self, hold: Duration) -> Result<(), StoreError> {
+        let version = self.table.replica().version();
+        let Some(after) = version else { return self.read_full_table().await };
+        let request =
+            self.shared.dialect.write_changes_request(self.table.name, after, hold);
+        let response =
+            store::call(&self.shared, request, hold + HOLD_RESPONSE_MARGIN).await;
+        self.store_unavailable = response.is_err();
+        let response = response?;
+        let (status, body) = (response.status(), response.into_body());
+        let delta = self.shared.dialect.read_changes(status, &body);
+        self.store_unavailable = delta.is_err();
+        let Some(delta) = delta.map_err(|error| StoreError(error.to_string()))? else {
+            info!(self.shared.log, "change history expired, reading the whole table";
+                "table" => self.table.name, "version" => after);
+            return self.read_full_table().await;
+        };
+        let has_changes = !delta.changes.is_empty();
+        let now = self.shared.now();
+        let new_changes = {
+            let mut replica = self.table.replica();
+            let new_changes = replica.apply(delta.changes, delta.version);
+            replica.record_confirmation(delta.version, now);
+            new_changes
+        };
+        self.dispatch(new_changes);
+        if has_changes {
+            // Others are notified at once, and rows that change in quick succession share
+            // a poll.
+            members::announce_tables(&self.shared);
+            sleep(MIN_POLL_INTERVAL).await;
+        }
+        Ok(())
+    }
+
+    async fn read_full_table(&mut self) -> Result<(), StoreError> {
+        let (rows, version) = store::read_table(&self.shared, self.table.name).await?;
+        let now = self.shared.now();
+        let new_changes = {
+            let mut replica = self.table.replica();
+            let new_changes = replica.apply_snapshot(rows, version);
+            let new_changes = new_changes
+                .ok_or_else(|| StoreError(format!("stale read at version {version}")))?;
+            replica.record_confirmation(version, now);
+            new_changes
+        };
+        self.dispatch(new_changes);
+        Ok(())
+    }
+
+    fn dispatch(&mut self, new_changes: Vec<Change>) {
+        for change in new_changes {
+            self.handler.on_change(change);
+        }
+        self.handler.on_batch_end();
+    }
+
+    /// Logs the start and the end of an outage, and notifies the handler of the end.
+    fn detect_outage(&mut self) {
+        let now = self.shared.now();
+        let age = self.age();
+        match (age, self.outage.since) {
+            (Some(age), None) if age > OUTAGE_THRESHOLD => {
+                warn!(self.shared.log, "store unreachable"; "table" => self.table.name,
+                    "age_ms" => age.as_millis() as u64);
+                self.outage.since = Some(now);
+            }
+            (Some(age), Some(since)) if age < OUTAGE_THRESHOLD => {
+                info!(self.shared.log, "store reachable again"; "table" => self.table.name,
+                    "lost_ms" => now.duration_since(since).as_millis() as u64);
+                self.outage.since = None;
+                self.handler.on_store_recovery();
+            }
+            _ => {}
+        }
+    }
+}
+
+/// How long a replica counts as current after a confirmation by the store.
+fn freshness_limit(shared: &Shared) -> Duration {
+    let bounds = shared.bounds.borrow();
+    bounds.apply.min(bounds.leave).mul_f64(FRESHNESS_SHARE).min(MAX_FRESHNESS)
+}
+
+/// This daemon's rank among the live daemons that may read a table; 0 is the reader.
+fn reader_rank(shared: &Shared, table: &str) -> usize {
+    let me = &shared.settings.vm;
+    let membership = shared.membership();
+    let now = shared.now();
+    let own = weighted_rendezvous_rank(table, me.as_str(), shared.settings.weight());
+    let others = membership.members.iter().filter(|(vm, (row, _))| {
+        *vm != me && membership.accepts_claims(row) && shared.is_alive(row.member, now)
+    });
+    let rank = |vm: &VmName, weight| weighted_rendezvous_rank(table, vm.as_str(), weight);
+    others.filter(|(vm, (row, _))| rank(vm, row.weight) > own).count()
+}
+
+/// The tables that a daemon replicates, in the order in which heartbeats list them.
+pub fn tables(shared: &Shared) -> [&Arc<SyncedTable>; 3] {
+    [&shared.tables.declarations, &shared.tables.servers, &shared.tables.system]
+}
+
+/// The version and age of each replica, as sent in heartbeats.
+pub fn announcements(shared: &Shared) -> Vec<TableFreshness> {
+    let now = shared.now();
+    tables(shared).into_iter().map(|table| table.announcement(now)).collect()
+}
+
+/// Records which versions of the tables another daemon has.
+pub fn record_announcements(
+    shared: &Shared,
+    from: MemberId,
+    announcements: &[TableFreshness],
+) {
+    if shared.is_resuming() {
+        // The message may have waited in the socket for as long as the daemon was
+        // suspended.
+        return;
+    }
+    let now = shared.now();
+    for (table, announcement) in tables(shared).into_iter().zip(announcements) {
+        if let Some((version, age)) = announcement {
+            table.record_announcement(from, *version, *age, now);
+        }
+    }
+}
+
+/// The system's own table of daemons, claims and engine timings, distinguished by key
+/// prefix.
+pub const SYSTEM_TABLE: &str = "chestnut";
+
+/// Applies rows of the system table that this daemon has committed to its replica.
+pub fn record_own_writes(shared: &Shared, transaction: &Transaction, version: u64) {
+    let mut replica = shared.tables.system.replica();
+    for write in transaction.writes.iter().filter(|write| write.table == SYSTEM_TABLE) {
+        let (key, value) = (write.key.clone(), write.value.clone());
+        replica.apply_own_write(&Change { key, version, value });
+    }
+}
+
+/// Passes each change of the system table to the handler for its key prefix.
+pub struct SystemTableHandler {
+    /// Handles rows of daemons.
+    pub members: members::MemberHandler,
+    /// Handles rows of claims.
+    pub claims: claims::ClaimHandler,
+    /// Handles rows of engine timings.
+    pub timings: persisted_timings::EngineTimingsHandler,
+}
+
+impl ChangeHandler for SystemTableHandler {
+    fn on_change(&mut self, change: Change) {
+        if change.key.starts_with(members::KEY_PREFIX) {
+            self.members.on_change(change);
+        } else if change.key.starts_with(claims::KEY_PREFIX) {
+            self.claims.on_change(change);
+        } else if change.key.starts_with(persisted_timings::KEY_PREFIX) {
+            self.timings.on_change(change);
+        }
+    }
+
+    fn on_batch_end(&mut self) {
+        self.members.on_batch_end();
+        self.claims.on_batch_end();
+    }
+}
--- /dev/null
+++ b/crates/gate/src/usage_reports.rs
@@ -0,0 +1,96 @@
+//! Reports what this daemon has in flight at runners to the holders of their claims.
+
+use std::sync::Arc;
+use std::time::Duration;
+
+use chestnut_base::{MemberId, ServerName};
+use chestnut_edge::TargetModel;
+use chestnut_pool::{ServerKey, Usage};
+use tokio::time::sleep;
+
+use crate::message::{FirstEvent, Message};
+use crate::shared::Shared;
+use crate::{admission, holder};
+
+/// How often usage other than zero is reported again.
+///
+/// After a lost datagram the holder's total is wrong for up to this long, and a new
+/// holder of a claim has all reports after it.
+const REPEAT_PERIOD: Duration = Duration::from_secs(1);
+
+/// Reports this daemon's current usage of a runner to its holder. `target` is the model
+/// of a request that was just sent, `first_event` that of an admitted request.
+pub fn report(
+    shared: &Shared,
+    key: ServerKey,
+    target: Option<TargetModel>,
+    first_event: Option<FirstEvent>,
+) {
+    let (server, usage) = {
+        let fleet = shared.fleet();
+        let Some(server) = fleet.get(key) else { return };
+        if server.entry.models.is_empty() {
+            return;
+        }
+        (server.entry.name.clone(), server.own_usage)
+    };
+    send_report(shared, server, usage, target, first_event);
+}
+
+fn send_report(
+    shared: &Shared,
+    server: ServerName,
+    usage: Usage,
+    target: Option<TargetModel>,
+    first_event: Option<FirstEvent>,
+) {
+    if shared.held_runner(&server).is_some() {
+        apply(shared, shared.peers.me, &server, usage, target.as_ref(), first_event);
+    } else if let Some(addr) = holder::holder_addr(shared, &server) {
+        shared
+            .peers
+            .send(addr, Message::UsageReport { server, usage, target, first_event });
+    }
+}
+
+/// Applies a daemon's report on a runner that this daemon holds; ignored for others.
+pub fn apply(
+    shared: &Shared,
+    from: MemberId,
+    server: &ServerName,
+    usage: Usage,
+    target: Option<&TargetModel>,
+    first_event: Option<FirstEvent>,
+) {
+    let Some(runner) = shared.held_runner(server) else { return };
+    let now = shared.now();
+    {
+        let mut state = runner.state();
+        state.update_usage(from, usage, now);
+        if let Some(target) = target {
+            state.mark_adapter_used(target, now);
+        }
+    }
+    if let Some(first_event) = first_event {
+        admission::record_first_event(shared, &runner, from, first_event);
+    }
+    // Requests that ended free capacity for queued ones.
+    runner.changed.notify_one();
+}
+
+/// Repeats the reports on all runners that this daemon uses.
+pub async fn repeat_reports(shared: Arc<Shared>) {
+    loop {
+        sleep(REPEAT_PERIOD).await;
+        let reports: Vec<(ServerName, Usage)> = {
+            let fleet = shared.fleet();
+            let used = fleet.iter().filter(|(_, server)| server.own_usage.requests > 0);
+            used.filter(|(_, server)| !server.entry.models.is_empty())
+                .map(|(_, server)| (server.entry.name.clone(), server.own_usage))
+                .collect()
+        };
+        for (server, usage) in reports {
+            send_report(&shared, server, usage, None, None);
+        }
+    }
+}
--- /dev/null
+++ b/crates/gate/tests/table_replica.rs
@@ -0,0 +1,198 @@
+//! A replica under any order of changes, snapshots, and delayed responses.
+
+use std::time::{Duration, Instant};
+
+use bytes::Bytes;
+use chestnut_edge::Change;
+use chestnut_gate::table_replica::TableReplica;
+use indexmap::IndexMap;
+use proptest::prelude::*;
+
+/// The reference table, with its whole history.
+#[derive(Default)]
+struct ReferenceTable {
+    version: u64,
+    history: Vec<Change>,
+}
+
+impl ReferenceTable {
+    fn write(&mut self, key: u8, value: Option<u8>) {
+        self.version += 3;
+        let value = value.map(|value| Bytes::from(vec![value]));
+        self.history.push(Change { key: key.to_string(), version: self.version, value });
+    }
+
+    /// The rows as of a version.
+    fn rows(&self, version: u64) -> IndexMap<String, Change> {
+        let mut rows = IndexMap::new();
+        for change in self.history.iter().filter(|change| change.version <= version) {
+            match change.value {
+                Some(_) => drop(rows.insert(change.key.clone(), change.clone())),
+                None => drop(rows.swap_remove(&change.key)),
+            }
+        }
+        rows
+    }
+
+    /// The last change of each key after a version, as of another.
+    fn changes(&self, after: u64, version: u64) -> Vec<Change> {
+        let mut last: IndexMap<&String, &Change> = IndexMap::new();
+        for change in &self.history {
+            if change.version > after && change.version <= version {
+                last.insert(&change.key, change);
+            }
+        }
+        last.into_values().cloned().collect()
+    }
+}
+
+#[derive(Debug, Clone)]
+enum Operation {
+    Write {
+        key: u8,
+        value: Option<u8>,
+    },
+    /// The daemon of the direct replica writes a row itself and applies it on the
+    /// response.
+    OwnWrite {
+        key: u8,
+        value: u8,
+    },
+    /// The direct replica reads changes; the response lags some writes behind.
+    ReadChanges {
+        lag: u64,
+    },
+    /// The direct replica reads a snapshot that lags some writes behind.
+    ReadSnapshot {
+        lag: u64,
+    },
+    /// The indirect replica fetches changes from the direct one.
+    FetchPeer,
+}
+
+fn operation() -> impl Strategy<Value = Operation> {
+    let value = prop_oneof![3 => any::<u8>().prop_map(Some), 1 => Just(None)];
+    prop_oneof![
+        6 => (0u8..5, value).prop_map(|(key, value)| Operation::Write { key, value }),
+        2 => (0u8..5, any::<u8>()).prop_map(|(key, value)| Operation::OwnWrite { key, value }),
+        4 => (0u64..4).prop_map(|lag| Operation::ReadChanges { lag }),
+        1 => (0u64..4).prop_map(|lag| Operation::ReadSnapshot { lag }),
+        2 => Just(Operation::FetchPeer),
+    ]
+}
+
+/// A replica, and the rows that result from the changes it returned.
+#[derive(Default)]
+struct Reader {
+    replica: TableReplica,
+    rows: IndexMap<String, Change>,
+}
+
+impl Reader {
+    fn record(&mut self, applied: Vec<Change>) {
+        for change in applied {
+            let before = self.rows.get(&change.key).map_or(0, |row| row.version);
+            assert!(change.version > before, "{change:?} after {before}");
+            match change.value {
+                Some(_) => drop(self.rows.insert(change.key.clone(), change)),
+                None => drop(self.rows.swap_remove(&change.key)),
+            }
+        }
+    }
+
+    /// Applies a row that this daemon has just written.
+    fn apply_own_write(&mut self, change: Change) {
+        self.replica.apply_own_write(&change);
+        self.rows.insert(change.key.clone(), change);
+    }
+
+    fn read_changes(&mut self, table: &ReferenceTable, lag: u64) {
+        let after = self.replica.version().unwrap_or_default();
+        let version = table.version.saturating_sub(lag * 3).max(after);
+        let applied = self.replica.apply(table.changes(after, version), version);
+        self.record(applied);
+    }
+
+    fn read_snapshot(&mut self, table: &ReferenceTable, lag: u64) {
+        let version = table.version.saturating_sub(lag * 3);
+        let rows = table.rows(version).into_values().collect();
+        let applied = self.replica.apply_snapshot(rows, version);
+        self.record(applied.unwrap_or_default());
+    }
+
+    fn fetch_peer(&mut self, peer: &TableReplica) {
+        let own = self.replica.version().unwrap_or_default();
+        let Some(changes) = peer.changes_since(own) else { return };
+        let version = changes.version;
+        let rows: Vec<Change> = changes.rows.into_iter().map(Change::from).collect();
+        let applied = match changes.snapshot {
+            true => self.replica.apply_snapshot(rows, version).unwrap_or_default(),
+            false => self.replica.apply(rows, version),
+        };
+        self.record(applied);
+    }
+}
+
+proptest! {
+    // A delayed read must not bring back a server that was removed or a configuration
+    // that was replaced, and in the end the replica equals the table.
+    #[test]
+    fn replica_never_goes_back(operations in prop::collection::vec(operation(), 1..120)) {
+        let (mut table, mut direct, mut indirect) =
+            (ReferenceTable::default(), Reader::default(), Reader::default());
+        for operation in operations {
+            match operation {
+                Operation::Write { key, value } => table.write(key, value),
+                Operation::OwnWrite { key, value } => {
+                    table.write(key, Some(value));
+                    direct.apply_own_write(table.history.last().expect("it was written").clone());
+                }
+                Operation::ReadChanges { lag } => direct.read_changes(&table, lag),
+                Operation::ReadSnapshot { lag } => direct.read_snapshot(&table, lag),
+                Operation::FetchPeer => indirect.fetch_peer(&direct.replica),
+            }
+        }
+        // Half of the runs end with a snapshot, as after a loss of the change history.
+        match table.version % 2 {
+            0 => direct.read_changes(&table, 0),
+            _ => direct.read_snapshot(&table, 0),
+        }
+        indirect.fetch_peer(&direct.replica);
+        for reader in [&direct, &indirect] {
+            let mut rows: Vec<_> = reader.rows.values().cloned().collect();
+            let mut expected: Vec<_> = table.rows(table.version).into_values().collect();
+            rows.sort_by(|a, b| a.key.cmp(&b.key));
+            expected.sort_by(|a, b| a.key.cmp(&b.key));
+            prop_assert_eq!(rows, expected);
+        }
+    }
+}
+
+#[test]
+fn confirmation_of_a_newer_version_is_ignored() {
+    // A daemon that lags behind receives a confirmation of a version that it doesn't have
+    // yet. Its own replica must not count as confirmed by that.
+    let now = Instant::now();
+    let mut replica = TableReplica::default();
+    replica.apply(Vec::new(), 10);
+    replica.record_confirmation(12, now);
+    assert_eq!(replica.confirmed_at(), None);
+    replica.record_confirmation(10, now);
+    replica.record_confirmation(10, now - Duration::from_secs(1));
+    assert_eq!(replica.confirmed_at(), Some(now));
+}
+
+#[test]
+fn snapshot_reveals_removal_of_own_row() {
+    // A daemon writes its row and is suspended before it reads anything more. Others
+    // remove the row, and the store drops that part of its history. The daemon has to
+    // notice from a snapshot that its row is gone.
+    let (mut table, mut direct) = (ReferenceTable::default(), Reader::default());
+    table.write(1, Some(1));
+    direct.read_changes(&table, 0);
+    table.write(2, Some(2));
+    direct.apply_own_write(table.history.last().expect("it was written").clone());
+    table.write(2, None);
+    direct.read_snapshot(&table, 0);
+    assert!(!direct.rows.contains_key("2"), "{:?}", direct.rows);
+}
