--- a/crates/config/src/apply.rs
+++ b/crates/config/src/apply.rs
@@ -25,17 +25,17 @@
 use serde_json::Value;
 
 use crate::change::{Change, Verdict};
-use crate::rows::{self, Entry, FileRow, Files, Head, Ruling};
+use crate::rows::{self, FileRow, Files, Head, HistoryEntry, StoredVerdict};
 
-/// How often an applier starts again before it leaves the change undecided.
+/// DifferenceKind often an applier starts again before it leaves the change undecided.
 ///
 /// A round is lost only to another change that was accepted meanwhile, so that
 /// 24 rounds let 24 operators race at the same moment and all land. At 19,000
 /// changes a day and 50 ms a round the mean number of rivals is 0.01.
-pub const ROUNDS: u32 = 24;
+pub const MAX_ATTEMPTS: u32 = 24;
 
-/// How many revisions the history keeps; five days of 19,000 changes.
-pub const KEPT: u64 = 100_000;
+/// DifferenceKind many revisions the history keeps; five days of 19,000 changes.
+pub const MAX_HISTORY_REVISIONS: u64 = 100_000;
 
 /// What an applier wants done next.
 #[derive(Debug, Clone, PartialEq)]
@@ -43,9 +43,9 @@
     /// Read the head, then the files, then the change's row.
     Read,
     /// Commit this.
-    Commit(Commit),
+    Commit(Transaction),
     /// Nothing; this is the answer.
-    Done(Answer),
+    Done(ApplyOutcome),
 }
 
 /// A transaction on the configuration's table.
@@ -53,26 +53,26 @@
 /// Requires that the head has just the given version (or does not exist) and
 /// that the row `fresh` does not exist.
 #[derive(Debug, Clone, PartialEq)]
-pub struct Commit {
+pub struct Transaction {
     /// The version that the head's row must have; it must not exist if absent.
-    pub head: Option<u64>,
+    pub head_version: Option<u64>,
     /// The key of the row that must not exist.
-    pub fresh: String,
+    pub verdict_key: String,
     /// The rows to write.
     pub writes: Vec<(String, Value)>,
     /// The rows to remove.
-    pub removals: Vec<String>,
+    pub deletes: Vec<String>,
 }
 
 /// What a daemon answers to an operator.
 #[derive(Debug, Clone, PartialEq)]
-pub enum Answer {
+pub enum ApplyOutcome {
     /// The final answer.
-    Final(Verdict),
+    Decided(Verdict),
     /// Nothing is known of the change; the operator repeats it with the same id.
     Undecided(String),
     /// The id was used for another change; this one has and will have no effect.
-    Reused,
+    IdReused,
 }
 
 /// What came of a step.
@@ -85,9 +85,9 @@
     /// The transaction was refused; others were faster.
     Conflict,
     /// The transaction may have been committed.
-    Unknown,
+    OutcomeUnknown,
     /// The platform did nothing.
-    Down(String),
+    Unavailable(String),
 }
 
 /// What a step of reading found.
@@ -98,9 +98,9 @@
     /// All files, read after the head.
     pub files: Files,
     /// The final answer to the change, if there is one, read last.
-    pub ruling: Option<Ruling>,
+    pub stored_verdict: Option<StoredVerdict>,
     /// The entry of the history that the next revision pushes out.
-    pub oldest: Option<Entry>,
+    pub expired_entry: Option<HistoryEntry>,
     /// The number of runners of each pool, where it is known.
     pub runners: IndexMap<PoolName, usize>,
 }
@@ -126,39 +126,39 @@
     }
 
     /// The step after what came of the last one.
-    pub fn on(&mut self, event: Event) -> Step {
+    pub fn handle(&mut self, event: Event) -> Step {
         match event {
             Event::Read(found) => self.decide(*found),
             Event::Committed => match self.sent.take() {
-                Some(verdict) => Step::Done(Answer::Final(verdict)),
+                Some(verdict) => Step::Done(ApplyOutcome::Decided(verdict)),
                 None => Step::Read,
             },
-            Event::Conflict | Event::Unknown => self.again(),
-            Event::Down(why) => Step::Done(Answer::Undecided(why)),
+            Event::Conflict | Event::OutcomeUnknown => self.again(),
+            Event::Unavailable(why) => Step::Done(ApplyOutcome::Undecided(why)),
         }
     }
 
     fn again(&mut self) -> Step {
         self.sent = None;
         self.rounds += 1;
-        if self.rounds < ROUNDS {
+        if self.rounds < MAX_ATTEMPTS {
             return Step::Read;
         }
-        Step::Done(Answer::Undecided("other changes were always faster".into()))
+        Step::Done(ApplyOutcome::Undecided("other changes were always faster".into()))
     }
 
     fn decide(&mut self, found: Snapshot) -> Step {
         let digest = self.change.digest().to_string();
-        if let Some(ruling) = found.ruling {
+        if let Some(ruling) = found.stored_verdict {
             return Step::Done(if ruling.digest == digest {
-                Answer::Final(ruling.verdict)
+                ApplyOutcome::Decided(ruling.verdict)
             } else {
-                Answer::Reused
+                ApplyOutcome::IdReused
             });
         }
         let current = found.head.as_ref().map_or(Revision(0), |(head, _)| head.revision);
         let next = Revision(current.0 + 1);
-        let verdict = match self.change.judge(&found.files, &found.runners, next) {
+        let verdict = match self.change.evaluate(&found.files, &found.runners, next) {
             Ok(_) => {
                 let rebased = current > self.change.base;
                 Verdict::Accepted { revision: next, rebased }
@@ -166,25 +166,30 @@
             Err(reason) => Verdict::Refused { revision: current, reason },
         };
         let fresh = rows::change_key(&self.change.team, &self.change.id);
-        let ruling = Ruling { digest, verdict: verdict.clone() };
+        let ruling = StoredVerdict { digest, verdict: verdict.clone() };
         let mut writes = vec![(fresh.clone(), json(&ruling))];
         let mut removals = Vec::new();
         if let Verdict::Accepted { revision, .. } = verdict {
             writes.extend(self.rows(&found.files, revision));
-            if let Some(old) = found.oldest {
-                removals.push(rows::entry_key(old.revision));
+            if let Some(old) = found.expired_entry {
+                removals.push(rows::revision_key(old.revision));
                 removals.push(rows::change_key(&old.team, &old.change));
             }
         }
         self.sent = Some(verdict);
         let head = found.head.map(|(_, version)| version);
-        Step::Commit(Commit { head, fresh, writes, removals })
+        Step::Commit(Transaction {
+            head_version: head,
+            verdict_key: fresh,
+            writes,
+            deletes: removals,
+        })
     }
 
     fn rows(&self, files: &Files, revision: Revision) -> Vec<(String, Value)> {
         let change = &self.change;
         let head = Head { revision, change: change.id.clone() };
-        let mut rows = vec![(rows::HEAD.to_owned(), json(&head))];
+        let mut rows = vec![(rows::HEAD_KEY.to_owned(), json(&head))];
         let mut before = IndexMap::new();
         for (file, text) in &change.edits {
             let old = files.get(&change.team, file).and_then(|row| row.text.clone());
@@ -199,16 +204,16 @@
             };
             rows.push((rows::file_key(&change.team, file), json(&row)));
         }
-        let entry = Entry {
+        let entry = HistoryEntry {
             revision,
             change: change.id.clone(),
             team: change.team.clone(),
             author: change.author.clone(),
             note: change.note.clone(),
-            at: self.wall,
-            before,
+            accepted_at: self.wall,
+            previous_texts: before,
         };
-        rows.push((rows::entry_key(revision), json(&entry)));
+        rows.push((rows::revision_key(revision), json(&entry)));
         rows
     }
 }
--- a/crates/config/src/catalog.rs
+++ b/crates/config/src/catalog.rs
@@ -41,17 +41,20 @@
     /// The team that declared it.
     pub team: TeamName,
     /// Accelerator memory of one runner for models and adapters, in bytes.
-    pub memory: u64,
+    #[serde(rename = "memory")]
+    pub memory_bytes: u64,
     /// Accelerators of one runner.
     pub accelerators: u32,
     /// Streams that one runner batches.
-    pub streams: u32,
+    #[serde(rename = "streams")]
+    pub max_streams: u32,
     /// Tokens that one runner's KV cache holds.
-    pub tokens: u64,
+    #[serde(rename = "tokens")]
+    pub kv_tokens: u64,
     /// The expected time of an engine step, until it is measured.
     #[serde(rename = "step_ms")]
     #[serde_as(as = "DurationMilliSeconds<u64>")]
-    pub step: Duration,
+    pub step_time: Duration,
     /// Whether the engines refuse orders that carry an old fence.
     pub fenced: bool,
     /// Loads that the weight store serves at full speed at the same time.
@@ -75,13 +78,15 @@
     /// The version that requests get.
     pub version: VersionName,
     /// The memory it needs, in bytes.
-    pub bytes: u64,
-    /// How long a runner takes to load it.
+    #[serde(rename = "bytes")]
+    pub memory_bytes: u64,
+    /// DifferenceKind long a runner takes to load it.
     #[serde(rename = "cold_ms")]
     #[serde_as(as = "DurationMilliSeconds<u64>")]
-    pub cold: Duration,
+    pub load_time: Duration,
     /// The least number of replicas to keep resident; at least 1.
-    pub replicas: u32,
+    #[serde(rename = "replicas")]
+    pub min_replicas: u32,
 }
 
 /// An adapter on top of a model.
@@ -92,7 +97,8 @@
     /// The model it adapts.
     pub model: ModelName,
     /// The memory it needs on top, in bytes.
-    pub bytes: u64,
+    #[serde(rename = "bytes")]
+    pub memory_bytes: u64,
 }
 
 /// A plain service.
@@ -101,9 +107,11 @@
     /// The team that declared it.
     pub team: TeamName,
     /// Calls that one server takes at the same time.
-    pub parallel: u32,
+    #[serde(rename = "parallel")]
+    pub max_parallel: u32,
     /// The kind of calls that name none.
-    pub kind: Option<KindName>,
+    #[serde(rename = "kind")]
+    pub default_kind: Option<KindName>,
 }
 
 /// A kind of request.
@@ -112,7 +120,7 @@
 pub struct Kind {
     /// The team that declared it.
     pub team: TeamName,
-    /// How urgent it is.
+    /// DifferenceKind urgent it is.
     pub urgency: Urgency,
     /// The time in which it must be answered in full, unless the caller says less.
     #[serde(rename = "deadline_ms")]
@@ -143,5 +151,6 @@
     /// The adapter on top.
     pub adapter: Option<AdapterName>,
     /// The kind of requests that name none.
-    pub kind: Option<KindName>,
+    #[serde(rename = "kind")]
+    pub default_kind: Option<KindName>,
 }
--- a/crates/config/src/change.rs
+++ b/crates/config/src/change.rs
@@ -5,19 +5,19 @@
 use serde::{Deserialize, Serialize};
 
 use crate::catalog::Catalog;
-use crate::declare::TeamText;
-use crate::problem::{Problems, Spot};
+use crate::declarations::TeamFiles;
+use crate::merge::MergedDeclarations;
+use crate::problem::{Location, Problems};
 use crate::rows::{FileRow, Files};
-use crate::union::Union;
 
 /// The longest text of a file, in bytes.
-pub const TEXT_LIMIT: usize = 512 << 10;
+pub const MAX_FILE_BYTES: usize = 512 << 10;
 
 /// The longest id of a change, in bytes.
-pub const ID_LIMIT: usize = 64;
+pub const MAX_ID_BYTES: usize = 64;
 
 /// The longest author and note, in bytes.
-pub const NOTE_LIMIT: usize = 1024;
+pub const MAX_NOTE_BYTES: usize = 1024;
 
 /// What an operator asks for.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
@@ -54,26 +54,27 @@
         /// The newest revision at that time.
         revision: Revision,
         /// Why.
-        reason: Reason,
+        reason: RefusalReason,
     },
 }
 
 /// Why a change was refused.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case", tag = "reason")]
-pub enum Reason {
+pub enum RefusalReason {
     /// Others changed the same files since the author's revision.
     Conflict {
         /// The author of the refused change.
         author: String,
         /// Each other change.
-        others: Vec<Other>,
+        others: Vec<RelatedChange>,
     },
     /// The author names a revision that does not exist yet.
     ///
     /// Were it believed, no change of others would count as made since then, and
     /// all of them would be overwritten.
-    Ahead {
+    #[serde(rename = "ahead")]
+    UnknownBase {
         /// The revision that the author names.
         base: Revision,
     },
@@ -82,13 +83,13 @@
         /// What would be wrong.
         problems: Problems,
         /// The changes that wrote the other files that the problems are about.
-        others: Vec<Other>,
+        others: Vec<RelatedChange>,
     },
 }
 
 /// A change that got in first.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Other {
+pub struct RelatedChange {
     /// The file that both change.
     pub file: String,
     /// The author of the change that got in first.
@@ -101,33 +102,38 @@
 
 impl Change {
     /// Checks what can be told from the change alone.
-    pub fn check(&self) -> Result<(), String> {
+    pub fn validate(&self) -> Result<(), String> {
         let plain = |c: char| c.is_ascii_alphanumeric() || "-_.".contains(c);
-        if self.id.is_empty() || self.id.len() > ID_LIMIT || !self.id.chars().all(plain) {
+        if self.id.is_empty()
+            || self.id.len() > MAX_ID_BYTES
+            || !self.id.chars().all(plain)
+        {
             return Err(format!(
-                "the change's id is invalid; use 1 to {ID_LIMIT} letters, digits, `-`, \
+                "the change's id is invalid; use 1 to {MAX_ID_BYTES} letters, digits, `-`, \
                  `_` and `.`"
             ));
         }
-        if self.author.is_empty() || self.author.len() > NOTE_LIMIT {
+        if self.author.is_empty() || self.author.len() > MAX_NOTE_BYTES {
             return Err("the author is missing or too long; name yourself".into());
         }
-        if self.note.len() > NOTE_LIMIT {
-            return Err(format!("the note is too long; use at most {NOTE_LIMIT} bytes"));
+        if self.note.len() > MAX_NOTE_BYTES {
+            return Err(format!(
+                "the note is too long; use at most {MAX_NOTE_BYTES} bytes"
+            ));
         }
         if self.edits.is_empty() {
             return Err("the change edits no file; there is nothing to apply".into());
         }
         for (file, text) in &self.edits {
-            if file.is_empty() || file.len() > ID_LIMIT || !file.chars().all(plain) {
+            if file.is_empty() || file.len() > MAX_ID_BYTES || !file.chars().all(plain) {
                 return Err(format!(
                     "the file name {file:?} is invalid; use letters, digits, `-`, `_`, `.`"
                 ));
             }
-            if text.as_ref().is_some_and(|text| text.len() > TEXT_LIMIT) {
+            if text.as_ref().is_some_and(|text| text.len() > MAX_FILE_BYTES) {
                 return Err(format!(
                     "the file {file} is too long; split it into files of at most \
-                     {TEXT_LIMIT} bytes"
+                     {MAX_FILE_BYTES} bytes"
                 ));
             }
         }
@@ -150,63 +156,64 @@
     ///
     /// The changing team is read last, so that the problems stand at its texts
     /// where two texts contradict each other.
-    pub fn judge(
+    pub fn evaluate(
         &self,
         files: &Files,
         runners: &IndexMap<PoolName, usize>,
         next: Revision,
-    ) -> Result<Catalog, Reason> {
+    ) -> Result<Catalog, RefusalReason> {
         if self.base > files.revision() {
-            return Err(Reason::Ahead { base: self.base });
+            return Err(RefusalReason::UnknownBase { base: self.base });
         }
         let others = self.conflicts(files);
         if !others.is_empty() {
-            return Err(Reason::Conflict { author: self.author.clone(), others });
+            return Err(RefusalReason::Conflict { author: self.author.clone(), others });
         }
-        let mut teams = files.teams();
-        let old = Catalog::union(next, &teams).ok();
+        let mut teams = files.by_team();
+        let old = Catalog::merge(next, &teams).ok();
         let mut text = teams.shift_remove(&self.team).unwrap_or_default();
-        edit(&mut text, &self.edits);
+        apply_edits(&mut text, &self.edits);
         teams.insert(self.team.clone(), text);
-        let union = Union::check(next, &teams).and_then(|union| {
-            union.fits(runners, old.as_ref())?;
+        let union = MergedDeclarations::parse(next, &teams).and_then(|union| {
+            union.check_capacity(runners, old.as_ref())?;
             Ok(union)
         });
         match union {
             Ok(union) => Ok(union.catalog),
             Err(problems) => {
                 let others = self.blamed(&problems, files);
-                Err(Reason::Invalid { problems, others })
+                Err(RefusalReason::Invalid { problems, others })
             }
         }
     }
 
     /// The changes of the same files since the author's revision.
-    fn conflicts(&self, files: &Files) -> Vec<Other> {
+    fn conflicts(&self, files: &Files) -> Vec<RelatedChange> {
         self.edits
             .keys()
             .filter_map(|file| files.get(&self.team, file))
             .filter(|row| row.revision > self.base)
-            .map(Other::of)
+            .map(RelatedChange::from_row)
             .collect()
     }
 
     /// The changes that last wrote the other files that problems are about.
-    fn blamed(&self, problems: &Problems, files: &Files) -> Vec<Other> {
-        let spots = problems.0.iter().flat_map(|it| [Some(&it.at), it.also.as_ref()]);
+    fn blamed(&self, problems: &Problems, files: &Files) -> Vec<RelatedChange> {
+        let spots =
+            problems.0.iter().flat_map(|it| [Some(&it.location), it.related.as_ref()]);
         let named: IndexSet<&str> =
-            spots.flatten().map(|spot: &Spot| &*spot.file).collect();
+            spots.flatten().map(|spot: &Location| &*spot.file).collect();
         files
             .rows()
             .filter(|row| row.team != self.team || !self.edits.contains_key(&row.file))
             .filter(|row| named.contains(row.path().as_str()))
-            .map(Other::of)
+            .map(RelatedChange::from_row)
             .collect()
     }
 }
 
-impl Other {
-    fn of(row: &FileRow) -> Self {
+impl RelatedChange {
+    fn from_row(row: &FileRow) -> Self {
         Self {
             file: row.path(),
             author: row.author.clone(),
@@ -217,7 +224,7 @@
 }
 
 /// Applies edits to a team's files.
-pub fn edit(text: &mut TeamText, edits: &IndexMap<String, Option<String>>) {
+pub fn apply_edits(text: &mut TeamFiles, edits: &IndexMap<String, Option<String>>) {
     for (file, new) in edits {
         match new {
             Some(new) => {
@@ -231,7 +238,7 @@
 }
 
 /// The edits that lead from one text of a team to another.
-pub fn edits(old: &TeamText, new: &TeamText) -> IndexMap<String, Option<String>> {
+pub fn diff_files(old: &TeamFiles, new: &TeamFiles) -> IndexMap<String, Option<String>> {
     let mut edits = IndexMap::new();
     for (file, text) in &new.files {
         if old.files.get(file) != Some(text) {
--- a/crates/config/src/declare.rs
+++ b/crates/config/src/declarations.rs
@@ -12,9 +12,9 @@
 use serde_with::DurationMilliSeconds;
 
 use crate::catalog::{Adapter, Caller, Kind, Model, Pool, Route, Service};
-use crate::keys::is_sha256;
-use crate::problem::{Problems, Spot};
-use crate::source::{Fields, read_file};
+use crate::keys::is_sha256_hex;
+use crate::problem::{Location, Problems};
+use crate::reader::{Fields, read_object};
 
 const BYTES: &str = "a whole number of bytes";
 const MILLIS: &str = "a whole number of milliseconds, such as 2000";
@@ -23,52 +23,52 @@
 
 /// The texts of one team's files, by the files' names.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct TeamText {
+pub struct TeamFiles {
     /// The text of each file.
     pub files: IndexMap<String, String>,
 }
 
 /// A declared thing and where its text stands.
 #[derive(Debug, Clone)]
-pub struct Declared<T> {
+pub struct Located<T> {
     /// The thing.
-    pub item: T,
+    pub value: T,
     /// Where its name stands.
-    pub at: Spot,
+    pub location: Location,
     /// Where each of its fields that refer to other things stands.
-    pub refs: IndexMap<&'static str, Spot>,
+    pub references: IndexMap<&'static str, Location>,
 }
 
 /// Everything that one team declares, checked by itself.
 #[derive(Debug, Clone, Default)]
-pub struct Team {
+pub struct TeamDeclarations {
     /// Pools of runners.
-    pub pools: Vec<(PoolName, Declared<Pool>)>,
+    pub pools: Vec<(PoolName, Located<Pool>)>,
     /// Models.
-    pub models: Vec<(ModelName, Declared<Model>)>,
+    pub models: Vec<(ModelName, Located<Model>)>,
     /// Adapters.
-    pub adapters: Vec<(AdapterName, Declared<Adapter>)>,
+    pub adapters: Vec<(AdapterName, Located<Adapter>)>,
     /// Plain services.
-    pub services: Vec<(ServiceName, Declared<Service>)>,
+    pub services: Vec<(ServiceName, Located<Service>)>,
     /// Kinds of request.
-    pub kinds: Vec<(KindName, Declared<Kind>)>,
+    pub kinds: Vec<(KindName, Located<Kind>)>,
     /// Callers.
-    pub callers: Vec<(CallerName, Declared<Caller>)>,
+    pub callers: Vec<(CallerName, Located<Caller>)>,
     /// Routes.
-    pub routes: Vec<(String, Declared<Route>)>,
+    pub routes: Vec<(String, Located<Route>)>,
     /// The sections and names of things with problems of their own.
     ///
     /// Nobody is told in addition that these are not declared.
-    pub broken: IndexSet<(&'static str, String)>,
+    pub invalid: IndexSet<(&'static str, String)>,
 }
 
-impl Team {
+impl TeamDeclarations {
     /// Reads and checks all files of a team.
-    pub fn parse(team: &TeamName, text: &TeamText, problems: &mut Problems) -> Self {
+    pub fn parse(team: &TeamName, text: &TeamFiles, problems: &mut Problems) -> Self {
         let mut found = Self::default();
         for (file, text) in &text.files {
             let file = format!("{team}/{file}");
-            read_file(&file, text, problems, |fields| {
+            read_object(&file, text, problems, |fields| {
                 found.read(team, fields);
                 Some(())
             });
@@ -77,8 +77,8 @@
     }
 
     fn read(&mut self, team: &TeamName, fields: &mut Fields<'_>) {
-        let broken = &mut self.broken;
-        let mut list = Section { fields, broken };
+        let broken = &mut self.invalid;
+        let mut list = SectionReader { fields, broken };
         list.read("pool", "pools", &mut self.pools, &[], |f| pool(team, f));
         list.read("model", "models", &mut self.models, &["pool"], |f| model(team, f));
         list.read("adapter", "adapters", &mut self.adapters, &["model"], |f| {
@@ -100,17 +100,17 @@
 }
 
 /// Reads the sections of a file.
-struct Section<'a, 'b> {
+struct SectionReader<'a, 'b> {
     fields: &'a mut Fields<'b>,
     broken: &'a mut IndexSet<(&'static str, String)>,
 }
 
-impl Section<'_, '_> {
+impl SectionReader<'_, '_> {
     fn read<K, T>(
         &mut self,
         what: &'static str,
         name: &'static str,
-        into: &mut Vec<(K, Declared<T>)>,
+        into: &mut Vec<(K, Located<T>)>,
         refs: &[&'static str],
         mut read: impl FnMut(&mut Fields<'_>) -> Option<T>,
     ) where
@@ -118,15 +118,16 @@
     {
         self.fields.entries(name, |key, at, fields| {
             let item = read(fields);
-            let refs = refs.iter().map(|&name| (name, fields.spot(name))).collect();
+            let refs = refs.iter().map(|&name| (name, fields.location(name))).collect();
             match (K::try_from(key.to_owned()), item) {
-                (Ok(key), Some(item)) => into.push((key, Declared { item, at, refs })),
+                (Ok(key), Some(item)) => into
+                    .push((key, Located { value: item, location: at, references: refs })),
                 (Ok(_), None) => {
                     self.broken.insert((what, key.to_owned()));
                 }
                 (Err(error), _) => {
                     let text = format!("the name {key:?} is invalid");
-                    fields.problem_at(at, text, &error.to_string());
+                    fields.add_problem_at(at, text, &error.to_string());
                 }
             }
         });
@@ -139,20 +140,20 @@
     let streams = count(fields, "streams", COUNT);
     let tokens = count(fields, "tokens", COUNT);
     let step = millis(fields, "step_ms");
-    let fenced = fields.need("fenced", "true if the engines refuse old fences");
+    let fenced = fields.required("fenced", "true if the engines refuse old fences");
     let parallel_loads = count(fields, "parallel_loads", COUNT);
-    let load_rate = fields.need("load_rate", NUMBER);
+    let load_rate = fields.required("load_rate", NUMBER);
     let valid = load_rate.is_none_or(|rate: f64| rate > 0.0);
     fields.check("load_rate", valid, "no load would ever start", "write more than zero");
     let attainment_weight = weight(fields, "attainment_weight");
     let move_weight = weight(fields, "move_weight");
     Some(Pool {
         team: team.clone(),
-        memory: memory?,
+        memory_bytes: memory?,
         accelerators: accelerators?,
-        streams: streams?,
-        tokens: tokens?,
-        step: step?,
+        max_streams: streams?,
+        kv_tokens: tokens?,
+        step_time: step?,
         fenced: fenced?,
         parallel_loads: parallel_loads?,
         load_rate: load_rate?,
@@ -162,11 +163,12 @@
 }
 
 fn model(team: &TeamName, fields: &mut Fields<'_>) -> Option<Model> {
-    let pool = fields.need("pool", "the name of a pool");
-    let version = fields.need("version", "the version that requests get, such as \"v3\"");
+    let pool = fields.required("pool", "the name of a pool");
+    let version =
+        fields.required("version", "the version that requests get, such as \"v3\"");
     let bytes = count(fields, "bytes", BYTES);
     let cold = millis(fields, "cold_ms");
-    let replicas = fields.get("replicas", 1, COUNT);
+    let replicas = fields.get_or("replicas", 1, COUNT);
     fields.check(
         "replicas",
         replicas > 0,
@@ -177,30 +179,30 @@
         team: team.clone(),
         pool: pool?,
         version: version?,
-        bytes: bytes?,
-        cold: cold?,
-        replicas,
+        memory_bytes: bytes?,
+        load_time: cold?,
+        min_replicas: replicas,
     })
 }
 
 fn adapter(team: &TeamName, fields: &mut Fields<'_>) -> Option<Adapter> {
-    let model = fields.need("model", "the name of a model");
+    let model = fields.required("model", "the name of a model");
     let bytes = count(fields, "bytes", BYTES);
-    Some(Adapter { team: team.clone(), model: model?, bytes: bytes? })
+    Some(Adapter { team: team.clone(), model: model?, memory_bytes: bytes? })
 }
 
 fn service(team: &TeamName, fields: &mut Fields<'_>) -> Option<Service> {
     let parallel = count(fields, "parallel", COUNT);
-    let kind = fields.get("kind", None, "the name of a kind of request");
-    Some(Service { team: team.clone(), parallel: parallel?, kind })
+    let kind = fields.get_or("kind", None, "the name of a kind of request");
+    Some(Service { team: team.clone(), max_parallel: parallel?, default_kind: kind })
 }
 
 fn kind(team: &TeamName, fields: &mut Fields<'_>) -> Option<Kind> {
     let urgency =
-        fields.need::<Urgency>("urgency", "one of \"urgent\", \"normal\", \"slow\"");
+        fields.required::<Urgency>("urgency", "one of \"urgent\", \"normal\", \"slow\"");
     let deadline = millis(fields, "deadline_ms");
-    let idempotent =
-        fields.need("idempotent", "true only if running a request twice does no harm");
+    let idempotent = fields
+        .required("idempotent", "true only if running a request twice does no harm");
     Some(Kind {
         team: team.clone(),
         urgency: urgency?,
@@ -211,40 +213,40 @@
 
 fn caller(team: &TeamName, fields: &mut Fields<'_>) -> Option<Caller> {
     let form = "the 64 lower-case hexadecimal digits of the key's SHA-256";
-    let key = fields.need::<String>("key_sha256", form);
-    let valid = key.as_deref().is_none_or(is_sha256);
+    let key = fields.required::<String>("key_sha256", form);
+    let valid = key.as_deref().is_none_or(is_sha256_hex);
     fields.check("key_sha256", valid, "this is no SHA-256", &format!("write {form}"));
-    let share = fields.get("share", 1, COUNT);
+    let share = fields.get_or("share", 1, COUNT);
     fields.check("share", share > 0, "the caller would get nothing", "write 1 or more");
     Some(Caller { team: team.clone(), key_sha256: key?, share })
 }
 
 fn route(team: &TeamName, fields: &mut Fields<'_>) -> Option<Route> {
-    let model = fields.need("model", "the name of a model");
-    let adapter = fields.get("adapter", None, "the name of an adapter");
-    let kind = fields.get("kind", None, "the name of a kind of request");
-    Some(Route { team: team.clone(), model: model?, adapter, kind })
+    let model = fields.required("model", "the name of a model");
+    let adapter = fields.get_or("adapter", None, "the name of an adapter");
+    let kind = fields.get_or("kind", None, "the name of a kind of request");
+    Some(Route { team: team.clone(), model: model?, adapter, default_kind: kind })
 }
 
 fn count<T>(fields: &mut Fields<'_>, name: &'static str, form: &str) -> Option<T>
 where
     T: DeserializeOwned + Default + PartialEq,
 {
-    let number: Option<T> = fields.need(name, form);
+    let number: Option<T> = fields.required(name, form);
     let valid = number.as_ref().is_none_or(|it| *it != T::default());
     fields.check(name, valid, "this is zero", &format!("write {form}"));
     number
 }
 
 fn millis(fields: &mut Fields<'_>, name: &'static str) -> Option<Duration> {
-    let time = fields.need_as::<Duration, DurationMilliSeconds<u64>>(name, MILLIS);
+    let time = fields.required_as::<Duration, DurationMilliSeconds<u64>>(name, MILLIS);
     let valid = time.is_none_or(|it| !it.is_zero());
     fields.check(name, valid, "the time is zero", &format!("write {MILLIS}"));
     time
 }
 
 fn weight(fields: &mut Fields<'_>, name: &'static str) -> f64 {
-    let weight = fields.get(name, 1.0, NUMBER);
+    let weight = fields.get_or(name, 1.0, NUMBER);
     fields.check(name, weight >= 0.0, "a weight is negative", &format!("write {NUMBER}"));
     weight
 }
--- a/crates/config/src/history.rs
+++ b/crates/config/src/history.rs
@@ -2,26 +2,26 @@
 
 use chestnut_base::{Revision, TeamName};
 
-use crate::declare::TeamText;
-use crate::rows::Entry;
+use crate::declarations::TeamFiles;
+use crate::rows::HistoryEntry;
 
 /// The greatest number of revisions that a rollback goes back.
 ///
 /// It reads them in blocks of 100, so that it costs at most 100 reads.
-pub const ROLLBACK_LIMIT: u64 = 10_000;
+pub const MAX_ROLLBACK_REVISIONS: u64 = 10_000;
 
 /// Takes a team's text back to what it was at revision `to`.
 ///
 /// `entries` are all revisions of all teams after `to`, newest first.
-pub fn take_back<'a>(
+pub fn roll_back<'a>(
     team: &TeamName,
-    mut text: TeamText,
+    mut text: TeamFiles,
     to: Revision,
-    entries: impl IntoIterator<Item = &'a Entry>,
-) -> TeamText {
+    entries: impl IntoIterator<Item = &'a HistoryEntry>,
+) -> TeamFiles {
     let later = entries.into_iter().filter(|it| it.team == *team && it.revision > to);
     for entry in later {
-        for (file, before) in &entry.before {
+        for (file, before) in &entry.previous_texts {
             match before {
                 Some(old) => {
                     text.files.insert(file.clone(), old.clone());
--- a/crates/config/src/keys.rs
+++ b/crates/config/src/keys.rs
@@ -5,7 +5,7 @@
 use sha2::{Digest, Sha256};
 
 /// The SHA-256 of a key, in lower-case hexadecimal digits.
-pub fn sha256(key: &str) -> String {
+pub fn sha256_hex(key: &str) -> String {
     let mut text = String::with_capacity(64);
     for byte in Sha256::digest(key.as_bytes()) {
         write!(text, "{byte:02x}").expect("writing to a text never fails");
@@ -13,7 +13,7 @@
     text
 }
 
-/// Whether the text has the form of [`sha256`]'s result.
-pub fn is_sha256(text: &str) -> bool {
+/// Whether the text has the form of [`sha256_hex`]'s result.
+pub fn is_sha256_hex(text: &str) -> bool {
     text.len() == 64 && text.bytes().all(|b| matches!(b, b'0'..=b'9' | b'a'..=b'f'))
 }
--- a/crates/config/src/lib.rs
+++ b/crates/config/src/lib.rs
@@ -1,40 +1,38 @@
-//! What operators write, checked.
+//! Settings of a daemon and declarations of the teams.
 //!
-//! A text passes through these stages:
-//!
-//! 1. [`source`] reads JSON with comments field by field and notes the place of
-//!    every [`problem`],
-//! 2. [`check`] turns it into [`settings`], or [`declare`] into one team's
-//!    declarations,
-//! 3. [`union`] checks all teams' declarations together and makes the
-//!    [`catalog`] of a revision,
-//! 4. [`change`] says what an operator asks for, [`plan`] what it would do, and
-//!    [`apply`] takes it to its one answer, in [`rows`] of the platform's table
-//!    (with their [`history`]),
-//! 5. [`replica`] is what each daemon has of them, and whether it is fresh.
+//! - [`reader`] reads JSON with comments field by field and records every
+//!   [`problem`] with its location.
+//! - [`settings_parser`] reads a daemon's [`settings`], [`declarations`] the
+//!   files of one team.
+//! - [`merge`] checks the declarations of all teams together and builds the
+//!   [`catalog`] of a revision.
+//! - [`change`] is an operator's request for a change, [`plan`] its expected
+//!   effect. [`apply`] carries it out as a transaction on the [`rows`] of the
+//!   platform's table; [`history`] restores earlier files.
+//! - [`replica`] is a daemon's copy of the files and whether it is fresh.
 
 pub mod apply;
 pub mod catalog;
 pub mod change;
-pub mod check;
-pub mod declare;
+pub mod declarations;
 pub mod history;
 pub mod keys;
+pub mod merge;
 pub mod plan;
 pub mod problem;
+pub mod reader;
 pub mod replica;
 pub mod rows;
 pub mod settings;
-pub mod source;
-pub mod union;
+pub mod settings_parser;
 
-pub use apply::{Answer, Applier};
+pub use apply::{Applier, ApplyOutcome};
 pub use catalog::{Adapter, Caller, Catalog, Kind, Model, Pool, Route, Service};
-pub use change::{Change, Reason, Verdict};
-pub use declare::TeamText;
+pub use change::{Change, RefusalReason, Verdict};
+pub use declarations::TeamFiles;
+pub use merge::MergedDeclarations;
 pub use plan::Plan;
-pub use problem::{Problem, Problems, Spot};
-pub use replica::{Handover, Replica};
+pub use problem::{Location, Problem, Problems};
+pub use replica::{ConfigReplica, ReplicaUpdate};
 pub use rows::Files;
 pub use settings::Settings;
-pub use union::Union;
--- a/crates/config/src/union.rs
+++ b/crates/config/src/merge.rs
@@ -11,37 +11,37 @@
 use indexmap::{IndexMap, IndexSet};
 
 use crate::catalog::Catalog;
-use crate::declare::{Declared, Team, TeamText};
-use crate::problem::{Problems, Spot, nearest};
+use crate::declarations::{Located, TeamDeclarations, TeamFiles};
+use crate::problem::{Location, Problems, closest_match};
 
 impl Catalog {
     /// Reads and checks the declarations of all teams together.
-    pub fn union(
+    pub fn merge(
         revision: Revision,
-        teams: &IndexMap<TeamName, TeamText>,
+        teams: &IndexMap<TeamName, TeamFiles>,
     ) -> Result<Self, Problems> {
-        Union::check(revision, teams).map(|union| union.catalog)
+        MergedDeclarations::parse(revision, teams).map(|union| union.catalog)
     }
 }
 
 /// The declarations of all teams and where each name stands.
 #[derive(Debug, Clone)]
-pub struct Union {
+pub struct MergedDeclarations {
     /// The declarations.
     pub catalog: Catalog,
-    pools: IndexMap<PoolName, Spot>,
+    pools: IndexMap<PoolName, Location>,
 }
 
-impl Union {
+impl MergedDeclarations {
     /// Reads and checks the declarations of all teams together.
-    pub fn check(
+    pub fn parse(
         revision: Revision,
-        teams: &IndexMap<TeamName, TeamText>,
+        teams: &IndexMap<TeamName, TeamFiles>,
     ) -> Result<Self, Problems> {
         let mut problems = Problems::default();
-        let mut all = Team::default();
+        let mut all = TeamDeclarations::default();
         for (name, text) in teams {
-            let team = Team::parse(name, text, &mut problems);
+            let team = TeamDeclarations::parse(name, text, &mut problems);
             all.pools.extend(team.pools);
             all.models.extend(team.models);
             all.adapters.extend(team.adapters);
@@ -49,9 +49,9 @@
             all.kinds.extend(team.kinds);
             all.callers.extend(team.callers);
             all.routes.extend(team.routes);
-            all.broken.extend(team.broken);
+            all.invalid.extend(team.invalid);
         }
-        let broken = &all.broken;
+        let broken = &all.invalid;
         let pools = index("pool", all.pools, &mut problems);
         let models = index("model", all.models, &mut problems);
         let adapters = index("adapter", all.adapters, &mut problems);
@@ -61,62 +61,78 @@
         let routes = index("route", all.routes, &mut problems);
 
         for it in models.values() {
-            refer(it, "pool", &it.item.pool, &pools, broken, &mut problems);
-            if let Some(pool) = pools.get(&it.item.pool)
-                && it.item.bytes > pool.item.memory
+            refer(it, "pool", &it.value.pool, &pools, broken, &mut problems);
+            if let Some(pool) = pools.get(&it.value.pool)
+                && it.value.memory_bytes > pool.value.memory_bytes
             {
                 let what = format!(
                     "the model needs {} bytes and a runner of pool `{}` has {}",
-                    it.item.bytes, it.item.pool, pool.item.memory
+                    it.value.memory_bytes, it.value.pool, pool.value.memory_bytes
                 );
                 let remedy = "choose a pool of larger runners";
-                problems.clash(it.at.clone(), pool.at.clone(), what, remedy);
+                problems.add_conflict(
+                    it.location.clone(),
+                    pool.location.clone(),
+                    what,
+                    remedy,
+                );
             }
         }
         for it in adapters.values() {
-            refer(it, "model", &it.item.model, &models, broken, &mut problems);
-            if let Some(model) = models.get(&it.item.model)
-                && let Some(pool) = pools.get(&model.item.pool)
-                && it.item.bytes.saturating_add(model.item.bytes) > pool.item.memory
+            refer(it, "model", &it.value.model, &models, broken, &mut problems);
+            if let Some(model) = models.get(&it.value.model)
+                && let Some(pool) = pools.get(&model.value.pool)
+                && it.value.memory_bytes.saturating_add(model.value.memory_bytes)
+                    > pool.value.memory_bytes
             {
                 let what = format!(
                     "the adapter and its model need more than the {} bytes of a runner",
-                    pool.item.memory
+                    pool.value.memory_bytes
                 );
                 let remedy = "choose a smaller adapter";
-                problems.clash(it.at.clone(), model.at.clone(), what, remedy);
+                problems.add_conflict(
+                    it.location.clone(),
+                    model.location.clone(),
+                    what,
+                    remedy,
+                );
             }
         }
         for it in services.values() {
-            if let Some(kind) = &it.item.kind {
+            if let Some(kind) = &it.value.default_kind {
                 refer(it, "kind", kind, &kinds, broken, &mut problems);
             }
         }
-        let mut keys: IndexMap<&str, &Spot> = IndexMap::new();
+        let mut keys: IndexMap<&str, &Location> = IndexMap::new();
         for it in callers.values() {
-            if let Some(first) = keys.insert(&it.item.key_sha256, &it.at) {
+            if let Some(first) = keys.insert(&it.value.key_sha256, &it.location) {
                 let what = format!("the key is that of another caller ({first})");
-                let at = it.refs["key_sha256"].clone();
-                problems.clash(at, first.clone(), what, "make a new key");
+                let at = it.references["key_sha256"].clone();
+                problems.add_conflict(at, first.clone(), what, "make a new key");
             }
         }
         for it in routes.values() {
-            refer(it, "model", &it.item.model, &models, broken, &mut problems);
-            if let Some(kind) = &it.item.kind {
+            refer(it, "model", &it.value.model, &models, broken, &mut problems);
+            if let Some(kind) = &it.value.default_kind {
                 refer(it, "kind", kind, &kinds, broken, &mut problems);
             }
-            let Some(name) = &it.item.adapter else { continue };
+            let Some(name) = &it.value.adapter else { continue };
             refer(it, "adapter", name, &adapters, broken, &mut problems);
             if let Some(adapter) = adapters.get(name)
-                && adapter.item.model != it.item.model
+                && adapter.value.model != it.value.model
             {
-                let what = format!("the adapter belongs to `{}`", adapter.item.model);
-                let at = it.refs["adapter"].clone();
-                problems.clash(at, adapter.at.clone(), what, "name that model");
+                let what = format!("the adapter belongs to `{}`", adapter.value.model);
+                let at = it.references["adapter"].clone();
+                problems.add_conflict(
+                    at,
+                    adapter.location.clone(),
+                    what,
+                    "name that model",
+                );
             }
         }
 
-        let spots = pools.iter().map(|(name, it)| (name.clone(), it.at.clone()));
+        let spots = pools.iter().map(|(name, it)| (name.clone(), it.location.clone()));
         let union = Self {
             pools: spots.collect(),
             catalog: Catalog {
@@ -130,7 +146,7 @@
                 routes: plain(routes),
             },
         };
-        problems.or(union)
+        problems.into_result(union)
     }
 
     /// Checks that one replica of every model fits on the runners that exist.
@@ -138,7 +154,7 @@
     /// A pool whose number of runners is not known is passed over, and so are
     /// models that found no room at the `old` declarations either: a pool that
     /// lost runners must not hold up changes of something else.
-    pub fn fits(
+    pub fn check_capacity(
         &self,
         runners: &IndexMap<PoolName, usize>,
         old: Option<&Catalog>,
@@ -146,9 +162,9 @@
         let mut problems = Problems::default();
         for (name, at) in &self.pools {
             let Some(&count) = runners.get(name) else { continue };
-            let before = old.map(|old| old.pack(name, count));
+            let before = old.map(|old| old.pack_replicas(name, count));
             let before = before.and_then(Result::err).unwrap_or_default();
-            let Err(mut left) = self.catalog.pack(name, count) else { continue };
+            let Err(mut left) = self.catalog.pack_replicas(name, count) else { continue };
             left.retain(|model| !before.contains(model));
             if !left.is_empty() {
                 let what = format!(
@@ -163,7 +179,7 @@
                 );
             }
         }
-        problems.or(())
+        problems.into_result(())
     }
 }
 
@@ -173,14 +189,18 @@
     /// The largest go first, each to the first runner with room, which needs at
     /// most 11/9 of the least number of runners (plus one). Returns the names
     /// that found no room.
-    pub fn pack(&self, pool: &PoolName, runners: usize) -> Result<(), Vec<String>> {
-        let Some(memory) = self.pools.get(pool).map(|pool| pool.memory) else {
+    pub fn pack_replicas(
+        &self,
+        pool: &PoolName,
+        runners: usize,
+    ) -> Result<(), Vec<String>> {
+        let Some(memory) = self.pools.get(pool).map(|pool| pool.memory_bytes) else {
             return Ok(());
         };
         let mut items = Vec::new();
         for (name, model) in &self.models {
             if model.pool == *pool {
-                for size in self.replicas(name, model.bytes, memory) {
+                for size in self.replicas(name, model.memory_bytes, memory) {
                     items.push((size, name));
                 }
             }
@@ -202,11 +222,12 @@
     fn replicas(&self, name: &ModelName, bytes: u64, memory: u64) -> Vec<u64> {
         let mut sizes = vec![bytes];
         for adapter in self.adapters.values().filter(|it| it.model == *name) {
-            let room =
-                sizes.iter_mut().find(|it| it.saturating_add(adapter.bytes) <= memory);
+            let room = sizes
+                .iter_mut()
+                .find(|it| it.saturating_add(adapter.memory_bytes) <= memory);
             match room {
-                Some(size) => *size += adapter.bytes,
-                None => sizes.push(bytes.saturating_add(adapter.bytes)),
+                Some(size) => *size += adapter.memory_bytes,
+                None => sizes.push(bytes.saturating_add(adapter.memory_bytes)),
             }
         }
         sizes
@@ -215,14 +236,20 @@
 
 fn index<K: Hash + Eq + Display, T>(
     what: &str,
-    list: Vec<(K, Declared<T>)>,
+    list: Vec<(K, Located<T>)>,
     problems: &mut Problems,
-) -> IndexMap<K, Declared<T>> {
-    let mut map: IndexMap<K, Declared<T>> = IndexMap::new();
+) -> IndexMap<K, Located<T>> {
+    let mut map: IndexMap<K, Located<T>> = IndexMap::new();
     for (name, item) in list {
         if let Some(first) = map.get(&name) {
-            let text = format!("the {what} `{name}` is declared in {} too", first.at);
-            problems.clash(item.at, first.at.clone(), text, "choose another name");
+            let text =
+                format!("the {what} `{name}` is declared in {} too", first.location);
+            problems.add_conflict(
+                item.location,
+                first.location.clone(),
+                text,
+                "choose another name",
+            );
         } else {
             map.insert(name, item);
         }
@@ -231,7 +258,7 @@
 }
 
 fn refer<T, K: Hash + Eq + Display, U>(
-    from: &Declared<T>,
+    from: &Located<T>,
     field: &'static str,
     name: &K,
     known: &IndexMap<K, U>,
@@ -243,14 +270,15 @@
         return;
     }
     let names: Vec<String> = known.keys().map(K::to_string).collect();
-    let remedy = match nearest(&name.to_string(), names.iter().map(String::as_str)) {
+    let remedy = match closest_match(&name.to_string(), names.iter().map(String::as_str))
+    {
         Some(near) => format!("did you mean `{near}`?"),
         None => format!("declare the {field} or name one that is declared"),
     };
     let what = format!("no team declares a {field} `{name}`");
-    problems.add(from.refs[field].clone(), what, remedy);
+    problems.add(from.references[field].clone(), what, remedy);
 }
 
-fn plain<K: Hash + Eq, T>(map: IndexMap<K, Declared<T>>) -> IndexMap<K, T> {
-    map.into_iter().map(|(name, it)| (name, it.item)).collect()
+fn plain<K: Hash + Eq, T>(map: IndexMap<K, Located<T>>) -> IndexMap<K, T> {
+    map.into_iter().map(|(name, it)| (name, it.value)).collect()
 }
--- a/crates/config/src/plan.rs
+++ b/crates/config/src/plan.rs
@@ -22,11 +22,13 @@
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Difference {
     /// What it names, such as `model`.
-    pub what: String,
+    #[serde(rename = "what")]
+    pub item_type: String,
     /// The name.
     pub name: String,
     /// What would happen to it.
-    pub how: How,
+    #[serde(rename = "how")]
+    pub kind: DifferenceKind,
     /// The fields that would change, with the old and the new value.
     pub fields: IndexMap<String, (Value, Value)>,
 }
@@ -34,7 +36,7 @@
 /// What would happen to a name.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
-pub enum How {
+pub enum DifferenceKind {
     /// It would be declared.
     Add,
     /// It would not be declared any more.
@@ -54,13 +56,14 @@
     pub replicas: i64,
     /// The bytes of each.
     pub bytes: u64,
-    /// How long the load of one takes at least, in milliseconds.
-    pub cold_ms: u64,
+    /// DifferenceKind long the load of one takes at least, in milliseconds.
+    #[serde(rename = "cold_ms")]
+    pub load_ms: u64,
 }
 
 impl Plan {
     /// Compares declarations.
-    pub fn between(old: &Catalog, new: &Catalog) -> Self {
+    pub fn diff(old: &Catalog, new: &Catalog) -> Self {
         let mut plan = Self::default();
         plan.compare("pool", &old.pools, &new.pools);
         plan.compare("model", &old.models, &new.models);
@@ -81,13 +84,13 @@
         for (name, item) in old {
             let (how, fields) = match new.get(name) {
                 Some(other) if other == item => continue,
-                Some(other) => (How::Change, differences(item, other)),
-                None => (How::Remove, IndexMap::new()),
+                Some(other) => (DifferenceKind::Change, differences(item, other)),
+                None => (DifferenceKind::Remove, IndexMap::new()),
             };
             self.push(what, name, how, fields);
         }
         for name in new.keys().filter(|name| !old.contains_key(*name)) {
-            self.push(what, name, How::Add, IndexMap::new());
+            self.push(what, name, DifferenceKind::Add, IndexMap::new());
         }
     }
 
@@ -95,27 +98,27 @@
         &mut self,
         what: &str,
         name: &impl Display,
-        how: How,
+        how: DifferenceKind,
         fields: IndexMap<String, (Value, Value)>,
     ) {
         let (what, name) = (what.to_owned(), name.to_string());
-        self.changes.push(Difference { what, name, how, fields });
+        self.changes.push(Difference { item_type: what, name, kind: how, fields });
     }
 
     fn moves(&mut self, old: &Catalog, new: &Catalog) {
         for (name, model) in &old.models {
             let kept = new.models.get(name).filter(|it| same_weights(it, model));
-            let left = kept.map_or(0, |it| i64::from(it.replicas));
+            let left = kept.map_or(0, |it| i64::from(it.min_replicas));
             self.shift(
                 name,
                 model,
-                left.min(i64::from(model.replicas)) - i64::from(model.replicas),
+                left.min(i64::from(model.min_replicas)) - i64::from(model.min_replicas),
             );
         }
         for (name, model) in &new.models {
             let before = old.models.get(name).filter(|it| same_weights(it, model));
-            let had = before.map_or(0, |it| i64::from(it.replicas));
-            self.shift(name, model, (i64::from(model.replicas) - had).max(0));
+            let had = before.map_or(0, |it| i64::from(it.min_replicas));
+            self.shift(name, model, (i64::from(model.min_replicas) - had).max(0));
         }
     }
 
@@ -125,8 +128,8 @@
                 model: format!("{name}@{}", model.version),
                 pool: model.pool.to_string(),
                 replicas,
-                bytes: model.bytes,
-                cold_ms: model.cold.as_millis() as u64,
+                bytes: model.memory_bytes,
+                load_ms: model.load_time.as_millis() as u64,
             });
         }
     }
@@ -134,7 +137,7 @@
 
 /// Whether a replica of the one serves as a replica of the other.
 fn same_weights(a: &Model, b: &Model) -> bool {
-    a.pool == b.pool && a.version == b.version && a.bytes == b.bytes
+    a.pool == b.pool && a.version == b.version && a.memory_bytes == b.memory_bytes
 }
 
 fn differences<T: Serialize>(old: &T, new: &T) -> IndexMap<String, (Value, Value)> {
--- a/crates/config/src/problem.rs
+++ b/crates/config/src/problem.rs
@@ -8,7 +8,7 @@
 
 /// A place in a file.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Spot {
+pub struct Location {
     /// The file's name.
     pub file: Arc<str>,
     /// The line, from 1.
@@ -22,12 +22,12 @@
 /// Where the lines of a text start, so that a place is found without a search
 /// through the whole text.
 #[derive(Debug, Clone)]
-pub struct Lines<'a> {
+pub struct LineIndex<'a> {
     text: &'a str,
     starts: Vec<usize>,
 }
 
-impl<'a> Lines<'a> {
+impl<'a> LineIndex<'a> {
     /// Finds the lines of a text.
     pub fn new(text: &'a str) -> Self {
         let ends = text.match_indices('\n').map(|(at, _)| at + 1);
@@ -35,15 +35,15 @@
     }
 
     /// The place of a byte of the text.
-    pub fn spot(&self, file: &Arc<str>, byte: usize, field: String) -> Spot {
+    pub fn location(&self, file: &Arc<str>, byte: usize, field: String) -> Location {
         let line = self.starts.partition_point(|start| *start <= byte);
         let start = self.starts[line - 1];
         let before = self.text.get(start..byte).unwrap_or_default();
-        Spot { file: file.clone(), line, column: before.chars().count() + 1, field }
+        Location { file: file.clone(), line, column: before.chars().count() + 1, field }
     }
 }
 
-impl Display for Spot {
+impl Display for Location {
     fn fmt(&self, f: &mut Formatter<'_>) -> fmt::Result {
         write!(f, "{}:{}:{}", self.file, self.line, self.column)
     }
@@ -53,23 +53,26 @@
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Problem {
     /// Where.
-    pub at: Spot,
+    #[serde(rename = "at")]
+    pub location: Location,
     /// What is wrong.
-    pub what: String,
+    #[serde(rename = "what")]
+    pub message: String,
     /// What to do about it.
     pub remedy: String,
     /// The other place, if two places contradict each other.
+    #[serde(rename = "also")]
     #[serde(default, skip_serializing_if = "Option::is_none")]
-    pub also: Option<Spot>,
+    pub related: Option<Location>,
 }
 
 impl Display for Problem {
     fn fmt(&self, f: &mut Formatter<'_>) -> fmt::Result {
-        write!(f, "{}: ", self.at)?;
-        if !self.at.field.is_empty() {
-            write!(f, "{}: ", self.at.field)?;
+        write!(f, "{}: ", self.location)?;
+        if !self.location.field.is_empty() {
+            write!(f, "{}: ", self.location.field)?;
         }
-        write!(f, "{}; {}", self.what, self.remedy)
+        write!(f, "{}; {}", self.message, self.remedy)
     }
 }
 
@@ -81,30 +84,41 @@
 
 impl Problems {
     /// Adds a problem.
-    pub fn add(&mut self, at: Spot, what: impl Into<String>, remedy: impl Into<String>) {
+    pub fn add(
+        &mut self,
+        at: Location,
+        what: impl Into<String>,
+        remedy: impl Into<String>,
+    ) {
         let (what, remedy) = (what.into(), remedy.into());
-        self.0.push(Problem { at, what, remedy, also: None });
+        self.0.push(Problem { location: at, message: what, remedy, related: None });
     }
 
     /// Adds a problem between two places.
-    pub fn clash(&mut self, at: Spot, also: Spot, what: impl Into<String>, remedy: &str) {
+    pub fn add_conflict(
+        &mut self,
+        at: Location,
+        also: Location,
+        what: impl Into<String>,
+        remedy: &str,
+    ) {
         self.add(at, what, remedy);
         if let Some(last) = self.0.last_mut() {
-            last.also = Some(also);
+            last.related = Some(also);
         }
     }
 
     /// The value if nothing is wrong.
-    pub fn or<T>(self, value: T) -> Result<T, Self> {
+    pub fn into_result<T>(self, value: T) -> Result<T, Self> {
         if self.0.is_empty() { Ok(value) } else { Err(self.sorted()) }
     }
 
     /// The problems in the order of the text, file by file.
     pub fn sorted(mut self) -> Self {
         let files: IndexSet<Arc<str>> =
-            self.0.iter().map(|it| it.at.file.clone()).collect();
+            self.0.iter().map(|it| it.location.file.clone()).collect();
         self.0.sort_by_key(|it| {
-            (files.get_index_of(&it.at.file), it.at.line, it.at.column)
+            (files.get_index_of(&it.location.file), it.location.line, it.location.column)
         });
         self
     }
@@ -125,22 +139,22 @@
 impl std::error::Error for Problems {}
 
 /// The longest word for which a similar one is looked for.
-const WORD_LIMIT: usize = 100;
+const MAX_WORD_CHARS: usize = 100;
 
 /// The known word that is nearest to what was written, if one is near.
-pub fn nearest<'a>(
+pub fn closest_match<'a>(
     word: &str,
     known: impl IntoIterator<Item = &'a str>,
 ) -> Option<&'a str> {
     let length = word.chars().count();
     // Comparing costs the product of the lengths; no name is this long.
-    if length > WORD_LIMIT {
+    if length > MAX_WORD_CHARS {
         return None;
     }
     let limit = if length < 2 { 0 } else { (length / 3).clamp(1, 4) };
     known
         .into_iter()
-        .map(|other| (distance(word, other), other))
+        .map(|other| (edit_distance(word, other), other))
         .filter(|(far, _)| *far <= limit)
         .min_by_key(|(far, _)| *far)
         .map(|(_, other)| other)
@@ -148,7 +162,7 @@
 
 /// The number of characters to insert, remove, replace or swap with the next to get
 /// from `a` to `b`.
-fn distance(a: &str, b: &str) -> usize {
+fn edit_distance(a: &str, b: &str) -> usize {
     let a: Vec<char> = a.chars().collect();
     let b: Vec<char> = b.chars().collect();
     let mut rows = vec![(0..=b.len()).collect::<Vec<_>>()];
--- a/crates/config/src/source.rs
+++ b/crates/config/src/reader.rs
@@ -12,7 +12,7 @@
 use serde::de::DeserializeOwned;
 use serde_with::{DeserializeAs, Same};
 
-use crate::problem::{Lines, Problems, Spot, nearest};
+use crate::problem::{LineIndex, Location, Problems, closest_match};
 
 const OPTIONS: ParseOptions = ParseOptions {
     allow_comments: true,
@@ -30,51 +30,51 @@
 /// Reads a file whose content is one object.
 ///
 /// `read` gets the object's fields; what it leaves is reported as unknown.
-pub fn read_file<T>(
+pub fn read_object<T>(
     file: &str,
     text: &str,
     problems: &mut Problems,
     read: impl FnOnce(&mut Fields<'_>) -> Option<T>,
 ) -> Option<T> {
     let file: Arc<str> = file.into();
-    let lines = Lines::new(text);
-    let place = Place { file: &file, lines: &lines };
+    let lines = LineIndex::new(text);
+    let place = SourceText { file: &file, lines: &lines };
     let value = match parse_to_ast(text, &CollectOptions::default(), &OPTIONS) {
         Ok(result) => result.value,
         Err(error) => {
-            let at = place.spot(error.range().start, String::new());
+            let at = place.location(error.range().start, String::new());
             let what = error.kind().to_string();
             problems.add(at, what, "correct the JSON; comments are allowed");
             return None;
         }
     };
     let Some(value) = value else {
-        let at = place.spot(0, String::new());
+        let at = place.location(0, String::new());
         problems.add(at, "the file is empty", "write an object `{ ... }`");
         return None;
     };
     let mut fields = Fields::of(place, String::new(), &value, problems)?;
     let result = read(&mut fields);
-    fields.finish();
+    fields.report_unknown();
     result
 }
 
 /// The text that positions refer to.
 #[derive(Clone, Copy)]
-struct Place<'a> {
+struct SourceText<'a> {
     file: &'a Arc<str>,
-    lines: &'a Lines<'a>,
+    lines: &'a LineIndex<'a>,
 }
 
-impl Place<'_> {
-    fn spot(self, byte: usize, field: String) -> Spot {
-        self.lines.spot(self.file, byte, field)
+impl SourceText<'_> {
+    fn location(self, byte: usize, field: String) -> Location {
+        self.lines.location(self.file, byte, field)
     }
 }
 
 /// The fields of one object.
 pub struct Fields<'a> {
-    place: Place<'a>,
+    place: SourceText<'a>,
     path: String,
     start: usize,
     left: IndexMap<&'a str, &'a ObjectProp<'a>>,
@@ -84,14 +84,14 @@
 
 impl<'a> Fields<'a> {
     fn of(
-        place: Place<'a>,
+        place: SourceText<'a>,
         path: String,
         value: &'a Value<'a>,
         problems: &'a mut Problems,
     ) -> Option<Self> {
         let start = value.range().start;
         let Value::Object(object) = value else {
-            let at = place.spot(start, path);
+            let at = place.location(start, path);
             problems.add(at, "this is not an object", "write `{ ... }`");
             return None;
         };
@@ -99,7 +99,7 @@
         for prop in &object.properties {
             let name = prop.name.as_str();
             if left.insert(name, prop).is_some() {
-                let at = place.spot(prop.range.start, join(&path, name));
+                let at = place.location(prop.range.start, join(&path, name));
                 problems.add(at, "the field stands twice", "remove one of the two");
             }
         }
@@ -107,64 +107,69 @@
     }
 
     /// The place of a field, or of the object if the field is absent.
-    pub fn spot(&self, name: &str) -> Spot {
+    pub fn location(&self, name: &str) -> Location {
         let byte = self.seen.get(name).copied().unwrap_or(self.start);
-        self.place.spot(byte, join(&self.path, name))
+        self.place.location(byte, join(&self.path, name))
     }
 
     /// Notes a problem with a field.
-    pub fn problem(&mut self, name: &str, what: impl Into<String>, remedy: &str) {
-        let at = self.spot(name);
+    pub fn add_problem(&mut self, name: &str, what: impl Into<String>, remedy: &str) {
+        let at = self.location(name);
         self.problems.add(at, what, remedy);
     }
 
     /// Notes a problem at a place.
-    pub fn problem_at(&mut self, at: Spot, what: impl Into<String>, remedy: &str) {
+    pub fn add_problem_at(
+        &mut self,
+        at: Location,
+        what: impl Into<String>,
+        remedy: &str,
+    ) {
         self.problems.add(at, what, remedy);
     }
 
     /// Notes a problem unless the condition holds.
     pub fn check(&mut self, name: &str, holds: bool, what: &str, remedy: &str) {
         if !holds {
-            self.problem(name, what, remedy);
+            self.add_problem(name, what, remedy);
         }
     }
 
     /// Reads a field that must be there; `form` says what to write.
-    pub fn need<T: DeserializeOwned>(
+    pub fn required<T: DeserializeOwned>(
         &mut self,
         name: &'static str,
         form: &str,
     ) -> Option<T> {
-        self.need_as::<T, Same>(name, form)
+        self.required_as::<T, Same>(name, form)
     }
 
     /// Reads a field that must be there by a `serde_with` adapter.
-    pub fn need_as<T, U>(&mut self, name: &'static str, form: &str) -> Option<T>
+    pub fn required_as<T, U>(&mut self, name: &'static str, form: &str) -> Option<T>
     where
         U: for<'de> DeserializeAs<'de, T>,
     {
         match self.take(name) {
             Some(prop) => self.value::<T, U>(name, prop, form),
             None => {
-                self.problem(name, "the field is missing", &format!("write {form}"));
+                self.add_problem(name, "the field is missing", &format!("write {form}"));
                 None
             }
         }
     }
 
     /// Reads a field that has a default.
-    pub fn get<T: DeserializeOwned>(
+    pub fn get_or<T: DeserializeOwned>(
         &mut self,
         name: &'static str,
         default: T,
         form: &str,
     ) -> T {
-        self.get_as::<T, Same>(name, default, form)
+        self.get_or_as::<T, Same>(name, default, form)
     }
 
     /// Reads a field that has a default by a `serde_with` adapter.
-    pub fn get_as<T, U>(&mut self, name: &'static str, default: T, form: &str) -> T
+    pub fn get_or_as<T, U>(&mut self, name: &'static str, default: T, form: &str) -> T
     where
         U: for<'de> DeserializeAs<'de, T>,
     {
@@ -184,7 +189,7 @@
         let path = join(&self.path, name);
         let mut fields = Fields::of(self.place, path, &prop.value, self.problems)?;
         let result = read(&mut fields);
-        fields.finish();
+        fields.report_unknown();
         result
     }
 
@@ -194,7 +199,7 @@
     pub fn entries(
         &mut self,
         name: &'static str,
-        mut read: impl FnMut(&str, Spot, &mut Fields<'_>),
+        mut read: impl FnMut(&str, Location, &mut Fields<'_>),
     ) {
         let Some(prop) = self.take(name) else { return };
         let path = join(&self.path, name);
@@ -202,18 +207,18 @@
         let Some(map) = map else { return };
         for (key, prop) in map.left {
             let path = join(&map.path, key);
-            let at = self.place.spot(prop.range.start, path.clone());
+            let at = self.place.location(prop.range.start, path.clone());
             if let Some(mut fields) =
                 Fields::of(self.place, path, &prop.value, map.problems)
             {
                 read(key, at, &mut fields);
-                fields.finish();
+                fields.report_unknown();
             }
         }
     }
 
     /// Reads an object of texts whose keys are chosen by the author.
-    pub fn texts(&mut self, name: &'static str) -> Vec<(String, String, Spot)> {
+    pub fn strings(&mut self, name: &'static str) -> Vec<(String, String, Location)> {
         let Some(prop) = self.take(name) else { return Vec::new() };
         let path = join(&self.path, name);
         let map = Fields::of(self.place, path, &prop.value, self.problems);
@@ -221,7 +226,7 @@
         let mut found = Vec::new();
         for (key, prop) in map.left {
             let path = join(&map.path, key);
-            let at = self.place.spot(prop.range.start, path);
+            let at = self.place.location(prop.range.start, path);
             match &prop.value {
                 Value::StringLit(text) => {
                     found.push((key.to_owned(), text.value.to_string(), at));
@@ -247,18 +252,18 @@
             Ok(value) => Some(value),
             Err(error) => {
                 let at =
-                    self.place.spot(prop.value.range().start, join(&self.path, name));
+                    self.place.location(prop.value.range().start, join(&self.path, name));
                 self.problems.add(at, error.to_string(), format!("write {form}"));
                 None
             }
         }
     }
 
-    fn finish(self) {
+    fn report_unknown(self) {
         for (name, prop) in &self.left {
-            let at = self.place.spot(prop.range.start, join(&self.path, name));
+            let at = self.place.location(prop.range.start, join(&self.path, name));
             let known = self.seen.keys().copied();
-            let remedy = match nearest(name, known.clone()) {
+            let remedy = match closest_match(name, known.clone()) {
                 Some(near) => format!("did you mean `{near}`?"),
                 None => {
                     let list: Vec<_> = known.collect();
--- a/crates/config/src/replica.rs
+++ b/crates/config/src/replica.rs
@@ -4,7 +4,7 @@
 //! declarations. Symptom: it serves a route or a deadline that its operators
 //! replaced, while they were told that the new one is in force. Two rules
 //! suffice against it: a replica's revision never falls, and a replica that was
-//! not confirmed for some time says so ([`Replica::is_fresh`]), so that its
+//! not confirmed for some time says so ([`ConfigReplica::is_fresh`]), so that its
 //! daemon takes no new work.
 //!
 //! The table confirms a replica, and so does a peer that is itself fresh and
@@ -21,7 +21,7 @@
 
 /// What one daemon has of the configuration.
 #[derive(Debug, Clone, Default)]
-pub struct Replica {
+pub struct ConfigReplica {
     /// All files; their revision never falls.
     files: Files,
     /// The version of the table up to which the files are complete.
@@ -35,7 +35,7 @@
 
 /// What a daemon tells a peer that can't read the table.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Handover {
+pub struct ReplicaUpdate {
     /// The daemon's revision.
     pub revision: Revision,
     /// Whether the daemon is itself fresh.
@@ -44,30 +44,30 @@
     pub rows: Vec<FileRow>,
 }
 
-impl Replica {
+impl ConfigReplica {
     /// The files.
     pub fn files(&self) -> &Files {
         &self.files
     }
 
     /// The version of the table after which to read.
-    pub fn version(&self) -> u64 {
+    pub fn table_version(&self) -> u64 {
         self.version
     }
 
     /// Takes in all rows that the table wrote after [`Self::version`].
-    pub fn read(&mut self, rows: Vec<FileRow>, version: u64, asked: Instant) {
+    pub fn apply_changes(&mut self, rows: Vec<FileRow>, version: u64, asked: Instant) {
         for row in rows {
-            self.files.put(row);
+            self.files.update(row);
         }
         self.version = self.version.max(version);
         self.confirm(asked);
     }
 
     /// Takes in a peer's answer to a question sent at `asked`.
-    pub fn hear(&mut self, peer: Handover, asked: Instant) {
+    pub fn apply_update(&mut self, peer: ReplicaUpdate, asked: Instant) {
         for row in peer.rows {
-            self.files.put(row);
+            self.files.update(row);
         }
         if peer.fresh && peer.revision >= self.files.revision() {
             self.confirm(asked);
@@ -75,9 +75,14 @@
     }
 
     /// What to tell a peer that has revision `have`.
-    pub fn tell(&self, have: Revision, now: Instant, limit: Duration) -> Handover {
+    pub fn update_for(
+        &self,
+        have: Revision,
+        now: Instant,
+        limit: Duration,
+    ) -> ReplicaUpdate {
         let newer = self.files.rows().filter(|row| row.revision > have);
-        Handover {
+        ReplicaUpdate {
             revision: self.files.revision(),
             fresh: self.is_fresh(now, limit),
             rows: newer.cloned().collect(),
@@ -86,11 +91,11 @@
 
     /// Whether the files were confirmed within `limit`.
     pub fn is_fresh(&self, now: Instant, limit: Duration) -> bool {
-        self.age(now).is_some_and(|age| age <= limit)
+        self.confirmation_age(now).is_some_and(|age| age <= limit)
     }
 
-    /// How long ago the files were confirmed, if ever.
-    pub fn age(&self, now: Instant) -> Option<Duration> {
+    /// DifferenceKind long ago the files were confirmed, if ever.
+    pub fn confirmation_age(&self, now: Instant) -> Option<Duration> {
         self.confirmed.map(|at| now.saturating_duration_since(at))
     }
 
--- a/crates/config/src/rows.rs
+++ b/crates/config/src/rows.rs
@@ -4,11 +4,11 @@
 //! |---|---|---|
 //! | `head` | [`Head`] | by every accepted change |
 //! | `file:TEAM/NAME` | [`FileRow`] | by an accepted change of that file |
-//! | `rev:NUMBER` | [`Entry`] | once, by the change that made the revision |
-//! | `change:TEAM/ID` | [`Ruling`] | once, by the first final answer to the change |
+//! | `rev:NUMBER` | [`HistoryEntry`] | once, by the change that made the revision |
+//! | `change:TEAM/ID` | [`StoredVerdict`] | once, by the first final answer to the change |
 //!
-//! The first two are in the table [`TABLE`], which daemons follow, so that a change
-//! costs each of them just the files it touches; the others are in [`LOG`]. A
+//! The first two are in the table [`CONFIG_TABLE`], which daemons follow, so that a change
+//! costs each of them just the files it touches; the others are in [`LOG_TABLE`]. A
 //! removed file keeps its row without a text, so that the greatest revision of the
 //! rows never falls.
 
@@ -17,56 +17,60 @@
 use serde::{Deserialize, Serialize};
 
 use crate::change::Verdict;
-use crate::declare::TeamText;
+use crate::declarations::TeamFiles;
 
 /// The table of the head and the files, which every daemon follows.
-pub const TABLE: &str = "config";
+pub const CONFIG_TABLE: &str = "config";
 
 /// The table of the history and the answers, read only when an operator asks.
 ///
 /// Apart from the files, so that a change costs every daemon just its new text.
-pub const LOG: &str = "config-log";
+pub const LOG_TABLE: &str = "config-log";
 
 /// The key of the head.
-pub const HEAD: &str = "head";
+pub const HEAD_KEY: &str = "head";
 
 /// The start of the keys of files.
-pub const FILES: &str = "file:";
+pub const FILE_PREFIX: &str = "file:";
 
 /// The start of the keys of the history.
-pub const HISTORY: &str = "rev:";
+pub const REVISION_PREFIX: &str = "rev:";
 
 /// The start of the keys of answers to changes.
-const ANSWERS: &str = "change:";
+const CHANGE_PREFIX: &str = "change:";
 
 /// The number of revisions that one read of the history gets.
-pub const BLOCK: u64 = 100;
+pub const REVISIONS_PER_BLOCK: u64 = 100;
 
 /// The table in which the row of a key is kept.
-pub fn table_of(key: &str) -> &'static str {
-    if key.starts_with(HISTORY) || key.starts_with(ANSWERS) { LOG } else { TABLE }
+pub fn table_for(key: &str) -> &'static str {
+    if key.starts_with(REVISION_PREFIX) || key.starts_with(CHANGE_PREFIX) {
+        LOG_TABLE
+    } else {
+        CONFIG_TABLE
+    }
 }
 
 /// The key of a file.
 pub fn file_key(team: &TeamName, file: &str) -> String {
-    format!("{FILES}{team}/{file}")
+    format!("{FILE_PREFIX}{team}/{file}")
 }
 
 /// The key of a revision in the history; later keys sort higher.
-pub fn entry_key(revision: Revision) -> String {
-    format!("{HISTORY}{:012}", revision.0)
+pub fn revision_key(revision: Revision) -> String {
+    format!("{REVISION_PREFIX}{:012}", revision.0)
 }
 
 /// The start of the keys of the 100 revisions that `revision` belongs to.
 ///
 /// A read of a block costs the same however long the history is.
 pub fn block_prefix(revision: Revision) -> String {
-    format!("{HISTORY}{:010}", revision.0 / BLOCK)
+    format!("{REVISION_PREFIX}{:010}", revision.0 / REVISIONS_PER_BLOCK)
 }
 
 /// The key of the answer to a team's change.
 pub fn change_key(team: &TeamName, id: &str) -> String {
-    format!("{ANSWERS}{team}/{id}")
+    format!("{CHANGE_PREFIX}{team}/{id}")
 }
 
 /// The newest revision; each change checks that it is as the change saw it.
@@ -104,7 +108,7 @@
 
 /// The final answer to a change, with a hash of what was asked.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Ruling {
+pub struct StoredVerdict {
     /// The hash of the change, as [`Change::digest`](crate::Change::digest) says.
     pub digest: String,
     /// The answer.
@@ -113,7 +117,7 @@
 
 /// A revision in the history.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Entry {
+pub struct HistoryEntry {
     /// The revision.
     pub revision: Revision,
     /// The change that made it.
@@ -125,9 +129,11 @@
     /// What the author says of it.
     pub note: String,
     /// The time by the accepting daemon's clock, in seconds since 1970.
-    pub at: u64,
+    #[serde(rename = "at")]
+    pub accepted_at: u64,
     /// The texts of the changed files before the change, for a rollback.
-    pub before: IndexMap<String, Option<String>>,
+    #[serde(rename = "before")]
+    pub previous_texts: IndexMap<String, Option<String>>,
 }
 
 /// All files of all teams at a revision.
@@ -138,7 +144,7 @@
 
 impl Files {
     /// Takes in a row, unless it is older than what is known.
-    pub fn put(&mut self, row: FileRow) {
+    pub fn update(&mut self, row: FileRow) {
         let key = file_key(&row.team, &row.file);
         if self.rows.get(&key).is_none_or(|old| old.revision <= row.revision) {
             self.rows.insert(key, row);
@@ -161,13 +167,13 @@
     }
 
     /// The texts of one team.
-    pub fn team(&self, team: &TeamName) -> TeamText {
-        self.teams().swap_remove(team).unwrap_or_default()
+    pub fn of_team(&self, team: &TeamName) -> TeamFiles {
+        self.by_team().swap_remove(team).unwrap_or_default()
     }
 
     /// The texts of all teams, in the order of the teams' and files' names.
-    pub fn teams(&self) -> IndexMap<TeamName, TeamText> {
-        let mut teams: IndexMap<TeamName, TeamText> = IndexMap::new();
+    pub fn by_team(&self) -> IndexMap<TeamName, TeamFiles> {
+        let mut teams: IndexMap<TeamName, TeamFiles> = IndexMap::new();
         for row in self.rows.values() {
             if let Some(text) = &row.text {
                 let team = teams.entry(row.team.clone()).or_default();
--- a/crates/config/src/settings.rs
+++ b/crates/config/src/settings.rs
@@ -47,7 +47,7 @@
     /// The private key.
     pub key: PathBuf,
     /// The certificates of the authorities that sign daemons' certificates.
-    pub trust: PathBuf,
+    pub trusted_cas: PathBuf,
 }
 
 /// The severity from which lines are logged.
@@ -67,57 +67,62 @@
 /// Times that a daemon keeps to.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Times {
-    /// How long a membership lease holds after its renewal.
+    /// DifferenceKind long a membership lease holds after its renewal.
     ///
     /// At least three times `renewal`, so that two lost renewals lose no lease.
-    pub lease: Duration,
-    /// How often the lease is renewed.
-    pub renewal: Duration,
-    /// How often changes of the table are read.
-    pub poll: Duration,
-    /// How long a call to the platform may take.
-    pub platform: Duration,
-    /// How long a leaving daemon still takes new requests.
-    pub leave: Duration,
-    /// How long a daemon may go without confirming its revision.
+    pub lease_duration: Duration,
+    /// DifferenceKind often the lease is renewed.
+    pub renewal_interval: Duration,
+    /// DifferenceKind often changes of the table are read.
+    pub poll_interval: Duration,
+    /// DifferenceKind long a call to the platform may take.
+    pub platform_timeout: Duration,
+    /// DifferenceKind long a leaving daemon still takes new requests.
+    pub drain_time: Duration,
+    /// DifferenceKind long a daemon may go without confirming its revision.
     ///
     /// It takes no new work after that, so that this also bounds how long any daemon
     /// serves by declarations that were replaced. Changes are to be in force within
     /// 20 s; the default leaves a quarter of it to their acceptance.
-    pub stale: Duration,
-    /// How long a caller may keep an address.
-    pub keep: Duration,
+    pub max_staleness: Duration,
+    /// DifferenceKind long a caller may keep an address.
+    pub address_ttl: Duration,
 }
 
 /// Limits of memory and number.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Limits {
     /// The largest body of a request, in bytes.
-    pub body: usize,
+    pub max_body_bytes: usize,
     /// Requests that the entry holds at the same time.
-    pub requests: usize,
+    pub max_requests: usize,
     /// Bytes of bodies and answers that the entry holds at the same time.
-    pub memory: usize,
+    pub max_buffered_bytes: usize,
     /// The number of slots of the journal; the same on all daemons.
-    pub slots: u16,
+    pub journal_slots: u16,
 }
 
 impl Default for Times {
     fn default() -> Self {
         Self {
-            lease: Duration::from_secs(6),
-            renewal: Duration::from_secs(2),
-            poll: Duration::from_millis(500),
-            platform: Duration::from_secs(2),
-            leave: Duration::from_secs(3),
-            stale: Duration::from_secs(15),
-            keep: Duration::from_secs(2),
+            lease_duration: Duration::from_secs(6),
+            renewal_interval: Duration::from_secs(2),
+            poll_interval: Duration::from_millis(500),
+            platform_timeout: Duration::from_secs(2),
+            drain_time: Duration::from_secs(3),
+            max_staleness: Duration::from_secs(15),
+            address_ttl: Duration::from_secs(2),
         }
     }
 }
 
 impl Default for Limits {
     fn default() -> Self {
-        Self { body: 1 << 20, requests: 4096, memory: 32 << 20, slots: 64 }
+        Self {
+            max_body_bytes: 1 << 20,
+            max_requests: 4096,
+            max_buffered_bytes: 32 << 20,
+            journal_slots: 64,
+        }
     }
 }
--- a/crates/config/src/check.rs
+++ b/crates/config/src/settings_parser.rs
@@ -7,10 +7,10 @@
 use indexmap::IndexMap;
 use serde_with::DurationMilliSeconds;
 
-use crate::keys::is_sha256;
+use crate::keys::is_sha256_hex;
 use crate::problem::Problems;
+use crate::reader::{Fields, read_object};
 use crate::settings::{Limits, LogLevel, Settings, Times, Tls};
-use crate::source::{Fields, read_file};
 
 const ADDRESS: &str = "an address such as \"10.0.0.4:8080\"";
 const URL: &str = "a base URL such as \"http://10.0.0.5:7000\"";
@@ -21,27 +21,28 @@
     /// Reads and checks settings; `file` is only named in problems.
     pub fn parse(file: &str, text: &str) -> Result<Self, Problems> {
         let mut problems = Problems::default();
-        let settings = read_file(file, text, &mut problems, read);
+        let settings = read_object(file, text, &mut problems, read);
         match settings {
-            Some(settings) => problems.or(settings),
+            Some(settings) => problems.into_result(settings),
             None => Err(problems.sorted()),
         }
     }
 }
 
 fn read(fields: &mut Fields<'_>) -> Option<Settings> {
-    let vm = fields.need("vm", "the VM's name, such as \"entry-1\"");
-    let domain = fields.need("domain", "the VM's failure domain, such as \"accra-a\"");
-    let caller_addr = fields.need("caller_addr", ADDRESS);
-    let peer_addr = fields.need("peer_addr", ADDRESS);
-    let ops_addr = fields.need("ops_addr", ADDRESS);
+    let vm = fields.required("vm", "the VM's name, such as \"entry-1\"");
+    let domain =
+        fields.required("domain", "the VM's failure domain, such as \"accra-a\"");
+    let caller_addr = fields.required("caller_addr", ADDRESS);
+    let peer_addr = fields.required("peer_addr", ADDRESS);
+    let ops_addr = fields.required("ops_addr", ADDRESS);
     check_distinct(fields, caller_addr, ops_addr);
     let table_url = url(fields, "table_url");
     let object_url = url(fields, "object_url");
     let vms_url = url(fields, "vms_url");
     let tls = fields.object("tls", tls);
     if tls.is_none() {
-        fields.problem(
+        fields.add_problem(
             "tls",
             "keys and trust are incomplete",
             "write { \"cert\": FILE, \"key\": FILE, \"trust\": FILE }",
@@ -49,7 +50,7 @@
     }
     let operators = operators(fields);
     let levels = "one of \"error\", \"warning\", \"info\", \"debug\"";
-    let log_level = fields.get("log_level", LogLevel::Info, levels);
+    let log_level = fields.get_or("log_level", LogLevel::Info, levels);
     let times = fields.object("times", times).unwrap_or_default();
     let limits = fields.object("limits", limits).unwrap_or_default();
     Some(Settings {
@@ -84,7 +85,7 @@
 }
 
 fn url(fields: &mut Fields<'_>, name: &'static str) -> Option<String> {
-    let text: String = fields.need(name, URL)?;
+    let text: String = fields.required(name, URL)?;
     let rest = text.strip_prefix("http://").or_else(|| text.strip_prefix("https://"));
     let valid = rest.is_some_and(|host| {
         !host.is_empty() && !host.starts_with('/') && !host.contains(char::is_whitespace)
@@ -95,25 +96,25 @@
 
 fn tls(fields: &mut Fields<'_>) -> Option<Tls> {
     let file = "the path of a PEM file";
-    let cert = fields.need("cert", file);
-    let key = fields.need("key", file);
-    let trust = fields.need("trust", file);
-    Some(Tls { cert: cert?, key: key?, trust: trust? })
+    let cert = fields.required("cert", file);
+    let key = fields.required("key", file);
+    let trust = fields.required("trust", file);
+    Some(Tls { cert: cert?, key: key?, trusted_cas: trust? })
 }
 
 fn operators(fields: &mut Fields<'_>) -> IndexMap<TeamName, String> {
     let mut found = IndexMap::new();
-    for (team, hash, at) in fields.texts("operators") {
+    for (team, hash, at) in fields.strings("operators") {
         match TeamName::try_from(team) {
-            Ok(team) if is_sha256(&hash) => {
+            Ok(team) if is_sha256_hex(&hash) => {
                 found.insert(team, hash);
             }
-            Ok(_) => fields.problem_at(
+            Ok(_) => fields.add_problem_at(
                 at,
                 "this is no SHA-256",
                 "write the 64 lower-case hexadecimal digits of the key's SHA-256",
             ),
-            Err(error) => fields.problem_at(at, error.to_string(), "rename the team"),
+            Err(error) => fields.add_problem_at(at, error.to_string(), "rename the team"),
         }
     }
     found
@@ -122,29 +123,29 @@
 fn times(fields: &mut Fields<'_>) -> Option<Times> {
     let base = Times::default();
     let times = Times {
-        lease: millis(fields, "lease_ms", base.lease),
-        renewal: millis(fields, "renewal_ms", base.renewal),
-        poll: millis(fields, "poll_ms", base.poll),
-        platform: millis(fields, "platform_ms", base.platform),
-        leave: millis(fields, "leave_ms", base.leave),
-        stale: millis(fields, "stale_ms", base.stale),
-        keep: millis(fields, "keep_ms", base.keep),
+        lease_duration: millis(fields, "lease_ms", base.lease_duration),
+        renewal_interval: millis(fields, "renewal_ms", base.renewal_interval),
+        poll_interval: millis(fields, "poll_ms", base.poll_interval),
+        platform_timeout: millis(fields, "platform_ms", base.platform_timeout),
+        drain_time: millis(fields, "leave_ms", base.drain_time),
+        max_staleness: millis(fields, "stale_ms", base.max_staleness),
+        address_ttl: millis(fields, "keep_ms", base.address_ttl),
     };
     fields.check(
         "lease_ms",
-        times.lease >= times.renewal.saturating_mul(3),
+        times.lease_duration >= times.renewal_interval.saturating_mul(3),
         "the lease is shorter than three renewals, so that two lost ones lose it",
         "write at least three times renewal_ms",
     );
     fields.check(
         "leave_ms",
-        times.leave >= times.keep,
+        times.drain_time >= times.address_ttl,
         "callers may keep an address longer than a leaving daemon takes requests",
         "write at least keep_ms",
     );
     fields.check(
         "stale_ms",
-        times.stale >= times.poll.saturating_mul(2),
+        times.max_staleness >= times.poll_interval.saturating_mul(2),
         "one late read of the table would stop the daemon's new work",
         "write at least twice poll_ms",
     );
@@ -152,7 +153,7 @@
 }
 
 fn millis(fields: &mut Fields<'_>, name: &'static str, base: Duration) -> Duration {
-    let time = fields.get_as::<_, DurationMilliSeconds<u64>>(name, base, MILLIS);
+    let time = fields.get_or_as::<_, DurationMilliSeconds<u64>>(name, base, MILLIS);
     fields.check(name, !time.is_zero(), "the time is zero", &format!("write {MILLIS}"));
     time
 }
@@ -160,14 +161,14 @@
 fn limits(fields: &mut Fields<'_>) -> Option<Limits> {
     let base = Limits::default();
     let limits = Limits {
-        body: count(fields, "body", base.body),
-        requests: count(fields, "requests", base.requests),
-        memory: count(fields, "memory", base.memory),
-        slots: count(fields, "slots", base.slots),
+        max_body_bytes: count(fields, "body", base.max_body_bytes),
+        max_requests: count(fields, "requests", base.max_requests),
+        max_buffered_bytes: count(fields, "memory", base.max_buffered_bytes),
+        journal_slots: count(fields, "slots", base.journal_slots),
     };
     fields.check(
         "body",
-        limits.body <= limits.memory,
+        limits.max_body_bytes <= limits.max_buffered_bytes,
         "the largest body is larger than the memory for bodies",
         "write at most `memory`",
     );
@@ -178,7 +179,7 @@
 where
     T: serde::de::DeserializeOwned + Default + PartialEq,
 {
-    let number = fields.get(name, base, COUNT);
+    let number = fields.get_or(name, base, COUNT);
     fields.check(name, number != T::default(), "the limit is zero", "write 1 or more");
     number
 }
--- a/crates/config/tests/changes.rs
+++ b/crates/config/tests/changes.rs
@@ -6,7 +6,7 @@
 use std::time::Duration;
 
 use chestnut_config::rows::Files;
-use chestnut_config::{Catalog, Reason, Verdict};
+use chestnut_config::{Catalog, RefusalReason, Verdict};
 use indexmap::{IndexMap, IndexSet};
 use proptest::prelude::*;
 
@@ -35,8 +35,8 @@
         world.settle();
         prop_assert_eq!(world.answers.len(), world.changes.len());
         let mut files = Files::default();
-        world.table.changed(0).into_iter().for_each(|row| files.put(row));
-        let catalog = Catalog::union(files.revision(), &files.teams()).unwrap();
+        world.table.changed(0).into_iter().for_each(|row| files.update(row));
+        let catalog = Catalog::merge(files.revision(), &files.by_team()).unwrap();
         // Of the accepted changes of a file the last one's text is in force.
         let mut last = IndexMap::new();
         for (change, verdict) in &world.answers {
@@ -53,7 +53,7 @@
         }
         for daemon in &world.daemons {
             prop_assert_eq!(daemon.force, files.revision());
-            prop_assert_eq!(daemon.replica.files().teams(), files.teams());
+            prop_assert_eq!(daemon.replica.files().by_team(), files.by_team());
         }
     }
 
@@ -84,7 +84,7 @@
             let winner = format!("author-c{}", winners[0]);
             for change in group.iter().filter(|change| *change != winners[0]) {
                 let Verdict::Refused { reason, .. } = &world.answers[change] else { continue };
-                let (Reason::Conflict { others, .. } | Reason::Invalid { others, .. }) = reason
+                let (RefusalReason::Conflict { others, .. } | RefusalReason::Invalid { others, .. }) = reason
                 else {
                     panic!("{reason:?}");
                 };
--- a/crates/config/tests/examples.rs
+++ b/crates/config/tests/examples.rs
@@ -4,18 +4,18 @@
 use std::path::Path;
 
 use chestnut_base::{PoolName, Revision, TeamName};
-use chestnut_config::union::Union;
-use chestnut_config::{Catalog, Settings, TeamText};
+use chestnut_config::merge::MergedDeclarations;
+use chestnut_config::{Catalog, Settings, TeamFiles};
 use indexmap::IndexMap;
 
 const ROOT: &str = concat!(env!("CARGO_MANIFEST_DIR"), "/../../examples");
 
-fn teams() -> IndexMap<TeamName, TeamText> {
+fn teams() -> IndexMap<TeamName, TeamFiles> {
     let mut teams = IndexMap::new();
     for dir in fs::read_dir(Path::new(ROOT).join("declarations")).unwrap() {
         let dir = dir.unwrap();
         let name = dir.file_name().into_string().unwrap();
-        let mut text = TeamText::default();
+        let mut text = TeamFiles::default();
         for file in fs::read_dir(dir.path()).unwrap() {
             let file = file.unwrap();
             let name = file.file_name().into_string().unwrap();
@@ -38,18 +38,20 @@
 
 #[test]
 fn example_declarations_are_valid_together() {
-    let catalog = Catalog::union(Revision(1), &teams()).unwrap();
+    let catalog = Catalog::merge(Revision(1), &teams()).unwrap();
     assert_eq!(catalog.models.len(), 3);
     assert_eq!(catalog.routes.len(), 5);
-    let kind = &catalog.kinds[catalog.routes["proof"].kind.as_ref().unwrap()];
+    let kind = &catalog.kinds[catalog.routes["proof"].default_kind.as_ref().unwrap()];
     assert!(kind.idempotent);
 }
 
 #[test]
 fn example_declarations_need_one_runner() {
-    let union = Union::check(Revision(1), &teams()).unwrap();
+    let union = MergedDeclarations::parse(Revision(1), &teams()).unwrap();
     let pool = PoolName::try_from("drafting").unwrap();
-    let on = |count| union.fits(&[(pool.clone(), count)].into_iter().collect(), None);
+    let on = |count| {
+        union.check_capacity(&[(pool.clone(), count)].into_iter().collect(), None)
+    };
     assert!(on(1).is_ok());
     let problems = on(0).unwrap_err();
     assert!(problems.to_string().contains("no room for drafter"), "{problems}");
--- a/crates/config/tests/texts.rs
+++ b/crates/config/tests/texts.rs
@@ -2,7 +2,7 @@
 //! makes the reader fail in another way.
 
 use chestnut_base::{Revision, TeamName};
-use chestnut_config::{Catalog, Settings, TeamText};
+use chestnut_config::{Catalog, Settings, TeamFiles};
 use indexmap::IndexMap;
 use insta::assert_snapshot;
 use proptest::prelude::*;
@@ -11,17 +11,17 @@
     Settings::parse("daemon.jsonc", text).unwrap_err().to_string()
 }
 
-fn teams(texts: &[(&str, &str)]) -> IndexMap<TeamName, TeamText> {
+fn teams(texts: &[(&str, &str)]) -> IndexMap<TeamName, TeamFiles> {
     let one = |(team, text): &(&str, &str)| {
         let files = [("all.jsonc".to_owned(), (*text).to_owned())];
-        let text = TeamText { files: files.into_iter().collect() };
+        let text = TeamFiles { files: files.into_iter().collect() };
         (TeamName::try_from(*team).unwrap(), text)
     };
     texts.iter().map(one).collect()
 }
 
 fn union(texts: &[(&str, &str)]) -> String {
-    Catalog::union(Revision(1), &teams(texts)).unwrap_err().to_string()
+    Catalog::merge(Revision(1), &teams(texts)).unwrap_err().to_string()
 }
 
 #[test]
@@ -146,11 +146,11 @@
 fn valid_declarations_of_two_teams_are_joined() {
     let other = r#"{ "routes": { "r": { "model": "m", "kind": "k" } } }"#;
     let catalog =
-        Catalog::union(Revision(7), &teams(&[("a", POOL), ("b", other)])).unwrap();
+        Catalog::merge(Revision(7), &teams(&[("a", POOL), ("b", other)])).unwrap();
     assert_eq!(catalog.revision, Revision(7));
     assert_eq!(catalog.routes["r"].team.as_str(), "b");
     assert_eq!(catalog.models.len(), 1);
-    assert_eq!(catalog.models[0].replicas, 1);
+    assert_eq!(catalog.models[0].min_replicas, 1);
 }
 
 /// Pieces of JSON and of the fields' names, so that random texts get deep.
@@ -201,12 +201,12 @@
         if let Err(problems) = Settings::parse("any", &text) {
             prop_assert!(!problems.0.is_empty());
             for problem in problems.0 {
-                prop_assert!(problem.at.line >= 1 && problem.at.column >= 1);
-                prop_assert!(problem.at.line <= text.matches('\n').count() + 1);
+                prop_assert!(problem.location.line >= 1 && problem.location.column >= 1);
+                prop_assert!(problem.location.line <= text.matches('\n').count() + 1);
                 prop_assert!(!problem.remedy.is_empty());
             }
         }
-        if let Err(problems) = Catalog::union(Revision(1), &teams(&[("t", &text)])) {
+        if let Err(problems) = Catalog::merge(Revision(1), &teams(&[("t", &text)])) {
             prop_assert!(!problems.0.is_empty());
         }
     }
--- a/crates/config/tests/world/mod.rs
+++ b/crates/config/tests/world/mod.rs
@@ -3,9 +3,11 @@
 use std::time::{Duration, Instant};
 
 use chestnut_base::{Revision, TeamName};
-use chestnut_config::apply::{Commit, Event, Snapshot, Step};
-use chestnut_config::rows::{self, FileRow, Files, Head, Ruling};
-use chestnut_config::{Answer, Applier, Change, Handover, Replica, Verdict};
+use chestnut_config::apply::{Event, Snapshot, Step, Transaction};
+use chestnut_config::rows::{self, FileRow, Files, Head, StoredVerdict};
+use chestnut_config::{
+    Applier, ApplyOutcome, Change, ConfigReplica, ReplicaUpdate, Verdict,
+};
 use indexmap::{IndexMap, IndexSet};
 use proptest::prelude::*;
 use serde::de::DeserializeOwned;
@@ -28,26 +30,26 @@
     }
 
     pub fn changed(&self, since: u64) -> Vec<FileRow> {
-        let rows = self.rows.iter().filter(|(key, _)| key.starts_with(rows::FILES));
+        let rows = self.rows.iter().filter(|(key, _)| key.starts_with(rows::FILE_PREFIX));
         let rows = rows.filter(|(_, (_, version))| *version > since);
         rows.map(|(_, (value, _))| serde_json::from_value(value.clone()).unwrap())
             .collect()
     }
 
     fn head(&self) -> Option<(Head, u64)> {
-        Some((self.get(rows::HEAD)?, self.rows[rows::HEAD].1))
+        Some((self.get(rows::HEAD_KEY)?, self.rows[rows::HEAD_KEY].1))
     }
 
-    fn commit(&mut self, commit: &Commit) -> bool {
-        let head = self.rows.get(rows::HEAD).map(|(_, version)| *version);
-        if head != commit.head || self.rows.contains_key(&commit.fresh) {
+    fn commit(&mut self, commit: &Transaction) -> bool {
+        let head = self.rows.get(rows::HEAD_KEY).map(|(_, version)| *version);
+        if head != commit.head_version || self.rows.contains_key(&commit.verdict_key) {
             return false;
         }
         self.version += 1;
         for (key, value) in &commit.writes {
             self.rows.insert(key.clone(), (value.clone(), self.version));
         }
-        for key in &commit.removals {
+        for key in &commit.deletes {
             self.rows.shift_remove(key);
         }
         true
@@ -163,7 +165,7 @@
 /// A daemon and what is in force at it.
 pub struct Daemon {
     start: usize,
-    pub replica: Replica,
+    pub replica: ConfigReplica,
     pub frozen: bool,
     pub force: Revision,
     /// The newest revision of each file that was in force.
@@ -181,7 +183,7 @@
 
 enum Heard {
     Table { rows: Vec<FileRow>, version: u64 },
-    Peer(Handover),
+    Peer(ReplicaUpdate),
 }
 
 pub struct World {
@@ -191,7 +193,7 @@
     /// The changes whose authors have looked at the files.
     looked: IndexSet<usize>,
     /// Commits that were sent, lost, and may still arrive.
-    late: Vec<Commit>,
+    late: Vec<Transaction>,
     pub answers: IndexMap<usize, Verdict>,
     pub daemons: Vec<Daemon>,
     flying: Vec<Flying>,
@@ -260,7 +262,7 @@
         }
     }
 
-    fn commit(&mut self, commit: &Commit) -> bool {
+    fn commit(&mut self, commit: &Transaction) -> bool {
         let done = self.table.commit(commit);
         let head = self.table.head().map_or(Revision(0), |(head, _)| head.revision);
         if self.accepted.last().is_none_or(|(last, _)| *last < head) && head.0 > 0 {
@@ -278,7 +280,7 @@
         let id = self.changes[self.attempts[at].change].id.clone();
         let by = self.changes[self.attempts[at].change].team.clone();
         let event = match self.attempts[at].step.clone() {
-            _ if self.table.down => Event::Down("down".into()),
+            _ if self.table.down => Event::Unavailable("down".into()),
             Step::Read => match self.attempts[at].head.take() {
                 // Others may act between the reads of the head and of the files.
                 None => {
@@ -287,12 +289,18 @@
                 }
                 Some(head) => {
                     let mut files = Files::default();
-                    self.table.changed(0).into_iter().for_each(|row| files.put(row));
-                    let ruling: Option<Ruling> =
+                    self.table.changed(0).into_iter().for_each(|row| files.update(row));
+                    let ruling: Option<StoredVerdict> =
                         self.table.get(&rows::change_key(&by, &id));
                     let runners = IndexMap::new();
                     let oldest = None;
-                    let found = Snapshot { head, files, ruling, oldest, runners };
+                    let found = Snapshot {
+                        head,
+                        files,
+                        stored_verdict: ruling,
+                        expired_entry: oldest,
+                        runners,
+                    };
                     Event::Read(Box::new(found))
                 }
             },
@@ -320,17 +328,17 @@
         } else {
             self.late.push(commit);
         }
-        self.tell(at, Event::Unknown);
+        self.tell(at, Event::OutcomeUnknown);
     }
 
     fn tell(&mut self, at: usize, event: Event) {
         let attempt = &mut self.attempts[at];
         attempt.head = None;
-        attempt.step = attempt.applier.on(event);
+        attempt.step = attempt.applier.handle(event);
         let Step::Done(answer) = attempt.step.clone() else { return };
         let change = attempt.change;
         self.attempts.swap_remove(at);
-        if let Answer::Final(verdict) = answer {
+        if let ApplyOutcome::Decided(verdict) = answer {
             let first = self.answers.entry(change).or_insert_with(|| verdict.clone());
             assert_eq!(*first, verdict, "two answers about change {change}");
         }
@@ -340,7 +348,7 @@
         if self.daemons[daemon].frozen || self.table.down {
             return;
         }
-        let rows = self.table.changed(self.daemons[daemon].replica.version());
+        let rows = self.table.changed(self.daemons[daemon].replica.table_version());
         let version = self.table.version;
         self.fly(daemon, Heard::Table { rows, version });
     }
@@ -350,7 +358,7 @@
             return;
         }
         let have = self.daemons[daemon].replica.files().revision();
-        let handover = self.daemons[peer].replica.tell(have, self.now, STALE);
+        let handover = self.daemons[peer].replica.update_for(have, self.now, STALE);
         self.fly(daemon, Heard::Peer(handover));
     }
 
@@ -374,12 +382,12 @@
         }
         match flying.answer {
             Heard::Table { rows, version } => {
-                daemon.replica.read(rows, version, flying.asked);
+                daemon.replica.apply_changes(rows, version, flying.asked);
             }
             Heard::Peer(handover) => {
                 let was = daemon.replica.is_fresh(self.now, STALE);
                 let behind = handover.revision < daemon.replica.files().revision();
-                daemon.replica.hear(handover, flying.asked);
+                daemon.replica.apply_update(handover, flying.asked);
                 let is = daemon.replica.is_fresh(self.now, STALE);
                 assert!(was || !is || !behind, "a peer that is behind confirmed");
             }
@@ -411,7 +419,7 @@
 
 impl Daemon {
     fn new(start: usize) -> Self {
-        let replica = Replica::default();
+        let replica = ConfigReplica::default();
         Self { start, replica, frozen: false, force: Revision(0), seen: IndexMap::new() }
     }
 
--- a/crates/ctl/src/apply.rs
+++ b/crates/ctl/src/apply.rs
@@ -3,8 +3,8 @@
 use std::time::{Duration, Instant};
 
 use chestnut_base::{Revision, TeamName};
-use chestnut_config::change::{Other, edits};
-use chestnut_config::{Change, Plan, Reason, TeamText, Verdict};
+use chestnut_config::change::{RelatedChange, diff_files};
+use chestnut_config::{Change, Plan, RefusalReason, TeamFiles, Verdict};
 use serde::Deserialize;
 use serde_json::json;
 
@@ -28,7 +28,7 @@
 #[derive(Debug, Deserialize)]
 struct Planned {
     revision: Revision,
-    reason: Option<Reason>,
+    reason: Option<RefusalReason>,
     plan: Plan,
 }
 
@@ -64,7 +64,7 @@
 pub async fn apply(
     options: &Options,
     client: &Client,
-    text: TeamText,
+    text: TeamFiles,
     note: &str,
 ) -> Result<Exit, Stop> {
     // A repeated change may be in force already, so that its edits are gone.
@@ -113,17 +113,17 @@
 async fn change_to(
     options: &Options,
     client: &Client,
-    text: TeamText,
+    text: TeamFiles,
     note: &str,
 ) -> Result<Option<Change>, Stop> {
     let now = files_at(client, None).await?;
     let newest = now.revision;
-    let mut edits = edits(&now.clone().text(), &text);
+    let mut edits = diff_files(&now.clone().text(), &text);
     let mut base = newest;
     if let Some(seen) = options.base.filter(|seen| *seen != newest) {
         // What the author did not touch is left as others made it meanwhile.
         let then = files_at(client, Some(seen)).await?;
-        edits = chestnut_config::change::edits(&then.text(), &text);
+        edits = chestnut_config::change::diff_files(&then.text(), &text);
         base = seen;
     }
     if edits.is_empty() {
@@ -250,20 +250,20 @@
 }
 
 /// Why a change is refused, with the other authors.
-fn explain(reason: &Reason) -> String {
+fn explain(reason: &RefusalReason) -> String {
     match reason {
-        Reason::Conflict { author, others } => format!(
+        RefusalReason::Conflict { author, others } => format!(
             "{author} and others changed the same files:\n{}\nlook at their changes, edit \
              your files and apply them again",
             named(others)
         ),
-        Reason::Ahead { base } => {
+        RefusalReason::UnknownBase { base } => {
             format!("there is no revision {base} yet; name one that `history` shows")
         }
-        Reason::Invalid { problems, others } if others.is_empty() => {
+        RefusalReason::Invalid { problems, others } if others.is_empty() => {
             format!("all teams' declarations together would be wrong:\n{problems}")
         }
-        Reason::Invalid { problems, others } => format!(
+        RefusalReason::Invalid { problems, others } => format!(
             "all teams' declarations together would be wrong:\n{problems}\nthe other files \
              were written by:\n{}",
             named(others)
@@ -271,9 +271,9 @@
     }
 }
 
-fn named(others: &[Other]) -> String {
+fn named(others: &[RelatedChange]) -> String {
     let lines = others.iter().map(|other| {
-        let Other { file, author, change, revision } = other;
+        let RelatedChange { file, author, change, revision } = other;
         format!("  {file} by {author} (revision {revision}, change {change})")
     });
     lines.collect::<Vec<_>>().join("\n")
--- a/crates/ctl/src/files.rs
+++ b/crates/ctl/src/files.rs
@@ -5,8 +5,8 @@
 use std::path::Path;
 
 use chestnut_base::TeamName;
-use chestnut_config::declare::Team;
-use chestnut_config::{Problems, Settings, TeamText};
+use chestnut_config::declarations::TeamDeclarations;
+use chestnut_config::{Problems, Settings, TeamFiles};
 
 /// The endings of declarations' file names.
 const ENDINGS: &[&str] = &["jsonc", "json"];
@@ -43,12 +43,12 @@
 impl std::error::Error for FileError {}
 
 /// Reads all declarations of a directory, by their names.
-pub fn read(dir: &str) -> Result<TeamText, FileError> {
+pub fn read(dir: &str) -> Result<TeamFiles, FileError> {
     let fail = |path: &Path| {
         let path = path.display().to_string();
         move |error| FileError::Read(path, error)
     };
-    let mut text = TeamText::default();
+    let mut text = TeamFiles::default();
     for entry in fs::read_dir(dir).map_err(fail(Path::new(dir)))? {
         let path = entry.map_err(fail(Path::new(dir)))?.path();
         let ending = path.extension().and_then(|it| it.to_str()).unwrap_or_default();
@@ -84,21 +84,21 @@
         Settings::parse(path, &content).map_err(FileError::Problems)?;
         return Ok("settings".into());
     }
-    let text = TeamText { files: [(path.to_owned(), content)].into_iter().collect() };
+    let text = TeamFiles { files: [(path.to_owned(), content)].into_iter().collect() };
     check_text("", &text)?;
     Ok("a file of declarations".into())
 }
 
 /// Checks a team's declarations by themselves.
-pub fn check_text(dir: &str, text: &TeamText) -> Result<(), FileError> {
+pub fn check_text(dir: &str, text: &TeamFiles) -> Result<(), FileError> {
     let mut problems = Problems::default();
     let team = TeamName::try_from("this").expect("the name is valid");
-    Team::parse(&team, text, &mut problems);
+    TeamDeclarations::parse(&team, text, &mut problems);
     // The author knows the files by their paths, not by the team.
     for problem in &mut problems.0 {
-        let name = problem.at.file.trim_start_matches("this/").to_owned();
+        let name = problem.location.file.trim_start_matches("this/").to_owned();
         let path = if dir.is_empty() { name } else { format!("{dir}/{name}") };
-        problem.at.file = path.into();
+        problem.location.file = path.into();
     }
-    problems.or(()).map_err(FileError::Problems)
+    problems.into_result(()).map_err(FileError::Problems)
 }
--- a/crates/ctl/src/language.rs
+++ b/crates/ctl/src/language.rs
@@ -6,7 +6,7 @@
 
 use std::ops::Range;
 
-use chestnut_config::problem::nearest;
+use chestnut_config::problem::closest_match;
 use serde_json::{Value, json};
 use winnow::Parser;
 use winnow::combinator::{alt, opt, preceded, separated_foldl1};
@@ -406,7 +406,7 @@
 }
 
 fn unknown(what: &str, word: &str, span: Range<usize>, known: &[&str]) -> ErrMode<Fault> {
-    let remedy = match nearest(word, known.iter().copied()) {
+    let remedy = match closest_match(word, known.iter().copied()) {
         Some(near) => format!("did you mean `{near}`?"),
         None => list(known),
     };
--- a/crates/ctl/src/output.rs
+++ b/crates/ctl/src/output.rs
@@ -1,7 +1,7 @@
 //! Printing rows.
 
 use chestnut_config::Plan;
-use chestnut_config::plan::How;
+use chestnut_config::plan::DifferenceKind;
 use serde_json::Value;
 
 use crate::query::Row;
@@ -47,12 +47,12 @@
 pub fn plan(plan: &Plan) -> String {
     let mut text = String::new();
     for change in &plan.changes {
-        let sign = match change.how {
-            How::Add => '+',
-            How::Remove => '-',
-            How::Change => '~',
+        let sign = match change.kind {
+            DifferenceKind::Add => '+',
+            DifferenceKind::Remove => '-',
+            DifferenceKind::Change => '~',
         };
-        text.push_str(&format!("{sign} {} {}\n", change.what, change.name));
+        text.push_str(&format!("{sign} {} {}\n", change.item_type, change.name));
         for (field, (old, new)) in &change.fields {
             let (old, new) = (cell(Some(old)), cell(Some(new)));
             text.push_str(&format!("    {field}: {old} -> {new}\n"));
@@ -60,7 +60,7 @@
     }
     for it in &plan.moves {
         let gigabytes = it.bytes as f64 / 1e9;
-        let seconds = it.cold_ms as f64 / 1e3;
+        let seconds = it.load_ms as f64 / 1e3;
         let line = if it.replicas > 0 {
             format!(
                 "load {} of {} in {}: {gigabytes:.1} GB, {seconds:.1} s each at least\n",
--- a/crates/ctl/src/run.rs
+++ b/crates/ctl/src/run.rs
@@ -3,7 +3,7 @@
 use std::fs::{self, File};
 use std::io::{self, BufReader, Write};
 
-use chestnut_config::TeamText;
+use chestnut_config::TeamFiles;
 use serde::Deserialize;
 use serde_json::{Value, json};
 
@@ -132,21 +132,21 @@
 
 /// A team's files as a daemon knows them.
 #[derive(Debug, Clone, Deserialize)]
-pub struct TeamFiles {
+pub struct FilesAtRevision {
     /// The newest revision.
     pub revision: u64,
     files: indexmap::IndexMap<String, String>,
 }
 
-impl TeamFiles {
+impl FilesAtRevision {
     /// The texts.
-    pub fn text(self) -> TeamText {
-        TeamText { files: self.files }
+    pub fn text(self) -> TeamFiles {
+        TeamFiles { files: self.files }
     }
 }
 
 /// The team's files, now or at a revision.
-pub async fn files_at(client: &Client, at: Option<u64>) -> Result<TeamFiles, Stop> {
+pub async fn files_at(client: &Client, at: Option<u64>) -> Result<FilesAtRevision, Stop> {
     let query: Vec<_> = at.map(|at| ("at", at.to_string())).into_iter().collect();
     client.get("files", &query).await.map_err(|error| match error {
         ClientError::Refused(_, why) => Stop::new(Exit::Refused, why),
--- a/crates/ctl/tests/schema.rs
+++ b/crates/ctl/tests/schema.rs
@@ -3,7 +3,7 @@
 use std::fs;
 
 use chestnut_base::{Revision, TeamName};
-use chestnut_config::{Catalog, TeamText};
+use chestnut_config::{Catalog, TeamFiles};
 use chestnut_ctl::files;
 use chestnut_ctl::schema::Subject;
 use indexmap::{IndexMap, IndexSet};
@@ -12,13 +12,13 @@
 const EXAMPLES: &str = concat!(env!("CARGO_MANIFEST_DIR"), "/../../examples");
 
 fn catalog() -> Value {
-    let mut teams: IndexMap<TeamName, TeamText> = IndexMap::new();
+    let mut teams: IndexMap<TeamName, TeamFiles> = IndexMap::new();
     for dir in fs::read_dir(format!("{EXAMPLES}/declarations")).unwrap() {
         let dir = dir.unwrap();
         let team = TeamName::try_from(dir.file_name().to_str().unwrap()).unwrap();
         teams.insert(team, files::read(dir.path().to_str().unwrap()).unwrap());
     }
-    serde_json::to_value(Catalog::union(Revision(1), &teams).unwrap()).unwrap()
+    serde_json::to_value(Catalog::merge(Revision(1), &teams).unwrap()).unwrap()
 }
 
 #[test]
--- a/crates/demo/src/own/stage.rs
+++ b/crates/demo/src/own/stage.rs
@@ -7,7 +7,7 @@
 
 use chestnut_base::SystemClock;
 use chestnut_config::Settings;
-use chestnut_config::keys::sha256;
+use chestnut_config::keys::sha256_hex;
 use chestnut_fake::caller::{Ask, Completion, Form};
 use chestnut_fake::{
     EngineConfig, Handle, ServiceConfig, WeightSpeed, certs, engine, platform, service,
@@ -190,7 +190,9 @@
         let platform = self.platform.url();
         let operators: serde_json::Map<String, Value> = TEAMS
             .iter()
-            .map(|(team, _)| (team.to_string(), sha256(&format!("ops-{team}")).into()))
+            .map(|(team, _)| {
+                (team.to_string(), sha256_hex(&format!("ops-{team}")).into())
+            })
             .collect();
         let any = any().to_string();
         json!({
@@ -212,7 +214,7 @@
         for (team, text) in TEAMS {
             let mut text = text.to_owned();
             for caller in CALLERS {
-                let hash = sha256(&format!("key-{caller}"));
+                let hash = sha256_hex(&format!("key-{caller}"));
                 text = text.replace(&format!("@{caller}@"), &hash);
             }
             self.declare_one(team, &text).await?;
--- a/crates/lab/src/config.rs
+++ b/crates/lab/src/config.rs
@@ -10,7 +10,7 @@
 
 use bpaf::Bpaf;
 use chestnut_base::{Revision, TeamName};
-use chestnut_config::{Catalog, TeamText};
+use chestnut_config::{Catalog, TeamFiles};
 use hdrhistogram::Histogram;
 use indexmap::IndexMap;
 use serde_json::{Value, json};
@@ -134,12 +134,12 @@
         bytes += text.len();
         let files = [("all.jsonc".to_owned(), text)].into_iter().collect();
         let name = TeamName::try_from(format!("team-{team}")).expect("the name is valid");
-        teams.insert(name, TeamText { files });
+        teams.insert(name, TeamFiles { files });
     }
     let mut best = Duration::MAX;
     for _ in 0..5 {
         let start = Instant::now();
-        let catalog = Catalog::union(Revision(1), &teams).expect("they are valid");
+        let catalog = Catalog::merge(Revision(1), &teams).expect("they are valid");
         assert_eq!(catalog.models.len(), MODELS);
         best = best.min(start.elapsed());
     }
--- a/crates/lab/src/config/stage.rs
+++ b/crates/lab/src/config/stage.rs
@@ -100,7 +100,7 @@
                 "cert": file("daemon.pem"), "key": file("daemon.key"),
                 "trust": file("trust.pem"),
             },
-            "operators": { TEAM: keys::sha256(KEY) },
+            "operators": { TEAM: keys::sha256_hex(KEY) },
             "times": { "poll_ms": options.poll },
         });
         let settings = Settings::parse("the experiment's settings", &text.to_string());
--- a/crates/node/src/confsync.rs
+++ b/crates/node/src/confsync.rs
@@ -10,9 +10,11 @@
 
 use bytes::Bytes;
 use chestnut_base::{PoolName, Revision, TeamName};
-use chestnut_config::apply::{Commit, Event, KEPT, Snapshot, Step};
-use chestnut_config::rows::{self, Entry, FileRow, Files, Head, Ruling};
-use chestnut_config::{Answer, Applier, Catalog, Change, Handover, Replica};
+use chestnut_config::apply::{Event, MAX_HISTORY_REVISIONS, Snapshot, Step, Transaction};
+use chestnut_config::rows::{self, FileRow, Files, Head, HistoryEntry, StoredVerdict};
+use chestnut_config::{
+    Applier, ApplyOutcome, Catalog, Change, ConfigReplica, ReplicaUpdate,
+};
 use chestnut_member::view::ServerRole;
 use chestnut_plat::{Delta, PlatformError, Row, Txn, TxnResponse, VmRole};
 use chestnut_wire::{PeerRequest, PeerResponse};
@@ -57,7 +59,7 @@
 
 #[derive(Default)]
 struct Store {
-    replica: Replica,
+    replica: ConfigReplica,
     /// The last revision that was checked, in force or not.
     checked: Revision,
 }
@@ -91,7 +93,7 @@
 ///
 /// A daemon that did not may hold declarations that others have replaced.
 pub fn is_fresh(shared: &Shared, now: Instant) -> bool {
-    shared.conf.store().replica.is_fresh(now, shared.settings.times.stale)
+    shared.conf.store().replica.is_fresh(now, shared.settings.times.max_staleness)
 }
 
 /// Keeps the declarations up to date until the daemon stops.
@@ -101,7 +103,7 @@
     let mut ask_next = shared.clock.now();
     loop {
         let members = shared.view().members.len();
-        let pace = Feed::pace(shared.settings.times.poll, members);
+        let pace = Feed::pace(shared.settings.times.poll_interval, members);
         if follow(shared).await.is_err() {
             shared.conf.failures.inc();
             if needs_peers(shared) && shared.clock.now() >= ask_next {
@@ -122,7 +124,7 @@
 
 /// Whether the last confirmation is so old that peers are asked.
 fn needs_peers(shared: &Shared) -> bool {
-    let limit = shared.settings.times.stale.div_f64(STALE_SHARE);
+    let limit = shared.settings.times.max_staleness.div_f64(STALE_SHARE);
     !shared.conf.store().replica.is_fresh(shared.clock.now(), limit)
 }
 
@@ -166,24 +168,25 @@
 /// Takes in what changed, as the feed has it, and publishes the newest
 /// declarations.
 async fn follow(shared: &Shared) -> Result<(), PlatformError> {
-    let since = shared.conf.store().replica.version();
-    let (delta, asked) = shared.changes(rows::TABLE, rows::FILES, since).await?;
+    let since = shared.conf.store().replica.table_version();
+    let (delta, asked) =
+        shared.changes(rows::CONFIG_TABLE, rows::FILE_PREFIX, since).await?;
     take(shared, delta, asked).map(drop)
 }
 
 /// Reads what changed from the table itself and publishes the newest declarations.
 pub async fn refresh(shared: &Shared) -> Result<Files, PlatformError> {
     let asked = shared.clock.now();
-    let since = shared.conf.store().replica.version();
+    let since = shared.conf.store().replica.table_version();
     shared.conf.reads.inc();
-    let delta = shared.table.scan(rows::TABLE, rows::FILES, since).await?;
+    let delta = shared.table.scan(rows::CONFIG_TABLE, rows::FILE_PREFIX, since).await?;
     take(shared, delta, asked)
 }
 
 fn take(shared: &Shared, delta: Delta, asked: Instant) -> Result<Files, PlatformError> {
     let found: Result<Vec<FileRow>, _> = delta.rows.into_iter().map(read).collect();
     let mut store = shared.conf.store();
-    store.replica.read(found?, delta.version, asked);
+    store.replica.apply_changes(found?, delta.version, asked);
     publish(shared, &mut store);
     Ok(store.replica.files().clone())
 }
@@ -196,8 +199,11 @@
 /// What to tell a peer that has revision `have` and can't read the table.
 pub fn tell(shared: &Shared, have: Revision) -> Bytes {
     let now = shared.clock.now();
-    let handover =
-        shared.conf.store().replica.tell(have, now, shared.settings.times.stale);
+    let handover = shared.conf.store().replica.update_for(
+        have,
+        now,
+        shared.settings.times.max_staleness,
+    );
     let text = serde_json::to_vec(&handover);
     text.expect("these types have texts as keys").into()
 }
@@ -206,17 +212,17 @@
 ///
 /// An answer that can't be read changes nothing.
 pub fn hear(shared: &Shared, answer: &[u8], asked: Instant) {
-    let Ok(handover) = serde_json::from_slice::<Handover>(answer) else {
+    let Ok(handover) = serde_json::from_slice::<ReplicaUpdate>(answer) else {
         shared.conf.failures.inc();
         return;
     };
     let mut store = shared.conf.store();
-    store.replica.hear(handover, asked);
+    store.replica.apply_update(handover, asked);
     publish(shared, &mut store);
 }
 
 /// Takes a change to its answer.
-pub async fn commit(shared: &Shared, change: Change) -> Answer {
+pub async fn commit(shared: &Shared, change: Change) -> ApplyOutcome {
     let wall = shared.clock.wall_time().duration_since(UNIX_EPOCH);
     let mut applier = Applier::new(change.clone(), wall.map_or(0, |at| at.as_secs()));
     let mut step = applier.start();
@@ -224,17 +230,17 @@
         let event = match step {
             Step::Read => match snapshot(shared, &change).await {
                 Ok(found) => Event::Read(Box::new(found)),
-                Err(error) => Event::Down(error.to_string()),
+                Err(error) => Event::Unavailable(error.to_string()),
             },
             Step::Commit(commit) => send(shared, commit).await,
             Step::Done(answer) => return answer,
         };
-        step = applier.on(event);
+        step = applier.handle(event);
     }
 }
 
 async fn snapshot(shared: &Shared, change: &Change) -> Result<Snapshot, PlatformError> {
-    let head = shared.table.get(rows::TABLE, rows::HEAD).await?;
+    let head = shared.table.get(rows::CONFIG_TABLE, rows::HEAD_KEY).await?;
     let head = match head {
         Some(row) => {
             let version = row.version;
@@ -244,32 +250,39 @@
     };
     let newest = head.as_ref().map_or(Revision(0), |(head, _)| head.revision);
     let files = refresh(shared).await?;
-    let oldest = match newest.0.checked_sub(KEPT) {
-        Some(old) => get(shared, &rows::entry_key(Revision(old))).await?,
+    let oldest = match newest.0.checked_sub(MAX_HISTORY_REVISIONS) {
+        Some(old) => get(shared, &rows::revision_key(Revision(old))).await?,
         None => None,
     };
     let ruling = ruling(shared, &change.team, &change.id).await?;
-    Ok(Snapshot { head, files, ruling, oldest, runners: runners(shared) })
+    Ok(Snapshot {
+        head,
+        files,
+        stored_verdict: ruling,
+        expired_entry: oldest,
+        runners: runners(shared),
+    })
 }
 
-async fn send(shared: &Shared, commit: Commit) -> Event {
-    let mut txn = Txn::new().absent(rows::table_of(&commit.fresh), commit.fresh);
-    txn = match commit.head {
-        Some(version) => txn.version(rows::TABLE, rows::HEAD, version),
-        None => txn.absent(rows::TABLE, rows::HEAD),
+async fn send(shared: &Shared, commit: Transaction) -> Event {
+    let mut txn =
+        Txn::new().absent(rows::table_for(&commit.verdict_key), commit.verdict_key);
+    txn = match commit.head_version {
+        Some(version) => txn.version(rows::CONFIG_TABLE, rows::HEAD_KEY, version),
+        None => txn.absent(rows::CONFIG_TABLE, rows::HEAD_KEY),
     };
     for (key, value) in commit.writes {
-        txn = txn.put(rows::table_of(&key), key, value);
+        txn = txn.put(rows::table_for(&key), key, value);
     }
-    for key in commit.removals {
-        txn = txn.delete(rows::table_of(&key), key);
+    for key in commit.deletes {
+        txn = txn.delete(rows::table_for(&key), key);
     }
     match shared.table.commit(&txn).await {
         Ok(TxnResponse::Committed { .. }) => Event::Committed,
         Ok(TxnResponse::Conflict { .. }) => Event::Conflict,
-        Err(PlatformError::Unavailable(why)) => Event::Down(why),
+        Err(PlatformError::Unavailable(why)) => Event::Unavailable(why),
         Err(PlatformError::OutcomeUnknown(_) | PlatformError::Protocol(_)) => {
-            Event::Unknown
+            Event::OutcomeUnknown
         }
     }
 }
@@ -279,7 +292,7 @@
     shared: &Shared,
     team: &TeamName,
     id: &str,
-) -> Result<Option<Ruling>, PlatformError> {
+) -> Result<Option<StoredVerdict>, PlatformError> {
     get(shared, &rows::change_key(team, id)).await
 }
 
@@ -287,10 +300,11 @@
 pub async fn block(
     shared: &Shared,
     revision: Revision,
-) -> Result<Vec<Entry>, PlatformError> {
+) -> Result<Vec<HistoryEntry>, PlatformError> {
     let prefix = rows::block_prefix(revision);
-    let delta = shared.table.scan(rows::LOG, &prefix, 0).await?;
-    let entries: Result<Vec<Entry>, _> = delta.rows.into_iter().map(read).collect();
+    let delta = shared.table.scan(rows::LOG_TABLE, &prefix, 0).await?;
+    let entries: Result<Vec<HistoryEntry>, _> =
+        delta.rows.into_iter().map(read).collect();
     let mut entries = entries?;
     entries.sort_by_key(|entry| std::cmp::Reverse(entry.revision));
     Ok(entries)
@@ -317,7 +331,7 @@
     // Every accepted change was checked, so that a failure here means that this
     // program is older than the one that accepted the change. It goes on with
     // the last declarations that it can read.
-    match Catalog::union(revision, &store.replica.files().teams()) {
+    match Catalog::merge(revision, &store.replica.files().by_team()) {
         Ok(catalog) => {
             shared.catalog.send_replace(Arc::new(catalog));
             shared.conf.revision.set(revision.0 as i64);
@@ -336,7 +350,7 @@
     shared: &Shared,
     key: &str,
 ) -> Result<Option<T>, PlatformError> {
-    shared.table.get(rows::table_of(key), key).await?.map(read).transpose()
+    shared.table.get(rows::table_for(key), key).await?.map(read).transpose()
 }
 
 fn read<T: DeserializeOwned>(row: Row) -> Result<T, PlatformError> {
--- a/crates/node/src/demand.rs
+++ b/crates/node/src/demand.rs
@@ -68,7 +68,7 @@
     let mut last = shared.clock.now();
     loop {
         let members = shared.view().members.len() as u32;
-        let pause = shared.settings.times.poll * POLLS;
+        let pause = shared.settings.times.poll_interval * POLLS;
         tokio::time::sleep(pause.max(PACE_PER_MEMBER * members)).await;
         let now = shared.clock.now();
         let time = now.saturating_duration_since(last);
--- a/crates/node/src/entry.rs
+++ b/crates/node/src/entry.rs
@@ -99,7 +99,7 @@
 
 /// Answers which addresses to use and for how long.
 async fn entries(State(node): State<Arc<Node>>) -> Response {
-    let keep = node.shared.settings.times.keep.as_millis() as u64;
+    let keep = node.shared.settings.times.address_ttl.as_millis() as u64;
     let entries: Vec<Value> = node
         .shared
         .entries()
@@ -173,7 +173,7 @@
     shared.check_open()?;
     let (parts, body) = request.into_parts();
     let caller = parse::caller(&shared.catalog(), &parts.headers)?;
-    let limit = shared.settings.limits.body;
+    let limit = shared.settings.limits.max_body_bytes;
     let size = parse::body_size(&parts.headers, limit)?;
     let place = node.intake.take(size).ok_or_else(entry_full)?;
     let body = to_bytes(body, size).await.map_err(|_| parse::too_large(limit))?;
@@ -227,7 +227,7 @@
         let refusal = Refusal::not_run(RefusalCode::BadRequest, text);
         return refuse(&out, refusal).await;
     };
-    let key = ClaimKey::Slot(slot_of(&id, node.shared.settings.limits.slots));
+    let key = ClaimKey::Slot(slot_of(&id, node.shared.settings.limits.journal_slots));
     let now = node.shared.clock.now();
     let (end, settled) = (now + work.budget, now + SETTLE.min(work.budget));
     let once = OnceRequest { request: work, call };
@@ -316,7 +316,7 @@
 }
 
 async fn ask_state(node: &Arc<Node>, id: RequestId) -> OnceState {
-    let key = ClaimKey::Slot(slot_of(&id, node.shared.settings.limits.slots));
+    let key = ClaimKey::Slot(slot_of(&id, node.shared.settings.limits.journal_slots));
     let view = node.shared.view();
     let Some((claim, member)) = view.holder(&key) else {
         return OnceState::Unreadable("the journal has no holder now; ask again".into());
--- a/crates/node/src/explain.rs
+++ b/crates/node/src/explain.rs
@@ -114,7 +114,7 @@
         let found = catalog.services.iter().find(|(it, _)| it.as_str() == name);
         if let Some((name, service)) = found {
             steps.push(format!("service `{name}` is declared by {}", service.team));
-            default = service.kind.clone();
+            default = service.default_kind.clone();
             for (server, it) in &view.servers {
                 if it.role == ServerRole::Service(name.clone()) {
                     servers.push(candidate(&view, server.as_str(), it, true));
@@ -126,7 +126,7 @@
     }
     if let Some(name) = &request.model {
         if let Some(route) = catalog.routes.get(name) {
-            default = route.kind.clone();
+            default = route.default_kind.clone();
             steps.push(along(name, route));
             if let Some(model) = catalog.models.get(&route.model) {
                 steps.push(format!(
--- a/crates/node/src/lead.rs
+++ b/crates/node/src/lead.rs
@@ -327,7 +327,8 @@
     match role {
         ServerRole::Runner(pool) => {
             let pool = catalog.pools.get(pool)?;
-            let (streams, tokens, step) = (pool.streams, pool.tokens, pool.step);
+            let (streams, tokens, step) =
+                (pool.max_streams, pool.kv_tokens, pool.step_time);
             Some(Limits {
                 max_streams: streams,
                 max_cache_tokens: tokens,
@@ -336,7 +337,7 @@
             })
         }
         ServerRole::Service(name) => {
-            let streams = catalog.services.get(name)?.parallel;
+            let streams = catalog.services.get(name)?.max_parallel;
             Some(Limits {
                 max_streams: streams,
                 max_cache_tokens: u64::MAX,
--- a/crates/node/src/members.rs
+++ b/crates/node/src/members.rs
@@ -145,7 +145,7 @@
     /// After an outage of the table all daemons come back within one such pause
     /// and no faster than they always poll, so that the return is no stampede.
     fn pause(&self) -> Duration {
-        let poll = self.shared.settings.times.poll;
+        let poll = self.shared.settings.times.poll_interval;
         let pace = Feed::pace(poll, self.known.members.len());
         pace.mul_f64(rand::random_range(0.75..1.25))
     }
@@ -231,7 +231,7 @@
             }
             self.counters.renewals.inc();
             self.joined = true;
-            self.renew_at = now + self.shared.settings.times.renewal;
+            self.renew_at = now + self.shared.settings.times.renewal_interval;
         } else {
             own_lease.revoke();
             self.joined = false;
@@ -254,7 +254,7 @@
 
     /// Removes the rows of watched daemons whose lease lapsed.
     async fn remove_lapsed(&mut self) -> Result<(), PlatformError> {
-        let term = self.shared.settings.times.lease;
+        let term = self.shared.settings.times.lease_duration;
         for vm in expired(&self.known, &self.leases, self.now, term) {
             let Some((_, version)) = self.known.members.get(&vm) else {
                 continue;
--- a/crates/node/src/members/claims.rs
+++ b/crates/node/src/members/claims.rs
@@ -71,7 +71,8 @@
     pub(super) fn keys(&self) -> Vec<ClaimKey> {
         let mut keys = vec![ClaimKey::Vms];
         keys.extend(
-            (0..self.shared.settings.limits.slots).map(|n| ClaimKey::Slot(SlotId(n))),
+            (0..self.shared.settings.limits.journal_slots)
+                .map(|n| ClaimKey::Slot(SlotId(n))),
         );
         keys.extend(self.known.servers.keys().cloned().map(ClaimKey::Server));
         keys.extend(self.shared.catalog().pools.keys().cloned().map(ClaimKey::Pool));
--- a/crates/node/src/opsconf.rs
+++ b/crates/node/src/opsconf.rs
@@ -25,9 +25,9 @@
 use axum::routing::{get, post};
 use axum::{Json, Router};
 use chestnut_base::{Revision, TeamName, VmName};
-use chestnut_config::history::{ROLLBACK_LIMIT, take_back};
-use chestnut_config::rows::{BLOCK, Entry};
-use chestnut_config::{Answer, Change, Plan, Reason, Verdict, keys};
+use chestnut_config::history::{MAX_ROLLBACK_REVISIONS, roll_back};
+use chestnut_config::rows::{HistoryEntry, REVISIONS_PER_BLOCK};
+use chestnut_config::{ApplyOutcome, Change, Plan, RefusalReason, Verdict, keys};
 use chestnut_member::View;
 use chestnut_plat::{PlatformError, Txn};
 use serde::Deserialize;
@@ -79,10 +79,11 @@
     let revision = files.revision();
     let next = Revision(revision.0 + 1);
     let runners = confsync::runners(shared);
-    let (reason, plan): (Option<Reason>, _) = match change.judge(&files, &runners, next) {
-        Ok(new) => (None, Plan::between(&shared.catalog(), &new)),
-        Err(reason) => (Some(reason), Plan::default()),
-    };
+    let (reason, plan): (Option<RefusalReason>, _) =
+        match change.evaluate(&files, &runners, next) {
+            Ok(new) => (None, Plan::diff(&shared.catalog(), &new)),
+            Err(reason) => (Some(reason), Plan::default()),
+        };
     Ok(Json(json!({ "revision": revision, "reason": reason, "plan": plan }))
         .into_response())
 }
@@ -95,9 +96,9 @@
     let shared = &node.shared;
     let change = own(shared, &headers, body)?;
     match confsync::commit(shared, change).await {
-        Answer::Final(verdict) => Ok(answer(verdict)),
-        Answer::Undecided(why) => Err(Fault::undecided(&why)),
-        Answer::Reused => Err(Fault::new(
+        ApplyOutcome::Decided(verdict) => Ok(answer(verdict)),
+        ApplyOutcome::Undecided(why) => Err(Fault::undecided(&why)),
+        ApplyOutcome::IdReused => Err(Fault::new(
             StatusCode::UNPROCESSABLE_ENTITY,
             "the change's id was used for another change; choose a new id",
         )),
@@ -148,10 +149,10 @@
         (Err(error), Some(_)) => return Err(error.into()),
     };
     let newest = files.revision();
-    let mut text = files.team(&team);
+    let mut text = files.of_team(&team);
     if let Some(at) = query.at {
         let entries = entries(shared, newest, at).await?;
-        text = take_back(&team, text, Revision(at), &entries);
+        text = roll_back(&team, text, Revision(at), &entries);
     }
     Ok(Json(json!({ "revision": newest, "files": text.files })).into_response())
 }
@@ -161,19 +162,19 @@
     shared: &Shared,
     newest: Revision,
     at: u64,
-) -> Result<Vec<Entry>, Fault> {
+) -> Result<Vec<HistoryEntry>, Fault> {
     let count = newest.0.checked_sub(at).ok_or_else(|| {
         Fault::new(
             StatusCode::NOT_FOUND,
             format!("there is no revision {at}; the newest is {newest}"),
         )
     })?;
-    if count > ROLLBACK_LIMIT {
+    if count > MAX_ROLLBACK_REVISIONS {
         return Err(Fault::new(
             StatusCode::NOT_FOUND,
             format!(
-                "revision {at} is more than {ROLLBACK_LIMIT} back; apply the files from \
-                 your version control"
+                "revision {at} is more than {MAX_ROLLBACK_REVISIONS} back; apply the files \
+                 from your version control"
             ),
         ));
     }
@@ -195,13 +196,14 @@
     shared: &Shared,
     newest: Revision,
     count: usize,
-) -> Result<Vec<Entry>, PlatformError> {
-    let mut found: Vec<Entry> = Vec::new();
-    let mut block = Some(newest.0 / BLOCK);
+) -> Result<Vec<HistoryEntry>, PlatformError> {
+    let mut found: Vec<HistoryEntry> = Vec::new();
+    let mut block = Some(newest.0 / REVISIONS_PER_BLOCK);
     while let Some(number) = block
         && found.len() < count
     {
-        let entries = confsync::block(shared, Revision(number * BLOCK)).await?;
+        let entries =
+            confsync::block(shared, Revision(number * REVISIONS_PER_BLOCK)).await?;
         found.extend(entries.into_iter().filter(|entry| entry.revision <= newest));
         block = number.checked_sub(1);
     }
@@ -325,7 +327,7 @@
             "a team changes only its own files; use the other team's key",
         ));
     }
-    match change.check() {
+    match change.validate() {
         Ok(()) => Ok(change),
         Err(message) => Err(Fault::new(StatusCode::BAD_REQUEST, message)),
     }
@@ -337,7 +339,7 @@
     let name = text("x-team").and_then(|name| TeamName::try_from(name).ok());
     let key = text("authorization").and_then(|value| value.strip_prefix("Bearer "));
     if let (Some(name), Some(key)) = (name, key)
-        && shared.settings.operators.get(&name) == Some(&keys::sha256(key))
+        && shared.settings.operators.get(&name) == Some(&keys::sha256_hex(key))
     {
         return Ok(name);
     }
--- a/crates/node/src/opsrows.rs
+++ b/crates/node/src/opsrows.rs
@@ -3,7 +3,7 @@
 use std::sync::Arc;
 
 use chestnut_base::{MemberId, Revision};
-use chestnut_config::rows::Entry;
+use chestnut_config::rows::HistoryEntry;
 use chestnut_member::{ClaimKey, LeaseRow, ServerRole, View};
 use chestnut_wire::{PeerRequest, PeerResponse};
 use indexmap::IndexMap;
@@ -52,11 +52,11 @@
 }
 
 /// A revision of the history, without texts.
-pub fn entry(entry: &Entry) -> Row {
+pub fn entry(entry: &HistoryEntry) -> Row {
     object(json!({
         "revision": entry.revision, "team": entry.team, "author": entry.author,
-        "note": entry.note, "change": entry.change, "at": entry.at,
-        "files": entry.before.keys().collect::<Vec<_>>(),
+        "note": entry.note, "change": entry.change, "at": entry.accepted_at,
+        "files": entry.previous_texts.keys().collect::<Vec<_>>(),
     }))
 }
 
--- a/crates/node/src/orders.rs
+++ b/crates/node/src/orders.rs
@@ -30,7 +30,7 @@
 /// Reads the ledger and serves the runners that this daemon leads.
 pub async fn run(shared: Arc<Shared>) {
     let counters = Arc::new(Counters::new(&shared.metrics));
-    let engines = match Engines::new(shared.settings.times.platform) {
+    let engines = match Engines::new(shared.settings.times.platform_timeout) {
         Ok(engines) => engines,
         Err(error) => {
             slog::error!(shared.log, "no orders can be sent"; "error" => %error);
@@ -67,7 +67,7 @@
 
 /// How long to wait between two reads of the table.
 pub fn pace(shared: &Shared) -> Duration {
-    Feed::pace(shared.settings.times.poll, shared.view().members.len())
+    Feed::pace(shared.settings.times.poll_interval, shared.view().members.len())
 }
 
 /// The runners that this daemon leads while its lease holds.
--- a/crates/node/src/orders/runner.rs
+++ b/crates/node/src/orders/runner.rs
@@ -112,7 +112,7 @@
     /// A runner at which nothing happens is asked less often the more runners
     /// the daemon leads, so that reports stay within the daemon's bandwidth.
     fn period(&self, busy: bool) -> Duration {
-        let poll = self.shared.settings.times.poll;
+        let poll = self.shared.settings.times.poll_interval;
         if busy {
             return poll;
         }
@@ -205,7 +205,7 @@
             ledger.mark_answered(order);
         }
         let Some(declared) = catalog.pools.get(pool) else { return Vec::new() };
-        ledger.capacity = declared.memory.min(report.capacity);
+        ledger.capacity = declared.memory_bytes.min(report.capacity);
         let wanted = if server.leaving { Some(Vec::new()) } else { self.wanted() };
         let Some(wanted) = wanted else { return Vec::new() };
         let view = self.shared.view();
--- a/crates/node/src/parse.rs
+++ b/crates/node/src/parse.rs
@@ -122,7 +122,7 @@
     if output == 0 || output > OUTPUT_LIMIT {
         return Err(bad(format!("`max_tokens` must be 1 to {OUTPUT_LIMIT}")));
     }
-    let terms = terms(&catalog, headers, route.kind.as_ref(), &route.team, true)?;
+    let terms = terms(&catalog, headers, route.default_kind.as_ref(), &route.team, true)?;
     let digest = digest(&target, call);
     let name = body.model.clone();
     let form = if chat { Form::Chat(name) } else { Form::Completion(name) };
@@ -162,7 +162,8 @@
     let name = ServiceName::try_from(name).map_err(|_| unknown())?;
     let service = catalog.services.get(&name).ok_or_else(unknown)?;
     let safe = matches!(call.method.as_str(), "GET" | "HEAD" | "OPTIONS" | "TRACE");
-    let terms = terms(&catalog, headers, service.kind.as_ref(), &service.team, safe)?;
+    let terms =
+        terms(&catalog, headers, service.default_kind.as_ref(), &service.team, safe)?;
     let target = Target::Service { name };
     let work = RequestSpec {
         id: request_id(&caller, headers)?,
--- a/crates/node/src/pick.rs
+++ b/crates/node/src/pick.rs
@@ -275,11 +275,11 @@
 fn size(catalog: &Catalog, info: &Server) -> Option<(u32, Duration)> {
     match &info.role {
         ServerRole::Runner(pool) => {
-            catalog.pools.get(pool).map(|pool| (pool.streams, pool.step))
+            catalog.pools.get(pool).map(|pool| (pool.max_streams, pool.step_time))
         }
         ServerRole::Service(name) => {
             let service = catalog.services.get(name)?;
-            Some((service.parallel, CALL))
+            Some((service.max_parallel, CALL))
         }
     }
 }
--- a/crates/node/src/planner.rs
+++ b/crates/node/src/planner.rs
@@ -60,7 +60,7 @@
                 );
             }
         }
-        let pause = shared.settings.times.poll * POLLS;
+        let pause = shared.settings.times.poll_interval * POLLS;
         tokio::time::sleep(pause.max(orders::pace(&shared))).await;
     }
 }
--- a/crates/node/src/planner/scene.rs
+++ b/crates/node/src/planner/scene.rs
@@ -75,8 +75,8 @@
         for (name, model) in &self.models {
             let mut state = ModelState {
                 bytes: self.footprint(name, model),
-                replicas: model.replicas.max(1) as usize,
-                load_time: model.cold,
+                replicas: model.min_replicas.max(1) as usize,
+                load_time: model.load_time,
                 demand: averages.get(*name).map_or(0.0, DemandEstimate::estimate),
                 placed: Vec::new(),
                 loading: 0,
@@ -91,7 +91,7 @@
                 let key = (server.clone(), (*name).clone());
                 let since = awaited.get(&key).copied().unwrap_or(now);
                 waiting.insert(key, since);
-                let limit = model.cold * COLD_TIMES + COLD_SLACK;
+                let limit = model.load_time * COLD_TIMES + COLD_SLACK;
                 if now.saturating_duration_since(since) < limit {
                     state.placed.push(runner);
                     state.loading += 1;
@@ -103,11 +103,11 @@
         let runners = (0..self.runners.len())
             .map(|runner| self.runner_state(runner, &models, &usable))
             .collect();
-        let step = self.declared.step.as_secs_f64().max(0.001);
+        let step = self.declared.step_time.as_secs_f64().max(0.001);
         PoolState {
             runners,
             models,
-            runner_throughput: f64::from(self.declared.streams.max(1)) / step,
+            runner_throughput: f64::from(self.declared.max_streams.max(1)) / step,
             parallel_loads: self.declared.parallel_loads.max(1) as usize,
             frozen: false,
             attainment_weight: self.declared.attainment_weight,
@@ -131,8 +131,8 @@
         for (index, (name, model)) in self.models.iter().enumerate() {
             for runner in &placement.placed[index] {
                 let asset = Asset::model((*name).clone(), model.version.clone());
-                wanted[*runner].push(DesiredAsset { asset, bytes: model.bytes });
-                room[*runner] = room[*runner].saturating_sub(model.bytes);
+                wanted[*runner].push(DesiredAsset { asset, bytes: model.memory_bytes });
+                room[*runner] = room[*runner].saturating_sub(model.memory_bytes);
             }
         }
         let mut unplaced: Vec<Unplaced> = placement
@@ -177,17 +177,18 @@
         for (adapter, declared) in adapters {
             let mut count = 0;
             for runner in at {
-                if room[*runner] < declared.bytes {
+                if room[*runner] < declared.memory_bytes {
                     continue;
                 }
                 let version = model.version.clone();
                 let asset = Asset::adapter(name.clone(), version, adapter.clone());
-                wanted[*runner].push(DesiredAsset { asset, bytes: declared.bytes });
-                room[*runner] -= declared.bytes;
+                wanted[*runner]
+                    .push(DesiredAsset { asset, bytes: declared.memory_bytes });
+                room[*runner] -= declared.memory_bytes;
                 count += 1;
             }
             if count == 0 && !at.is_empty() {
-                let (name, bytes) = (adapter.to_string(), declared.bytes);
+                let (name, bytes) = (adapter.to_string(), declared.memory_bytes);
                 unplaced.push(Unplaced { name, bytes, missing: 1 });
             }
         }
@@ -196,8 +197,8 @@
     /// The memory of a replica with its adapters, at most a runner's.
     fn footprint(&self, name: &ModelName, model: &Model) -> u64 {
         let adapters = self.catalog.adapters.values().filter(|a| a.model == *name);
-        let sum: u64 = adapters.map(|adapter| adapter.bytes).sum();
-        (model.bytes + sum).min(self.declared.memory).max(model.bytes)
+        let sum: u64 = adapters.map(|adapter| adapter.memory_bytes).sum();
+        (model.memory_bytes + sum).min(self.declared.memory_bytes).max(model.memory_bytes)
     }
 
     fn ledger(&self, runner: usize) -> Option<&'a Ledger> {
@@ -256,7 +257,7 @@
             let last = want.asset.version != model.version && held && count <= 1;
             !last
                 || (!adapted
-                    && ledger.is_some_and(|held| held.free_bytes() >= model.bytes))
+                    && ledger.is_some_and(|held| held.free_bytes() >= model.memory_bytes))
         };
         (0..self.runners.len()).filter(is_placed).collect()
     }
@@ -274,7 +275,7 @@
     ) -> RunnerState {
         let (_, server) = self.runners[runner];
         let ledger = self.ledger(runner);
-        let capacity = self.declared.memory;
+        let capacity = self.declared.memory_bytes;
         let pinned = |item: &&Reservation| self.is_pinned(item, runner, models, usable);
         let other = ledger.map_or(0, |ledger| {
             ledger.reservations.iter().filter(pinned).map(|item| item.bytes).sum()
--- a/crates/node/src/poison.rs
+++ b/crates/node/src/poison.rs
@@ -321,7 +321,7 @@
 
 fn pause(shared: &Shared) -> Duration {
     let members = shared.view().members.len();
-    let pace = Feed::pace(shared.settings.times.poll, members);
+    let pace = Feed::pace(shared.settings.times.poll_interval, members);
     pace.mul_f64(rand::random_range(0.75..1.25))
 }
 
--- a/crates/node/src/run.rs
+++ b/crates/node/src/run.rs
@@ -121,7 +121,7 @@
         info!(shared.log, "leaving");
         shared.note_leaving(shared.me);
         self.tell_others().await;
-        tokio::time::sleep(shared.settings.times.leave).await;
+        tokio::time::sleep(shared.settings.times.drain_time).await;
         shared.closed.send_replace(true);
         self.listeners.cancel();
         while !self.node.is_idle() {
@@ -167,7 +167,7 @@
     log: Logger,
     peers: Peers,
 ) -> Result<Node, Report<StartError>> {
-    let wait = settings.times.platform;
+    let wait = settings.times.platform_timeout;
     let client = StartError::Client;
     let table = TableClient::new(&settings.table_url, wait).change_context(client)?;
     let objects = ObjectStore::new(&settings.object_url, wait)
@@ -182,7 +182,7 @@
         picker: Picker::new(shared.clock.clone(), shared.me.0),
         slots: Slots::new(),
         poison: Arc::new(Poison::new(&shared)),
-        intake: Intake::new(limits.requests, limits.memory),
+        intake: Intake::new(limits.max_requests, limits.max_buffered_bytes),
         peers,
         http,
         shared,
--- a/crates/node/src/shared.rs
+++ b/crates/node/src/shared.rs
@@ -28,7 +28,7 @@
     members::CLAIMS,
     members::SERVERS,
     members::DRAINS,
-    chestnut_config::rows::TABLE,
+    chestnut_config::rows::CONFIG_TABLE,
     orders::rows::LEDGER,
     orders::rows::PLAN,
     poison::POISON,
@@ -100,7 +100,7 @@
         objects: ObjectStore,
         vms: VmList,
     ) -> Self {
-        let term = settings.times.lease;
+        let term = settings.times.lease_duration;
         let metrics = Metrics::new();
         let conf = Conf::new(&metrics);
         Self {
@@ -188,7 +188,7 @@
         // after an operator read that the new ones are in force everywhere.
         if !self.listed.load(Ordering::Acquire) {
             return Err(others("this daemon is joining")
-                .with_retry_after(self.settings.times.renewal));
+                .with_retry_after(self.settings.times.renewal_interval));
         }
         // Otherwise a daemon that joined just before an outage of the table would
         // refuse every model as not resident for as long as the outage lasts.
--- a/crates/node/src/slots/keeper.rs
+++ b/crates/node/src/slots/keeper.rs
@@ -154,7 +154,7 @@
     }
 
     fn slot(&self, id: &RequestId) -> SlotId {
-        slot_of(id, self.node.shared.settings.limits.slots)
+        slot_of(id, self.node.shared.settings.limits.journal_slots)
     }
 
     fn wait(&mut self, waiter: Waiter) -> WaiterId {
--- a/crates/node/src/tls.rs
+++ b/crates/node/src/tls.rs
@@ -58,8 +58,10 @@
 pub fn load(tls: &Tls) -> Result<PeerTls, Report<TlsError>> {
     let chain = certs(&tls.cert)?;
     let mut roots = RootCertStore::empty();
-    for cert in certs(&tls.trust)? {
-        roots.add(cert).change_context_lazy(|| fault("is no authority", &tls.trust))?;
+    for cert in certs(&tls.trusted_cas)? {
+        roots
+            .add(cert)
+            .change_context_lazy(|| fault("is no authority", &tls.trusted_cas))?;
     }
     let roots = Arc::new(roots);
     let key = PrivateKeyDer::from_pem_file(&tls.key)
@@ -70,7 +72,7 @@
     let verifier =
         WebPkiClientVerifier::builder_with_provider(roots.clone(), provider.clone())
             .build()
-            .change_context_lazy(|| fault("holds no authority", &tls.trust))?;
+            .change_context_lazy(|| fault("holds no authority", &tls.trusted_cas))?;
     let mut server = rustls::ServerConfig::builder_with_provider(provider.clone())
         .with_protocol_versions(&[&rustls::version::TLS13])
         .change_context_lazy(refused)?
--- a/crates/place/tests/last_replica.rs
+++ b/crates/place/tests/last_replica.rs
@@ -59,9 +59,9 @@
             team: TeamName::try_from("letters").expect("a valid name"),
             pool: chestnut_base::PoolName::try_from("drafting").expect("a valid name"),
             version: version(0),
-            bytes: BYTES,
-            cold: std::time::Duration::from_secs(30),
-            replicas: 1,
+            memory_bytes: BYTES,
+            load_time: std::time::Duration::from_secs(30),
+            min_replicas: 1,
         };
         let mut catalog = Catalog::default();
         for index in 0..MODELS {
--- a/tests/support/world.rs
+++ b/tests/support/world.rs
@@ -6,7 +6,7 @@
 use std::time::Duration;
 
 use chestnut_base::{NameError, RequestId, slot_of};
-use chestnut_config::keys::sha256;
+use chestnut_config::keys::sha256_hex;
 use chestnut_fake::certs;
 use indexmap::IndexMap;
 use reqwest::Client;
@@ -247,7 +247,7 @@
     async fn declare_base(&mut self) -> Result<(), Failure> {
         let mut text = include_str!("base.jsonc").to_owned();
         for caller in ["portal", "caseworker"] {
-            let hash = sha256(&format!("key-{caller}"));
+            let hash = sha256_hex(&format!("key-{caller}"));
             text = text.replace(&format!("@{caller}@"), &hash);
         }
         let start = std::time::Instant::now();
@@ -397,8 +397,10 @@
         let platform = self.base("platform")?;
         let keys = self.dir.join(options.or("keys", KEYS));
         let file = |name: &str| keys.join(name).display().to_string();
-        let operators: IndexMap<&str, String> =
-            TEAMS.iter().map(|team| (*team, sha256(&format!("ops-{team}")))).collect();
+        let operators: IndexMap<&str, String> = TEAMS
+            .iter()
+            .map(|team| (*team, sha256_hex(&format!("ops-{team}"))))
+            .collect();
         let any = "127.0.0.1:0";
         let mut settings = json!({
             "vm": name,
