--- a/crates/node/src/config_api.rs
+++ b/crates/node/src/config_api.rs
@@ -25,9 +25,9 @@
 use axum::routing::{get, post};
 use axum::{Json, Router};
 use chestnut_base::{Revision, TeamName, VmName};
-use chestnut_config::history::{ROLLBACK_LIMIT, take_back};
-use chestnut_config::rows::{BLOCK, Entry};
-use chestnut_config::{Answer, Change, Plan, Reason, Verdict, keys};
+use chestnut_config::history::{MAX_ROLLBACK_REVISIONS, roll_back};
+use chestnut_config::rows::{HistoryEntry, REVISIONS_PER_BLOCK};
+use chestnut_config::{ApplyOutcome, Change, Plan, RefusalReason, Verdict, keys};
 use chestnut_member::View;
 use chestnut_plat::{PlatformError, Txn};
 use serde::Deserialize;
@@ -79,11 +79,11 @@
     let revision = files.revision();
     let next = Revision(revision.0 + 1);
     let runners = config_sync::runner_counts(shared);
-    let (refusal, plan): (Option<Reason>, _) = match change.judge(&files, &runners, next)
-    {
-        Ok(new) => (None, Plan::between(&shared.catalog(), &new)),
-        Err(reason) => (Some(reason), Plan::default()),
-    };
+    let (refusal, plan): (Option<RefusalReason>, _) =
+        match change.evaluate(&files, &runners, next) {
+            Ok(new) => (None, Plan::diff(&shared.catalog(), &new)),
+            Err(reason) => (Some(reason), Plan::default()),
+        };
     Ok(Json(json!({ "revision": revision, "reason": refusal, "plan": plan }))
         .into_response())
 }
@@ -96,9 +96,9 @@
     let shared = &node.shared;
     let change = authorized_change(shared, &headers, body)?;
     match config_sync::apply_change(shared, change).await {
-        Answer::Final(verdict) => Ok(verdict_response(verdict)),
-        Answer::Undecided(reason) => Err(ApiError::undecided(&reason)),
-        Answer::Reused => Err(ApiError::new(
+        ApplyOutcome::Decided(verdict) => Ok(verdict_response(verdict)),
+        ApplyOutcome::Undecided(reason) => Err(ApiError::undecided(&reason)),
+        ApplyOutcome::IdReused => Err(ApiError::new(
             StatusCode::UNPROCESSABLE_ENTITY,
             "the id was already used for a different change; choose a new id",
         )),
@@ -149,10 +149,10 @@
         (Err(error), Some(_)) => return Err(error.into()),
     };
     let newest = files.revision();
-    let mut text = files.team(&team);
+    let mut text = files.of_team(&team);
     if let Some(at) = query.at {
         let entries = entries_after(shared, newest, at).await?;
-        text = take_back(&team, text, Revision(at), &entries);
+        text = roll_back(&team, text, Revision(at), &entries);
     }
     Ok(Json(json!({ "revision": newest, "files": text.files })).into_response())
 }
@@ -162,19 +162,19 @@
     shared: &Shared,
     newest: Revision,
     at: u64,
-) -> Result<Vec<Entry>, ApiError> {
+) -> Result<Vec<HistoryEntry>, ApiError> {
     let count = newest.0.checked_sub(at).ok_or_else(|| {
         ApiError::new(
             StatusCode::NOT_FOUND,
             format!("there is no revision {at}; the newest is {newest}"),
         )
     })?;
-    if count > ROLLBACK_LIMIT {
+    if count > MAX_ROLLBACK_REVISIONS {
         return Err(ApiError::new(
             StatusCode::NOT_FOUND,
             format!(
-                "revision {at} is more than {ROLLBACK_LIMIT} revisions back; apply the files from \
-                 your version control"
+                "revision {at} is more than {MAX_ROLLBACK_REVISIONS} revisions back; apply the files \
+                 from your version control"
             ),
         ));
     }
@@ -196,14 +196,15 @@
     shared: &Shared,
     newest: Revision,
     count: usize,
-) -> Result<Vec<Entry>, PlatformError> {
-    let mut newest_first: Vec<Entry> = Vec::new();
-    let mut block = Some(newest.0 / BLOCK);
+) -> Result<Vec<HistoryEntry>, PlatformError> {
+    let mut newest_first: Vec<HistoryEntry> = Vec::new();
+    let mut block = Some(newest.0 / REVISIONS_PER_BLOCK);
     while let Some(number) = block
         && newest_first.len() < count
     {
         let entries =
-            config_sync::history_block(shared, Revision(number * BLOCK)).await?;
+            config_sync::history_block(shared, Revision(number * REVISIONS_PER_BLOCK))
+                .await?;
         newest_first.extend(entries.into_iter().filter(|entry| entry.revision <= newest));
         block = number.checked_sub(1);
     }
@@ -325,7 +326,7 @@
             "a team may change only its own files; use the key of the team that owns them",
         ));
     }
-    match change.check() {
+    match change.validate() {
         Ok(()) => Ok(change),
         Err(message) => Err(ApiError::new(StatusCode::BAD_REQUEST, message)),
     }
@@ -337,7 +338,7 @@
     let name = header("x-team").and_then(|name| TeamName::try_from(name).ok());
     let key = header("authorization").and_then(|value| value.strip_prefix("Bearer "));
     if let (Some(name), Some(key)) = (name, key)
-        && shared.settings.operators.get(&name) == Some(&keys::sha256(key))
+        && shared.settings.operators.get(&name) == Some(&keys::sha256_hex(key))
     {
         return Ok(name);
     }
--- a/crates/node/src/config_sync.rs
+++ b/crates/node/src/config_sync.rs
@@ -11,9 +11,11 @@
 
 use bytes::Bytes;
 use chestnut_base::{PoolName, Revision, TeamName};
-use chestnut_config::apply::{Commit, Event, KEPT, Snapshot, Step};
-use chestnut_config::rows::{self, Entry, FileRow, Files, Head, Ruling};
-use chestnut_config::{Answer, Applier, Catalog, Change, Handover, Replica};
+use chestnut_config::apply::{Event, MAX_HISTORY_REVISIONS, Snapshot, Step, Transaction};
+use chestnut_config::rows::{self, FileRow, Files, Head, HistoryEntry, StoredVerdict};
+use chestnut_config::{
+    Applier, ApplyOutcome, Catalog, Change, ConfigReplica, ReplicaUpdate,
+};
 use chestnut_member::view::ServerRole;
 use chestnut_plat::{Delta, PlatformError, Row, Txn, TxnResponse, VmRole};
 use chestnut_wire::{PeerRequest, PeerResponse};
@@ -57,7 +59,7 @@
 
 #[derive(Default)]
 struct ReplicaState {
-    replica: Replica,
+    replica: ConfigReplica,
     /// The last revision that was validated, whether or not it came into force.
     last_checked: Revision,
 }
@@ -91,7 +93,7 @@
 ///
 /// Otherwise its declarations may have been replaced at other daemons.
 pub fn is_fresh(shared: &Shared, now: Instant) -> bool {
-    shared.conf.lock().replica.is_fresh(now, shared.settings.times.stale)
+    shared.conf.lock().replica.is_fresh(now, shared.settings.times.max_staleness)
 }
 
 /// Keeps the declarations up to date until the daemon stops.
@@ -102,7 +104,7 @@
     loop {
         let members = shared.view().members.len();
         let poll_interval =
-            ChangeFeed::poll_interval(shared.settings.times.poll, members);
+            ChangeFeed::poll_interval(shared.settings.times.poll_interval, members);
         if sync_from_feed(shared).await.is_err() {
             shared.conf.failures.inc();
             if needs_peers(shared) && shared.clock.now() >= next_peer_query {
@@ -123,7 +125,7 @@
 
 /// Whether the last confirmation is so old that peers should be queried.
 fn needs_peers(shared: &Shared) -> bool {
-    let limit = shared.settings.times.stale.div_f64(PEER_QUERY_DIVISOR);
+    let limit = shared.settings.times.max_staleness.div_f64(PEER_QUERY_DIVISOR);
     !shared.conf.lock().replica.is_fresh(shared.clock.now(), limit)
 }
 
@@ -166,8 +168,9 @@
 
 /// Applies the changes in the feed and publishes the newest declarations.
 async fn sync_from_feed(shared: &Shared) -> Result<(), PlatformError> {
-    let since = shared.conf.lock().replica.version();
-    let (delta, requested_at) = shared.changes(rows::TABLE, rows::FILES, since).await?;
+    let since = shared.conf.lock().replica.table_version();
+    let (delta, requested_at) =
+        shared.changes(rows::CONFIG_TABLE, rows::FILE_PREFIX, since).await?;
     apply_delta(shared, delta, requested_at).map(drop)
 }
 
@@ -175,9 +178,9 @@
 /// newest declarations.
 pub async fn refresh(shared: &Shared) -> Result<Files, PlatformError> {
     let requested_at = shared.clock.now();
-    let since = shared.conf.lock().replica.version();
+    let since = shared.conf.lock().replica.table_version();
     shared.conf.reads.inc();
-    let delta = shared.table.scan(rows::TABLE, rows::FILES, since).await?;
+    let delta = shared.table.scan(rows::CONFIG_TABLE, rows::FILE_PREFIX, since).await?;
     apply_delta(shared, delta, requested_at)
 }
 
@@ -188,7 +191,7 @@
 ) -> Result<Files, PlatformError> {
     let rows: Result<Vec<FileRow>, _> = delta.rows.into_iter().map(decode_row).collect();
     let mut state = shared.conf.lock();
-    state.replica.read(rows?, delta.version, requested_at);
+    state.replica.apply_changes(rows?, delta.version, requested_at);
     publish(shared, &mut state);
     Ok(state.replica.files().clone())
 }
@@ -203,8 +206,11 @@
 /// Sent to peers that can't read the table.
 pub fn handover(shared: &Shared, have: Revision) -> Bytes {
     let now = shared.clock.now();
-    let handover =
-        shared.conf.lock().replica.tell(have, now, shared.settings.times.stale);
+    let handover = shared.conf.lock().replica.update_for(
+        have,
+        now,
+        shared.settings.times.max_staleness,
+    );
     let json = serde_json::to_vec(&handover);
     json.expect("all map keys serialize as strings").into()
 }
@@ -213,19 +219,19 @@
 ///
 /// A malformed response is counted as a failure and changes nothing else.
 pub fn apply_handover(shared: &Shared, response: &[u8], requested_at: Instant) {
-    let Ok(handover) = serde_json::from_slice::<Handover>(response) else {
+    let Ok(handover) = serde_json::from_slice::<ReplicaUpdate>(response) else {
         shared.conf.failures.inc();
         return;
     };
     let mut state = shared.conf.lock();
-    state.replica.hear(handover, requested_at);
+    state.replica.apply_update(handover, requested_at);
     publish(shared, &mut state);
 }
 
 /// Applies a change.
 ///
 /// The answer is undecided if the table fails or other changes keep preceding this one.
-pub async fn apply_change(shared: &Shared, change: Change) -> Answer {
+pub async fn apply_change(shared: &Shared, change: Change) -> ApplyOutcome {
     let wall_time = shared.clock.wall_time().duration_since(UNIX_EPOCH);
     let mut applier =
         Applier::new(change.clone(), wall_time.map_or(0, |at| at.as_secs()));
@@ -234,12 +240,12 @@
         let event = match step {
             Step::Read => match read_snapshot(shared, &change).await {
                 Ok(snapshot) => Event::Read(Box::new(snapshot)),
-                Err(error) => Event::Down(error.to_string()),
+                Err(error) => Event::Unavailable(error.to_string()),
             },
             Step::Commit(commit) => send_commit(shared, commit).await,
             Step::Done(answer) => return answer,
         };
-        step = applier.on(event);
+        step = applier.handle(event);
     }
 }
 
@@ -247,7 +253,7 @@
     shared: &Shared,
     change: &Change,
 ) -> Result<Snapshot, PlatformError> {
-    let head = shared.table.get(rows::TABLE, rows::HEAD).await?;
+    let head = shared.table.get(rows::CONFIG_TABLE, rows::HEAD_KEY).await?;
     let head = match head {
         Some(row) => {
             let version = row.version;
@@ -257,32 +263,39 @@
     };
     let newest = head.as_ref().map_or(Revision(0), |(head, _)| head.revision);
     let files = refresh(shared).await?;
-    let oldest = match newest.0.checked_sub(KEPT) {
-        Some(oldest) => get_row(shared, &rows::entry_key(Revision(oldest))).await?,
+    let oldest = match newest.0.checked_sub(MAX_HISTORY_REVISIONS) {
+        Some(oldest) => get_row(shared, &rows::revision_key(Revision(oldest))).await?,
         None => None,
     };
     let ruling = ruling(shared, &change.team, &change.id).await?;
-    Ok(Snapshot { head, files, ruling, oldest, runners: runner_counts(shared) })
+    Ok(Snapshot {
+        head,
+        files,
+        stored_verdict: ruling,
+        expired_entry: oldest,
+        runners: runner_counts(shared),
+    })
 }
 
-async fn send_commit(shared: &Shared, commit: Commit) -> Event {
-    let mut txn = Txn::new().absent(rows::table_of(&commit.fresh), commit.fresh);
-    txn = match commit.head {
-        Some(version) => txn.version(rows::TABLE, rows::HEAD, version),
-        None => txn.absent(rows::TABLE, rows::HEAD),
+async fn send_commit(shared: &Shared, commit: Transaction) -> Event {
+    let mut txn =
+        Txn::new().absent(rows::table_for(&commit.verdict_key), commit.verdict_key);
+    txn = match commit.head_version {
+        Some(version) => txn.version(rows::CONFIG_TABLE, rows::HEAD_KEY, version),
+        None => txn.absent(rows::CONFIG_TABLE, rows::HEAD_KEY),
     };
     for (key, value) in commit.writes {
-        txn = txn.put(rows::table_of(&key), key, value);
+        txn = txn.put(rows::table_for(&key), key, value);
     }
-    for key in commit.removals {
-        txn = txn.delete(rows::table_of(&key), key);
+    for key in commit.deletes {
+        txn = txn.delete(rows::table_for(&key), key);
     }
     match shared.table.commit(&txn).await {
         Ok(TxnResponse::Committed { .. }) => Event::Committed,
         Ok(TxnResponse::Conflict { .. }) => Event::Conflict,
-        Err(PlatformError::Unavailable(reason)) => Event::Down(reason),
+        Err(PlatformError::Unavailable(reason)) => Event::Unavailable(reason),
         Err(PlatformError::OutcomeUnknown(_) | PlatformError::Protocol(_)) => {
-            Event::Unknown
+            Event::OutcomeUnknown
         }
     }
 }
@@ -292,7 +305,7 @@
     shared: &Shared,
     team: &TeamName,
     id: &str,
-) -> Result<Option<Ruling>, PlatformError> {
+) -> Result<Option<StoredVerdict>, PlatformError> {
     get_row(shared, &rows::change_key(team, id)).await
 }
 
@@ -300,10 +313,11 @@
 pub async fn history_block(
     shared: &Shared,
     revision: Revision,
-) -> Result<Vec<Entry>, PlatformError> {
+) -> Result<Vec<HistoryEntry>, PlatformError> {
     let prefix = rows::block_prefix(revision);
-    let delta = shared.table.scan(rows::LOG, &prefix, 0).await?;
-    let entries: Result<Vec<Entry>, _> = delta.rows.into_iter().map(decode_row).collect();
+    let delta = shared.table.scan(rows::LOG_TABLE, &prefix, 0).await?;
+    let entries: Result<Vec<HistoryEntry>, _> =
+        delta.rows.into_iter().map(decode_row).collect();
     let mut entries = entries?;
     entries.sort_by_key(|entry| std::cmp::Reverse(entry.revision));
     Ok(entries)
@@ -330,7 +344,7 @@
     // Changes are validated before they are accepted, so a failure here means that
     // this binary is older than the one that accepted the change. The last readable
     // declarations stay in force.
-    match Catalog::union(revision, &state.replica.files().teams()) {
+    match Catalog::merge(revision, &state.replica.files().by_team()) {
         Ok(catalog) => {
             shared.catalog.send_replace(Arc::new(catalog));
             shared.conf.revision.set(revision.0 as i64);
@@ -349,7 +363,7 @@
     shared: &Shared,
     key: &str,
 ) -> Result<Option<T>, PlatformError> {
-    shared.table.get(rows::table_of(key), key).await?.map(decode_row).transpose()
+    shared.table.get(rows::table_for(key), key).await?.map(decode_row).transpose()
 }
 
 fn decode_row<T: DeserializeOwned>(row: Row) -> Result<T, PlatformError> {
--- a/crates/node/src/demand.rs
+++ b/crates/node/src/demand.rs
@@ -68,7 +68,7 @@
     let mut last_report = shared.clock.now();
     loop {
         let members = shared.view().members.len() as u32;
-        let interval = shared.settings.times.poll * REPORT_INTERVAL_POLLS;
+        let interval = shared.settings.times.poll_interval * REPORT_INTERVAL_POLLS;
         tokio::time::sleep(interval.max(REPORT_INTERVAL_PER_MEMBER * members)).await;
         let now = shared.clock.now();
         let elapsed = now.saturating_duration_since(last_report);
--- a/crates/node/src/entry.rs
+++ b/crates/node/src/entry.rs
@@ -112,7 +112,7 @@
 
 /// Returns the addresses that callers may use, and how long they may cache them.
 async fn entries(State(node): State<Arc<Node>>) -> Response {
-    let keep = node.shared.settings.times.keep.as_millis() as u64;
+    let keep = node.shared.settings.times.address_ttl.as_millis() as u64;
     let entries: Vec<Value> = node
         .shared
         .caller_addresses()
@@ -186,7 +186,7 @@
     shared.check_accepts_requests()?;
     let (parts, body) = request.into_parts();
     let caller = parse::authenticate(&shared.catalog(), &parts.headers)?;
-    let limit = shared.settings.limits.body;
+    let limit = shared.settings.limits.max_body_bytes;
     let size = parse::body_size(&parts.headers, limit)?;
     let permit = node.intake.try_acquire(size).ok_or_else(entry_full)?;
     let body = to_bytes(body, size).await.map_err(|_| parse::body_too_large(limit))?;
@@ -241,7 +241,7 @@
         let refusal = Refusal::not_run(RefusalCode::BadRequest, text);
         return refuse(&out, refusal).await;
     };
-    let key = ClaimKey::Slot(slot_of(&id, node.shared.settings.limits.slots));
+    let key = ClaimKey::Slot(slot_of(&id, node.shared.settings.limits.journal_slots));
     let now = node.shared.clock.now();
     let (deadline, lead_deadline) =
         (now + request.budget, now + LEAD_WAIT_LIMIT.min(request.budget));
@@ -333,7 +333,7 @@
 }
 
 async fn lookup_state(node: &Arc<Node>, id: RequestId) -> OnceState {
-    let key = ClaimKey::Slot(slot_of(&id, node.shared.settings.limits.slots));
+    let key = ClaimKey::Slot(slot_of(&id, node.shared.settings.limits.journal_slots));
     let view = node.shared.view();
     let Some((claim, member)) = view.holder(&key) else {
         return OnceState::Unreadable("the journal slot has no lead now".into());
--- a/crates/node/src/explain.rs
+++ b/crates/node/src/explain.rs
@@ -118,7 +118,7 @@
         let declared = catalog.services.iter().find(|(key, _)| key.as_str() == name);
         if let Some((name, service)) = declared {
             steps.push(format!("service `{name}` is declared by {}", service.team));
-            default_kind = service.kind.clone();
+            default_kind = service.default_kind.clone();
             for (server, row) in &view.servers {
                 if row.role == ServerRole::Service(name.clone()) {
                     servers.push(candidate_json(&view, server.as_str(), row, true));
@@ -130,7 +130,7 @@
     }
     if let Some(name) = &query.model {
         if let Some(route) = catalog.routes.get(name) {
-            default_kind = route.kind.clone();
+            default_kind = route.default_kind.clone();
             steps.push(route_step(name, route));
             if let Some(model) = catalog.models.get(&route.model) {
                 steps.push(format!(
--- a/crates/node/src/members.rs
+++ b/crates/node/src/members.rs
@@ -150,7 +150,7 @@
     /// After an outage of the table all daemons return within one such interval, at
     /// their usual poll rate, so that recovery causes no thundering herd.
     fn poll_interval(&self) -> Duration {
-        let poll = self.shared.settings.times.poll;
+        let poll = self.shared.settings.times.poll_interval;
         let interval = ChangeFeed::poll_interval(poll, self.rows.members.len());
         interval.mul_f64(rand::random_range(0.75..1.25))
     }
@@ -237,7 +237,7 @@
             }
             self.counters.renewals.inc();
             self.joined = true;
-            self.renew_at = now + self.shared.settings.times.renewal;
+            self.renew_at = now + self.shared.settings.times.renewal_interval;
         } else {
             own_lease.revoke();
             self.joined = false;
@@ -263,7 +263,7 @@
 
     /// Removes the rows of watched daemons whose lease expired.
     async fn remove_expired(&mut self) -> Result<(), PlatformError> {
-        let term = self.shared.settings.times.lease;
+        let term = self.shared.settings.times.lease_duration;
         for vm in expired(&self.rows, &self.leases, self.store_time_ms, term) {
             let Some((_, version)) = self.rows.members.get(&vm) else {
                 continue;
--- a/crates/node/src/members/claims.rs
+++ b/crates/node/src/members/claims.rs
@@ -66,7 +66,8 @@
     pub(super) fn claim_keys(&self) -> Vec<ClaimKey> {
         let mut keys = vec![ClaimKey::Vms];
         keys.extend(
-            (0..self.shared.settings.limits.slots).map(|n| ClaimKey::Slot(SlotId(n))),
+            (0..self.shared.settings.limits.journal_slots)
+                .map(|n| ClaimKey::Slot(SlotId(n))),
         );
         keys.extend(self.rows.servers.keys().cloned().map(ClaimKey::Server));
         keys.extend(self.shared.catalog().pools.keys().cloned().map(ClaimKey::Pool));
--- a/crates/node/src/orders.rs
+++ b/crates/node/src/orders.rs
@@ -30,7 +30,7 @@
 /// Reads the placement tables and runs a task for each runner that this daemon leads.
 pub async fn run(shared: Arc<Shared>) {
     let counters = Arc::new(Counters::new(&shared.metrics));
-    let engines = match EngineClient::new(shared.settings.times.platform) {
+    let engines = match EngineClient::new(shared.settings.times.platform_timeout) {
         Ok(engines) => engines,
         Err(error) => {
             slog::error!(shared.log, "cannot create the engine client; no orders will be sent"; "error" => %error);
@@ -67,7 +67,10 @@
 
 /// Time between two reads of the tables, within the limit on reads of all daemons.
 pub fn poll_interval(shared: &Shared) -> Duration {
-    ChangeFeed::poll_interval(shared.settings.times.poll, shared.view().members.len())
+    ChangeFeed::poll_interval(
+        shared.settings.times.poll_interval,
+        shared.view().members.len(),
+    )
 }
 
 /// The runners that this daemon leads, by its view.
--- a/crates/node/src/parse.rs
+++ b/crates/node/src/parse.rs
@@ -131,8 +131,13 @@
             "`max_tokens` must be 1 to {MAX_OUTPUT_TOKENS}"
         )));
     }
-    let attributes =
-        request_attributes(&catalog, headers, route.kind.as_ref(), &route.team, true)?;
+    let attributes = request_attributes(
+        &catalog,
+        headers,
+        route.default_kind.as_ref(),
+        &route.team,
+        true,
+    )?;
     let digest = digest(&target, call);
     let name = body.model.clone();
     let format =
@@ -176,7 +181,7 @@
     let attributes = request_attributes(
         &catalog,
         headers,
-        service.kind.as_ref(),
+        service.default_kind.as_ref(),
         &service.team,
         safe,
     )?;
--- a/crates/node/src/pick.rs
+++ b/crates/node/src/pick.rs
@@ -294,11 +294,11 @@
 fn capacity(catalog: &Catalog, info: &Server) -> Option<(u32, Duration)> {
     match &info.role {
         ServerRole::Runner(pool) => {
-            catalog.pools.get(pool).map(|pool| (pool.streams, pool.step))
+            catalog.pools.get(pool).map(|pool| (pool.max_streams, pool.step_time))
         }
         ServerRole::Service(name) => {
             let service = catalog.services.get(name)?;
-            Some((service.parallel, SERVICE_STEP_TIME))
+            Some((service.max_parallel, SERVICE_STEP_TIME))
         }
     }
 }
--- a/crates/node/src/planner.rs
+++ b/crates/node/src/planner.rs
@@ -62,7 +62,7 @@
                 );
             }
         }
-        let interval = shared.settings.times.poll * POLLS_PER_ROUND;
+        let interval = shared.settings.times.poll_interval * POLLS_PER_ROUND;
         tokio::time::sleep(interval.max(orders::poll_interval(&shared))).await;
     }
 }
--- a/crates/node/src/planner/placement_input.rs
+++ b/crates/node/src/planner/placement_input.rs
@@ -76,8 +76,8 @@
         for (name, model) in &self.models {
             let mut state = ModelState {
                 bytes: self.replica_bytes(name, model),
-                replicas: model.replicas.max(1) as usize,
-                load_time: model.cold,
+                replicas: model.min_replicas.max(1) as usize,
+                load_time: model.load_time,
                 demand: demand.get(*name).map_or(0.0, DemandEstimate::estimate),
                 placed: Vec::new(),
                 loading: 0,
@@ -92,7 +92,7 @@
                 let key = (server.clone(), (*name).clone());
                 let since = pending_since.get(&key).copied().unwrap_or(now);
                 still_pending.insert(key, since);
-                let limit = model.cold * LOAD_TIME_FACTOR + LOAD_TIME_SLACK;
+                let limit = model.load_time * LOAD_TIME_FACTOR + LOAD_TIME_SLACK;
                 if now.saturating_duration_since(since) < limit {
                     state.placed.push(runner);
                     state.loading += 1;
@@ -104,11 +104,11 @@
         let runners = (0..self.runners.len())
             .map(|runner| self.runner_state(runner, &models, &usable))
             .collect();
-        let step_s = self.declared.step.as_secs_f64().max(0.001);
+        let step_s = self.declared.step_time.as_secs_f64().max(0.001);
         PoolState {
             runners,
             models,
-            runner_throughput: f64::from(self.declared.streams.max(1)) / step_s,
+            runner_throughput: f64::from(self.declared.max_streams.max(1)) / step_s,
             parallel_loads: self.declared.parallel_loads.max(1) as usize,
             frozen: false,
             attainment_weight: self.declared.attainment_weight,
@@ -132,8 +132,9 @@
         for (index, (name, model)) in self.models.iter().enumerate() {
             for runner in &placement.placed[index] {
                 let asset = Asset::model((*name).clone(), model.version.clone());
-                wanted[*runner].push(DesiredAsset { asset, bytes: model.bytes });
-                free_bytes[*runner] = free_bytes[*runner].saturating_sub(model.bytes);
+                wanted[*runner].push(DesiredAsset { asset, bytes: model.memory_bytes });
+                free_bytes[*runner] =
+                    free_bytes[*runner].saturating_sub(model.memory_bytes);
             }
         }
         let mut unplaced: Vec<UnplacedAsset> = placement
@@ -185,17 +186,18 @@
         for (adapter, declared) in adapters {
             let mut count = 0;
             for runner in runners {
-                if free_bytes[*runner] < declared.bytes {
+                if free_bytes[*runner] < declared.memory_bytes {
                     continue;
                 }
                 let version = model.version.clone();
                 let asset = Asset::adapter(name.clone(), version, adapter.clone());
-                wanted[*runner].push(DesiredAsset { asset, bytes: declared.bytes });
-                free_bytes[*runner] -= declared.bytes;
+                wanted[*runner]
+                    .push(DesiredAsset { asset, bytes: declared.memory_bytes });
+                free_bytes[*runner] -= declared.memory_bytes;
                 count += 1;
             }
             if count == 0 && !runners.is_empty() {
-                let (name, bytes) = (adapter.to_string(), declared.bytes);
+                let (name, bytes) = (adapter.to_string(), declared.memory_bytes);
                 unplaced.push(UnplacedAsset { name, bytes, missing: 1 });
             }
         }
@@ -205,8 +207,10 @@
     /// but at least that of the model alone.
     fn replica_bytes(&self, name: &ModelName, model: &Model) -> u64 {
         let adapters = self.catalog.adapters.values().filter(|a| a.model == *name);
-        let adapter_bytes: u64 = adapters.map(|adapter| adapter.bytes).sum();
-        (model.bytes + adapter_bytes).min(self.declared.memory).max(model.bytes)
+        let adapter_bytes: u64 = adapters.map(|adapter| adapter.memory_bytes).sum();
+        (model.memory_bytes + adapter_bytes)
+            .min(self.declared.memory_bytes)
+            .max(model.memory_bytes)
     }
 
     fn ledger(&self, runner: usize) -> Option<&'a Ledger> {
@@ -266,7 +270,7 @@
                 want.asset.version != model.version && held && replicas <= 1;
             !is_last_of_other_version
                 || (!has_adapters
-                    && ledger.is_some_and(|held| held.free_bytes() >= model.bytes))
+                    && ledger.is_some_and(|held| held.free_bytes() >= model.memory_bytes))
         };
         (0..self.runners.len()).filter(is_placed).collect()
     }
@@ -284,7 +288,7 @@
     ) -> RunnerState {
         let (_, server) = self.runners[runner];
         let ledger = self.ledger(runner);
-        let capacity = self.declared.memory;
+        let capacity = self.declared.memory_bytes;
         let pinned = |reservation: &&Reservation| {
             self.is_pinned(reservation, runner, models, usable)
         };
--- a/crates/node/src/poison.rs
+++ b/crates/node/src/poison.rs
@@ -344,7 +344,8 @@
 
 fn poll_interval(shared: &Shared) -> Duration {
     let members = shared.view().members.len();
-    let interval = ChangeFeed::poll_interval(shared.settings.times.poll, members);
+    let interval =
+        ChangeFeed::poll_interval(shared.settings.times.poll_interval, members);
     interval.mul_f64(rand::random_range(0.75..1.25))
 }
 
--- a/crates/node/src/run.rs
+++ b/crates/node/src/run.rs
@@ -127,7 +127,7 @@
         info!(shared.log, "leaving");
         shared.record_shutdown(shared.me);
         self.announce_shutdown().await;
-        tokio::time::sleep(shared.settings.times.leave).await;
+        tokio::time::sleep(shared.settings.times.drain_time).await;
         shared.intake_closed.send_replace(true);
         self.stop_listeners.cancel();
         while !self.node.is_idle() {
@@ -174,7 +174,7 @@
     log: Logger,
     peers: Peers,
 ) -> Result<Node, Report<StartError>> {
-    let wait = settings.times.platform;
+    let wait = settings.times.platform_timeout;
     let error = StartError::Client;
     let table = TableClient::new(&settings.table_url, wait).change_context(error)?;
     let objects = ObjectStore::new(&settings.object_url, wait)
@@ -189,7 +189,7 @@
         picker: Picker::new(shared.clock.clone(), shared.me.0),
         slots: JournalSlots::new(),
         poison: Arc::new(PoisonGuard::new(&shared)),
-        intake: RequestLimiter::new(limits.requests, limits.memory),
+        intake: RequestLimiter::new(limits.max_requests, limits.max_buffered_bytes),
         peers,
         http,
         shared,
--- a/crates/node/src/shared.rs
+++ b/crates/node/src/shared.rs
@@ -28,7 +28,7 @@
     members::CLAIMS,
     members::SERVERS,
     members::DRAINS,
-    chestnut_config::rows::TABLE,
+    chestnut_config::rows::CONFIG_TABLE,
     orders::rows::LEDGER,
     orders::rows::PLAN,
     poison::POISON,
@@ -102,7 +102,7 @@
         objects: ObjectStore,
         vms: VmList,
     ) -> Self {
-        let term = settings.times.lease;
+        let term = settings.times.lease_duration;
         let metrics = Metrics::new();
         let conf = ConfigState::new(&metrics);
         Self {
@@ -192,7 +192,7 @@
         // declarations after the operator was told that the new ones are in force.
         if !self.listed_as_serving.load(Ordering::Acquire) {
             return Err(refusal("this daemon is joining")
-                .with_retry_after(self.settings.times.renewal));
+                .with_retry_after(self.settings.times.renewal_interval));
         }
         // Otherwise a daemon that joined just before an outage of the table would
         // refuse every model as not resident until the outage ends.
--- a/crates/node/src/slots/driver.rs
+++ b/crates/node/src/slots/driver.rs
@@ -161,7 +161,7 @@
     }
 
     fn slot_of(&self, id: &RequestId) -> SlotId {
-        slot_of(id, self.node.shared.settings.limits.slots)
+        slot_of(id, self.node.shared.settings.limits.journal_slots)
     }
 
     fn add_waiter(&mut self, waiter: Waiter) -> WaiterId {
