--- a/crates/gate/src/registry.rs
+++ b/crates/gate/src/registry.rs
@@ -68,7 +68,7 @@
             }
             Err(error) => {
                 // A server whose entry can't be read must not be used.
-                warn!(shared.log, "invalid server entry ignored"; "key" => &change.key,
+                warn!(shared.log, "server's entry refused"; "key" => &change.key,
                     "version" => change.version, "error" => error.to_string());
                 mark_missing(shared, &change.key, change.version);
             }
