--- a/crates/config/src/apply.rs
+++ b/crates/config/src/apply.rs
@@ -27,14 +27,14 @@
 use crate::change::{Change, Verdict};
 use crate::rows::{self, FileRow, Files, Head, HistoryEntry, StoredVerdict};
 
-/// DifferenceKind often an applier starts again before it leaves the change undecided.
+/// How often an applier starts again before it leaves the change undecided.
 ///
 /// A round is lost only to another change that was accepted meanwhile, so that
 /// 24 rounds let 24 operators race at the same moment and all land. At 19,000
 /// changes a day and 50 ms a round the mean number of rivals is 0.01.
 pub const MAX_ATTEMPTS: u32 = 24;
 
-/// DifferenceKind many revisions the history keeps; five days of 19,000 changes.
+/// How many revisions the history keeps; five days of 19,000 changes.
 pub const MAX_HISTORY_REVISIONS: u64 = 100_000;
 
 /// What an applier wants done next.
--- a/crates/config/src/catalog.rs
+++ b/crates/config/src/catalog.rs
@@ -1,4 +1,4 @@
-//! What all teams have declared together.
+//! The merged declarations of all teams.
 
 use std::time::Duration;
 
@@ -12,29 +12,31 @@
 
 /// All declarations in force at a revision.
 ///
-/// Every name that a declaration refers to is declared, and every model of a
-/// pool fits on one of the pool's runners.
+/// Every name that a declaration refers to is declared, and every model fits on
+/// a runner of its pool.
 #[derive(Debug, Clone, Default, PartialEq, Serialize, Deserialize)]
 pub struct Catalog {
-    /// The revision.
+    /// The newest revision that the declarations include.
     pub revision: Revision,
-    /// Pools of runners.
+    /// Pools of runners, by name.
     pub pools: IndexMap<PoolName, Pool>,
-    /// Models.
+    /// Models, by the names that other declarations use.
     pub models: IndexMap<ModelName, Model>,
-    /// Adapters.
+    /// Adapters, by name.
     pub adapters: IndexMap<AdapterName, Adapter>,
-    /// Plain services.
+    /// Plain services, by name.
     pub services: IndexMap<ServiceName, Service>,
-    /// Kinds of request.
+    /// Kinds of request, by name.
     pub kinds: IndexMap<KindName, Kind>,
-    /// Callers.
+    /// Callers, by name.
     pub callers: IndexMap<CallerName, Caller>,
-    /// The names that callers put into `model`, and what they stand for.
+    /// Routes, by the name that callers send in `model`.
     pub routes: IndexMap<String, Route>,
 }
 
-/// A pool of like runners; which VMs belong to it, the platform's list says.
+/// A pool of identical runners.
+///
+/// The platform's list says which VMs belong to it.
 #[serde_as]
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Pool {
@@ -45,58 +47,58 @@
     pub memory_bytes: u64,
     /// Accelerators of one runner.
     pub accelerators: u32,
-    /// Streams that one runner batches.
+    /// Requests that one runner runs in a batch.
     #[serde(rename = "streams")]
     pub max_streams: u32,
-    /// Tokens that one runner's KV cache holds.
+    /// Capacity of one runner's KV cache, in tokens.
     #[serde(rename = "tokens")]
     pub kv_tokens: u64,
-    /// The expected time of an engine step, until it is measured.
+    /// The expected duration of an engine step, used until it has been measured.
     #[serde(rename = "step_ms")]
     #[serde_as(as = "DurationMilliSeconds<u64>")]
     pub step_time: Duration,
-    /// Whether the engines refuse orders that carry an old fence.
+    /// Whether the engines refuse orders with an outdated fence.
     pub fenced: bool,
-    /// Loads that the weight store serves at full speed at the same time.
+    /// Concurrent loads that the weight store serves at full speed.
     pub parallel_loads: u32,
-    /// Loads a second that the weight store starts.
+    /// Loads that the weight store can start per second.
     pub load_rate: f64,
-    /// What one percent of attainment is worth, for the planner.
+    /// The planner's weight of one percent of attainment.
     pub attainment_weight: f64,
-    /// What one move costs, for the planner.
+    /// The planner's weight of the cost of a move.
     pub move_weight: f64,
 }
 
-/// A model.
+/// A model that a pool serves.
 #[serde_as]
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Model {
     /// The team that declared it.
     pub team: TeamName,
-    /// The pool that serves it.
+    /// The pool whose runners serve it.
     pub pool: PoolName,
-    /// The version that requests get.
+    /// The version that serves requests.
     pub version: VersionName,
-    /// The memory it needs, in bytes.
+    /// Accelerator memory that the model needs, in bytes.
     #[serde(rename = "bytes")]
     pub memory_bytes: u64,
-    /// DifferenceKind long a runner takes to load it.
+    /// How long a runner takes to load the model.
     #[serde(rename = "cold_ms")]
     #[serde_as(as = "DurationMilliSeconds<u64>")]
     pub load_time: Duration,
-    /// The least number of replicas to keep resident; at least 1.
+    /// The number of replicas that stay resident even without demand; at least 1.
     #[serde(rename = "replicas")]
     pub min_replicas: u32,
 }
 
-/// An adapter on top of a model.
+/// An adapter of a model.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Adapter {
     /// The team that declared it.
     pub team: TeamName,
     /// The model it adapts.
     pub model: ModelName,
-    /// The memory it needs on top, in bytes.
+    /// Accelerator memory that it needs in addition to the model, in bytes.
     #[serde(rename = "bytes")]
     pub memory_bytes: u64,
 }
@@ -106,10 +108,10 @@
 pub struct Service {
     /// The team that declared it.
     pub team: TeamName,
-    /// Calls that one server takes at the same time.
+    /// Requests that one server runs at the same time.
     #[serde(rename = "parallel")]
     pub max_parallel: u32,
-    /// The kind of calls that name none.
+    /// The kind of requests that name none.
     #[serde(rename = "kind")]
     pub default_kind: Option<KindName>,
 }
@@ -120,35 +122,36 @@
 pub struct Kind {
     /// The team that declared it.
     pub team: TeamName,
-    /// DifferenceKind urgent it is.
+    /// The priority of its requests.
     pub urgency: Urgency,
-    /// The time in which it must be answered in full, unless the caller says less.
+    /// The time within which a request must be answered in full, unless the
+    /// caller asks for less.
     #[serde(rename = "deadline_ms")]
     #[serde_as(as = "DurationMilliSeconds<u64>")]
     pub deadline: Duration,
-    /// Whether running it twice does no harm.
+    /// Whether a request may safely run more than once.
     pub idempotent: bool,
 }
 
-/// A caller.
+/// A client account that may send requests.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Caller {
     /// The team that declared it.
     pub team: TeamName,
     /// The SHA-256 of the caller's key, in lower-case hexadecimal digits.
     pub key_sha256: String,
-    /// The weight of the caller's share when there is not enough for all.
+    /// The caller's weight when capacity is shared under overload.
     pub share: u32,
 }
 
-/// What a name in a request's `model` stands for.
+/// The target of a name in a request's `model`.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Route {
     /// The team that declared it.
     pub team: TeamName,
-    /// The model.
+    /// The model that serves the requests.
     pub model: ModelName,
-    /// The adapter on top.
+    /// The adapter, if the requests use one.
     pub adapter: Option<AdapterName>,
     /// The kind of requests that name none.
     #[serde(rename = "kind")]
--- a/crates/config/src/declarations.rs
+++ b/crates/config/src/declarations.rs
@@ -1,4 +1,4 @@
-//! One team's declarations, field by field.
+//! Reads and checks the declarations of one team.
 
 use std::time::Duration;
 
@@ -16,30 +16,30 @@
 use crate::problem::{Location, Problems};
 use crate::reader::{Fields, read_object};
 
-const BYTES: &str = "a whole number of bytes";
-const MILLIS: &str = "a whole number of milliseconds, such as 2000";
-const COUNT: &str = "a whole number greater than zero";
-const NUMBER: &str = "a number of zero or more";
+const EXPECTED_BYTES: &str = "a whole number of bytes";
+const EXPECTED_MILLIS: &str = "a whole number of milliseconds, such as 2000";
+const EXPECTED_COUNT: &str = "a whole number greater than zero";
+const EXPECTED_NUMBER: &str = "a number of zero or more";
 
-/// The texts of one team's files, by the files' names.
+/// The files of one team's declarations.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct TeamFiles {
-    /// The text of each file.
+    /// The text of each file, by the file's name.
     pub files: IndexMap<String, String>,
 }
 
-/// A declared thing and where its text stands.
+/// A declaration and the location of its text.
 #[derive(Debug, Clone)]
 pub struct Located<T> {
-    /// The thing.
+    /// The declaration.
     pub value: T,
-    /// Where its name stands.
+    /// The location of its name.
     pub location: Location,
-    /// Where each of its fields that refer to other things stands.
+    /// The locations of its fields that must agree with other declarations.
     pub references: IndexMap<&'static str, Location>,
 }
 
-/// Everything that one team declares, checked by itself.
+/// The declarations of one team, checked without those of other teams.
 #[derive(Debug, Clone, Default)]
 pub struct TeamDeclarations {
     /// Pools of runners.
@@ -56,78 +56,80 @@
     pub callers: Vec<(CallerName, Located<Caller>)>,
     /// Routes.
     pub routes: Vec<(String, Located<Route>)>,
-    /// The sections and names of things with problems of their own.
+    /// The types and names of invalid declarations.
     ///
-    /// Nobody is told in addition that these are not declared.
+    /// References to them are not reported as undeclared in addition.
     pub invalid: IndexSet<(&'static str, String)>,
 }
 
 impl TeamDeclarations {
     /// Reads and checks all files of a team.
     pub fn parse(team: &TeamName, text: &TeamFiles, problems: &mut Problems) -> Self {
-        let mut found = Self::default();
+        let mut declarations = Self::default();
         for (file, text) in &text.files {
             let file = format!("{team}/{file}");
             read_object(&file, text, problems, |fields| {
-                found.read(team, fields);
+                declarations.read(team, fields);
                 Some(())
             });
         }
-        found
+        declarations
     }
 
     fn read(&mut self, team: &TeamName, fields: &mut Fields<'_>) {
-        let broken = &mut self.invalid;
-        let mut list = SectionReader { fields, broken };
-        list.read("pool", "pools", &mut self.pools, &[], |f| pool(team, f));
-        list.read("model", "models", &mut self.models, &["pool"], |f| model(team, f));
-        list.read("adapter", "adapters", &mut self.adapters, &["model"], |f| {
+        let invalid = &mut self.invalid;
+        let mut reader = SectionReader { fields, invalid };
+        reader.read("pool", "pools", &mut self.pools, &[], |f| pool(team, f));
+        reader.read("model", "models", &mut self.models, &["pool"], |f| model(team, f));
+        reader.read("adapter", "adapters", &mut self.adapters, &["model"], |f| {
             adapter(team, f)
         });
-        list.read("service", "services", &mut self.services, &["kind"], |f| {
+        reader.read("service", "services", &mut self.services, &["kind"], |f| {
             service(team, f)
         });
-        list.read("kind", "kinds", &mut self.kinds, &[], |f| kind(team, f));
-        list.read("caller", "callers", &mut self.callers, &["key_sha256"], |f| {
+        reader.read("kind", "kinds", &mut self.kinds, &[], |f| kind(team, f));
+        reader.read("caller", "callers", &mut self.callers, &["key_sha256"], |f| {
             caller(team, f)
         });
-        let refs = ["model", "adapter", "kind"];
+        let references = ["model", "adapter", "kind"];
         let mut routes: Vec<(ModelName, _)> = Vec::new();
-        list.read("route", "routes", &mut routes, &refs, |f| route(team, f));
+        reader.read("route", "routes", &mut routes, &references, |f| route(team, f));
         let routes = routes.into_iter().map(|(name, it)| (name.to_string(), it));
         self.routes.extend(routes);
     }
 }
 
-/// Reads the sections of a file.
+/// Reads the sections of a file, each of which maps names to declarations.
 struct SectionReader<'a, 'b> {
     fields: &'a mut Fields<'b>,
-    broken: &'a mut IndexSet<(&'static str, String)>,
+    invalid: &'a mut IndexSet<(&'static str, String)>,
 }
 
 impl SectionReader<'_, '_> {
     fn read<K, T>(
         &mut self,
-        what: &'static str,
-        name: &'static str,
-        into: &mut Vec<(K, Located<T>)>,
-        refs: &[&'static str],
+        item_type: &'static str,
+        section: &'static str,
+        items: &mut Vec<(K, Located<T>)>,
+        references: &[&'static str],
         mut read: impl FnMut(&mut Fields<'_>) -> Option<T>,
     ) where
         K: TryFrom<String, Error = NameError>,
     {
-        self.fields.entries(name, |key, at, fields| {
-            let item = read(fields);
-            let refs = refs.iter().map(|&name| (name, fields.location(name))).collect();
-            match (K::try_from(key.to_owned()), item) {
-                (Ok(key), Some(item)) => into
-                    .push((key, Located { value: item, location: at, references: refs })),
+        self.fields.entries(section, |key, location, fields| {
+            let value = read(fields);
+            let references =
+                references.iter().map(|&name| (name, fields.location(name))).collect();
+            match (K::try_from(key.to_owned()), value) {
+                (Ok(key), Some(value)) => {
+                    items.push((key, Located { value, location, references }))
+                }
                 (Ok(_), None) => {
-                    self.broken.insert((what, key.to_owned()));
+                    self.invalid.insert((item_type, key.to_owned()));
                 }
                 (Err(error), _) => {
-                    let text = format!("the name {key:?} is invalid");
-                    fields.add_problem_at(at, text, &error.to_string());
+                    let message = format!("the name {key:?} is invalid");
+                    fields.add_problem_at(location, message, &error.to_string());
                 }
             }
         });
@@ -135,14 +137,14 @@
 }
 
 fn pool(team: &TeamName, fields: &mut Fields<'_>) -> Option<Pool> {
-    let memory = count(fields, "memory", BYTES);
-    let accelerators = count(fields, "accelerators", COUNT);
-    let streams = count(fields, "streams", COUNT);
-    let tokens = count(fields, "tokens", COUNT);
+    let memory = count(fields, "memory", EXPECTED_BYTES);
+    let accelerators = count(fields, "accelerators", EXPECTED_COUNT);
+    let streams = count(fields, "streams", EXPECTED_COUNT);
+    let tokens = count(fields, "tokens", EXPECTED_COUNT);
     let step = millis(fields, "step_ms");
-    let fenced = fields.required("fenced", "true if the engines refuse old fences");
-    let parallel_loads = count(fields, "parallel_loads", COUNT);
-    let load_rate = fields.required("load_rate", NUMBER);
+    let fenced = fields.required("fenced", "true if the engines refuse outdated fences");
+    let parallel_loads = count(fields, "parallel_loads", EXPECTED_COUNT);
+    let load_rate = fields.required("load_rate", EXPECTED_NUMBER);
     let valid = load_rate.is_none_or(|rate: f64| rate > 0.0);
     fields.check("load_rate", valid, "no load would ever start", "write more than zero");
     let attainment_weight = weight(fields, "attainment_weight");
@@ -166,9 +168,9 @@
     let pool = fields.required("pool", "the name of a pool");
     let version =
         fields.required("version", "the version that requests get, such as \"v3\"");
-    let bytes = count(fields, "bytes", BYTES);
+    let bytes = count(fields, "bytes", EXPECTED_BYTES);
     let cold = millis(fields, "cold_ms");
-    let replicas = fields.get_or("replicas", 1, COUNT);
+    let replicas = fields.get_or("replicas", 1, EXPECTED_COUNT);
     fields.check(
         "replicas",
         replicas > 0,
@@ -187,12 +189,12 @@
 
 fn adapter(team: &TeamName, fields: &mut Fields<'_>) -> Option<Adapter> {
     let model = fields.required("model", "the name of a model");
-    let bytes = count(fields, "bytes", BYTES);
+    let bytes = count(fields, "bytes", EXPECTED_BYTES);
     Some(Adapter { team: team.clone(), model: model?, memory_bytes: bytes? })
 }
 
 fn service(team: &TeamName, fields: &mut Fields<'_>) -> Option<Service> {
-    let parallel = count(fields, "parallel", COUNT);
+    let parallel = count(fields, "parallel", EXPECTED_COUNT);
     let kind = fields.get_or("kind", None, "the name of a kind of request");
     Some(Service { team: team.clone(), max_parallel: parallel?, default_kind: kind })
 }
@@ -202,7 +204,7 @@
         fields.required::<Urgency>("urgency", "one of \"urgent\", \"normal\", \"slow\"");
     let deadline = millis(fields, "deadline_ms");
     let idempotent = fields
-        .required("idempotent", "true only if running a request twice does no harm");
+        .required("idempotent", "true only if a request may safely run more than once");
     Some(Kind {
         team: team.clone(),
         urgency: urgency?,
@@ -212,12 +214,17 @@
 }
 
 fn caller(team: &TeamName, fields: &mut Fields<'_>) -> Option<Caller> {
-    let form = "the 64 lower-case hexadecimal digits of the key's SHA-256";
-    let key = fields.required::<String>("key_sha256", form);
+    let expected = "the 64 lower-case hexadecimal digits of the key's SHA-256";
+    let key = fields.required::<String>("key_sha256", expected);
     let valid = key.as_deref().is_none_or(is_sha256_hex);
-    fields.check("key_sha256", valid, "this is no SHA-256", &format!("write {form}"));
-    let share = fields.get_or("share", 1, COUNT);
-    fields.check("share", share > 0, "the caller would get nothing", "write 1 or more");
+    fields.check(
+        "key_sha256",
+        valid,
+        "this is not a SHA-256 hash",
+        &format!("write {expected}"),
+    );
+    let share = fields.get_or("share", 1, EXPECTED_COUNT);
+    fields.check("share", share > 0, "the caller would get no share", "write 1 or more");
     Some(Caller { team: team.clone(), key_sha256: key?, share })
 }
 
@@ -228,25 +235,31 @@
     Some(Route { team: team.clone(), model: model?, adapter, default_kind: kind })
 }
 
-fn count<T>(fields: &mut Fields<'_>, name: &'static str, form: &str) -> Option<T>
+fn count<T>(fields: &mut Fields<'_>, name: &'static str, expected: &str) -> Option<T>
 where
     T: DeserializeOwned + Default + PartialEq,
 {
-    let number: Option<T> = fields.required(name, form);
+    let number: Option<T> = fields.required(name, expected);
     let valid = number.as_ref().is_none_or(|it| *it != T::default());
-    fields.check(name, valid, "this is zero", &format!("write {form}"));
+    fields.check(name, valid, "the value is zero", &format!("write {expected}"));
     number
 }
 
 fn millis(fields: &mut Fields<'_>, name: &'static str) -> Option<Duration> {
-    let time = fields.required_as::<Duration, DurationMilliSeconds<u64>>(name, MILLIS);
+    let time =
+        fields.required_as::<Duration, DurationMilliSeconds<u64>>(name, EXPECTED_MILLIS);
     let valid = time.is_none_or(|it| !it.is_zero());
-    fields.check(name, valid, "the time is zero", &format!("write {MILLIS}"));
+    fields.check(name, valid, "the time is zero", &format!("write {EXPECTED_MILLIS}"));
     time
 }
 
 fn weight(fields: &mut Fields<'_>, name: &'static str) -> f64 {
-    let weight = fields.get_or(name, 1.0, NUMBER);
-    fields.check(name, weight >= 0.0, "a weight is negative", &format!("write {NUMBER}"));
+    let weight = fields.get_or(name, 1.0, EXPECTED_NUMBER);
+    fields.check(
+        name,
+        weight >= 0.0,
+        "a weight is negative",
+        &format!("write {EXPECTED_NUMBER}"),
+    );
     weight
 }
--- a/crates/config/src/keys.rs
+++ b/crates/config/src/keys.rs
@@ -1,4 +1,4 @@
-//! Keys of callers and operators, of which only hashes are kept.
+//! Hashes of the keys of callers and operators; the keys themselves are not stored.
 
 use std::fmt::Write;
 
@@ -6,11 +6,11 @@
 
 /// The SHA-256 of a key, in lower-case hexadecimal digits.
 pub fn sha256_hex(key: &str) -> String {
-    let mut text = String::with_capacity(64);
+    let mut hex = String::with_capacity(64);
     for byte in Sha256::digest(key.as_bytes()) {
-        write!(text, "{byte:02x}").expect("writing to a text never fails");
+        write!(hex, "{byte:02x}").expect("writing to a string never fails");
     }
-    text
+    hex
 }
 
 /// Whether the text has the form of [`sha256_hex`]'s result.
--- a/crates/config/src/merge.rs
+++ b/crates/config/src/merge.rs
@@ -1,8 +1,8 @@
-//! The check of all teams' declarations together.
+//! Checks the declarations of all teams together.
 //!
-//! Teams never coordinate, so that two of them may use the same name, or one
-//! may remove what another refers to. Without this check such a change would be
-//! accepted and fail callers at the first request.
+//! Teams do not coordinate: two of them may choose the same name, or one may
+//! remove what another refers to. Without this check such a change would be
+//! accepted, and the first request would fail.
 
 use std::fmt::Display;
 use std::hash::Hash;
@@ -15,25 +15,25 @@
 use crate::problem::{Location, Problems, closest_match};
 
 impl Catalog {
-    /// Reads and checks the declarations of all teams together.
+    /// Reads the declarations of all teams and checks them together.
     pub fn merge(
         revision: Revision,
         teams: &IndexMap<TeamName, TeamFiles>,
     ) -> Result<Self, Problems> {
-        MergedDeclarations::parse(revision, teams).map(|union| union.catalog)
+        MergedDeclarations::parse(revision, teams).map(|merged| merged.catalog)
     }
 }
 
-/// The declarations of all teams and where each name stands.
+/// The merged declarations of all teams, with the locations of pools.
 #[derive(Debug, Clone)]
 pub struct MergedDeclarations {
-    /// The declarations.
+    /// The merged declarations.
     pub catalog: Catalog,
-    pools: IndexMap<PoolName, Location>,
+    pool_locations: IndexMap<PoolName, Location>,
 }
 
 impl MergedDeclarations {
-    /// Reads and checks the declarations of all teams together.
+    /// Reads the declarations of all teams and checks them together.
     pub fn parse(
         revision: Revision,
         teams: &IndexMap<TeamName, TeamFiles>,
@@ -51,21 +51,21 @@
             all.routes.extend(team.routes);
             all.invalid.extend(team.invalid);
         }
-        let broken = &all.invalid;
-        let pools = index("pool", all.pools, &mut problems);
-        let models = index("model", all.models, &mut problems);
-        let adapters = index("adapter", all.adapters, &mut problems);
-        let services = index("service", all.services, &mut problems);
-        let kinds = index("kind", all.kinds, &mut problems);
-        let callers = index("caller", all.callers, &mut problems);
-        let routes = index("route", all.routes, &mut problems);
+        let invalid = &all.invalid;
+        let pools = index_by_name("pool", all.pools, &mut problems);
+        let models = index_by_name("model", all.models, &mut problems);
+        let adapters = index_by_name("adapter", all.adapters, &mut problems);
+        let services = index_by_name("service", all.services, &mut problems);
+        let kinds = index_by_name("kind", all.kinds, &mut problems);
+        let callers = index_by_name("caller", all.callers, &mut problems);
+        let routes = index_by_name("route", all.routes, &mut problems);
 
         for it in models.values() {
-            refer(it, "pool", &it.value.pool, &pools, broken, &mut problems);
+            check_reference(it, "pool", &it.value.pool, &pools, invalid, &mut problems);
             if let Some(pool) = pools.get(&it.value.pool)
                 && it.value.memory_bytes > pool.value.memory_bytes
             {
-                let what = format!(
+                let message = format!(
                     "the model needs {} bytes and a runner of pool `{}` has {}",
                     it.value.memory_bytes, it.value.pool, pool.value.memory_bytes
                 );
@@ -73,19 +73,26 @@
                 problems.add_conflict(
                     it.location.clone(),
                     pool.location.clone(),
-                    what,
+                    message,
                     remedy,
                 );
             }
         }
         for it in adapters.values() {
-            refer(it, "model", &it.value.model, &models, broken, &mut problems);
+            check_reference(
+                it,
+                "model",
+                &it.value.model,
+                &models,
+                invalid,
+                &mut problems,
+            );
             if let Some(model) = models.get(&it.value.model)
                 && let Some(pool) = pools.get(&model.value.pool)
                 && it.value.memory_bytes.saturating_add(model.value.memory_bytes)
                     > pool.value.memory_bytes
             {
-                let what = format!(
+                let message = format!(
                     "the adapter and its model need more than the {} bytes of a runner",
                     pool.value.memory_bytes
                 );
@@ -93,88 +100,105 @@
                 problems.add_conflict(
                     it.location.clone(),
                     model.location.clone(),
-                    what,
+                    message,
                     remedy,
                 );
             }
         }
         for it in services.values() {
             if let Some(kind) = &it.value.default_kind {
-                refer(it, "kind", kind, &kinds, broken, &mut problems);
+                check_reference(it, "kind", kind, &kinds, invalid, &mut problems);
             }
         }
-        let mut keys: IndexMap<&str, &Location> = IndexMap::new();
+        let mut key_locations: IndexMap<&str, &Location> = IndexMap::new();
         for it in callers.values() {
-            if let Some(first) = keys.insert(&it.value.key_sha256, &it.location) {
-                let what = format!("the key is that of another caller ({first})");
-                let at = it.references["key_sha256"].clone();
-                problems.add_conflict(at, first.clone(), what, "make a new key");
+            if let Some(first) = key_locations.insert(&it.value.key_sha256, &it.location)
+            {
+                let message = format!("the key is that of another caller ({first})");
+                let location = it.references["key_sha256"].clone();
+                problems.add_conflict(
+                    location,
+                    first.clone(),
+                    message,
+                    "create a new key",
+                );
             }
         }
         for it in routes.values() {
-            refer(it, "model", &it.value.model, &models, broken, &mut problems);
+            check_reference(
+                it,
+                "model",
+                &it.value.model,
+                &models,
+                invalid,
+                &mut problems,
+            );
             if let Some(kind) = &it.value.default_kind {
-                refer(it, "kind", kind, &kinds, broken, &mut problems);
+                check_reference(it, "kind", kind, &kinds, invalid, &mut problems);
             }
             let Some(name) = &it.value.adapter else { continue };
-            refer(it, "adapter", name, &adapters, broken, &mut problems);
+            check_reference(it, "adapter", name, &adapters, invalid, &mut problems);
             if let Some(adapter) = adapters.get(name)
                 && adapter.value.model != it.value.model
             {
-                let what = format!("the adapter belongs to `{}`", adapter.value.model);
-                let at = it.references["adapter"].clone();
+                let message = format!("the adapter belongs to `{}`", adapter.value.model);
+                let location = it.references["adapter"].clone();
                 problems.add_conflict(
-                    at,
+                    location,
                     adapter.location.clone(),
-                    what,
+                    message,
                     "name that model",
                 );
             }
         }
 
-        let spots = pools.iter().map(|(name, it)| (name.clone(), it.location.clone()));
-        let union = Self {
-            pools: spots.collect(),
+        let pool_locations =
+            pools.iter().map(|(name, it)| (name.clone(), it.location.clone()));
+        let merged = Self {
+            pool_locations: pool_locations.collect(),
             catalog: Catalog {
                 revision,
-                pools: plain(pools),
-                models: plain(models),
-                adapters: plain(adapters),
-                services: plain(services),
-                kinds: plain(kinds),
-                callers: plain(callers),
-                routes: plain(routes),
+                pools: without_locations(pools),
+                models: without_locations(models),
+                adapters: without_locations(adapters),
+                services: without_locations(services),
+                kinds: without_locations(kinds),
+                callers: without_locations(callers),
+                routes: without_locations(routes),
             },
         };
-        problems.into_result(union)
+        problems.into_result(merged)
     }
 
-    /// Checks that one replica of every model fits on the runners that exist.
+    /// Checks that one replica of every model fits on the existing runners.
     ///
-    /// A pool whose number of runners is not known is passed over, and so are
-    /// models that found no room at the `old` declarations either: a pool that
-    /// lost runners must not hold up changes of something else.
+    /// Pools without a known number of runners are skipped, and so are models that
+    /// did not fit with the `old` declarations either: a pool that lost runners
+    /// must not block unrelated changes.
     pub fn check_capacity(
         &self,
         runners: &IndexMap<PoolName, usize>,
         old: Option<&Catalog>,
     ) -> Result<(), Problems> {
         let mut problems = Problems::default();
-        for (name, at) in &self.pools {
+        for (name, location) in &self.pool_locations {
             let Some(&count) = runners.get(name) else { continue };
-            let before = old.map(|old| old.pack_replicas(name, count));
-            let before = before.and_then(Result::err).unwrap_or_default();
-            let Err(mut left) = self.catalog.pack_replicas(name, count) else { continue };
-            left.retain(|model| !before.contains(model));
-            if !left.is_empty() {
-                let what = format!(
+            let unplaced_before = old.map(|old| old.pack_replicas(name, count));
+            let unplaced_before =
+                unplaced_before.and_then(Result::err).unwrap_or_default();
+            let Err(mut unplaced) = self.catalog.pack_replicas(name, count) else {
+                continue;
+            };
+            unplaced.retain(|model| !unplaced_before.contains(model));
+            if !unplaced.is_empty() {
+                let message = format!(
                     "one replica of each model does not fit on {count} runners: no \
                      room for {}",
-                    left.join(", ")
+                    unplaced.join(", ")
                 );
                 problems.add(
-                    at.clone(),
-                    what,
+                    location.clone(),
+                    message,
                     "add runners, use a larger pool or remove models",
                 );
             }
@@ -186,9 +210,8 @@
 impl Catalog {
     /// Packs one replica of each model of a pool, with its adapters, on runners.
     ///
-    /// The largest go first, each to the first runner with room, which needs at
-    /// most 11/9 of the least number of runners (plus one). Returns the names
-    /// that found no room.
+    /// Uses first-fit decreasing, which needs at most 11/9 of the optimal number
+    /// of runners plus one. Fails with the names of the models that did not fit.
     pub fn pack_replicas(
         &self,
         pool: &PoolName,
@@ -200,32 +223,32 @@
         let mut items = Vec::new();
         for (name, model) in &self.models {
             if model.pool == *pool {
-                for size in self.replicas(name, model.memory_bytes, memory) {
+                for size in self.replica_sizes(name, model.memory_bytes, memory) {
                     items.push((size, name));
                 }
             }
         }
         items.sort_by(|a, b| b.cmp(a));
         let mut free = vec![memory; runners];
-        let mut left = Vec::new();
+        let mut unplaced = Vec::new();
         for (size, name) in items {
-            match free.iter_mut().find(|room| **room >= size) {
-                Some(room) => *room -= size,
-                None => left.push(name.to_string()),
+            match free.iter_mut().find(|free| **free >= size) {
+                Some(free) => *free -= size,
+                None => unplaced.push(name.to_string()),
             }
         }
-        left.dedup();
-        if left.is_empty() { Ok(()) } else { Err(left) }
+        unplaced.dedup();
+        if unplaced.is_empty() { Ok(()) } else { Err(unplaced) }
     }
 
     /// The sizes of the replicas of a model that are needed to hold its adapters.
-    fn replicas(&self, name: &ModelName, bytes: u64, memory: u64) -> Vec<u64> {
+    fn replica_sizes(&self, name: &ModelName, bytes: u64, memory: u64) -> Vec<u64> {
         let mut sizes = vec![bytes];
         for adapter in self.adapters.values().filter(|it| it.model == *name) {
-            let room = sizes
+            let replica = sizes
                 .iter_mut()
                 .find(|it| it.saturating_add(adapter.memory_bytes) <= memory);
-            match room {
+            match replica {
                 Some(size) => *size += adapter.memory_bytes,
                 None => sizes.push(bytes.saturating_add(adapter.memory_bytes)),
             }
@@ -234,20 +257,20 @@
     }
 }
 
-fn index<K: Hash + Eq + Display, T>(
-    what: &str,
-    list: Vec<(K, Located<T>)>,
+fn index_by_name<K: Hash + Eq + Display, T>(
+    item_type: &str,
+    items: Vec<(K, Located<T>)>,
     problems: &mut Problems,
 ) -> IndexMap<K, Located<T>> {
     let mut map: IndexMap<K, Located<T>> = IndexMap::new();
-    for (name, item) in list {
+    for (name, item) in items {
         if let Some(first) = map.get(&name) {
-            let text =
-                format!("the {what} `{name}` is declared in {} too", first.location);
+            let message =
+                format!("the {item_type} `{name}` is declared in {} too", first.location);
             problems.add_conflict(
                 item.location,
                 first.location.clone(),
-                text,
+                message,
                 "choose another name",
             );
         } else {
@@ -257,28 +280,30 @@
     map
 }
 
-fn refer<T, K: Hash + Eq + Display, U>(
+fn check_reference<T, K: Hash + Eq + Display, U>(
     from: &Located<T>,
     field: &'static str,
     name: &K,
-    known: &IndexMap<K, U>,
-    broken: &IndexSet<(&'static str, String)>,
+    declared: &IndexMap<K, U>,
+    invalid: &IndexSet<(&'static str, String)>,
     problems: &mut Problems,
 ) {
-    let told = broken.iter().any(|(what, it)| *what == field && *it == name.to_string());
-    if told || known.contains_key(name) {
+    let is_invalid = invalid
+        .iter()
+        .any(|(item_type, it)| *item_type == field && *it == name.to_string());
+    if is_invalid || declared.contains_key(name) {
         return;
     }
-    let names: Vec<String> = known.keys().map(K::to_string).collect();
+    let names: Vec<String> = declared.keys().map(K::to_string).collect();
     let remedy = match closest_match(&name.to_string(), names.iter().map(String::as_str))
     {
-        Some(near) => format!("did you mean `{near}`?"),
+        Some(closest) => format!("did you mean `{closest}`?"),
         None => format!("declare the {field} or name one that is declared"),
     };
-    let what = format!("no team declares a {field} `{name}`");
-    problems.add(from.references[field].clone(), what, remedy);
+    let message = format!("no team declares a {field} `{name}`");
+    problems.add(from.references[field].clone(), message, remedy);
 }
 
-fn plain<K: Hash + Eq, T>(map: IndexMap<K, Located<T>>) -> IndexMap<K, T> {
+fn without_locations<K: Hash + Eq, T>(map: IndexMap<K, Located<T>>) -> IndexMap<K, T> {
     map.into_iter().map(|(name, it)| (name, it.value)).collect()
 }
--- a/crates/config/src/plan.rs
+++ b/crates/config/src/plan.rs
@@ -56,7 +56,7 @@
     pub replicas: i64,
     /// The bytes of each.
     pub bytes: u64,
-    /// DifferenceKind long the load of one takes at least, in milliseconds.
+    /// How long the load of one takes at least, in milliseconds.
     #[serde(rename = "cold_ms")]
     pub load_ms: u64,
 }
--- a/crates/config/src/problem.rs
+++ b/crates/config/src/problem.rs
@@ -1,4 +1,4 @@
-//! What is wrong with a text, where, and what to write instead.
+//! Problems in the text of settings and declarations: where, what and the remedy.
 
 use std::fmt::{self, Display, Formatter};
 use std::sync::Arc;
@@ -6,40 +6,40 @@
 use indexmap::IndexSet;
 use serde::{Deserialize, Serialize};
 
-/// A place in a file.
+/// A position in a file.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Location {
-    /// The file's name.
+    /// The file's name, for declarations preceded by the team's.
     pub file: Arc<str>,
-    /// The line, from 1.
+    /// The line, counted from 1.
     pub line: usize,
-    /// The column in characters, from 1.
+    /// The column in characters, counted from 1.
     pub column: usize,
     /// The path of the field, such as `times.lease_ms`; empty for the whole file.
     pub field: String,
 }
 
-/// Where the lines of a text start, so that a place is found without a search
-/// through the whole text.
+/// The offsets of the lines of a text, which make finding a location a binary
+/// search.
 #[derive(Debug, Clone)]
 pub struct LineIndex<'a> {
     text: &'a str,
-    starts: Vec<usize>,
+    line_starts: Vec<usize>,
 }
 
 impl<'a> LineIndex<'a> {
-    /// Finds the lines of a text.
+    /// Indexes the lines of a text.
     pub fn new(text: &'a str) -> Self {
-        let ends = text.match_indices('\n').map(|(at, _)| at + 1);
-        Self { text, starts: std::iter::once(0).chain(ends).collect() }
+        let later_starts = text.match_indices('\n').map(|(at, _)| at + 1);
+        Self { text, line_starts: std::iter::once(0).chain(later_starts).collect() }
     }
 
-    /// The place of a byte of the text.
+    /// The location of a byte offset of the text.
     pub fn location(&self, file: &Arc<str>, byte: usize, field: String) -> Location {
-        let line = self.starts.partition_point(|start| *start <= byte);
-        let start = self.starts[line - 1];
-        let before = self.text.get(start..byte).unwrap_or_default();
-        Location { file: file.clone(), line, column: before.chars().count() + 1, field }
+        let line = self.line_starts.partition_point(|start| *start <= byte);
+        let start = self.line_starts[line - 1];
+        let prefix = self.text.get(start..byte).unwrap_or_default();
+        Location { file: file.clone(), line, column: prefix.chars().count() + 1, field }
     }
 }
 
@@ -49,18 +49,18 @@
     }
 }
 
-/// One thing that is wrong.
+/// A problem and how to fix it.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Problem {
-    /// Where.
+    /// Where the problem is.
     #[serde(rename = "at")]
     pub location: Location,
     /// What is wrong.
     #[serde(rename = "what")]
     pub message: String,
-    /// What to do about it.
+    /// How to fix it.
     pub remedy: String,
-    /// The other place, if two places contradict each other.
+    /// The other location, if two locations contradict each other.
     #[serde(rename = "also")]
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub related: Option<Location>,
@@ -76,9 +76,7 @@
     }
 }
 
-/// Everything that is wrong, in the order of the text.
-///
-/// Never empty when it is returned as an error.
+/// All problems of a check. Never empty when returned as an error.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Problems(pub Vec<Problem>);
 
@@ -86,34 +84,34 @@
     /// Adds a problem.
     pub fn add(
         &mut self,
-        at: Location,
-        what: impl Into<String>,
+        location: Location,
+        message: impl Into<String>,
         remedy: impl Into<String>,
     ) {
-        let (what, remedy) = (what.into(), remedy.into());
-        self.0.push(Problem { location: at, message: what, remedy, related: None });
+        let (message, remedy) = (message.into(), remedy.into());
+        self.0.push(Problem { location, message, remedy, related: None });
     }
 
-    /// Adds a problem between two places.
+    /// Adds a problem of two locations that contradict each other.
     pub fn add_conflict(
         &mut self,
-        at: Location,
-        also: Location,
-        what: impl Into<String>,
+        location: Location,
+        related: Location,
+        message: impl Into<String>,
         remedy: &str,
     ) {
-        self.add(at, what, remedy);
+        self.add(location, message, remedy);
         if let Some(last) = self.0.last_mut() {
-            last.related = Some(also);
+            last.related = Some(related);
         }
     }
 
-    /// The value if nothing is wrong.
+    /// The value if there is no problem, else the sorted problems.
     pub fn into_result<T>(self, value: T) -> Result<T, Self> {
         if self.0.is_empty() { Ok(value) } else { Err(self.sorted()) }
     }
 
-    /// The problems in the order of the text, file by file.
+    /// Sorts the problems by location; files stay in the order of their first problem.
     pub fn sorted(mut self) -> Self {
         let files: IndexSet<Arc<str>> =
             self.0.iter().map(|it| it.location.file.clone()).collect();
@@ -138,16 +136,16 @@
 
 impl std::error::Error for Problems {}
 
-/// The longest word for which a similar one is looked for.
+/// The longest word that is compared with others.
 const MAX_WORD_CHARS: usize = 100;
 
-/// The known word that is nearest to what was written, if one is near.
+/// The known word with the least edit distance to `word`, if one is close enough.
 pub fn closest_match<'a>(
     word: &str,
     known: impl IntoIterator<Item = &'a str>,
 ) -> Option<&'a str> {
     let length = word.chars().count();
-    // Comparing costs the product of the lengths; no name is this long.
+    // The cost is the product of the two lengths, and no name is this long.
     if length > MAX_WORD_CHARS {
         return None;
     }
@@ -155,13 +153,13 @@
     known
         .into_iter()
         .map(|other| (edit_distance(word, other), other))
-        .filter(|(far, _)| *far <= limit)
-        .min_by_key(|(far, _)| *far)
+        .filter(|(distance, _)| *distance <= limit)
+        .min_by_key(|(distance, _)| *distance)
         .map(|(_, other)| other)
 }
 
-/// The number of characters to insert, remove, replace or swap with the next to get
-/// from `a` to `b`.
+/// The edit distance between two words, in inserted, removed, replaced and
+/// transposed characters.
 fn edit_distance(a: &str, b: &str) -> usize {
     let a: Vec<char> = a.chars().collect();
     let b: Vec<char> = b.chars().collect();
@@ -169,9 +167,10 @@
     for i in 1..=a.len() {
         let mut row = vec![i];
         for j in 1..=b.len() {
-            let same = usize::from(a[i - 1] != b[j - 1]);
-            let mut best =
-                (rows[i - 1][j - 1] + same).min(rows[i - 1][j] + 1).min(row[j - 1] + 1);
+            let substitution = usize::from(a[i - 1] != b[j - 1]);
+            let mut best = (rows[i - 1][j - 1] + substitution)
+                .min(rows[i - 1][j] + 1)
+                .min(row[j - 1] + 1);
             if i > 1 && j > 1 && a[i - 1] == b[j - 2] && a[i - 2] == b[j - 1] {
                 best = best.min(rows[i - 2][j - 2] + 1);
             }
--- a/crates/config/src/reader.rs
+++ b/crates/config/src/reader.rs
@@ -1,7 +1,7 @@
-//! Reading JSON with comments field by field, noting every problem's place.
+//! A reader of JSON with comments that records the location of every problem.
 //!
-//! A field is turned into its type by `serde`, one at a time, so that a wrong
-//! field hides no other.
+//! Each field is deserialised on its own, so that an invalid field does not hide
+//! the problems of others.
 
 use std::sync::Arc;
 
@@ -27,9 +27,9 @@
     allow_extended_string_escapes: false,
 };
 
-/// Reads a file whose content is one object.
+/// Reads a file that consists of one object.
 ///
-/// `read` gets the object's fields; what it leaves is reported as unknown.
+/// Fields that `read` does not ask for are reported as unknown.
 pub fn read_object<T>(
     file: &str,
     text: &str,
@@ -38,28 +38,28 @@
 ) -> Option<T> {
     let file: Arc<str> = file.into();
     let lines = LineIndex::new(text);
-    let place = SourceText { file: &file, lines: &lines };
+    let source = SourceText { file: &file, lines: &lines };
     let value = match parse_to_ast(text, &CollectOptions::default(), &OPTIONS) {
         Ok(result) => result.value,
         Err(error) => {
-            let at = place.location(error.range().start, String::new());
-            let what = error.kind().to_string();
-            problems.add(at, what, "correct the JSON; comments are allowed");
+            let location = source.location(error.range().start, String::new());
+            let message = error.kind().to_string();
+            problems.add(location, message, "correct the JSON; comments are allowed");
             return None;
         }
     };
     let Some(value) = value else {
-        let at = place.location(0, String::new());
-        problems.add(at, "the file is empty", "write an object `{ ... }`");
+        let location = source.location(0, String::new());
+        problems.add(location, "the file is empty", "write an object `{ ... }`");
         return None;
     };
-    let mut fields = Fields::of(place, String::new(), &value, problems)?;
+    let mut fields = Fields::from_value(source, String::new(), &value, problems)?;
     let result = read(&mut fields);
     fields.report_unknown();
     result
 }
 
-/// The text that positions refer to.
+/// The file in which locations are given.
 #[derive(Clone, Copy)]
 struct SourceText<'a> {
     file: &'a Arc<str>,
@@ -72,114 +72,123 @@
     }
 }
 
-/// The fields of one object.
+/// The fields of one object, each of which is read at most once.
 pub struct Fields<'a> {
-    place: SourceText<'a>,
+    source: SourceText<'a>,
     path: String,
     start: usize,
-    left: IndexMap<&'a str, &'a ObjectProp<'a>>,
-    seen: IndexMap<&'static str, usize>,
+    unread: IndexMap<&'a str, &'a ObjectProp<'a>>,
+    /// The byte offsets of the fields that were read; of absent ones the object's.
+    offsets: IndexMap<&'static str, usize>,
     problems: &'a mut Problems,
 }
 
 impl<'a> Fields<'a> {
-    fn of(
-        place: SourceText<'a>,
+    fn from_value(
+        source: SourceText<'a>,
         path: String,
         value: &'a Value<'a>,
         problems: &'a mut Problems,
     ) -> Option<Self> {
         let start = value.range().start;
         let Value::Object(object) = value else {
-            let at = place.location(start, path);
-            problems.add(at, "this is not an object", "write `{ ... }`");
+            let location = source.location(start, path);
+            problems.add(location, "this is not an object", "write `{ ... }`");
             return None;
         };
-        let mut left = IndexMap::new();
+        let mut unread = IndexMap::new();
         for prop in &object.properties {
             let name = prop.name.as_str();
-            if left.insert(name, prop).is_some() {
-                let at = place.location(prop.range.start, join(&path, name));
-                problems.add(at, "the field stands twice", "remove one of the two");
+            if unread.insert(name, prop).is_some() {
+                let location = source.location(prop.range.start, join(&path, name));
+                problems.add(
+                    location,
+                    "the field is given twice",
+                    "remove one of the two",
+                );
             }
         }
-        Some(Self { place, path, start, left, seen: IndexMap::new(), problems })
+        Some(Self { source, path, start, unread, offsets: IndexMap::new(), problems })
     }
 
-    /// The place of a field, or of the object if the field is absent.
+    /// The location of a field that was read, or of the object if it is absent.
     pub fn location(&self, name: &str) -> Location {
-        let byte = self.seen.get(name).copied().unwrap_or(self.start);
-        self.place.location(byte, join(&self.path, name))
+        let byte = self.offsets.get(name).copied().unwrap_or(self.start);
+        self.source.location(byte, join(&self.path, name))
     }
 
-    /// Notes a problem with a field.
-    pub fn add_problem(&mut self, name: &str, what: impl Into<String>, remedy: &str) {
-        let at = self.location(name);
-        self.problems.add(at, what, remedy);
+    /// Adds a problem of a field.
+    pub fn add_problem(&mut self, name: &str, message: impl Into<String>, remedy: &str) {
+        let location = self.location(name);
+        self.problems.add(location, message, remedy);
     }
 
-    /// Notes a problem at a place.
+    /// Adds a problem at a location of the same file.
     pub fn add_problem_at(
         &mut self,
-        at: Location,
-        what: impl Into<String>,
+        location: Location,
+        message: impl Into<String>,
         remedy: &str,
     ) {
-        self.problems.add(at, what, remedy);
+        self.problems.add(location, message, remedy);
     }
 
-    /// Notes a problem unless the condition holds.
-    pub fn check(&mut self, name: &str, holds: bool, what: &str, remedy: &str) {
+    /// Adds a problem of a field unless the condition holds.
+    pub fn check(&mut self, name: &str, holds: bool, message: &str, remedy: &str) {
         if !holds {
-            self.add_problem(name, what, remedy);
+            self.add_problem(name, message, remedy);
         }
     }
 
-    /// Reads a field that must be there; `form` says what to write.
+    /// Reads a required field; `expected` describes its value in the remedy.
     pub fn required<T: DeserializeOwned>(
         &mut self,
         name: &'static str,
-        form: &str,
+        expected: &str,
     ) -> Option<T> {
-        self.required_as::<T, Same>(name, form)
+        self.required_as::<T, Same>(name, expected)
     }
 
-    /// Reads a field that must be there by a `serde_with` adapter.
-    pub fn required_as<T, U>(&mut self, name: &'static str, form: &str) -> Option<T>
+    /// Reads a required field through a `serde_with` adapter.
+    pub fn required_as<T, U>(&mut self, name: &'static str, expected: &str) -> Option<T>
     where
         U: for<'de> DeserializeAs<'de, T>,
     {
         match self.take(name) {
-            Some(prop) => self.value::<T, U>(name, prop, form),
+            Some(prop) => self.value::<T, U>(name, prop, expected),
             None => {
-                self.add_problem(name, "the field is missing", &format!("write {form}"));
+                self.add_problem(
+                    name,
+                    "the field is missing",
+                    &format!("write {expected}"),
+                );
                 None
             }
         }
     }
 
-    /// Reads a field that has a default.
+    /// Reads a field that has a default value.
     pub fn get_or<T: DeserializeOwned>(
         &mut self,
         name: &'static str,
         default: T,
-        form: &str,
+        expected: &str,
     ) -> T {
-        self.get_or_as::<T, Same>(name, default, form)
+        self.get_or_as::<T, Same>(name, default, expected)
     }
 
-    /// Reads a field that has a default by a `serde_with` adapter.
-    pub fn get_or_as<T, U>(&mut self, name: &'static str, default: T, form: &str) -> T
+    /// Reads a field that has a default value through a `serde_with` adapter.
+    pub fn get_or_as<T, U>(&mut self, name: &'static str, default: T, expected: &str) -> T
     where
         U: for<'de> DeserializeAs<'de, T>,
     {
         match self.take(name) {
-            Some(prop) => self.value::<T, U>(name, prop, form).unwrap_or(default),
+            Some(prop) => self.value::<T, U>(name, prop, expected).unwrap_or(default),
             None => default,
         }
     }
 
-    /// Reads an object that may be absent.
+    /// Reads an optional object; `None` if it is absent or invalid.
     pub fn object<T>(
         &mut self,
         name: &'static str,
@@ -187,15 +196,16 @@
     ) -> Option<T> {
         let prop = self.take(name)?;
         let path = join(&self.path, name);
-        let mut fields = Fields::of(self.place, path, &prop.value, self.problems)?;
+        let mut fields =
+            Fields::from_value(self.source, path, &prop.value, self.problems)?;
         let result = read(&mut fields);
         fields.report_unknown();
         result
     }
 
-    /// Reads an object whose keys are chosen by the author.
+    /// Reads an optional map from names to objects.
     ///
-    /// `read` gets each key with its place, and the fields of its value.
+    /// `read` gets each name with its location, and the fields of its object.
     pub fn entries(
         &mut self,
         name: &'static str,
@@ -203,47 +213,54 @@
     ) {
         let Some(prop) = self.take(name) else { return };
         let path = join(&self.path, name);
-        let map = Fields::of(self.place, path, &prop.value, self.problems);
+        let map = Fields::from_value(self.source, path, &prop.value, self.problems);
         let Some(map) = map else { return };
-        for (key, prop) in map.left {
+        for (key, prop) in map.unread {
             let path = join(&map.path, key);
-            let at = self.place.location(prop.range.start, path.clone());
+            let location = self.source.location(prop.range.start, path.clone());
             if let Some(mut fields) =
-                Fields::of(self.place, path, &prop.value, map.problems)
+                Fields::from_value(self.source, path, &prop.value, map.problems)
             {
-                read(key, at, &mut fields);
+                read(key, location, &mut fields);
                 fields.report_unknown();
             }
         }
     }
 
-    /// Reads an object of texts whose keys are chosen by the author.
+    /// Reads an optional map from names to strings.
     pub fn strings(&mut self, name: &'static str) -> Vec<(String, String, Location)> {
         let Some(prop) = self.take(name) else { return Vec::new() };
         let path = join(&self.path, name);
-        let map = Fields::of(self.place, path, &prop.value, self.problems);
+        let map = Fields::from_value(self.source, path, &prop.value, self.problems);
         let Some(map) = map else { return Vec::new() };
-        let mut found = Vec::new();
-        for (key, prop) in map.left {
+        let mut strings = Vec::new();
+        for (key, prop) in map.unread {
             let path = join(&map.path, key);
-            let at = self.place.location(prop.range.start, path);
+            let location = self.source.location(prop.range.start, path);
             match &prop.value {
                 Value::StringLit(text) => {
-                    found.push((key.to_owned(), text.value.to_string(), at));
+                    strings.push((key.to_owned(), text.value.to_string(), location));
+                }
+                _ => {
+                    map.problems.add(location, "this is not a string", "write `\"...\"`")
                 }
-                _ => map.problems.add(at, "this is not a text", "write `\"...\"`"),
             }
         }
-        found
+        strings
     }
 
     fn take(&mut self, name: &'static str) -> Option<&'a ObjectProp<'a>> {
-        let prop = self.left.shift_remove(name);
-        self.seen.insert(name, prop.map_or(self.start, |prop| prop.range.start));
+        let prop = self.unread.shift_remove(name);
+        self.offsets.insert(name, prop.map_or(self.start, |prop| prop.range.start));
         prop
     }
 
-    fn value<T, U>(&mut self, name: &str, prop: &ObjectProp<'_>, form: &str) -> Option<T>
+    fn value<T, U>(
+        &mut self,
+        name: &str,
+        prop: &ObjectProp<'_>,
+        expected: &str,
+    ) -> Option<T>
     where
         U: for<'de> DeserializeAs<'de, T>,
     {
@@ -251,26 +268,31 @@
         match U::deserialize_as(value) {
             Ok(value) => Some(value),
             Err(error) => {
-                let at =
-                    self.place.location(prop.value.range().start, join(&self.path, name));
-                self.problems.add(at, error.to_string(), format!("write {form}"));
+                let location = self
+                    .source
+                    .location(prop.value.range().start, join(&self.path, name));
+                self.problems.add(
+                    location,
+                    error.to_string(),
+                    format!("write {expected}"),
+                );
                 None
             }
         }
     }
 
     fn report_unknown(self) {
-        for (name, prop) in &self.left {
-            let at = self.place.location(prop.range.start, join(&self.path, name));
-            let known = self.seen.keys().copied();
+        for (name, prop) in &self.unread {
+            let location = self.source.location(prop.range.start, join(&self.path, name));
+            let known = self.offsets.keys().copied();
             let remedy = match closest_match(name, known.clone()) {
-                Some(near) => format!("did you mean `{near}`?"),
+                Some(closest) => format!("did you mean `{closest}`?"),
                 None => {
-                    let list: Vec<_> = known.collect();
-                    format!("remove it or use one of {}", list.join(", "))
+                    let names: Vec<_> = known.collect();
+                    format!("remove it or use one of {}", names.join(", "))
                 }
             };
-            self.problems.add(at, "the field is unknown", remedy);
+            self.problems.add(location, "the field is unknown", remedy);
         }
     }
 }
--- a/crates/config/src/replica.rs
+++ b/crates/config/src/replica.rs
@@ -94,7 +94,7 @@
         self.confirmation_age(now).is_some_and(|age| age <= limit)
     }
 
-    /// DifferenceKind long ago the files were confirmed, if ever.
+    /// How long ago the files were confirmed, if ever.
     pub fn confirmation_age(&self, now: Instant) -> Option<Duration> {
         self.confirmed.map(|at| now.saturating_duration_since(at))
     }
--- a/crates/config/src/settings.rs
+++ b/crates/config/src/settings.rs
@@ -1,4 +1,4 @@
-//! What one daemon reads at its start.
+//! The settings that one daemon reads when it starts.
 
 use std::net::SocketAddr;
 use std::path::PathBuf;
@@ -15,11 +15,11 @@
     pub vm: VmName,
     /// The VM's failure domain.
     pub domain: DomainName,
-    /// Where callers connect.
+    /// The address that the daemon listens on for callers.
     pub caller_addr: SocketAddr,
-    /// Where other daemons connect.
+    /// The address that the daemon listens on for other daemons.
     pub peer_addr: SocketAddr,
-    /// Where operators connect.
+    /// The address that the daemon listens on for operators.
     pub ops_addr: SocketAddr,
     /// The base URL of the table service.
     pub table_url: String,
@@ -27,78 +27,79 @@
     pub object_url: String,
     /// The base URL of the list of VMs.
     pub vms_url: String,
-    /// Keys and trust between daemons.
+    /// Mutual TLS between daemons.
     pub tls: Tls,
-    /// The SHA-256 of each team's operators' key, in lower-case hexadecimal.
+    /// The SHA-256 of each team's operator key, in lower-case hexadecimal digits.
     pub operators: IndexMap<TeamName, String>,
     /// The least severe level that is logged.
     pub log_level: LogLevel,
-    /// Times.
+    /// Intervals and timeouts.
     pub times: Times,
-    /// Limits of memory and number.
+    /// Sizes and counts.
     pub limits: Limits,
 }
 
-/// The daemon's certificate, its key, and whom it trusts, as PEM files.
+/// The PEM files of the daemon's TLS identity and of the authorities it trusts.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Tls {
     /// The certificate chain.
     pub cert: PathBuf,
     /// The private key.
     pub key: PathBuf,
-    /// The certificates of the authorities that sign daemons' certificates.
+    /// The authorities that sign daemons' certificates.
     pub trusted_cas: PathBuf,
 }
 
-/// The severity from which lines are logged.
+/// The least severe level of log lines; each level includes those before it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum LogLevel {
-    /// Only what needs an operator.
+    /// Needs an operator.
     Error,
-    /// Also what may need an operator soon.
+    /// May need an operator soon.
     Warning,
-    /// Also changes of state.
+    /// Changes of state.
     Info,
-    /// Also details of changes.
+    /// Details of changes of state.
     Debug,
 }
 
-/// Times that a daemon keeps to.
+/// Intervals and timeouts of a daemon.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Times {
-    /// DifferenceKind long a membership lease holds after its renewal.
+    /// How long a membership lease is valid after its renewal.
     ///
-    /// At least three times `renewal`, so that two lost renewals lose no lease.
+    /// At least three times `renewal_interval`, so that two lost renewals do not
+    /// end the lease.
     pub lease_duration: Duration,
-    /// DifferenceKind often the lease is renewed.
+    /// The time between renewals of the lease.
     pub renewal_interval: Duration,
-    /// DifferenceKind often changes of the table are read.
+    /// The time between polls of the table for changes.
     pub poll_interval: Duration,
-    /// DifferenceKind long a call to the platform may take.
+    /// The timeout of a call to the platform.
     pub platform_timeout: Duration,
-    /// DifferenceKind long a leaving daemon still takes new requests.
+    /// How long a daemon that is shutting down still accepts new requests.
     pub drain_time: Duration,
-    /// DifferenceKind long a daemon may go without confirming its revision.
+    /// How long a daemon may go without confirmation of its declarations.
     ///
-    /// It takes no new work after that, so that this also bounds how long any daemon
-    /// serves by declarations that were replaced. Changes are to be in force within
-    /// 20 s; the default leaves a quarter of it to their acceptance.
+    /// After that it accepts no new requests, so this also bounds how long any
+    /// daemon serves replaced declarations. Changes must be in force within 20 s;
+    /// the default leaves a quarter of that for accepting them.
     pub max_staleness: Duration,
-    /// DifferenceKind long a caller may keep an address.
+    /// How long a caller may use an address before it asks for a new list.
     pub address_ttl: Duration,
 }
 
-/// Limits of memory and number.
+/// Sizes and counts that a daemon does not exceed.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Limits {
     /// The largest body of a request, in bytes.
     pub max_body_bytes: usize,
     /// Requests that the entry holds at the same time.
     pub max_requests: usize,
-    /// Bytes of bodies and answers that the entry holds at the same time.
+    /// Bytes of request and response bodies that the entry holds at the same time.
     pub max_buffered_bytes: usize,
-    /// The number of slots of the journal; the same on all daemons.
+    /// The number of journal slots; must be the same on all daemons.
     pub journal_slots: u16,
 }
 
--- a/crates/config/tests/examples.rs
+++ b/crates/config/tests/examples.rs
@@ -1,4 +1,4 @@
-//! The example files are read as they stand.
+//! Reads the files under `examples/`.
 
 use std::fs;
 use std::path::Path;
@@ -8,11 +8,11 @@
 use chestnut_config::{Catalog, Settings, TeamFiles};
 use indexmap::IndexMap;
 
-const ROOT: &str = concat!(env!("CARGO_MANIFEST_DIR"), "/../../examples");
+const EXAMPLES: &str = concat!(env!("CARGO_MANIFEST_DIR"), "/../../examples");
 
 fn teams() -> IndexMap<TeamName, TeamFiles> {
     let mut teams = IndexMap::new();
-    for dir in fs::read_dir(Path::new(ROOT).join("declarations")).unwrap() {
+    for dir in fs::read_dir(Path::new(EXAMPLES).join("declarations")).unwrap() {
         let dir = dir.unwrap();
         let name = dir.file_name().into_string().unwrap();
         let mut text = TeamFiles::default();
@@ -28,7 +28,7 @@
 
 #[test]
 fn example_settings_are_valid() {
-    let text = fs::read_to_string(Path::new(ROOT).join("settings.jsonc")).unwrap();
+    let text = fs::read_to_string(Path::new(EXAMPLES).join("settings.jsonc")).unwrap();
     let settings = Settings::parse("settings.jsonc", &text).unwrap();
     assert_eq!(settings.vm.as_str(), "entry-1");
     assert_eq!(settings.operators.len(), 2);
@@ -46,13 +46,13 @@
 }
 
 #[test]
-fn example_declarations_need_one_runner() {
-    let union = MergedDeclarations::parse(Revision(1), &teams()).unwrap();
+fn example_declarations_fit_on_one_runner() {
+    let merged = MergedDeclarations::parse(Revision(1), &teams()).unwrap();
     let pool = PoolName::try_from("drafting").unwrap();
-    let on = |count| {
-        union.check_capacity(&[(pool.clone(), count)].into_iter().collect(), None)
+    let check_with = |count| {
+        merged.check_capacity(&[(pool.clone(), count)].into_iter().collect(), None)
     };
-    assert!(on(1).is_ok());
-    let problems = on(0).unwrap_err();
+    assert!(check_with(1).is_ok());
+    let problems = check_with(0).unwrap_err();
     assert!(problems.to_string().contains("no room for drafter"), "{problems}");
 }
