--- a/crates/config/src/apply.rs
+++ b/crates/config/src/apply.rs
@@ -1,23 +1,22 @@
-//! Accepting a change: one transaction on the head, one answer for ever.
+//! Applies a change in one transaction and gives it one final verdict.
 //!
-//! Load pattern: operators of teams that never coordinate send changes at any
-//! moment (up to 19,000 a day), through any daemon, and repeat a change whose
-//! acknowledgement was lost. Without these rules a repeated change is applied
-//! twice, a slower operator silently undoes a faster one, or an operator is told
-//! "refused" of a change that takes effect later.
+//! Operators of independent teams send up to 19,000 changes a day, at any time and
+//! through any daemon, and retry a change if the response was lost. Without the
+//! rules below a retry would be applied twice, a slower operator would undo the
+//! work of a faster one, or an operator would be told "refused" of a change that
+//! takes effect later.
 //!
-//! The rules:
-//! - A change edits files relative to the revision that its author saw. If a
-//!   file that it edits was changed since, it is refused and the other author
-//!   is named; otherwise it is applied on top of the head.
-//! - The transaction checks the head, so that of two racing changes one sees the
-//!   other and starts again.
-//! - Each final answer, also a refusal, is a row under the change's id that is
-//!   written once, in the same transaction. A repeated change finds it. While
-//!   that row can't be written or read, nobody gets a final answer.
+//! - A change edits files relative to the revision that its author saw. If another
+//!   change has edited one of them since, it is refused and the other author is
+//!   named; otherwise it is applied to the newest revision.
+//! - The transaction requires that the head has not changed, so that of two
+//!   concurrent changes one conflicts and is evaluated again.
+//! - Each final verdict, including a refusal, is stored under the change's id in
+//!   the same transaction and is written only once. A retry finds it there. While
+//!   it can't be written or read, no final verdict is reported.
 //!
-//! [`Applier`] holds no connection: it says what to do next ([`Step`]) and is
-//! told what came of it ([`Event`]).
+//! [`Applier`] does no I/O: it returns the next [`Step`] and is given its
+//! result as an [`Event`].
 
 use chestnut_base::{PoolName, Revision};
 use indexmap::IndexMap;
@@ -27,97 +26,100 @@
 use crate::change::{Change, Verdict};
 use crate::rows::{self, FileRow, Files, Head, HistoryEntry, StoredVerdict};
 
-/// How often an applier starts again before it leaves the change undecided.
+/// Attempts before a change is left undecided.
 ///
-/// A round is lost only to another change that was accepted meanwhile, so that
-/// 24 rounds let 24 operators race at the same moment and all land. At 19,000
-/// changes a day and 50 ms a round the mean number of rivals is 0.01.
+/// An attempt fails only if another change was accepted during it, so 24 attempts
+/// let 24 operators send changes at the same moment and all succeed. At 19,000
+/// changes a day and 50 ms per attempt the mean number of concurrent changes is
+/// 0.01.
 pub const MAX_ATTEMPTS: u32 = 24;
 
-/// How many revisions the history keeps; five days of 19,000 changes.
+/// The number of revisions that the history keeps; five days at 19,000 a day.
 pub const MAX_HISTORY_REVISIONS: u64 = 100_000;
 
-/// What an applier wants done next.
+/// The next action that an applier needs.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Step {
-    /// Read the head, then the files, then the change's row.
+    /// Read the head, then the files, then the stored verdict on the change.
     Read,
-    /// Commit this.
+    /// Commit the transaction.
     Commit(Transaction),
-    /// Nothing; this is the answer.
+    /// Nothing; the change has this outcome.
     Done(ApplyOutcome),
 }
 
-/// A transaction on the configuration's table.
+/// A transaction on the configuration's tables.
 ///
-/// Requires that the head has just the given version (or does not exist) and
-/// that the row `fresh` does not exist.
+/// It requires that the head has exactly the given version (or does not exist)
+/// and that the row `verdict_key` does not exist.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Transaction {
-    /// The version that the head's row must have; it must not exist if absent.
+    /// The required version of the head's row; if `None`, it must not exist.
     pub head_version: Option<u64>,
-    /// The key of the row that must not exist.
+    /// The key of the stored verdict, which must not exist.
     pub verdict_key: String,
-    /// The rows to write.
+    /// The rows to write, with their keys.
     pub writes: Vec<(String, Value)>,
-    /// The rows to remove.
+    /// The keys of the rows to delete.
     pub deletes: Vec<String>,
 }
 
-/// What a daemon answers to an operator.
+/// The outcome of applying a change.
 #[derive(Debug, Clone, PartialEq)]
 pub enum ApplyOutcome {
-    /// The final answer.
+    /// The final verdict.
     Decided(Verdict),
-    /// Nothing is known of the change; the operator repeats it with the same id.
+    /// No verdict is known, for this reason; the operator retries with the same id.
     Undecided(String),
-    /// The id was used for another change; this one has and will have no effect.
+    /// The id belongs to another change; this one has no effect and never will.
     IdReused,
 }
 
-/// What came of a step.
+/// The result of a step.
 #[derive(Debug, Clone)]
 pub enum Event {
-    /// What was read.
+    /// The rows were read.
     Read(Box<Snapshot>),
     /// The transaction was committed.
     Committed,
-    /// The transaction was refused; others were faster.
+    /// The transaction was refused because another change was accepted first.
     Conflict,
-    /// The transaction may have been committed.
+    /// The transaction may or may not have been committed.
     OutcomeUnknown,
-    /// The platform did nothing.
+    /// The platform did not carry out the step, for this reason.
     Unavailable(String),
 }
 
-/// What a step of reading found.
+/// The rows that a change is evaluated against.
 #[derive(Debug, Clone, Default)]
 pub struct Snapshot {
-    /// The head and the version of its row.
+    /// The head and the version of its row; `None` before the first change.
     pub head: Option<(Head, u64)>,
     /// All files, read after the head.
     pub files: Files,
-    /// The final answer to the change, if there is one, read last.
+    /// The final verdict on the change, if there is one, read last.
     pub stored_verdict: Option<StoredVerdict>,
-    /// The entry of the history that the next revision pushes out.
+    /// The history entry that expires with the next revision.
     pub expired_entry: Option<HistoryEntry>,
-    /// The number of runners of each pool, where it is known.
+    /// The number of runners of each pool for which it is known.
     pub runners: IndexMap<PoolName, usize>,
 }
 
-/// Takes one change to its answer.
+/// A state machine that applies one change.
 #[derive(Debug, Clone)]
 pub struct Applier {
     change: Change,
-    wall: u64,
-    rounds: u32,
-    sent: Option<Verdict>,
+    unix_time_s: u64,
+    failed_attempts: u32,
+    /// The verdict in the transaction that was last sent.
+    sent_verdict: Option<Verdict>,
 }
 
 impl Applier {
-    /// Creates an applier; `wall` is the time for the history, in seconds since 1970.
-    pub fn new(change: Change, wall: u64) -> Self {
-        Self { change, wall, rounds: 0, sent: None }
+    /// Creates an applier; `unix_time_s` is the time of acceptance in the history, in
+    /// seconds since 1970.
+    pub fn new(change: Change, unix_time_s: u64) -> Self {
+        Self { change, unix_time_s, failed_attempts: 0, sent_verdict: None }
     }
 
     /// The first step.
@@ -125,75 +127,74 @@
         Step::Read
     }
 
-    /// The step after what came of the last one.
+    /// The next step after the result of the last one.
     pub fn handle(&mut self, event: Event) -> Step {
         match event {
-            Event::Read(found) => self.decide(*found),
-            Event::Committed => match self.sent.take() {
+            Event::Read(snapshot) => self.decide(*snapshot),
+            Event::Committed => match self.sent_verdict.take() {
                 Some(verdict) => Step::Done(ApplyOutcome::Decided(verdict)),
                 None => Step::Read,
             },
-            Event::Conflict | Event::OutcomeUnknown => self.again(),
-            Event::Unavailable(why) => Step::Done(ApplyOutcome::Undecided(why)),
+            Event::Conflict | Event::OutcomeUnknown => self.retry(),
+            Event::Unavailable(reason) => Step::Done(ApplyOutcome::Undecided(reason)),
         }
     }
 
-    fn again(&mut self) -> Step {
-        self.sent = None;
-        self.rounds += 1;
-        if self.rounds < MAX_ATTEMPTS {
+    fn retry(&mut self) -> Step {
+        self.sent_verdict = None;
+        self.failed_attempts += 1;
+        if self.failed_attempts < MAX_ATTEMPTS {
             return Step::Read;
         }
-        Step::Done(ApplyOutcome::Undecided("other changes were always faster".into()))
+        Step::Done(ApplyOutcome::Undecided(
+            "all attempts conflicted with other changes or had unknown outcomes".into(),
+        ))
     }
 
-    fn decide(&mut self, found: Snapshot) -> Step {
+    fn decide(&mut self, snapshot: Snapshot) -> Step {
         let digest = self.change.digest().to_string();
-        if let Some(ruling) = found.stored_verdict {
-            return Step::Done(if ruling.digest == digest {
-                ApplyOutcome::Decided(ruling.verdict)
+        if let Some(stored) = snapshot.stored_verdict {
+            return Step::Done(if stored.digest == digest {
+                ApplyOutcome::Decided(stored.verdict)
             } else {
                 ApplyOutcome::IdReused
             });
         }
-        let current = found.head.as_ref().map_or(Revision(0), |(head, _)| head.revision);
+        let current =
+            snapshot.head.as_ref().map_or(Revision(0), |(head, _)| head.revision);
         let next = Revision(current.0 + 1);
-        let verdict = match self.change.evaluate(&found.files, &found.runners, next) {
+        let verdict = match self.change.evaluate(&snapshot.files, &snapshot.runners, next)
+        {
             Ok(_) => {
                 let rebased = current > self.change.base;
                 Verdict::Accepted { revision: next, rebased }
             }
             Err(reason) => Verdict::Refused { revision: current, reason },
         };
-        let fresh = rows::change_key(&self.change.team, &self.change.id);
-        let ruling = StoredVerdict { digest, verdict: verdict.clone() };
-        let mut writes = vec![(fresh.clone(), json(&ruling))];
-        let mut removals = Vec::new();
+        let verdict_key = rows::change_key(&self.change.team, &self.change.id);
+        let stored = StoredVerdict { digest, verdict: verdict.clone() };
+        let mut writes = vec![(verdict_key.clone(), to_json(&stored))];
+        let mut deletes = Vec::new();
         if let Verdict::Accepted { revision, .. } = verdict {
-            writes.extend(self.rows(&found.files, revision));
-            if let Some(old) = found.expired_entry {
-                removals.push(rows::revision_key(old.revision));
-                removals.push(rows::change_key(&old.team, &old.change));
+            writes.extend(self.revision_rows(&snapshot.files, revision));
+            if let Some(expired) = snapshot.expired_entry {
+                deletes.push(rows::revision_key(expired.revision));
+                deletes.push(rows::change_key(&expired.team, &expired.change));
             }
         }
-        self.sent = Some(verdict);
-        let head = found.head.map(|(_, version)| version);
-        Step::Commit(Transaction {
-            head_version: head,
-            verdict_key: fresh,
-            writes,
-            deletes: removals,
-        })
+        self.sent_verdict = Some(verdict);
+        let head_version = snapshot.head.map(|(_, version)| version);
+        Step::Commit(Transaction { head_version, verdict_key, writes, deletes })
     }
 
-    fn rows(&self, files: &Files, revision: Revision) -> Vec<(String, Value)> {
+    fn revision_rows(&self, files: &Files, revision: Revision) -> Vec<(String, Value)> {
         let change = &self.change;
         let head = Head { revision, change: change.id.clone() };
-        let mut rows = vec![(rows::HEAD_KEY.to_owned(), json(&head))];
-        let mut before = IndexMap::new();
+        let mut rows = vec![(rows::HEAD_KEY.to_owned(), to_json(&head))];
+        let mut previous_texts = IndexMap::new();
         for (file, text) in &change.edits {
             let old = files.get(&change.team, file).and_then(|row| row.text.clone());
-            before.insert(file.clone(), old);
+            previous_texts.insert(file.clone(), old);
             let row = FileRow {
                 team: change.team.clone(),
                 file: file.clone(),
@@ -202,7 +203,7 @@
                 author: change.author.clone(),
                 text: text.clone(),
             };
-            rows.push((rows::file_key(&change.team, file), json(&row)));
+            rows.push((rows::file_key(&change.team, file), to_json(&row)));
         }
         let entry = HistoryEntry {
             revision,
@@ -210,14 +211,14 @@
             team: change.team.clone(),
             author: change.author.clone(),
             note: change.note.clone(),
-            accepted_at: self.wall,
-            previous_texts: before,
+            accepted_at: self.unix_time_s,
+            previous_texts,
         };
-        rows.push((rows::revision_key(revision), json(&entry)));
+        rows.push((rows::revision_key(revision), to_json(&entry)));
         rows
     }
 }
 
-fn json<T: Serialize>(value: &T) -> Value {
-    serde_json::to_value(value).expect("these types have texts as keys")
+fn to_json<T: Serialize>(value: &T) -> Value {
+    serde_json::to_value(value).expect("all maps have string keys")
 }
--- a/crates/config/src/change.rs
+++ b/crates/config/src/change.rs
@@ -1,4 +1,4 @@
-//! An operator's change, and whether it may be applied.
+//! Changes that operators request, and the check of whether they can be accepted.
 
 use chestnut_base::{Digest, PoolName, Revision, TeamName};
 use indexmap::{IndexMap, IndexSet};
@@ -10,31 +10,31 @@
 use crate::problem::{Location, Problems};
 use crate::rows::{FileRow, Files};
 
-/// The longest text of a file, in bytes.
+/// The maximum size of a file, in bytes.
 pub const MAX_FILE_BYTES: usize = 512 << 10;
 
-/// The longest id of a change, in bytes.
+/// The maximum length of a change's id and of a file's name, in bytes.
 pub const MAX_ID_BYTES: usize = 64;
 
-/// The longest author and note, in bytes.
+/// The maximum length of an author and of a note, in bytes.
 pub const MAX_NOTE_BYTES: usize = 1024;
 
-/// What an operator asks for.
+/// A change that an operator requests.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Change {
-    /// The change's id, chosen by its author; a repeated change keeps it.
+    /// The change's id, chosen by its author; a retry sends the same id.
     pub id: String,
     /// The team whose files it edits.
     pub team: TeamName,
-    /// Who makes it.
+    /// The operator who makes the change.
     pub author: String,
-    /// What the author says of it.
+    /// The author's description of the change; may be empty.
     #[serde(default)]
     pub note: String,
-    /// The revision that the author saw.
+    /// The revision from which the author edited the files.
     pub base: Revision,
-    /// The new text of each edited file; absent to remove the file.
+    /// The new text of each edited file; `None` removes the file.
     pub edits: IndexMap<String, Option<String>>,
 }
 
@@ -42,71 +42,72 @@
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case", tag = "verdict")]
 pub enum Verdict {
-    /// The change is in the named revision and never reverts by itself.
+    /// The change is part of the revision and stays in force until another change
+    /// replaces it.
     Accepted {
-        /// The revision that the change made.
+        /// The revision that the change created.
         revision: Revision,
-        /// Whether others' changes were accepted since the author's revision.
+        /// Whether other changes were accepted since the author's revision.
         rebased: bool,
     },
-    /// The change has and will have no effect.
+    /// The change has no effect and never will.
     Refused {
-        /// The newest revision at that time.
+        /// The newest revision when the change was refused.
         revision: Revision,
-        /// Why.
+        /// Why the change was refused.
         reason: RefusalReason,
     },
 }
 
-/// Why a change was refused.
+/// The reason for which a change is refused.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case", tag = "reason")]
 pub enum RefusalReason {
-    /// Others changed the same files since the author's revision.
+    /// The same files were changed by others since the author's revision.
     Conflict {
         /// The author of the refused change.
         author: String,
-        /// Each other change.
+        /// The changes of those files.
         others: Vec<RelatedChange>,
     },
-    /// The author names a revision that does not exist yet.
+    /// The author's revision does not exist yet.
     ///
-    /// Were it believed, no change of others would count as made since then, and
-    /// all of them would be overwritten.
+    /// No change of others would be newer than it, so none would conflict and all
+    /// would be overwritten.
     #[serde(rename = "ahead")]
     UnknownBase {
-        /// The revision that the author names.
+        /// The author's revision.
         base: Revision,
     },
-    /// The declarations of all teams together would be wrong.
+    /// The declarations of all teams together would be invalid.
     Invalid {
-        /// What would be wrong.
+        /// The problems of the declarations.
         problems: Problems,
-        /// The changes that wrote the other files that the problems are about.
+        /// The changes that wrote the other files with problems.
         others: Vec<RelatedChange>,
     },
 }
 
-/// A change that got in first.
+/// An accepted change that another change conflicts with.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct RelatedChange {
-    /// The file that both change.
+    /// The file that it wrote, with its team.
     pub file: String,
-    /// The author of the change that got in first.
+    /// The author of the accepted change.
     pub author: String,
-    /// Its id.
+    /// The id of the accepted change.
     pub change: String,
-    /// Its revision.
+    /// The revision that it created.
     pub revision: Revision,
 }
 
 impl Change {
-    /// Checks what can be told from the change alone.
+    /// Checks the sizes and names in the change, without the current files.
     pub fn validate(&self) -> Result<(), String> {
-        let plain = |c: char| c.is_ascii_alphanumeric() || "-_.".contains(c);
+        let is_allowed = |c: char| c.is_ascii_alphanumeric() || "-_.".contains(c);
         if self.id.is_empty()
             || self.id.len() > MAX_ID_BYTES
-            || !self.id.chars().all(plain)
+            || !self.id.chars().all(is_allowed)
         {
             return Err(format!(
                 "the change's id is invalid; use 1 to {MAX_ID_BYTES} letters, digits, `-`, \
@@ -125,7 +126,10 @@
             return Err("the change edits no file; there is nothing to apply".into());
         }
         for (file, text) in &self.edits {
-            if file.is_empty() || file.len() > MAX_ID_BYTES || !file.chars().all(plain) {
+            if file.is_empty()
+                || file.len() > MAX_ID_BYTES
+                || !file.chars().all(is_allowed)
+            {
                 return Err(format!(
                     "the file name {file:?} is invalid; use letters, digits, `-`, `_`, `.`"
                 ));
@@ -140,7 +144,7 @@
         Ok(())
     }
 
-    /// A hash of what the change does, by which a reused id is told apart.
+    /// A digest of the edits, which distinguishes a retry from a reused id.
     pub fn digest(&self) -> Digest {
         let base = self.base.0.to_le_bytes();
         let mut parts: Vec<&[u8]> = vec![self.team.as_str().as_bytes(), &base];
@@ -152,10 +156,10 @@
         Digest::of(parts)
     }
 
-    /// Checks the change on top of all files, and returns the new declarations.
+    /// Applies the change to the current files and returns the new declarations.
     ///
-    /// The changing team is read last, so that the problems stand at its texts
-    /// where two texts contradict each other.
+    /// The changing team is read last, so that conflicts between two teams are
+    /// located in its files.
     pub fn evaluate(
         &self,
         files: &Files,
@@ -171,23 +175,23 @@
         }
         let mut teams = files.by_team();
         let old = Catalog::merge(next, &teams).ok();
-        let mut text = teams.shift_remove(&self.team).unwrap_or_default();
-        apply_edits(&mut text, &self.edits);
-        teams.insert(self.team.clone(), text);
-        let union = MergedDeclarations::parse(next, &teams).and_then(|union| {
-            union.check_capacity(runners, old.as_ref())?;
-            Ok(union)
+        let mut team_files = teams.shift_remove(&self.team).unwrap_or_default();
+        apply_edits(&mut team_files, &self.edits);
+        teams.insert(self.team.clone(), team_files);
+        let merged = MergedDeclarations::parse(next, &teams).and_then(|merged| {
+            merged.check_capacity(runners, old.as_ref())?;
+            Ok(merged)
         });
-        match union {
-            Ok(union) => Ok(union.catalog),
+        match merged {
+            Ok(merged) => Ok(merged.catalog),
             Err(problems) => {
-                let others = self.blamed(&problems, files);
+                let others = self.changes_behind(&problems, files);
                 Err(RefusalReason::Invalid { problems, others })
             }
         }
     }
 
-    /// The changes of the same files since the author's revision.
+    /// The changes of the edited files since the author's revision.
     fn conflicts(&self, files: &Files) -> Vec<RelatedChange> {
         self.edits
             .keys()
@@ -197,16 +201,16 @@
             .collect()
     }
 
-    /// The changes that last wrote the other files that problems are about.
-    fn blamed(&self, problems: &Problems, files: &Files) -> Vec<RelatedChange> {
-        let spots =
+    /// The changes that last wrote the files with problems, except the edited ones.
+    fn changes_behind(&self, problems: &Problems, files: &Files) -> Vec<RelatedChange> {
+        let locations =
             problems.0.iter().flat_map(|it| [Some(&it.location), it.related.as_ref()]);
-        let named: IndexSet<&str> =
-            spots.flatten().map(|spot: &Location| &*spot.file).collect();
+        let affected_files: IndexSet<&str> =
+            locations.flatten().map(|location: &Location| &*location.file).collect();
         files
             .rows()
             .filter(|row| row.team != self.team || !self.edits.contains_key(&row.file))
-            .filter(|row| named.contains(row.path().as_str()))
+            .filter(|row| affected_files.contains(row.path().as_str()))
             .map(RelatedChange::from_row)
             .collect()
     }
@@ -223,21 +227,21 @@
     }
 }
 
-/// Applies edits to a team's files.
-pub fn apply_edits(text: &mut TeamFiles, edits: &IndexMap<String, Option<String>>) {
-    for (file, new) in edits {
-        match new {
-            Some(new) => {
-                text.files.insert(file.clone(), new.clone());
+/// Applies edits to a team's files; `None` removes a file.
+pub fn apply_edits(team_files: &mut TeamFiles, edits: &IndexMap<String, Option<String>>) {
+    for (file, text) in edits {
+        match text {
+            Some(text) => {
+                team_files.files.insert(file.clone(), text.clone());
             }
             None => {
-                text.files.shift_remove(file);
+                team_files.files.shift_remove(file);
             }
         }
     }
 }
 
-/// The edits that lead from one text of a team to another.
+/// The edits that turn a team's files from `old` into `new`.
 pub fn diff_files(old: &TeamFiles, new: &TeamFiles) -> IndexMap<String, Option<String>> {
     let mut edits = IndexMap::new();
     for (file, text) in &new.files {
--- a/crates/config/src/plan.rs
+++ b/crates/config/src/plan.rs
@@ -1,4 +1,4 @@
-//! What a change would change and move.
+//! The expected effect of a change.
 
 use std::fmt::Display;
 
@@ -9,60 +9,61 @@
 
 use crate::catalog::{Catalog, Model};
 
-/// What a change would change and move.
+/// The declarations that a change would affect, and the moves that would follow.
 #[derive(Debug, Clone, Default, PartialEq, Serialize, Deserialize)]
 pub struct Plan {
-    /// Names that would be added, removed or changed.
+    /// Declarations that would be added, removed or changed.
     pub changes: Vec<Difference>,
-    /// Loads and unloads that would follow.
+    /// Loads and unloads of replicas that would follow.
     pub moves: Vec<Move>,
 }
 
-/// A name that would be added, removed or changed.
+/// A declaration that would be added, removed or changed.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Difference {
-    /// What it names, such as `model`.
+    /// The type of the declaration, such as `model`.
     #[serde(rename = "what")]
     pub item_type: String,
-    /// The name.
+    /// The declared name.
     pub name: String,
-    /// What would happen to it.
+    /// Whether it would be added, removed or changed.
     #[serde(rename = "how")]
     pub kind: DifferenceKind,
-    /// The fields that would change, with the old and the new value.
+    /// The fields that would change, with the old and the new value; empty unless
+    /// the declaration would be changed.
     pub fields: IndexMap<String, (Value, Value)>,
 }
 
-/// What would happen to a name.
+/// The kind of difference between two versions of the declarations.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum DifferenceKind {
-    /// It would be declared.
+    /// The name would be declared.
     Add,
-    /// It would not be declared any more.
+    /// The name would no longer be declared.
     Remove,
-    /// Its fields would change.
+    /// Fields of the declaration would change.
     Change,
 }
 
-/// Loads or unloads of a model that would follow.
+/// Loads or unloads of replicas of one model.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Move {
-    /// The model, with its version.
+    /// The model and its version, as `MODEL@VERSION`.
     pub model: String,
-    /// The pool.
+    /// The pool that serves the model.
     pub pool: String,
-    /// Replicas to load; negative to unload.
+    /// The number of replicas to load, or, if negative, to unload.
     pub replicas: i64,
-    /// The bytes of each.
+    /// The size of a replica, in bytes.
     pub bytes: u64,
-    /// How long the load of one takes at least, in milliseconds.
+    /// The least time that loading one replica takes, in milliseconds.
     #[serde(rename = "cold_ms")]
     pub load_ms: u64,
 }
 
 impl Plan {
-    /// Compares declarations.
+    /// Compares two versions of the declarations.
     pub fn diff(old: &Catalog, new: &Catalog) -> Self {
         let mut plan = Self::default();
         plan.compare("pool", &old.pools, &new.pools);
@@ -72,57 +73,68 @@
         plan.compare("kind", &old.kinds, &new.kinds);
         plan.compare("caller", &old.callers, &new.callers);
         plan.compare("route", &old.routes, &new.routes);
-        plan.moves(old, new);
+        plan.add_moves(old, new);
         plan
     }
 
-    fn compare<K, T>(&mut self, what: &str, old: &IndexMap<K, T>, new: &IndexMap<K, T>)
-    where
+    fn compare<K, T>(
+        &mut self,
+        item_type: &str,
+        old: &IndexMap<K, T>,
+        new: &IndexMap<K, T>,
+    ) where
         K: Display + std::hash::Hash + Eq,
         T: Serialize + PartialEq,
     {
-        for (name, item) in old {
-            let (how, fields) = match new.get(name) {
-                Some(other) if other == item => continue,
-                Some(other) => (DifferenceKind::Change, differences(item, other)),
+        for (name, old_item) in old {
+            let (kind, fields) = match new.get(name) {
+                Some(new_item) if new_item == old_item => continue,
+                Some(new_item) => {
+                    (DifferenceKind::Change, changed_fields(old_item, new_item))
+                }
                 None => (DifferenceKind::Remove, IndexMap::new()),
             };
-            self.push(what, name, how, fields);
+            self.add_difference(item_type, name, kind, fields);
         }
         for name in new.keys().filter(|name| !old.contains_key(*name)) {
-            self.push(what, name, DifferenceKind::Add, IndexMap::new());
+            self.add_difference(item_type, name, DifferenceKind::Add, IndexMap::new());
         }
     }
 
-    fn push(
+    fn add_difference(
         &mut self,
-        what: &str,
+        item_type: &str,
         name: &impl Display,
-        how: DifferenceKind,
+        kind: DifferenceKind,
         fields: IndexMap<String, (Value, Value)>,
     ) {
-        let (what, name) = (what.to_owned(), name.to_string());
-        self.changes.push(Difference { item_type: what, name, kind: how, fields });
+        let (item_type, name) = (item_type.to_owned(), name.to_string());
+        self.changes.push(Difference { item_type, name, kind, fields });
     }
 
-    fn moves(&mut self, old: &Catalog, new: &Catalog) {
+    fn add_moves(&mut self, old: &Catalog, new: &Catalog) {
         for (name, model) in &old.models {
-            let kept = new.models.get(name).filter(|it| same_weights(it, model));
-            let left = kept.map_or(0, |it| i64::from(it.min_replicas));
-            self.shift(
+            let retained = new.models.get(name).filter(|it| same_weights(it, model));
+            let remaining = retained.map_or(0, |it| i64::from(it.min_replicas));
+            self.add_move(
                 name,
                 model,
-                left.min(i64::from(model.min_replicas)) - i64::from(model.min_replicas),
+                remaining.min(i64::from(model.min_replicas))
+                    - i64::from(model.min_replicas),
             );
         }
         for (name, model) in &new.models {
-            let before = old.models.get(name).filter(|it| same_weights(it, model));
-            let had = before.map_or(0, |it| i64::from(it.min_replicas));
-            self.shift(name, model, (i64::from(model.min_replicas) - had).max(0));
+            let previous = old.models.get(name).filter(|it| same_weights(it, model));
+            let previous_replicas = previous.map_or(0, |it| i64::from(it.min_replicas));
+            self.add_move(
+                name,
+                model,
+                (i64::from(model.min_replicas) - previous_replicas).max(0),
+            );
         }
     }
 
-    fn shift(&mut self, name: &ModelName, model: &Model, replicas: i64) {
+    fn add_move(&mut self, name: &ModelName, model: &Model, replicas: i64) {
         if replicas != 0 {
             self.moves.push(Move {
                 model: format!("{name}@{}", model.version),
@@ -135,21 +147,21 @@
     }
 }
 
-/// Whether a replica of the one serves as a replica of the other.
+/// Whether a replica of one model can serve as a replica of the other.
 fn same_weights(a: &Model, b: &Model) -> bool {
     a.pool == b.pool && a.version == b.version && a.memory_bytes == b.memory_bytes
 }
 
-fn differences<T: Serialize>(old: &T, new: &T) -> IndexMap<String, (Value, Value)> {
+fn changed_fields<T: Serialize>(old: &T, new: &T) -> IndexMap<String, (Value, Value)> {
     let (old, new) = (object(old), object(new));
-    let mut found = IndexMap::new();
+    let mut differences = IndexMap::new();
     for (field, value) in new {
-        let before = old.get(&field).cloned().unwrap_or_default();
-        if before != value {
-            found.insert(field, (before, value));
+        let old_value = old.get(&field).cloned().unwrap_or_default();
+        if old_value != value {
+            differences.insert(field, (old_value, value));
         }
     }
-    found
+    differences
 }
 
 fn object<T: Serialize>(item: &T) -> serde_json::Map<String, Value> {
--- a/crates/config/src/replica.rs
+++ b/crates/config/src/replica.rs
@@ -1,16 +1,15 @@
-//! What one daemon has of the configuration, and whether it is fresh enough.
+//! A daemon's replica of the declarations, and whether it is fresh.
 //!
-//! Failure: a daemon that was frozen, cut off or has just started holds old
-//! declarations. Symptom: it serves a route or a deadline that its operators
-//! replaced, while they were told that the new one is in force. Two rules
-//! suffice against it: a replica's revision never falls, and a replica that was
-//! not confirmed for some time says so ([`ConfigReplica::is_fresh`]), so that its
-//! daemon takes no new work.
+//! A daemon that was suspended, partitioned or just started holds old
+//! declarations. It would serve replaced routes or deadlines although their operators
+//! were told that the new ones are in force. Two rules prevent this: the revision of
+//! a replica never falls, and a daemon whose replica has not been confirmed for a
+//! while ([`ConfigReplica::is_fresh`]) accepts no new requests.
 //!
-//! The table confirms a replica, and so does a peer that is itself fresh and
-//! knows no newer revision; peers that are not fresh confirm nobody. While the
-//! table is down nothing can be accepted, and the fresh daemons confirm each
-//! other, so that an outage of the platform stops no caller.
+//! A replica is confirmed by the table, or by a peer that is itself fresh and
+//! has no older revision; peers that are not fresh confirm nothing. While the
+//! table is unavailable no change can be accepted, so the fresh daemons confirm
+//! each other and an outage of the platform affects no caller.
 
 use std::time::{Duration, Instant};
 
@@ -19,87 +18,92 @@
 
 use crate::rows::{FileRow, Files};
 
-/// What one daemon has of the configuration.
+/// A daemon's replica of the declarations.
 #[derive(Debug, Clone, Default)]
 pub struct ConfigReplica {
-    /// All files; their revision never falls.
     files: Files,
     /// The version of the table up to which the files are complete.
-    version: u64,
-    /// When the question was sent whose answer confirmed the files last.
+    table_version: u64,
+    /// When the request was sent whose response last confirmed the files.
     ///
-    /// The answer may have taken long; only what was accepted before the
-    /// question was sent is sure to be in it.
-    confirmed: Option<Instant>,
+    /// The response may be delayed: only changes that were accepted before the
+    /// request was sent are certain to be in it.
+    confirmed_at: Option<Instant>,
 }
 
-/// What a daemon tells a peer that can't read the table.
+/// A daemon's response to a peer that can't read the table.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ReplicaUpdate {
-    /// The daemon's revision.
+    /// The responding daemon's revision.
     pub revision: Revision,
-    /// Whether the daemon is itself fresh.
+    /// Whether the responding daemon's replica is fresh.
     pub fresh: bool,
-    /// The files that changed after the revision that the peer has.
+    /// The files that changed after the peer's revision.
     pub rows: Vec<FileRow>,
 }
 
 impl ConfigReplica {
-    /// The files.
+    /// The files, of which none ever goes back to an older revision.
     pub fn files(&self) -> &Files {
         &self.files
     }
 
-    /// The version of the table after which to read.
+    /// The version of the table up to which the files are complete.
     pub fn table_version(&self) -> u64 {
-        self.version
+        self.table_version
     }
 
-    /// Takes in all rows that the table wrote after [`Self::version`].
-    pub fn apply_changes(&mut self, rows: Vec<FileRow>, version: u64, asked: Instant) {
+    /// Applies all rows that the table wrote after [`Self::table_version`], read by a
+    /// request sent at `requested_at`.
+    pub fn apply_changes(
+        &mut self,
+        rows: Vec<FileRow>,
+        version: u64,
+        requested_at: Instant,
+    ) {
         for row in rows {
             self.files.update(row);
         }
-        self.version = self.version.max(version);
-        self.confirm(asked);
+        self.table_version = self.table_version.max(version);
+        self.confirm(requested_at);
     }
 
-    /// Takes in a peer's answer to a question sent at `asked`.
-    pub fn apply_update(&mut self, peer: ReplicaUpdate, asked: Instant) {
-        for row in peer.rows {
+    /// Applies a peer's response to a request sent at `requested_at`.
+    pub fn apply_update(&mut self, update: ReplicaUpdate, requested_at: Instant) {
+        for row in update.rows {
             self.files.update(row);
         }
-        if peer.fresh && peer.revision >= self.files.revision() {
-            self.confirm(asked);
+        if update.fresh && update.revision >= self.files.revision() {
+            self.confirm(requested_at);
         }
     }
 
-    /// What to tell a peer that has revision `have`.
+    /// The response to a peer that has revision `peer_revision`.
     pub fn update_for(
         &self,
-        have: Revision,
+        peer_revision: Revision,
         now: Instant,
-        limit: Duration,
+        max_staleness: Duration,
     ) -> ReplicaUpdate {
-        let newer = self.files.rows().filter(|row| row.revision > have);
+        let newer = self.files.rows().filter(|row| row.revision > peer_revision);
         ReplicaUpdate {
             revision: self.files.revision(),
-            fresh: self.is_fresh(now, limit),
+            fresh: self.is_fresh(now, max_staleness),
             rows: newer.cloned().collect(),
         }
     }
 
-    /// Whether the files were confirmed within `limit`.
-    pub fn is_fresh(&self, now: Instant, limit: Duration) -> bool {
-        self.confirmation_age(now).is_some_and(|age| age <= limit)
+    /// Whether the files were confirmed within `max_staleness`.
+    pub fn is_fresh(&self, now: Instant, max_staleness: Duration) -> bool {
+        self.confirmation_age(now).is_some_and(|age| age <= max_staleness)
     }
 
-    /// How long ago the files were confirmed, if ever.
+    /// The time since the files were confirmed; `None` before the first time.
     pub fn confirmation_age(&self, now: Instant) -> Option<Duration> {
-        self.confirmed.map(|at| now.saturating_duration_since(at))
+        self.confirmed_at.map(|at| now.saturating_duration_since(at))
     }
 
-    fn confirm(&mut self, asked: Instant) {
-        self.confirmed = self.confirmed.max(Some(asked));
+    fn confirm(&mut self, requested_at: Instant) {
+        self.confirmed_at = self.confirmed_at.max(Some(requested_at));
     }
 }
--- a/crates/config/src/rows.rs
+++ b/crates/config/src/rows.rs
@@ -1,16 +1,16 @@
-//! The rows in which the platform's table keeps the configuration.
+//! The rows of the configuration in the platform's table.
 //!
 //! | key | content | written |
 //! |---|---|---|
 //! | `head` | [`Head`] | by every accepted change |
-//! | `file:TEAM/NAME` | [`FileRow`] | by an accepted change of that file |
-//! | `rev:NUMBER` | [`HistoryEntry`] | once, by the change that made the revision |
-//! | `change:TEAM/ID` | [`StoredVerdict`] | once, by the first final answer to the change |
+//! | `file:TEAM/NAME` | [`FileRow`] | by accepted changes of that file |
+//! | `rev:NUMBER` | [`HistoryEntry`] | once, by the change that created the revision |
+//! | `change:TEAM/ID` | [`StoredVerdict`] | once, with the change's verdict |
 //!
-//! The first two are in the table [`CONFIG_TABLE`], which daemons follow, so that a change
-//! costs each of them just the files it touches; the others are in [`LOG_TABLE`]. A
-//! removed file keeps its row without a text, so that the greatest revision of the
-//! rows never falls.
+//! The first two are in [`CONFIG_TABLE`], which daemons watch, so that a change
+//! costs each daemon only the files that it edits; the others are in [`LOG_TABLE`].
+//! The row of a removed file stays without a text, so that the greatest revision of
+//! all rows never falls.
 
 use chestnut_base::{Revision, TeamName};
 use indexmap::IndexMap;
@@ -19,30 +19,30 @@
 use crate::change::Verdict;
 use crate::declarations::TeamFiles;
 
-/// The table of the head and the files, which every daemon follows.
+/// The table of the head and the files, which every daemon watches.
 pub const CONFIG_TABLE: &str = "config";
 
-/// The table of the history and the answers, read only when an operator asks.
+/// The table of the history and the verdicts, read only for operators.
 ///
-/// Apart from the files, so that a change costs every daemon just its new text.
+/// It is separate so that daemons don't receive its rows with each change.
 pub const LOG_TABLE: &str = "config-log";
 
-/// The key of the head.
+/// The key of the [`Head`] row.
 pub const HEAD_KEY: &str = "head";
 
-/// The start of the keys of files.
+/// The key prefix of files.
 pub const FILE_PREFIX: &str = "file:";
 
-/// The start of the keys of the history.
+/// The key prefix of revisions in the history.
 pub const REVISION_PREFIX: &str = "rev:";
 
-/// The start of the keys of answers to changes.
+/// The key prefix of the verdicts on changes.
 const CHANGE_PREFIX: &str = "change:";
 
-/// The number of revisions that one read of the history gets.
+/// The number of revisions that one read of the history returns.
 pub const REVISIONS_PER_BLOCK: u64 = 100;
 
-/// The table in which the row of a key is kept.
+/// The table that stores the row of a key.
 pub fn table_for(key: &str) -> &'static str {
     if key.starts_with(REVISION_PREFIX) || key.starts_with(CHANGE_PREFIX) {
         LOG_TABLE
@@ -51,138 +51,144 @@
     }
 }
 
-/// The key of a file.
+/// The key of a file of a team.
 pub fn file_key(team: &TeamName, file: &str) -> String {
     format!("{FILE_PREFIX}{team}/{file}")
 }
 
-/// The key of a revision in the history; later keys sort higher.
+/// The key of a revision in the history; keys sort by revision.
 pub fn revision_key(revision: Revision) -> String {
     format!("{REVISION_PREFIX}{:012}", revision.0)
 }
 
-/// The start of the keys of the 100 revisions that `revision` belongs to.
+/// The key prefix of the block of 100 revisions that contains `revision`.
 ///
-/// A read of a block costs the same however long the history is.
+/// The cost of reading a block does not depend on the length of the history.
 pub fn block_prefix(revision: Revision) -> String {
     format!("{REVISION_PREFIX}{:010}", revision.0 / REVISIONS_PER_BLOCK)
 }
 
-/// The key of the answer to a team's change.
+/// The key of the verdict on a team's change.
 pub fn change_key(team: &TeamName, id: &str) -> String {
     format!("{CHANGE_PREFIX}{team}/{id}")
 }
 
-/// The newest revision; each change checks that it is as the change saw it.
+/// The newest revision.
+///
+/// The transaction of a change requires that this row has not changed since it was
+/// read.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Head {
-    /// The newest revision.
+    /// The revision's number.
     pub revision: Revision,
-    /// The change that made it.
+    /// The id of the change that created the revision.
     pub change: String,
 }
 
-/// A file of a team as it is in force.
+/// A file of a team.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct FileRow {
-    /// The team.
+    /// The team that owns the file.
     pub team: TeamName,
-    /// The file's name.
+    /// The file's name without the team.
     pub file: String,
     /// The revision of the file's last change.
     pub revision: Revision,
-    /// The change that wrote it.
+    /// The id of that change.
     pub change: String,
-    /// Who made that change.
+    /// The author of that change.
     pub author: String,
-    /// The text; absent if the file was removed.
+    /// The text; `None` if the file was removed.
     pub text: Option<String>,
 }
 
 impl FileRow {
-    /// The file's name with its team, as problems name it.
+    /// The file's name with its team, as it appears in problems.
     pub fn path(&self) -> String {
         format!("{}/{}", self.team, self.file)
     }
 }
 
-/// The final answer to a change, with a hash of what was asked.
+/// The verdict on a change, with a digest of the change.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct StoredVerdict {
-    /// The hash of the change, as [`Change::digest`](crate::Change::digest) says.
+    /// The [`Change::digest`](crate::Change::digest), which reveals reuse of the id.
     pub digest: String,
-    /// The answer.
+    /// The final answer to the change.
     pub verdict: Verdict,
 }
 
 /// A revision in the history.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct HistoryEntry {
-    /// The revision.
+    /// The revision's number.
     pub revision: Revision,
-    /// The change that made it.
+    /// The id of the change that created the revision.
     pub change: String,
-    /// The team that changed its files.
+    /// The team whose files changed.
     pub team: TeamName,
-    /// Who made the change.
+    /// The author of the change.
     pub author: String,
-    /// What the author says of it.
+    /// The author's description of the change.
     pub note: String,
-    /// The time by the accepting daemon's clock, in seconds since 1970.
+    /// When the change was accepted, by the accepting daemon's clock, in seconds since
+    /// 1970.
     #[serde(rename = "at")]
     pub accepted_at: u64,
-    /// The texts of the changed files before the change, for a rollback.
+    /// The texts of the edited files before the change, for a rollback.
+    ///
+    /// `None` for files that did not exist.
     #[serde(rename = "before")]
     pub previous_texts: IndexMap<String, Option<String>>,
 }
 
-/// All files of all teams at a revision.
+/// The files of all teams, including removed ones.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Files {
     rows: IndexMap<String, FileRow>,
 }
 
 impl Files {
-    /// Takes in a row, unless it is older than what is known.
+    /// Applies a row unless it is older than the file's current one.
     pub fn update(&mut self, row: FileRow) {
         let key = file_key(&row.team, &row.file);
-        if self.rows.get(&key).is_none_or(|old| old.revision <= row.revision) {
+        if self.rows.get(&key).is_none_or(|current| current.revision <= row.revision) {
             self.rows.insert(key, row);
         }
     }
 
-    /// The newest revision of all files.
+    /// The newest revision of any file; 0 if there is none.
     pub fn revision(&self) -> Revision {
         self.rows.values().map(|row| row.revision).max().unwrap_or_default()
     }
 
-    /// A file, also one that was removed.
+    /// The row of a file, even if the file was removed.
     pub fn get(&self, team: &TeamName, file: &str) -> Option<&FileRow> {
         self.rows.get(&file_key(team, file))
     }
 
-    /// All rows.
+    /// The rows of all files, including removed ones.
     pub fn rows(&self) -> impl Iterator<Item = &FileRow> {
         self.rows.values()
     }
 
-    /// The texts of one team.
+    /// The existing files of one team.
     pub fn of_team(&self, team: &TeamName) -> TeamFiles {
         self.by_team().swap_remove(team).unwrap_or_default()
     }
 
-    /// The texts of all teams, in the order of the teams' and files' names.
+    /// The existing files of all teams, sorted by the names of teams and files.
     pub fn by_team(&self) -> IndexMap<TeamName, TeamFiles> {
         let mut teams: IndexMap<TeamName, TeamFiles> = IndexMap::new();
         for row in self.rows.values() {
             if let Some(text) = &row.text {
-                let team = teams.entry(row.team.clone()).or_default();
-                team.files.insert(row.file.clone(), text.clone());
+                let files = teams.entry(row.team.clone()).or_default();
+                files.files.insert(row.file.clone(), text.clone());
             }
         }
         teams.sort_keys();
-        for text in teams.values_mut() {
-            text.files.sort_keys();
+        for files in teams.values_mut() {
+            files.files.sort_keys();
         }
         teams
     }
--- a/crates/config/tests/changes.rs
+++ b/crates/config/tests/changes.rs
@@ -1,7 +1,7 @@
-//! Racing operators, lost acknowledgements, killed operators and daemons, frozen
-//! daemons: random interleavings of appliers against a table in memory.
+//! Random interleavings of concurrent changes, with lost responses, killed operators
+//! and daemons, suspended daemons and outages of the table.
 
-mod world;
+mod simulation;
 
 use std::time::Duration;
 
@@ -10,10 +10,12 @@
 use indexmap::{IndexMap, IndexSet};
 use proptest::prelude::*;
 
-use world::{Act, CHANGES, Daemon, LATER, STALE, World, act};
+use simulation::{
+    Action, CHANGES, Daemon, FIRST_REBASED, MAX_STALENESS, Simulation, action,
+};
 
-/// A change is in a catalog if its deadline is the one of its kind there.
-fn is_in(catalog: &Catalog, change: usize) -> bool {
+/// Whether a change is in force; every change declares a kind with its own deadline.
+fn is_in_force(catalog: &Catalog, change: usize) -> bool {
     let deadline = Duration::from_millis(change as u64 + 1);
     catalog.kinds.values().any(|kind| kind.deadline == deadline)
 }
@@ -21,111 +23,126 @@
 proptest! {
     #![proptest_config(ProptestConfig::with_cases(400))]
 
-    /// The caller of these promises is an operator who was told an answer.
-    ///
-    /// Whatever is lost, killed or frozen in whatever order: an accepted change
-    /// is in force everywhere in the end and stays, a refused one never is, and
-    /// the same change never gets two answers.
+    /// An accepted change is in force at all daemons in the end, a refused one never
+    /// is, and no change gets two different verdicts, whatever fails in whatever order.
     #[test]
-    fn every_change_has_one_lasting_answer(acts in prop::collection::vec(act(), 1..160)) {
-        let mut world = World::new();
-        for act in &acts {
-            world.act(act);
+    fn every_change_has_one_final_verdict(
+        actions in prop::collection::vec(action(), 1..160),
+    ) {
+        let mut simulation = Simulation::new();
+        for action in &actions {
+            simulation.apply(action);
         }
-        world.settle();
-        prop_assert_eq!(world.answers.len(), world.changes.len());
+        simulation.run_until_idle();
+        prop_assert_eq!(simulation.verdicts.len(), simulation.changes.len());
         let mut files = Files::default();
-        world.table.changed(0).into_iter().for_each(|row| files.update(row));
+        simulation.table.changed(0).into_iter().for_each(|row| files.update(row));
         let catalog = Catalog::merge(files.revision(), &files.by_team()).unwrap();
-        // Of the accepted changes of a file the last one's text is in force.
+        // The last accepted change of each file is in force.
         let mut last = IndexMap::new();
-        for (change, verdict) in &world.answers {
+        for (change, verdict) in &simulation.verdicts {
             if let Verdict::Accepted { revision, .. } = verdict {
-                let (file, _) = world.changes[*change].edits.first().unwrap();
-                let path = (world.changes[*change].team.clone(), file.clone());
+                let (file, _) = simulation.changes[*change].edits.first().unwrap();
+                let path = (simulation.changes[*change].team.clone(), file.clone());
                 let newest = last.entry(path).or_insert((*revision, *change));
                 *newest = (*newest).max((*revision, *change));
             }
         }
-        for change in (0..CHANGES).filter(|change| *change != LATER) {
-            let wins = last.values().any(|(_, last)| *last == change);
-            prop_assert_eq!(wins, is_in(&catalog, change), "change {}", change);
+        for change in (0..CHANGES).filter(|change| *change != FIRST_REBASED) {
+            let is_last = last.values().any(|(_, last)| *last == change);
+            prop_assert_eq!(is_last, is_in_force(&catalog, change), "change {}", change);
         }
-        for daemon in &world.daemons {
-            prop_assert_eq!(daemon.force, files.revision());
+        for daemon in &simulation.daemons {
+            prop_assert_eq!(daemon.revision, files.revision());
             prop_assert_eq!(daemon.replica.files().by_team(), files.by_team());
         }
     }
 
-    /// Disjoint changes all land; of conflicting ones exactly one does, and the
-    /// others are refused with its author's name.
+    /// Disjoint changes are all accepted; of conflicting ones exactly one is, and the
+    /// refusals of the others name its author.
     #[test]
-    fn disjoint_changes_land_and_conflicts_name_the_winner(
-        acts in prop::collection::vec(act(), 1..160),
+    fn disjoint_changes_are_accepted_and_conflicts_name_the_author(
+        actions in prop::collection::vec(action(), 1..160),
     ) {
-        let mut world = World::new();
-        world.changes.truncate(LATER);
-        for act in &acts {
-            if !matches!(act, Act::Send { change } if *change >= LATER) {
-                world.act(act);
+        let mut simulation = Simulation::new();
+        simulation.changes.truncate(FIRST_REBASED);
+        for action in &actions {
+            if !matches!(action, Action::Send { change } if *change >= FIRST_REBASED) {
+                simulation.apply(action);
             }
         }
-        world.settle();
+        simulation.run_until_idle();
         for change in [5, 6, 7] {
-            let landed = matches!(world.answers[&change], Verdict::Accepted { .. });
-            prop_assert!(landed, "{:?}", world.answers[&change]);
+            let accepted =
+                matches!(simulation.verdicts[&change], Verdict::Accepted { .. });
+            prop_assert!(accepted, "{:?}", simulation.verdicts[&change]);
         }
         for group in [&[0, 1, 2][..], &[3, 4]] {
-            let winners: Vec<_> = group
+            let accepted: Vec<_> = group
                 .iter()
-                .filter(|change| matches!(world.answers[*change], Verdict::Accepted { .. }))
+                .filter(|change| {
+                    matches!(simulation.verdicts[*change], Verdict::Accepted { .. })
+                })
                 .collect();
-            prop_assert_eq!(winners.len(), 1);
-            let winner = format!("author-c{}", winners[0]);
-            for change in group.iter().filter(|change| *change != winners[0]) {
-                let Verdict::Refused { reason, .. } = &world.answers[change] else { continue };
-                let (RefusalReason::Conflict { others, .. } | RefusalReason::Invalid { others, .. }) = reason
+            prop_assert_eq!(accepted.len(), 1);
+            let author = format!("author-c{}", accepted[0]);
+            for change in group.iter().filter(|change| *change != accepted[0]) {
+                let Verdict::Refused { reason, .. } = &simulation.verdicts[change] else {
+                    continue;
+                };
+                let (RefusalReason::Conflict { others, .. }
+                | RefusalReason::Invalid { others, .. }) = reason
                 else {
                     panic!("{reason:?}");
                 };
                 let named: IndexSet<&str> =
                     others.iter().map(|other| other.author.as_str()).collect();
-                prop_assert!(named.contains(winner.as_str()), "{:?}", reason);
+                prop_assert!(named.contains(author.as_str()), "{:?}", reason);
             }
         }
     }
 
-    /// A daemon that calls itself fresh misses no revision that was accepted
-    /// longer ago than the bound, as long as only the table confirms it.
+    /// A fresh daemon has every revision that was accepted before the staleness bound,
+    /// if only the table confirms replicas.
     #[test]
-    fn fresh_daemons_miss_nothing_old(acts in prop::collection::vec(act(), 1..160)) {
-        let mut world = World::new();
-        for act in acts.iter().filter(|act| !matches!(act, Act::Ask { .. })) {
-            world.act(act);
-            for daemon in world.daemons.iter().filter(|daemon| !daemon.frozen) {
-                if !daemon.replica.is_fresh(world.now, STALE) {
+    fn fresh_daemons_have_all_older_revisions(
+        actions in prop::collection::vec(action(), 1..160),
+    ) {
+        let mut simulation = Simulation::new();
+        for action in
+            actions.iter().filter(|action| !matches!(action, Action::QueryPeer { .. }))
+        {
+            simulation.apply(action);
+            for daemon in simulation.daemons.iter().filter(|daemon| !daemon.suspended) {
+                if !daemon.replica.is_fresh(simulation.now, MAX_STALENESS) {
                     continue;
                 }
-                let due = world.accepted.iter().filter(|(_, at)| *at + STALE < world.now);
+                let due = simulation
+                    .accepted
+                    .iter()
+                    .filter(|(_, at)| *at + MAX_STALENESS < simulation.now);
                 let due = due.map(|(revision, _)| *revision).max().unwrap_or_default();
-                prop_assert!(daemon.force >= due);
+                prop_assert!(daemon.revision >= due);
             }
         }
     }
 
-    /// A daemon that has just started or was frozen too long is not fresh until
-    /// the table or a fresh peer confirms it.
+    /// Peers that are not fresh don't confirm replicas: without the table, newly
+    /// started daemons never become fresh.
     #[test]
-    fn peers_that_are_not_fresh_confirm_nobody(
-        acts in prop::collection::vec(act(), 1..160),
+    fn stale_peers_confirm_no_replica(
+        actions in prop::collection::vec(action(), 1..160),
     ) {
-        let mut world = World::new();
-        world.table.down = true;
-        let no_table = |act: &&Act| !matches!(act, Act::Flip);
-        for act in acts.iter().filter(no_table) {
-            world.act(act);
-            let fresh = |daemon: &Daemon| daemon.replica.is_fresh(world.now, STALE);
-            prop_assert!(!world.daemons.iter().any(fresh));
+        let mut simulation = Simulation::new();
+        simulation.table.unavailable = true;
+        let keeps_table_unavailable =
+            |action: &&Action| !matches!(action, Action::ToggleTable);
+        for action in actions.iter().filter(keeps_table_unavailable) {
+            simulation.apply(action);
+            let fresh = |daemon: &Daemon| {
+                daemon.replica.is_fresh(simulation.now, MAX_STALENESS)
+            };
+            prop_assert!(!simulation.daemons.iter().any(fresh));
         }
     }
 }
--- a/crates/config/tests/history.rs
+++ b/crates/config/tests/history.rs
@@ -1,4 +1,4 @@
-//! Rollbacks and plans.
+//! Tests of rollbacks, plans and the check of a change's base revision.
 
 use chestnut_base::{Revision, TeamName};
 use chestnut_config::apply::{Event, Snapshot, Step};
@@ -14,8 +14,8 @@
     TeamName::try_from(name).unwrap()
 }
 
-/// The texts of a team after some edits.
-fn text() -> impl Strategy<Value = TeamFiles> {
+/// Files of a team, with a few names and contents so that they often repeat.
+fn team_files() -> impl Strategy<Value = TeamFiles> {
     let file = prop::sample::select(vec!["a.jsonc", "b.jsonc", "c.jsonc"]);
     let content = prop::sample::select(vec!["{}", "{ }", "// x\n{}"]);
     prop::collection::vec((file, content), 0..3).prop_map(|files| TeamFiles {
@@ -23,39 +23,39 @@
     })
 }
 
-fn sorted(mut text: TeamFiles) -> TeamFiles {
-    text.files.sort_keys();
-    text
+fn sorted(mut files: TeamFiles) -> TeamFiles {
+    files.files.sort_keys();
+    files
 }
 
 proptest! {
     #![proptest_config(ProptestConfig::with_cases(500))]
 
     #[test]
-    fn edits_lead_from_one_text_to_the_other(old in text(), new in text()) {
-        let mut found = old.clone();
-        apply_edits(&mut found, &diff_files(&old, &new));
-        prop_assert_eq!(sorted(found), sorted(new));
+    fn diff_and_apply_are_inverse(old in team_files(), new in team_files()) {
+        let mut edited = old.clone();
+        apply_edits(&mut edited, &diff_files(&old, &new));
+        prop_assert_eq!(sorted(edited), sorted(new));
     }
 
-    /// Two teams change their files by turns; each team's text of every earlier
-    /// revision comes back from the newest one and the entries since.
+    /// Two teams change their files in random order; the files of every earlier
+    /// revision are restored from the newest ones and the history.
     #[test]
-    fn every_earlier_text_comes_back(
-        texts in prop::collection::vec((any::<bool>(), text()), 1..12),
+    fn every_earlier_revision_is_restored(
+        versions in prop::collection::vec((any::<bool>(), team_files()), 1..12),
     ) {
         let teams = [team("a"), team("b")];
         let mut files = Files::default();
         let mut entries: Vec<HistoryEntry> = Vec::new();
-        let mut known = vec![[TeamFiles::default(), TeamFiles::default()]];
-        for (index, (second, text)) in texts.iter().enumerate() {
-            let by = &teams[usize::from(*second)];
-            let edits = diff_files(&files.of_team(by), text);
+        let mut expected = vec![[TeamFiles::default(), TeamFiles::default()]];
+        for (index, (is_second_team, new)) in versions.iter().enumerate() {
+            let team = &teams[usize::from(*is_second_team)];
+            let edits = diff_files(&files.of_team(team), new);
             let base = files.revision();
             if !edits.is_empty() {
                 let change = Change {
                     id: format!("c-{index}"),
-                    team: by.clone(),
+                    team: team.clone(),
                     author: "x".into(),
                     note: String::new(),
                     base,
@@ -67,25 +67,29 @@
                     let change = String::new();
                     (rows::Head { revision: base, change }, base.0)
                 });
-                let found = Snapshot { head, files: files.clone(), ..Snapshot::default() };
-                let Step::Commit(commit) = applier.handle(Event::Read(Box::new(found))) else {
-                    return Err(TestCaseError::fail("the change is not committed"));
+                let snapshot =
+                    Snapshot { head, files: files.clone(), ..Snapshot::default() };
+                let Step::Commit(transaction) =
+                    applier.handle(Event::Read(Box::new(snapshot)))
+                else {
+                    return Err(TestCaseError::fail("the change was not committed"));
                 };
-                for (key, value) in commit.writes {
+                for (key, value) in transaction.writes {
                     if key.starts_with(rows::FILE_PREFIX) {
                         files.update(serde_json::from_value::<FileRow>(value).unwrap());
                     } else if key.starts_with(rows::REVISION_PREFIX) {
                         entries.insert(0, serde_json::from_value(value).unwrap());
                     }
                 }
-                known.push([files.of_team(&teams[0]), files.of_team(&teams[1])]);
+                expected.push([files.of_team(&teams[0]), files.of_team(&teams[1])]);
             }
         }
-        for (revision, texts) in known.iter().enumerate() {
-            for (by, text) in teams.iter().zip(texts) {
-                let now = files.of_team(by);
-                let found = roll_back(by, now, Revision(revision as u64), &entries);
-                prop_assert_eq!(sorted(found), sorted(text.clone()));
+        for (revision, expected) in expected.iter().enumerate() {
+            for (team, expected) in teams.iter().zip(expected) {
+                let current = files.of_team(team);
+                let restored =
+                    roll_back(team, current, Revision(revision as u64), &entries);
+                prop_assert_eq!(sorted(restored), sorted(expected.clone()));
             }
         }
     }
@@ -133,7 +137,7 @@
 }
 
 #[test]
-fn other_times_and_fewer_replicas_load_nothing() {
+fn a_changed_load_time_or_fewer_replicas_cause_no_load() {
     let old = catalog(&model("m", "v1", 5, 3));
     let plan = Plan::diff(&old, &catalog(&model("m", "v1", 9, 1)));
     let moves: Vec<_> = plan.moves.iter().map(|it| it.replicas).collect();
@@ -142,7 +146,7 @@
 }
 
 #[test]
-fn a_revision_that_does_not_exist_is_no_base() {
+fn a_base_that_does_not_exist_is_refused() {
     let change = Change {
         id: "c".into(),
         team: team("a"),
@@ -151,6 +155,6 @@
         base: Revision(7),
         edits: [("x.jsonc".to_owned(), Some("{}".to_owned()))].into_iter().collect(),
     };
-    let found = change.evaluate(&Files::default(), &IndexMap::new(), Revision(1));
-    assert_eq!(found, Err(RefusalReason::UnknownBase { base: Revision(7) }));
+    let result = change.evaluate(&Files::default(), &IndexMap::new(), Revision(1));
+    assert_eq!(result, Err(RefusalReason::UnknownBase { base: Revision(7) }));
 }
