--- a/crates/config/src/catalog.rs
+++ b/crates/config/src/catalog.rs
@@ -86,7 +86,7 @@
     #[serde(rename = "cold_ms")]
     #[serde_as(as = "DurationMilliSeconds<u64>")]
     pub load_time: Duration,
-    /// The number of replicas that stay resident even without demand; at least 1.
+    /// The least number of replicas to keep resident; at least 1.
     #[serde(rename = "replicas")]
     pub min_replicas: u32,
 }
--- a/crates/config/src/change.rs
+++ b/crates/config/src/change.rs
@@ -144,7 +144,8 @@
         Ok(())
     }
 
-    /// A digest of the edits, which distinguishes a retry from a reused id.
+    /// A digest of the team, the base and the edits, which distinguishes a retry from a
+    /// reused id.
     pub fn digest(&self) -> Digest {
         let base = self.base.0.to_le_bytes();
         let mut parts: Vec<&[u8]> = vec![self.team.as_str().as_bytes(), &base];
--- a/crates/ctl/src/apply.rs
+++ b/crates/ctl/src/apply.rs
@@ -1,4 +1,4 @@
-//! Planning and applying changes.
+//! Plans and applies changes.
 
 use std::time::{Duration, Instant};
 
@@ -14,39 +14,43 @@
 use crate::options::{Options, Output};
 use crate::output;
 use crate::query::Row;
-use crate::run::{Stop, author, confirm, files_at, print, print_json};
+use crate::run::{CommandError, author, confirm, fetch_files, print, print_json};
 
-/// How often a change is repeated while nothing is decided.
-const TRIES: u32 = 4;
+/// How often a change is sent while its verdict is unknown.
+const MAX_SENDS: u32 = 4;
 
-/// The pause between two tries.
-const PAUSE: Duration = Duration::from_millis(500);
+/// The delay before the first retry; later ones are multiples of it.
+const RETRY_DELAY: Duration = Duration::from_millis(500);
 
-/// How often is asked whether a change is in force.
-const LOOK: Duration = Duration::from_millis(200);
+/// The time between checks of whether a change is in force.
+const IN_FORCE_POLL_INTERVAL: Duration = Duration::from_millis(200);
 
 #[derive(Debug, Deserialize)]
-struct Planned {
+struct PlanResponse {
     revision: Revision,
     reason: Option<RefusalReason>,
     plan: Plan,
 }
 
 #[derive(Debug, Deserialize)]
-struct Daemons {
+struct DaemonsResponse {
     rows: Vec<Row>,
 }
 
-/// Tells what applying a directory would do.
-pub async fn plan(options: &Options, client: &Client, dir: &str) -> Result<Exit, Stop> {
-    let text = files::read(dir)?;
-    files::check_text(dir, &text)?;
-    let Some(change) = change_to(options, client, text, &options.note).await? else {
-        return Ok(nothing(options));
+/// Shows what applying a directory would do.
+pub async fn plan(
+    options: &Options,
+    client: &Client,
+    dir: &str,
+) -> Result<Exit, CommandError> {
+    let files = files::read(dir)?;
+    files::check_files(dir, &files)?;
+    let Some(change) = build_change(options, client, files, &options.note).await? else {
+        return Ok(report_no_change(options));
     };
-    let planned = ask_plan(client, &change).await?;
+    let planned = request_plan(client, &change).await?;
     if options.output == Output::Json {
-        let Planned { revision, reason, plan } = &planned;
+        let PlanResponse { revision, reason, plan } = &planned;
         print_json(&json!({ "revision": revision, "reason": reason, "plan": plan }));
     } else if planned.reason.is_none() {
         print(&output::plan(&planned.plan));
@@ -54,29 +58,29 @@
     Ok(match planned.reason {
         None => Exit::Done,
         Some(reason) => {
-            eprintln!("it would be refused: {}", explain(&reason));
+            eprintln!("the change would be refused: {}", describe_refusal(&reason));
             Exit::Refused
         }
     })
 }
 
-/// Puts a team's text in force.
+/// Applies a team's files.
 pub async fn apply(
     options: &Options,
     client: &Client,
-    text: TeamFiles,
+    files: TeamFiles,
     note: &str,
-) -> Result<Exit, Stop> {
-    // A repeated change may be in force already, so that its edits are gone.
+) -> Result<Exit, CommandError> {
+    // A change that is retried may be in force already; its edits would be empty then.
     if let Some(id) = &options.change
-        && let Some(verdict) = earlier(client, id).await?
+        && let Some(verdict) = stored_verdict(client, id).await?
     {
-        return finish(options, client, id, verdict).await;
+        return report_verdict(options, client, id, verdict).await;
     }
-    let Some(change) = change_to(options, client, text, note).await? else {
-        return Ok(nothing(options));
+    let Some(change) = build_change(options, client, files, note).await? else {
+        return Ok(report_no_change(options));
     };
-    let planned = ask_plan(client, &change).await?;
+    let planned = request_plan(client, &change).await?;
     if planned.reason.is_none() && options.output == Output::Table {
         print(&output::plan(&planned.plan));
     }
@@ -87,21 +91,28 @@
     }
     eprintln!("change {}", change.id);
     let verdict = send(client, &change).await?;
-    finish(options, client, &change.id, verdict).await
+    report_verdict(options, client, &change.id, verdict).await
 }
 
-/// Tells the answer to an earlier change.
-pub async fn change(options: &Options, client: &Client, id: &str) -> Result<Exit, Stop> {
-    match earlier(client, id).await? {
-        Some(verdict) => finish(options, client, id, verdict).await,
-        None => Err(Stop::new(
+/// Shows the verdict on an earlier change.
+pub async fn change(
+    options: &Options,
+    client: &Client,
+    id: &str,
+) -> Result<Exit, CommandError> {
+    match stored_verdict(client, id).await? {
+        Some(verdict) => report_verdict(options, client, id, verdict).await,
+        None => Err(CommandError::new(
             Exit::Undecided,
-            format!("nothing is decided about change {id}; apply it again with --change"),
+            format!("there is no verdict on change {id}; apply it again with --change"),
         )),
     }
 }
 
-async fn earlier(client: &Client, id: &str) -> Result<Option<Verdict>, Stop> {
+async fn stored_verdict(
+    client: &Client,
+    id: &str,
+) -> Result<Option<Verdict>, CommandError> {
     match client.get(&format!("change/{id}"), &[]).await {
         Ok(verdict) => Ok(Some(verdict)),
         Err(ClientError::Refused(status, _)) if status.as_u16() == 404 => Ok(None),
@@ -109,29 +120,29 @@
     }
 }
 
-/// The change that leads to a text; none if it is in force already.
-async fn change_to(
+/// Builds the change that puts files in force; `None` if they already are.
+async fn build_change(
     options: &Options,
     client: &Client,
-    text: TeamFiles,
+    files: TeamFiles,
     note: &str,
-) -> Result<Option<Change>, Stop> {
-    let now = files_at(client, None).await?;
-    let newest = now.revision;
-    let mut edits = diff_files(&now.clone().text(), &text);
+) -> Result<Option<Change>, CommandError> {
+    let current = fetch_files(client, None).await?;
+    let newest = current.revision;
+    let mut edits = diff_files(&current.clone().into_team_files(), &files);
     let mut base = newest;
-    if let Some(seen) = options.base.filter(|seen| *seen != newest) {
-        // What the author did not touch is left as others made it meanwhile.
-        let then = files_at(client, Some(seen)).await?;
-        edits = chestnut_config::change::diff_files(&then.text(), &text);
-        base = seen;
+    if let Some(revision) = options.base.filter(|revision| *revision != newest) {
+        // Files that the author did not edit keep the changes of others.
+        let original = fetch_files(client, Some(revision)).await?;
+        edits = chestnut_config::change::diff_files(&original.into_team_files(), &files);
+        base = revision;
     }
     if edits.is_empty() {
         return Ok(None);
     }
     let team = options.team.clone().unwrap_or_default();
     let team = TeamName::try_from(team)
-        .map_err(|error| Stop::new(Exit::Usage, format!("the team: {error}")))?;
+        .map_err(|error| CommandError::new(Exit::Usage, format!("the team: {error}")))?;
     let id = options.change.clone().unwrap_or_else(new_id);
     let author = author(options)?;
     let note = note.to_owned();
@@ -142,54 +153,58 @@
     format!("{:032x}", rand::random::<u128>())
 }
 
-async fn ask_plan(client: &Client, change: &Change) -> Result<Planned, Stop> {
-    client.post("plan", &json!(change)).await.map_err(refused)
+async fn request_plan(
+    client: &Client,
+    change: &Change,
+) -> Result<PlanResponse, CommandError> {
+    client.post("plan", &json!(change)).await.map_err(to_command_error)
 }
 
-/// Sends a change until its answer is known, always under the same id.
-async fn send(client: &Client, change: &Change) -> Result<Verdict, Stop> {
-    let mut why = String::new();
-    for attempt in 0..TRIES {
+/// Sends a change, with the same id, until its verdict is known.
+async fn send(client: &Client, change: &Change) -> Result<Verdict, CommandError> {
+    let mut last_error = String::new();
+    for attempt in 0..MAX_SENDS {
         if attempt > 0 {
-            eprintln!("nothing is decided yet; asking again");
-            tokio::time::sleep(PAUSE * attempt).await;
+            eprintln!("there is no verdict yet; sending the change again");
+            tokio::time::sleep(RETRY_DELAY * attempt).await;
         }
         match client.post("apply", &json!(change)).await {
             Ok(verdict) => return Ok(verdict),
-            Err(ClientError::NoAnswer(text) | ClientError::Unavailable(text)) => {
-                why = text;
+            Err(ClientError::NoResponse(text) | ClientError::Unavailable(text)) => {
+                last_error = text;
             }
-            Err(error) => return Err(refused(error)),
+            Err(error) => return Err(to_command_error(error)),
         }
     }
-    Err(Stop::new(
+    Err(CommandError::new(
         Exit::Undecided,
         format!(
-            "nothing is known of the change ({why}); repeat with --change {}",
+            "the verdict on the change is unknown ({last_error}); send it again with \
+             --change {}",
             change.id
         ),
     ))
 }
 
-fn refused(error: ClientError) -> Stop {
+fn to_command_error(error: ClientError) -> CommandError {
     match error {
-        ClientError::Refused(_, why) => Stop::new(Exit::Refused, why),
+        ClientError::Refused(_, reason) => CommandError::new(Exit::Refused, reason),
         other => other.into(),
     }
 }
 
-async fn finish(
+async fn report_verdict(
     options: &Options,
     client: &Client,
     id: &str,
     verdict: Verdict,
-) -> Result<Exit, Stop> {
+) -> Result<Exit, CommandError> {
     if options.output == Output::Json {
         print_json(&json!({ "change": id, "answer": verdict }));
     }
     match verdict {
         Verdict::Refused { reason, .. } => {
-            eprintln!("refused: {}", explain(&reason));
+            eprintln!("refused: {}", describe_refusal(&reason));
             Ok(Exit::Refused)
         }
         Verdict::Accepted { revision, rebased } => {
@@ -198,7 +213,7 @@
                 println!("accepted as revision {revision}{on_top}");
             }
             if options.wait {
-                wait(options, client, revision).await
+                wait_until_in_force(options, client, revision).await
             } else {
                 Ok(Exit::Done)
             }
@@ -206,42 +221,49 @@
     }
 }
 
-/// Waits until every daemon that stays has the revision in force.
-async fn wait(options: &Options, client: &Client, to: Revision) -> Result<Exit, Stop> {
+/// Waits until the revision is in force at every daemon that is not leaving.
+async fn wait_until_in_force(
+    options: &Options,
+    client: &Client,
+    revision: Revision,
+) -> Result<Exit, CommandError> {
     let start = Instant::now();
-    let mut shown = None;
+    let mut reported = None;
     loop {
-        let behind = match client.get::<Daemons>("show/daemons", &[]).await {
-            Ok(found) => lagging(&found.rows, to),
-            // Keep asking: the daemon may be on its way out.
-            Err(ClientError::NoAnswer(why) | ClientError::Unavailable(why)) => vec![why],
+        let behind = match client.get::<DaemonsResponse>("show/daemons", &[]).await {
+            Ok(response) => lagging_daemons(&response.rows, revision),
+            // The daemon may be shutting down; another one may respond next time.
+            Err(ClientError::NoResponse(reason) | ClientError::Unavailable(reason)) => {
+                vec![reason]
+            }
             Err(error) => return Err(error.into()),
         };
         if behind.is_empty() {
             eprintln!("in force everywhere after {:.1} s", start.elapsed().as_secs_f64());
             return Ok(Exit::Done);
         }
-        if shown.as_ref() != Some(&behind) {
+        if reported.as_ref() != Some(&behind) {
             eprintln!("waiting for {}", behind.join(", "));
-            shown = Some(behind.clone());
+            reported = Some(behind.clone());
         }
-        if start.elapsed() > options.patience() {
-            let text = format!("accepted, and not yet in force at {}", behind.join(", "));
-            return Err(Stop::new(Exit::NotInForce, text));
+        if start.elapsed() > options.wait_timeout() {
+            let message =
+                format!("accepted, but not yet in force at {}", behind.join(", "));
+            return Err(CommandError::new(Exit::NotInForce, message));
         }
-        tokio::time::sleep(LOOK).await;
+        tokio::time::sleep(IN_FORCE_POLL_INTERVAL).await;
     }
 }
 
-fn lagging(rows: &[Row], to: Revision) -> Vec<String> {
+fn lagging_daemons(rows: &[Row], target: Revision) -> Vec<String> {
     let staying = rows.iter().filter(|row| row["leaving"] != true);
     staying
-        .filter(|row| row["revision"].as_u64().is_none_or(|revision| revision < to.0))
+        .filter(|row| row["revision"].as_u64().is_none_or(|revision| revision < target.0))
         .map(|row| row["name"].as_str().unwrap_or("?").to_owned())
         .collect()
 }
 
-fn nothing(options: &Options) -> Exit {
+fn report_no_change(options: &Options) -> Exit {
     match options.output {
         Output::Table => println!("nothing to change; these files are in force"),
         Output::Json => print_json(&json!({ "change": null })),
@@ -249,29 +271,29 @@
     Exit::Done
 }
 
-/// Why a change is refused, with the other authors.
-fn explain(reason: &RefusalReason) -> String {
+/// Describes why a change is refused and names the authors of other changes.
+fn describe_refusal(reason: &RefusalReason) -> String {
     match reason {
         RefusalReason::Conflict { author, others } => format!(
             "{author} and others changed the same files:\n{}\nlook at their changes, edit \
              your files and apply them again",
-            named(others)
+            list_changes(others)
         ),
         RefusalReason::UnknownBase { base } => {
             format!("there is no revision {base} yet; name one that `history` shows")
         }
         RefusalReason::Invalid { problems, others } if others.is_empty() => {
-            format!("all teams' declarations together would be wrong:\n{problems}")
+            format!("all teams' declarations together would be invalid:\n{problems}")
         }
         RefusalReason::Invalid { problems, others } => format!(
-            "all teams' declarations together would be wrong:\n{problems}\nthe other files \
+            "all teams' declarations together would be invalid:\n{problems}\nthe other files \
              were written by:\n{}",
-            named(others)
+            list_changes(others)
         ),
     }
 }
 
-fn named(others: &[RelatedChange]) -> String {
+fn list_changes(others: &[RelatedChange]) -> String {
     let lines = others.iter().map(|other| {
         let RelatedChange { file, author, change, revision } = other;
         format!("  {file} by {author} (revision {revision}, change {change})")
--- a/crates/ctl/src/client.rs
+++ b/crates/ctl/src/client.rs
@@ -1,4 +1,4 @@
-//! Asking daemons: the first that answers is used.
+//! An HTTP client of the daemons, which uses the first that responds.
 
 use std::fmt::{self, Display, Formatter};
 use std::time::Duration;
@@ -7,26 +7,26 @@
 use serde::de::DeserializeOwned;
 use serde_json::Value;
 
-/// How long a daemon may take to answer.
+/// The timeout of a request.
 ///
-/// A change takes up to 24 rounds at the platform; more means that it hangs.
+/// A change takes up to 24 attempts at the platform; a daemon that needs longer hangs.
 const TIMEOUT: Duration = Duration::from_secs(20);
 
-/// How long a connection may take to come up.
-const CONNECT: Duration = Duration::from_secs(2);
+/// The timeout for connecting to a daemon.
+const CONNECT_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// A question that got no usable answer.
+/// A request without a usable response.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum ClientError {
-    /// No daemon is named.
+    /// No daemon was named in the options.
     NoServer,
-    /// No daemon answered; the last one's reason.
-    NoAnswer(String),
-    /// A daemon can't answer now.
+    /// No daemon responded; holds the error of the last one.
+    NoResponse(String),
+    /// A daemon can't handle the request now.
     Unavailable(String),
     /// The team's key is missing or wrong.
-    Key(String),
-    /// A daemon refused the question.
+    InvalidKey(String),
+    /// A daemon refused the request.
     Refused(StatusCode, String),
 }
 
@@ -37,20 +37,20 @@
                 f,
                 "no daemon is named; use --server ADDR or the variable CHESTNUT_SERVERS"
             ),
-            Self::NoAnswer(why) => write!(
+            Self::NoResponse(reason) => write!(
                 f,
-                "no daemon answered ({why}); check --server and that one of them runs"
+                "no daemon responded ({reason}); check --server and that one of them runs"
             ),
-            Self::Unavailable(why) | Self::Key(why) | Self::Refused(_, why) => {
-                f.write_str(why)
-            }
+            Self::Unavailable(reason)
+            | Self::InvalidKey(reason)
+            | Self::Refused(_, reason) => f.write_str(reason),
         }
     }
 }
 
 impl std::error::Error for ClientError {}
 
-/// A client of the daemons' operators' addresses.
+/// A client of the daemons' operator interface.
 pub struct Client {
     http: Http,
     servers: Vec<String>,
@@ -59,16 +59,16 @@
 }
 
 impl Client {
-    /// Creates a client that asks `servers` in their order.
+    /// Creates a client that tries `servers` in this order.
     pub fn new(
         servers: &[String],
         team: String,
         key: String,
     ) -> Result<Self, ClientError> {
-        Ok(Self { http: http()?, servers: bases(servers)?, team, key })
+        Ok(Self { http: http_client()?, servers: base_urls(servers)?, team, key })
     }
 
-    /// Reads something.
+    /// Sends a `GET` request to a path under `/v1/config`.
     pub async fn get<T: DeserializeOwned>(
         &self,
         path: &str,
@@ -77,9 +77,10 @@
         self.call(Method::GET, path, query, None).await
     }
 
-    /// Sends something; other daemons get it too if the first give no answer.
+    /// Sends a `POST` request to a path under `/v1/config`.
     ///
-    /// A change keeps its id, so that it is of no harm to send it twice.
+    /// Other daemons may get it too if the first ones don't respond. That is safe for
+    /// changes, since they are identified by their id.
     pub async fn post<T: DeserializeOwned>(
         &self,
         path: &str,
@@ -95,82 +96,87 @@
         query: &[(&str, String)],
         body: Option<&Value>,
     ) -> Result<T, ClientError> {
-        let mut last = ClientError::NoServer;
+        let mut last_error = ClientError::NoServer;
         for server in &self.servers {
             let url = format!("{server}/v1/config/{path}");
-            match self.ask(method.clone(), &url, query, body).await {
-                Ok(answer) => return Ok(answer),
-                // Another daemon may be able to.
-                Err(error @ (ClientError::NoAnswer(_) | ClientError::Unavailable(_))) => {
-                    last = error;
+            match self.send(method.clone(), &url, query, body).await {
+                Ok(response) => return Ok(response),
+                // Another daemon may be able to respond.
+                Err(
+                    error @ (ClientError::NoResponse(_) | ClientError::Unavailable(_)),
+                ) => {
+                    last_error = error;
                 }
                 Err(error) => return Err(error),
             }
         }
-        Err(last)
+        Err(last_error)
     }
 
-    async fn ask<T: DeserializeOwned>(
+    async fn send<T: DeserializeOwned>(
         &self,
         method: Method,
         url: &str,
         query: &[(&str, String)],
         body: Option<&Value>,
     ) -> Result<T, ClientError> {
-        let mut call = self
+        let mut request = self
             .http
             .request(method, url)
             .query(query)
             .header("x-team", &self.team)
             .bearer_auth(&self.key);
         if let Some(body) = body {
-            call = call.json(body);
+            request = request.json(body);
         }
-        let answer = call.send().await.map_err(no_answer)?;
-        let status = answer.status();
-        let bytes = answer.bytes().await.map_err(no_answer)?;
-        // A refused change is an answer like an accepted one.
-        let verdict = status == StatusCode::CONFLICT;
-        if (status.is_success() || verdict)
+        let response = request.send().await.map_err(no_response)?;
+        let status = response.status();
+        let bytes = response.bytes().await.map_err(no_response)?;
+        // The verdict on a refused change is a regular response.
+        let is_refusal = status == StatusCode::CONFLICT;
+        if (status.is_success() || is_refusal)
             && let Ok(value) = serde_json::from_slice(&bytes)
         {
             return Ok(value);
         }
-        let message = message(&bytes).unwrap_or_else(|| format!("status {status}"));
+        let message = error_message(&bytes).unwrap_or_else(|| format!("status {status}"));
         Err(match status {
-            StatusCode::UNAUTHORIZED | StatusCode::FORBIDDEN => ClientError::Key(message),
+            StatusCode::UNAUTHORIZED | StatusCode::FORBIDDEN => {
+                ClientError::InvalidKey(message)
+            }
             StatusCode::SERVICE_UNAVAILABLE => ClientError::Unavailable(message),
             _ => ClientError::Refused(status, message),
         })
     }
 }
 
-/// The addresses that options name, as the beginnings of URLs.
-pub(crate) fn bases(servers: &[String]) -> Result<Vec<String>, ClientError> {
+/// The base URLs of the addresses given in the options.
+pub(crate) fn base_urls(servers: &[String]) -> Result<Vec<String>, ClientError> {
     let servers: Vec<String> = servers
         .iter()
         .flat_map(|list| list.split(','))
-        .map(|one| one.trim().trim_end_matches('/'))
-        .filter(|one| !one.is_empty())
-        .map(|one| match one.contains("://") {
-            true => one.to_owned(),
-            false => format!("http://{one}"),
+        .map(|address| address.trim().trim_end_matches('/'))
+        .filter(|address| !address.is_empty())
+        .map(|address| match address.contains("://") {
+            true => address.to_owned(),
+            false => format!("http://{address}"),
         })
         .collect();
     if servers.is_empty() { Err(ClientError::NoServer) } else { Ok(servers) }
 }
 
-/// A client of daemons' HTTP interfaces.
-pub(crate) fn http() -> Result<Http, ClientError> {
-    let http = Http::builder().timeout(TIMEOUT).connect_timeout(CONNECT).no_proxy();
-    http.build().map_err(|error| ClientError::NoAnswer(error.to_string()))
+/// Creates an HTTP client for daemons.
+pub(crate) fn http_client() -> Result<Http, ClientError> {
+    let http =
+        Http::builder().timeout(TIMEOUT).connect_timeout(CONNECT_TIMEOUT).no_proxy();
+    http.build().map_err(|error| ClientError::NoResponse(error.to_string()))
 }
 
-pub(crate) fn no_answer(error: reqwest::Error) -> ClientError {
-    ClientError::NoAnswer(error.without_url().to_string())
+pub(crate) fn no_response(error: reqwest::Error) -> ClientError {
+    ClientError::NoResponse(error.without_url().to_string())
 }
 
-fn message(bytes: &[u8]) -> Option<String> {
+fn error_message(bytes: &[u8]) -> Option<String> {
     let value: Value = serde_json::from_slice(bytes).ok()?;
     Some(value.get("message")?.as_str()?.to_owned())
 }
--- a/crates/ctl/src/exit.rs
+++ b/crates/ctl/src/exit.rs
@@ -1,42 +1,42 @@
-//! How a command ended, for scripts.
+//! Exit codes for scripts.
 
 use std::process::ExitCode;
 
-/// How a command ended; the numbers are promised in docs/LANGUAGE.md.
+/// The result of a command; docs/LANGUAGE.md documents the exit codes.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Exit {
-    /// It was done.
+    /// The command was carried out.
     Done,
-    /// The change was refused; it has and will have no effect.
+    /// The change was refused; it has no effect and never will.
     Refused,
-    /// The command or an option can't be read.
+    /// The command or an option is invalid.
     Usage,
-    /// The files have problems or can't be read.
-    Files,
-    /// Nothing is known; the same change may be repeated with its id.
+    /// The files are invalid or can't be read.
+    InvalidFiles,
+    /// The verdict is unknown; the change can be sent again with the same id.
     Undecided,
-    /// The change is accepted and not in force everywhere within the time.
+    /// The change is accepted but was not in force everywhere within the timeout.
     NotInForce,
     /// The team's key is missing or wrong.
-    Key,
-    /// No daemon could be reached or it can't answer now.
-    NoAnswer,
-    /// The operator declined.
+    InvalidKey,
+    /// No daemon could be reached, or none can respond now.
+    NoResponse,
+    /// The operator did not confirm the command.
     Declined,
 }
 
 impl Exit {
-    /// The process's exit code.
+    /// The exit code of the process.
     pub fn code(self) -> u8 {
         match self {
             Self::Done => 0,
             Self::Refused => 1,
             Self::Usage => 2,
-            Self::Files => 3,
+            Self::InvalidFiles => 3,
             Self::Undecided => 4,
             Self::NotInForce => 5,
-            Self::Key => 6,
-            Self::NoAnswer => 7,
+            Self::InvalidKey => 6,
+            Self::NoResponse => 7,
             Self::Declined => 8,
         }
     }
--- a/crates/ctl/src/files.rs
+++ b/crates/ctl/src/files.rs
@@ -1,4 +1,4 @@
-//! Reading a team's directory.
+//! Reads and checks files of settings and declarations.
 
 use std::fmt::{self, Display, Formatter};
 use std::fs;
@@ -8,20 +8,20 @@
 use chestnut_config::declarations::TeamDeclarations;
 use chestnut_config::{Problems, Settings, TeamFiles};
 
-/// The endings of declarations' file names.
-const ENDINGS: &[&str] = &["jsonc", "json"];
+/// The file name extensions of declarations.
+const EXTENSIONS: &[&str] = &["jsonc", "json"];
 
-/// The name of a settings file, by which it is told from declarations.
-const SETTINGS: &str = "settings";
+/// The part of a file name that distinguishes settings from declarations.
+const SETTINGS_NAME: &str = "settings";
 
-/// Files that can't be used.
+/// Why files can't be used.
 #[derive(Debug)]
 pub enum FileError {
-    /// A file or directory can't be read.
+    /// A file or directory at this path can't be read.
     Read(String, std::io::Error),
-    /// A directory holds no declarations.
+    /// The directory at this path holds no declarations.
     Empty(String),
-    /// The texts have problems.
+    /// The settings or declarations have problems.
     Problems(Problems),
 }
 
@@ -42,59 +42,62 @@
 
 impl std::error::Error for FileError {}
 
-/// Reads all declarations of a directory, by their names.
+/// Reads all files of declarations in a directory, sorted by name.
 pub fn read(dir: &str) -> Result<TeamFiles, FileError> {
-    let fail = |path: &Path| {
+    let read_error = |path: &Path| {
         let path = path.display().to_string();
         move |error| FileError::Read(path, error)
     };
-    let mut text = TeamFiles::default();
-    for entry in fs::read_dir(dir).map_err(fail(Path::new(dir)))? {
-        let path = entry.map_err(fail(Path::new(dir)))?.path();
-        let ending = path.extension().and_then(|it| it.to_str()).unwrap_or_default();
+    let mut files = TeamFiles::default();
+    for entry in fs::read_dir(dir).map_err(read_error(Path::new(dir)))? {
+        let path = entry.map_err(read_error(Path::new(dir)))?.path();
+        let extension = path.extension().and_then(|it| it.to_str()).unwrap_or_default();
         let Some(name) = path.file_name().and_then(|it| it.to_str()) else { continue };
-        if ENDINGS.contains(&ending) && path.is_file() {
-            let content = fs::read_to_string(&path).map_err(fail(&path))?;
-            text.files.insert(name.to_owned(), content);
+        if EXTENSIONS.contains(&extension) && path.is_file() {
+            let content = fs::read_to_string(&path).map_err(read_error(&path))?;
+            files.files.insert(name.to_owned(), content);
         }
     }
-    if text.files.is_empty() {
+    if files.files.is_empty() {
         return Err(FileError::Empty(dir.into()));
     }
-    text.files.sort_keys();
-    Ok(text)
+    files.files.sort_keys();
+    Ok(files)
 }
 
-/// Checks settings or declarations by themselves; returns what was checked.
+/// Checks settings or declarations and returns a description of them.
 ///
-/// References to other teams' names are checked by a daemon, which knows them.
+/// References to other teams' declarations are checked only by a daemon, which knows
+/// those.
 pub fn check(path: &str) -> Result<String, FileError> {
     let file = Path::new(path);
     if file.is_dir() {
-        let text = read(path)?;
-        check_text(path, &text)?;
-        let count = text.files.len();
+        let files = read(path)?;
+        check_files(path, &files)?;
+        let count = files.files.len();
         let files = if count == 1 { "file" } else { "files" };
         return Ok(format!("{count} {files} of declarations"));
     }
     let content = fs::read_to_string(file)
         .map_err(|error| FileError::Read(path.to_owned(), error))?;
     let stem = file.file_stem().and_then(|it| it.to_str()).unwrap_or_default();
-    if stem.contains(SETTINGS) {
+    if stem.contains(SETTINGS_NAME) {
         Settings::parse(path, &content).map_err(FileError::Problems)?;
         return Ok("settings".into());
     }
-    let text = TeamFiles { files: [(path.to_owned(), content)].into_iter().collect() };
-    check_text("", &text)?;
+    let files = TeamFiles { files: [(path.to_owned(), content)].into_iter().collect() };
+    check_files("", &files)?;
     Ok("a file of declarations".into())
 }
 
-/// Checks a team's declarations by themselves.
-pub fn check_text(dir: &str, text: &TeamFiles) -> Result<(), FileError> {
+/// Checks a team's declarations without those of other teams.
+///
+/// Problems name the files by their paths under `dir`.
+pub fn check_files(dir: &str, files: &TeamFiles) -> Result<(), FileError> {
     let mut problems = Problems::default();
     let team = TeamName::try_from("this").expect("the name is valid");
-    TeamDeclarations::parse(&team, text, &mut problems);
-    // The author knows the files by their paths, not by the team.
+    TeamDeclarations::parse(&team, files, &mut problems);
+    // Replaces the team, which is a placeholder, by the path of the directory.
     for problem in &mut problems.0 {
         let name = problem.location.file.trim_start_matches("this/").to_owned();
         let path = if dir.is_empty() { name } else { format!("{dir}/{name}") };
--- a/crates/ctl/src/gates.rs
+++ b/crates/ctl/src/gates.rs
@@ -1,76 +1,80 @@
-//! Looking into daemons on the users' platform.
+//! The state of daemons on the users' platform.
 //!
-//! Each of them tells what it believes; where they differ, one is behind or cut off. So
-//! all that are named are asked, and each row says who sees it so.
+//! Each daemon reports its own view; where views differ, a daemon lags behind or is
+//! partitioned. So all daemons named in the options are queried, and each row names the
+//! VM whose view it is.
 
 use futures::future::join_all;
 use reqwest::Client as Http;
 use serde_json::{Map, Value};
 
-use crate::client::{ClientError, bases, http, no_answer};
+use crate::client::{ClientError, base_urls, http_client, no_response};
 use crate::query::Row;
 use crate::schema::Section;
 
-/// What daemons say.
+/// The responses of the queried daemons.
 #[derive(Debug, Default)]
-pub struct Seen {
-    /// The rows of all that answered.
+pub struct GateRows {
+    /// The rows of all daemons that responded.
     pub rows: Vec<Row>,
-    /// Those that did not answer, and why.
-    pub silent: Vec<(String, ClientError)>,
+    /// The base URLs of the daemons that did not respond, with the error.
+    pub failed: Vec<(String, ClientError)>,
 }
 
-/// Asks all daemons for a part of their state; fails if none answers.
-pub async fn ask(servers: &[String], section: Section) -> Result<Seen, ClientError> {
-    let (bases, http) = (bases(servers)?, http()?);
-    let answers = join_all(bases.iter().map(|base| state(&http, base))).await;
-    let asked = bases.len();
-    let mut seen = Seen::default();
-    for (base, answer) in bases.into_iter().zip(answers) {
-        match answer {
-            Ok(state) => seen.rows.extend(rows(&state, section)),
-            Err(error) => seen.silent.push((base, error)),
+/// Queries all daemons for a section of their state; fails if none responds.
+pub async fn query(
+    servers: &[String],
+    section: Section,
+) -> Result<GateRows, ClientError> {
+    let (urls, http) = (base_urls(servers)?, http_client()?);
+    let responses = join_all(urls.iter().map(|url| fetch_state(&http, url))).await;
+    let queried = urls.len();
+    let mut result = GateRows::default();
+    for (url, response) in urls.into_iter().zip(responses) {
+        match response {
+            Ok(state) => result.rows.extend(rows(&state, section)),
+            Err(error) => result.failed.push((url, error)),
         }
     }
-    match seen.silent.first() {
-        Some((_, error)) if seen.silent.len() == asked => Err(error.clone()),
-        _ => Ok(seen),
+    match result.failed.first() {
+        Some((_, error)) if result.failed.len() == queried => Err(error.clone()),
+        _ => Ok(result),
     }
 }
 
-async fn state(http: &Http, base: &str) -> Result<Value, ClientError> {
-    let answer = http.get(format!("{base}/state")).send().await.map_err(no_answer)?;
-    let status = answer.status();
+async fn fetch_state(http: &Http, url: &str) -> Result<Value, ClientError> {
+    let response = http.get(format!("{url}/state")).send().await.map_err(no_response)?;
+    let status = response.status();
     if !status.is_success() {
-        return Err(ClientError::NoAnswer(format!("{base}/state: status {status}")));
+        return Err(ClientError::NoResponse(format!("{url}/state: status {status}")));
     }
-    answer.json().await.map_err(no_answer)
+    response.json().await.map_err(no_response)
 }
 
-/// The rows of a part of a daemon's state.
+/// The rows of a section of a daemon's state.
 pub fn rows(state: &Value, section: Section) -> Vec<Row> {
     let vm = &state["vm"];
     match section {
-        Section::Own => {
+        Section::TopLevel => {
             let mut row = state.as_object().cloned().unwrap_or_default();
             row.insert("name".into(), vm.clone());
             vec![row]
         }
-        Section::List(part) => {
-            let list = state[part].as_array().into_iter().flatten();
+        Section::List(key) => {
+            let list = state[key].as_array().into_iter().flatten();
             list.filter_map(Value::as_object)
-                .map(|row| seen_by(row.clone(), vm))
+                .map(|row| with_seen_by(row.clone(), vm))
                 .collect()
         }
-        Section::Map(part) => {
-            let map = state[part].as_object().into_iter().flatten();
-            map.map(|(name, value)| named(state, name, value)).collect()
+        Section::Map(key) => {
+            let map = state[key].as_object().into_iter().flatten();
+            map.map(|(name, value)| named_row(state, name, value)).collect()
         }
     }
 }
 
-/// A row with its name in it, and with the VM of who holds what it names.
-fn named(state: &Value, name: &str, value: &Value) -> Row {
+/// A row of a map, with its name and, if it has a holder, the holder's VM.
+fn named_row(state: &Value, name: &str, value: &Value) -> Row {
     let mut row = match value {
         Value::Object(row) => row.clone(),
         count => Map::from_iter([("waiting".to_owned(), count.clone())]),
@@ -82,10 +86,10 @@
         let vm = members.next().map_or(Value::Null, |member| member["vm"].clone());
         row.insert("holder_vm".into(), vm);
     }
-    seen_by(row, &state["vm"])
+    with_seen_by(row, &state["vm"])
 }
 
-fn seen_by(mut row: Row, vm: &Value) -> Row {
+fn with_seen_by(mut row: Row, vm: &Value) -> Row {
     row.insert("seen_by".into(), vm.clone());
     row
 }
--- a/crates/ctl/src/language.rs
+++ b/crates/ctl/src/language.rs
@@ -1,8 +1,7 @@
-//! The commands of operators, parsed.
+//! Parses the commands of operators.
 //!
-//! The grammar is in docs/LANGUAGE.md. [`parse`] splits a command into tokens
-//! and reads them with winnow; what can't be read becomes a [`Fault`] at its
-//! column.
+//! docs/LANGUAGE.md describes the grammar. [`parse`] splits a command into tokens and
+//! parses them with winnow; an invalid command yields a [`SyntaxError`] with its column.
 
 use std::ops::Range;
 
@@ -13,76 +12,77 @@
 use winnow::error::ErrMode;
 use winnow::token::any;
 
-use crate::fault::Fault;
-use crate::query::{Condition, Query, Sort, Test};
+use crate::query::{Condition, Operator, Query, Sort};
 use crate::schema::{Field, FieldKind, SUBJECTS, Subject};
-use crate::token::{Kind, Token, number, tokens};
+use crate::syntax_error::SyntaxError;
+use crate::token::{Token, TokenKind, split_number, tokens};
 
-/// The deepest nesting of conditions, so that reading one needs a bounded stack.
-const DEPTH: usize = 64;
+/// The maximum nesting of conditions, which bounds the stack that parsing needs.
+const MAX_DEPTH: usize = 64;
 
-/// What an operator wants.
+/// A parsed command.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Command {
-    /// Check files without asking a daemon.
+    /// Check a file or directory without a daemon.
     Check(String),
-    /// Tell what applying a directory would do.
+    /// Show what applying a directory would do.
     Plan(String),
-    /// Put a directory's files in force.
+    /// Apply a directory's files.
     Apply(String),
-    /// Show rows.
+    /// Show the rows of a query.
     Show(Query),
-    /// Tell what would happen to a request.
+    /// Explain how a request with these properties would be served.
     Explain(Vec<(&'static str, String)>),
     /// Show the newest revisions.
     History {
-        /// At most how many.
+        /// The maximum number of revisions.
         limit: Option<usize>,
     },
-    /// Put the team's files of an earlier revision in force again.
+    /// Apply the team's files of an earlier revision.
     Rollback {
-        /// The revision.
+        /// The revision to go back to.
         to: u64,
     },
-    /// Tell the answer to an earlier change.
+    /// Show the verdict on the change with this id.
     Change(String),
-    /// Tell a daemon to leave.
+    /// Let the daemon on this VM finish its requests and stop.
     Drain(String),
-    /// Tell a request's way from logs.
+    /// Show a request's path from logs.
     Trace {
-        /// The request.
+        /// The request's id.
         id: String,
-        /// The logs; standard input if none is named.
+        /// The log files; standard input if empty.
         files: Vec<String>,
     },
 }
 
-/// The commands, for hints.
-const VERBS: &[&str] = &[
+/// The names of the commands, for hints.
+const COMMANDS: &[&str] = &[
     "check", "plan", "apply", "show", "explain", "history", "rollback", "change",
     "drain", "trace",
 ];
 
-/// What can be said of a request to be explained.
-const ASKED: &[&str] = &["model", "service", "kind", "caller"];
+/// The properties of a request that `explain` accepts.
+const REQUEST_PROPERTIES: &[&str] = &["model", "service", "kind", "caller"];
 
 type Input<'a> = &'a [Token];
-type Parsed<T> = Result<T, ErrMode<Fault>>;
+type Parsed<T> = Result<T, ErrMode<SyntaxError>>;
 
-/// Reads a command.
-pub fn parse(text: &str) -> Result<Command, Fault> {
+/// Parses a command.
+pub fn parse(text: &str) -> Result<Command, SyntaxError> {
     let tokens = tokens(text)?;
     let mut input = tokens.as_slice();
-    let result = command(&mut input).and_then(|command| end(&input).map(|()| command));
+    let result =
+        command(&mut input).and_then(|command| expect_end(&input).map(|()| command));
     result.map_err(|error| match error {
-        ErrMode::Backtrack(fault) | ErrMode::Cut(fault) => fault,
-        ErrMode::Incomplete(_) => Fault::end("the command is incomplete", "go on"),
+        ErrMode::Backtrack(error) | ErrMode::Cut(error) => error,
+        ErrMode::Incomplete(_) => SyntaxError::end("the command is incomplete", "go on"),
     })
 }
 
 fn command(input: &mut Input<'_>) -> Parsed<Command> {
-    let (verb, span) = word(input, "a command", || list(VERBS))?;
-    Ok(match verb.as_str() {
+    let (name, span) = word(input, "a command", || one_of(COMMANDS))?;
+    Ok(match name.as_str() {
         "check" => Command::Check(text(input, "a file or directory")?),
         "plan" => Command::Plan(text(input, "a directory")?),
         "apply" => Command::Apply(text(input, "a directory")?),
@@ -93,7 +93,7 @@
         "change" => Command::Change(text(input, "the id of a change")?),
         "drain" => Command::Drain(text(input, "the name of a VM")?),
         "trace" => trace(input)?,
-        other => return Err(unknown("command", other, span, VERBS)),
+        other => return Err(unknown_name("command", other, span, COMMANDS)),
     })
 }
 
@@ -110,38 +110,43 @@
     let _ = opt(keyword("to")).parse_next(input)?;
     let (text, span) = word(input, "a revision", || "write its number".into())?;
     text.parse().map_err(|_| {
-        let what = format!("`{text}` is no revision");
-        cut(span, what, "write its number, as `history` shows it")
+        let message = format!("`{text}` is no revision");
+        error(span, message, "write its number, as `history` shows it")
     })
 }
 
 fn explain(input: &mut Input<'_>) -> Parsed<Vec<(&'static str, String)>> {
     let _ = opt(keyword("request")).parse_next(input)?;
-    let mut asked = Vec::new();
+    let mut properties = Vec::new();
     loop {
-        let (name, span) = word(input, "what to explain", || list(ASKED))?;
-        let Some(name) = ASKED.iter().copied().find(|it| *it == name) else {
-            return Err(unknown("property of a request", &name, span, ASKED));
+        let (name, span) = word(input, "what to explain", || one_of(REQUEST_PROPERTIES))?;
+        let Some(name) = REQUEST_PROPERTIES.iter().copied().find(|it| *it == name) else {
+            return Err(unknown_name(
+                "property of a request",
+                &name,
+                span,
+                REQUEST_PROPERTIES,
+            ));
         };
-        sign(input, "=", "write `=` and a value")?;
-        asked.push((name, text(input, "a value")?));
-        let _ = opt(sign_token(",")).parse_next(input)?;
+        expect_symbol(input, "=", "write `=` and a value")?;
+        properties.push((name, text(input, "a value")?));
+        let _ = opt(symbol(",")).parse_next(input)?;
         if input.is_empty() {
-            return Ok(asked);
+            return Ok(properties);
         }
     }
 }
 
 fn query(input: &mut Input<'_>) -> Parsed<Query> {
     let names: Vec<&str> = SUBJECTS.iter().map(|subject| subject.name).collect();
-    let (name, span) = word(input, "what to show", || list(&names))?;
-    // The question operators ask most has a name of its own.
+    let (name, span) = word(input, "what to show", || one_of(&names))?;
+    // An alias for the most frequent query.
     let name = if name == "in-force" { "daemons".to_owned() } else { name };
     let Some(subject) = Subject::find(&name) else {
-        return Err(unknown("thing to show", &name, span, &names));
+        return Err(unknown_name("thing to show", &name, span, &names));
     };
     let filter = opt(preceded(keyword("where"), |input: &mut Input<'_>| {
-        any_of(input, subject, 0)
+        disjunction(input, subject, 0)
     }))
     .parse_next(input)?;
     let sort =
@@ -164,21 +169,21 @@
     keyword("limit").parse_next(input)?;
     let (text, span) = word(input, "a number", || "write how many rows".into())?;
     text.parse()
-        .map_err(|_| cut(span, format!("`{text}` is no whole number"), "write one"))
+        .map_err(|_| error(span, format!("`{text}` is no whole number"), "write one"))
 }
 
 /// `a or b`
-fn any_of(
+fn disjunction(
     input: &mut Input<'_>,
     subject: &'static Subject,
     depth: usize,
 ) -> Parsed<Condition> {
-    if depth > DEPTH {
+    if depth > MAX_DEPTH {
         let span = input.first().map_or(usize::MAX..usize::MAX, |it| it.span.clone());
-        return Err(cut(span, "the condition is nested too deeply", "simplify it"));
+        return Err(error(span, "the condition is nested too deeply", "simplify it"));
     }
     separated_foldl1(
-        |input: &mut Input<'_>| all_of(input, subject, depth),
+        |input: &mut Input<'_>| conjunction(input, subject, depth),
         keyword("or"),
         |a, _, b| Condition::Or(Box::new(a), Box::new(b)),
     )
@@ -186,13 +191,13 @@
 }
 
 /// `a and b`
-fn all_of(
+fn conjunction(
     input: &mut Input<'_>,
     subject: &'static Subject,
     depth: usize,
 ) -> Parsed<Condition> {
     separated_foldl1(
-        |input: &mut Input<'_>| one(input, subject, depth),
+        |input: &mut Input<'_>| operand(input, subject, depth),
         keyword("and"),
         |a, _, b| Condition::And(Box::new(a), Box::new(b)),
     )
@@ -200,101 +205,107 @@
 }
 
 /// `not a`, `(a)` or a comparison
-fn one(
+fn operand(
     input: &mut Input<'_>,
     subject: &'static Subject,
     depth: usize,
 ) -> Parsed<Condition> {
     if opt(keyword("not")).parse_next(input)?.is_some() {
-        let inner = nested(input, subject, depth)?;
+        let inner = negated(input, subject, depth)?;
         return Ok(Condition::Not(Box::new(inner)));
     }
-    if opt(sign_token("(")).parse_next(input)?.is_some() {
-        let inner = any_of(input, subject, depth + 1)?;
-        sign(input, ")", "write `)`")?;
+    if opt(symbol("(")).parse_next(input)?.is_some() {
+        let inner = disjunction(input, subject, depth + 1)?;
+        expect_symbol(input, ")", "write `)`")?;
         return Ok(inner);
     }
     comparison(input, subject)
 }
 
-fn nested(
+fn negated(
     input: &mut Input<'_>,
     subject: &'static Subject,
     depth: usize,
 ) -> Parsed<Condition> {
-    if depth > DEPTH {
-        return any_of(input, subject, depth);
+    if depth > MAX_DEPTH {
+        return disjunction(input, subject, depth);
     }
-    one(input, subject, depth + 1)
+    operand(input, subject, depth + 1)
 }
 
 fn comparison(input: &mut Input<'_>, subject: &'static Subject) -> Parsed<Condition> {
     let (field, _) = field(input, subject)?;
-    let (test, span) = test(input)?;
-    let ordered = !matches!(test, Test::Equal | Test::Other | Test::Holds);
-    let fits = match field.kind {
-        FieldKind::Text => !ordered,
-        FieldKind::Flag => matches!(test, Test::Equal | Test::Other),
-        FieldKind::Number | FieldKind::Bytes | FieldKind::Millis => test != Test::Holds,
+    let (operator, span) = operator(input)?;
+    let is_ordering =
+        !matches!(operator, Operator::Equal | Operator::NotEqual | Operator::Contains);
+    let is_supported = match field.kind {
+        FieldKind::Text => !is_ordering,
+        FieldKind::Bool => matches!(operator, Operator::Equal | Operator::NotEqual),
+        FieldKind::Number | FieldKind::Bytes | FieldKind::Millis => {
+            operator != Operator::Contains
+        }
     };
-    if !fits {
-        let what = format!("`{}` can't be compared like this", field.name);
+    if !is_supported {
+        let message = format!("`{}` can't be compared like this", field.name);
         let remedy = match field.kind {
             FieldKind::Text => "use =, != or ~",
-            FieldKind::Flag => "use = or !=",
+            FieldKind::Bool => "use = or !=",
             _ => "use =, !=, <, <=, > or >=",
         };
-        return Err(cut(span, what, remedy));
+        return Err(error(span, message, remedy));
     }
     let value = value(input, field)?;
-    Ok(Condition::Compare { field: field.name, test, value })
+    Ok(Condition::Compare { field: field.name, operator, value })
 }
 
-fn test(input: &mut Input<'_>) -> Parsed<(Test, Range<usize>)> {
+fn operator(input: &mut Input<'_>) -> Parsed<(Operator, Range<usize>)> {
     let remedy = "use =, !=, <, <=, >, >= or ~";
     let token = next(input, "a comparison", || remedy.into())?;
-    let test = match token.kind {
-        Kind::Sign("=") => Test::Equal,
-        Kind::Sign("!=") => Test::Other,
-        Kind::Sign("<") => Test::Less,
-        Kind::Sign("<=") => Test::Most,
-        Kind::Sign(">") => Test::More,
-        Kind::Sign(">=") => Test::Least,
-        Kind::Sign("~") => Test::Holds,
-        _ => return Err(cut(token.span, "this is no comparison", remedy)),
+    let operator = match token.kind {
+        TokenKind::Symbol("=") => Operator::Equal,
+        TokenKind::Symbol("!=") => Operator::NotEqual,
+        TokenKind::Symbol("<") => Operator::Less,
+        TokenKind::Symbol("<=") => Operator::LessOrEqual,
+        TokenKind::Symbol(">") => Operator::Greater,
+        TokenKind::Symbol(">=") => Operator::GreaterOrEqual,
+        TokenKind::Symbol("~") => Operator::Contains,
+        _ => return Err(error(token.span, "this is no comparison", remedy)),
     };
-    Ok((test, token.span))
+    Ok((operator, token.span))
 }
 
 fn value(input: &mut Input<'_>, field: &Field) -> Parsed<Value> {
-    let form = match field.kind {
+    let expected = match field.kind {
         FieldKind::Text => "a word or a text in quotes",
         FieldKind::Number => "a number",
         FieldKind::Bytes => "a number of bytes, such as 20GB or 512MiB",
         FieldKind::Millis => "a time, such as 500ms, 30s or 2m",
-        FieldKind::Flag => "true or false",
+        FieldKind::Bool => "true or false",
     };
-    let token = next(input, "a value", || format!("write {form}"))?;
-    let bad = |what: String| cut(token.span.clone(), what, format!("write {form}"));
+    let token = next(input, "a value", || format!("write {expected}"))?;
+    let invalid =
+        |what: String| error(token.span.clone(), what, format!("write {expected}"));
     let text = match &token.kind {
-        Kind::Word(word) if word == "none" => return Ok(Value::Null),
-        Kind::Word(word) => word,
-        Kind::Text(text) if field.kind == FieldKind::Text => text,
-        Kind::Text(text) => return Err(bad(format!("{text:?} is a text"))),
-        Kind::Sign(sign) => return Err(bad(format!("`{sign}` is no value"))),
+        TokenKind::Word(word) if word == "none" => return Ok(Value::Null),
+        TokenKind::Word(word) => word,
+        TokenKind::Quoted(text) if field.kind == FieldKind::Text => text,
+        TokenKind::Quoted(text) => return Err(invalid(format!("{text:?} is a text"))),
+        TokenKind::Symbol(symbol) => {
+            return Err(invalid(format!("`{symbol}` is no value")));
+        }
     };
     let value = match field.kind {
         FieldKind::Text => Some(json!(text)),
-        FieldKind::Flag => text.parse::<bool>().ok().map(|flag| json!(flag)),
+        FieldKind::Bool => text.parse::<bool>().ok().map(|flag| json!(flag)),
         FieldKind::Number => scaled(text, |unit| unit.is_empty().then_some(1.0)),
         FieldKind::Bytes => scaled(text, bytes),
         FieldKind::Millis => scaled(text, millis),
     };
-    value.ok_or_else(|| bad(format!("`{text}` does not fit `{}`", field.name)))
+    value.ok_or_else(|| invalid(format!("`{text}` does not fit `{}`", field.name)))
 }
 
 fn scaled(text: &str, unit: impl FnOnce(&str) -> Option<f64>) -> Option<Value> {
-    let (number, name) = number(text)?;
+    let (number, name) = split_number(text)?;
     let value = number * unit(name)?;
     value.is_finite().then(|| json!(value))
 }
@@ -329,22 +340,22 @@
     subject: &'static Subject,
 ) -> Parsed<(&'static Field, Range<usize>)> {
     let names: Vec<&str> = subject.fields.iter().map(|field| field.name).collect();
-    let (name, span) = word(input, "a field", || list(&names))?;
+    let (name, span) = word(input, "a field", || one_of(&names))?;
     match subject.field(&name) {
         Some(field) => Ok((field, span)),
         None => {
             let what = format!("field of {}", subject.name);
-            Err(unknown(&what, &name, span, &names))
+            Err(unknown_name(&what, &name, span, &names))
         }
     }
 }
 
-/// A word or a text in quotes.
+/// Parses a word or a quoted string.
 fn text(input: &mut Input<'_>, what: &str) -> Parsed<String> {
     let token = next(input, what, || format!("write {what}"))?;
     match token.kind {
-        Kind::Word(text) | Kind::Text(text) if !text.is_empty() => Ok(text),
-        _ => Err(cut(token.span, format!("this is not {what}"), "put it into quotes")),
+        TokenKind::Word(text) | TokenKind::Quoted(text) if !text.is_empty() => Ok(text),
+        _ => Err(error(token.span, format!("this is not {what}"), "put it into quotes")),
     }
 }
 
@@ -355,12 +366,12 @@
 ) -> Parsed<(String, Range<usize>)> {
     let token = next(input, what, remedy)?;
     match token.kind {
-        Kind::Word(word) => Ok((word, token.span)),
-        Kind::Text(_) => {
-            Err(cut(token.span, format!("{what} is expected"), "remove the quotes"))
+        TokenKind::Word(word) => Ok((word, token.span)),
+        TokenKind::Quoted(_) => {
+            Err(error(token.span, format!("{what} is expected"), "remove the quotes"))
         }
-        Kind::Sign(_) => {
-            Err(cut(token.span, format!("{what} is expected"), "write it before this"))
+        TokenKind::Symbol(_) => {
+            Err(error(token.span, format!("{what} is expected"), "write it before this"))
         }
     }
 }
@@ -371,33 +382,44 @@
     remedy: impl FnOnce() -> String,
 ) -> Parsed<Token> {
     if input.is_empty() {
-        return Err(ErrMode::Cut(Fault::end(format!("{what} is missing"), remedy())));
+        return Err(ErrMode::Cut(SyntaxError::end(
+            format!("{what} is missing"),
+            remedy(),
+        )));
     }
     any.parse_next(input)
 }
 
-fn sign(input: &mut Input<'_>, sign: &'static str, remedy: &str) -> Parsed<()> {
-    let token = next(input, &format!("`{sign}`"), || remedy.into())?;
-    if token.kind == Kind::Sign(sign) {
+fn expect_symbol(
+    input: &mut Input<'_>,
+    symbol: &'static str,
+    remedy: &str,
+) -> Parsed<()> {
+    let token = next(input, &format!("`{symbol}`"), || remedy.into())?;
+    if token.kind == TokenKind::Symbol(symbol) {
         return Ok(());
     }
-    Err(cut(token.span, format!("`{sign}` is expected"), remedy))
+    Err(error(token.span, format!("`{symbol}` is expected"), remedy))
 }
 
-fn sign_token<'a>(sign: &'static str) -> impl Parser<Input<'a>, Token, ErrMode<Fault>> {
-    any.verify(move |token: &Token| token.kind == Kind::Sign(sign))
+fn symbol<'a>(
+    symbol: &'static str,
+) -> impl Parser<Input<'a>, Token, ErrMode<SyntaxError>> {
+    any.verify(move |token: &Token| token.kind == TokenKind::Symbol(symbol))
 }
 
-fn keyword<'a>(keyword: &'static str) -> impl Parser<Input<'a>, Token, ErrMode<Fault>> {
+fn keyword<'a>(
+    keyword: &'static str,
+) -> impl Parser<Input<'a>, Token, ErrMode<SyntaxError>> {
     any.verify(
-        move |token: &Token| matches!(&token.kind, Kind::Word(word) if word == keyword),
+        move |token: &Token| matches!(&token.kind, TokenKind::Word(word) if word == keyword),
     )
 }
 
-fn end(input: &Input<'_>) -> Parsed<()> {
+fn expect_end(input: &Input<'_>) -> Parsed<()> {
     match input.first() {
         None => Ok(()),
-        Some(token) => Err(cut(
+        Some(token) => Err(error(
             token.span.clone(),
             "the command goes on unexpectedly",
             "remove this",
@@ -405,22 +427,27 @@
     }
 }
 
-fn unknown(what: &str, word: &str, span: Range<usize>, known: &[&str]) -> ErrMode<Fault> {
+fn unknown_name(
+    what: &str,
+    word: &str,
+    span: Range<usize>,
+    known: &[&str],
+) -> ErrMode<SyntaxError> {
     let remedy = match closest_match(word, known.iter().copied()) {
-        Some(near) => format!("did you mean `{near}`?"),
-        None => list(known),
+        Some(closest) => format!("did you mean `{closest}`?"),
+        None => one_of(known),
     };
-    cut(span, format!("there is no {what} `{word}`"), remedy)
+    error(span, format!("there is no {what} `{word}`"), remedy)
 }
 
-fn list(known: &[&str]) -> String {
+fn one_of(known: &[&str]) -> String {
     format!("write one of {}", known.join(", "))
 }
 
-fn cut(
+fn error(
     span: Range<usize>,
-    what: impl Into<String>,
+    message: impl Into<String>,
     remedy: impl Into<String>,
-) -> ErrMode<Fault> {
-    ErrMode::Cut(Fault::new(span, what, remedy))
+) -> ErrMode<SyntaxError> {
+    ErrMode::Cut(SyntaxError::new(span, message, remedy))
 }
--- a/crates/ctl/src/options.rs
+++ b/crates/ctl/src/options.rs
@@ -1,16 +1,16 @@
-//! The options; everything else on the command line is one command.
+//! The command-line options; the remaining words are one command.
 
 use std::path::PathBuf;
 use std::time::Duration;
 
 use bpaf::Bpaf;
 
-/// The form in which rows are printed.
+/// The output format.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Output {
-    /// A table for people.
+    /// Text and aligned tables.
     Table,
-    /// One JSON value for programs.
+    /// One line of JSON.
     Json,
 }
 
@@ -21,29 +21,31 @@
         match text {
             "table" => Ok(Self::Table),
             "json" => Ok(Self::Json),
-            _ => Err(format!("{text:?} is no form of output; write table or json")),
+            _ => Err(format!("{text:?} is not an output format; write table or json")),
         }
     }
 }
 
-/// The commands and exit codes, for `--help`; four blanks keep a line as it
-/// is, and an empty line would hide the rest.
+/// The commands and exit codes in the output of `--help`.
+///
+/// bpaf keeps lines that start with four spaces as they are, and it omits everything
+/// after an empty line.
 const FOOTER: &str = "The words after the options are one command:
     check FILE|DIR     check settings or declarations without a daemon
-    plan DIR           tell what applying a directory would do
+    plan DIR           show what applying a directory would do
     apply DIR          put a directory's files in force
     show WHAT [where CONDITION] [sort by FIELD [desc]] [limit N]
     explain request model = NAME [kind = NAME] [caller = NAME]
     history [limit N]
     rollback to N      put the team's files of revision N in force again
-    change ID          tell the answer to an earlier change
-    drain VM           tell a daemon to leave
+    change ID          show the verdict on an earlier change
+    drain VM           let a daemon finish its requests and stop
     show gates|gate-tables|gate-members|gate-claims|gate-servers|gate-runners|gate-queues
-                       what all named daemons on the users' platform believe
-    trace ID [FILE...] tell a request's way from their logs (else from standard input)
-    exit codes: 0 done, 1 refused, 2 command can't be read, 3 files have problems,
-    4 undecided (repeat with --change), 5 accepted and not in force in time,
-    6 key missing or wrong, 7 no answer, 8 declined
+                       show the state of all named daemons on the users' platform
+    trace ID [FILE...] show a request's path from their logs (default: standard input)
+    exit codes: 0 done, 1 refused, 2 invalid command, 3 files have problems,
+    4 undecided (repeat with --change), 5 accepted but not in force in time,
+    6 key missing or wrong, 7 no response, 8 declined
 docs/LANGUAGE.md describes the language.";
 
 /// The options and the command.
@@ -51,30 +53,31 @@
 #[bpaf(
     options,
     version,
-    descr("Asks and changes what a system of chestnutlane serves"),
+    descr("Shows and changes what a chestnutlane system serves"),
     footer(FOOTER)
 )]
 pub struct Options {
-    /// The operators' address of a daemon, on the users' platform the metrics address;
-    /// may be repeated, the first that answers is used (for what gates show, all)
+    /// The operators' address of a daemon, on the users' platform its metrics address;
+    /// may be repeated: the first that responds is used, for gates all of them
     #[bpaf(long, short, argument("ADDR"), env("CHESTNUT_SERVERS"))]
     pub server: Vec<String>,
-    /// The team
+    /// The team that the command acts for
     #[bpaf(long, short, argument("TEAM"), env("CHESTNUT_TEAM"))]
     pub team: Option<String>,
-    /// The file that holds the team's key (else the variable CHESTNUT_KEY does)
+    /// The file with the team's key (default: the variable CHESTNUT_KEY)
     #[bpaf(long, argument("FILE"), env("CHESTNUT_KEY_FILE"))]
     pub key_file: Option<PathBuf>,
-    /// Who makes the change, for the history and for whom it races
+    /// The author of the change, shown in the history and to others whose changes
+    /// conflict with it
     #[bpaf(long, argument("NAME"), env("USER"))]
     pub author: Option<String>,
-    /// What the change is for, for the history
+    /// The purpose of the change, shown in the history
     #[bpaf(long, argument("TEXT"), fallback(String::new()))]
     pub note: String,
-    /// The id of the change; repeat it to learn what became of an earlier try
+    /// The id of the change; use the id of an earlier attempt to retry it
     #[bpaf(long, argument("ID"))]
     pub change: Option<String>,
-    /// The revision from which the files were edited (else the newest)
+    /// The revision from which the files were edited (default: the newest)
     #[bpaf(long, argument("REVISION"))]
     pub base: Option<u64>,
     /// Wait until the change is in force at every daemon
@@ -83,10 +86,10 @@
     /// How long to wait, in seconds
     #[bpaf(long, argument("SECONDS"), fallback(30), display_fallback)]
     pub timeout: u64,
-    /// Do not ask before changing anything
+    /// Do not ask for confirmation
     #[bpaf(long, short)]
     pub yes: bool,
-    /// The form of output: table or json
+    /// The output format: table or json
     #[bpaf(long, short, argument("FORM"), fallback(Output::Table))]
     pub output: Output,
     /// The command
@@ -95,13 +98,13 @@
 }
 
 impl Options {
-    /// The command as one text.
+    /// The words of the command, joined by spaces.
     pub fn command(&self) -> String {
         self.words.join(" ")
     }
 
-    /// How long to wait for a change to be in force.
-    pub fn patience(&self) -> Duration {
+    /// How long to wait until a change is in force.
+    pub fn wait_timeout(&self) -> Duration {
         Duration::from_secs(self.timeout)
     }
 }
--- a/crates/ctl/src/output.rs
+++ b/crates/ctl/src/output.rs
@@ -1,4 +1,4 @@
-//! Printing rows.
+//! Formats rows and plans for the terminal.
 
 use chestnut_config::Plan;
 use chestnut_config::plan::DifferenceKind;
@@ -7,24 +7,28 @@
 use crate::query::Row;
 use crate::schema::Subject;
 
-/// Rows as a table with aligned columns.
+/// Formats rows as a table with aligned columns.
 pub fn table(subject: &Subject, rows: &[Row]) -> String {
     let names: Vec<&str> = subject.fields.iter().map(|field| field.name).collect();
     let mut lines = vec![names.iter().map(|name| name.to_uppercase()).collect()];
     for row in rows {
         lines.push(names.iter().map(|name| cell(row.get(*name))).collect::<Vec<_>>());
     }
-    let width = |at: usize| {
-        lines.iter().map(|line: &Vec<String>| line[at].chars().count()).max().unwrap_or(0)
+    let width = |column: usize| {
+        lines
+            .iter()
+            .map(|line: &Vec<String>| line[column].chars().count())
+            .max()
+            .unwrap_or(0)
     };
     let widths: Vec<usize> = (0..names.len()).map(width).collect();
     let mut text = String::new();
     for line in &lines {
-        let mut out = String::new();
+        let mut padded = String::new();
         for (cell, width) in line.iter().zip(&widths) {
-            out.push_str(&format!("{cell:width$}  "));
+            padded.push_str(&format!("{cell:width$}  "));
         }
-        text.push_str(out.trim_end());
+        text.push_str(padded.trim_end());
         text.push('\n');
     }
     text
@@ -36,14 +40,14 @@
         Some(Value::String(text)) if text.is_empty() => "-".into(),
         Some(Value::String(text)) => text.clone(),
         Some(Value::Array(list)) => {
-            let list: Vec<String> = list.iter().map(|one| cell(Some(one))).collect();
-            list.join(",")
+            let cells: Vec<String> = list.iter().map(|one| cell(Some(one))).collect();
+            cells.join(",")
         }
         Some(other) => other.to_string(),
     }
 }
 
-/// What a change would change and move, for people.
+/// Formats the expected effect of a change.
 pub fn plan(plan: &Plan) -> String {
     let mut text = String::new();
     for change in &plan.changes {
--- a/crates/ctl/src/query.rs
+++ b/crates/ctl/src/query.rs
@@ -1,4 +1,4 @@
-//! Choosing and ordering rows.
+//! Filters, sorts and limits rows.
 
 use std::cmp::Ordering;
 
@@ -6,80 +6,81 @@
 
 use crate::schema::Subject;
 
-/// A row of named fields.
+/// The fields of a row, by name.
 pub type Row = Map<String, Value>;
 
-/// What to show.
+/// A query for rows of a subject.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Query {
-    /// What.
+    /// What to show.
     pub subject: &'static Subject,
-    /// Which rows; all if absent.
+    /// The condition on the rows; `None` keeps all.
     pub filter: Option<Condition>,
-    /// In which order.
+    /// The order; `None` keeps the order of the daemon.
     pub sort: Option<Sort>,
-    /// At most how many rows.
+    /// The maximum number of rows.
     pub limit: Option<usize>,
 }
 
-/// An order of rows.
+/// A sort order of rows.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Sort {
-    /// The field.
+    /// The field to sort by.
     pub field: &'static str,
-    /// Whether the greatest comes first.
+    /// Whether the greatest value comes first.
     pub descending: bool,
 }
 
 /// A condition on a row.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Condition {
-    /// Both hold.
+    /// Both conditions hold.
     And(Box<Condition>, Box<Condition>),
-    /// At least one holds.
+    /// At least one condition holds.
     Or(Box<Condition>, Box<Condition>),
-    /// It does not hold.
+    /// The condition does not hold.
     Not(Box<Condition>),
-    /// A field compares with a value.
+    /// A comparison of a field with a value.
     Compare {
-        /// The field.
+        /// The name of the field.
         field: &'static str,
-        /// How.
-        test: Test,
-        /// With what; of the field's type, or null.
+        /// The comparison.
+        operator: Operator,
+        /// A value of the field's type, or null.
         value: Value,
     },
 }
 
-/// How a field compares with a value.
+/// A comparison operator.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Test {
-    /// Equal.
+pub enum Operator {
+    /// `=`
     Equal,
-    /// Not equal.
-    Other,
-    /// Less.
+    /// `!=`
+    NotEqual,
+    /// `<`
     Less,
-    /// Less or equal.
-    Most,
-    /// Greater.
-    More,
-    /// Greater or equal.
-    Least,
-    /// The text holds the value.
-    Holds,
+    /// `<=`
+    LessOrEqual,
+    /// `>`
+    Greater,
+    /// `>=`
+    GreaterOrEqual,
+    /// `~`: the field contains the value as a substring.
+    Contains,
 }
 
 impl Query {
-    /// The rows that the query asks for, in its order.
+    /// The matching rows in the requested order.
     pub fn run(&self, rows: Vec<Row>) -> Vec<Row> {
         let mut rows = rows;
         if let Some(filter) = &self.filter {
-            rows.retain(|row| filter.holds(row));
+            rows.retain(|row| filter.matches(row));
         }
         if let Some(sort) = self.sort {
             rows.sort_by(|a, b| {
-                let order = compare(get(a, sort.field), get(b, sort.field));
+                let order =
+                    compare(field_value(a, sort.field), field_value(b, sort.field));
                 if sort.descending { order.reverse() } else { order }
             });
         }
@@ -89,42 +90,44 @@
 }
 
 impl Condition {
-    /// Whether a row meets the condition.
-    pub fn holds(&self, row: &Row) -> bool {
+    /// Whether a row satisfies the condition.
+    pub fn matches(&self, row: &Row) -> bool {
         match self {
-            Self::And(a, b) => a.holds(row) && b.holds(row),
-            Self::Or(a, b) => a.holds(row) || b.holds(row),
-            Self::Not(a) => !a.holds(row),
-            Self::Compare { field, test, value } => test.holds(get(row, field), value),
+            Self::And(a, b) => a.matches(row) && b.matches(row),
+            Self::Or(a, b) => a.matches(row) || b.matches(row),
+            Self::Not(a) => !a.matches(row),
+            Self::Compare { field, operator, value } => {
+                operator.matches(field_value(row, field), value)
+            }
         }
     }
 }
 
-impl Test {
-    fn holds(self, found: &Value, value: &Value) -> bool {
-        let order = compare(found, value);
-        // What has no value is neither less nor greater than anything.
-        let known = !found.is_null() && !value.is_null();
+impl Operator {
+    fn matches(self, actual: &Value, expected: &Value) -> bool {
+        let order = compare(actual, expected);
+        // A missing value is neither less nor greater than any other.
+        let both_present = !actual.is_null() && !expected.is_null();
         match self {
             Self::Equal => order == Ordering::Equal,
-            Self::Other => order != Ordering::Equal,
-            Self::Less => known && order == Ordering::Less,
-            Self::Most => known && order != Ordering::Greater,
-            Self::More => known && order == Ordering::Greater,
-            Self::Least => known && order != Ordering::Less,
-            Self::Holds => match (found.as_str(), value.as_str()) {
-                (Some(found), Some(value)) => found.contains(value),
+            Self::NotEqual => order != Ordering::Equal,
+            Self::Less => both_present && order == Ordering::Less,
+            Self::LessOrEqual => both_present && order != Ordering::Greater,
+            Self::Greater => both_present && order == Ordering::Greater,
+            Self::GreaterOrEqual => both_present && order != Ordering::Less,
+            Self::Contains => match (actual.as_str(), expected.as_str()) {
+                (Some(actual), Some(expected)) => actual.contains(expected),
                 _ => false,
             },
         }
     }
 }
 
-fn get<'a>(row: &'a Row, field: &str) -> &'a Value {
+fn field_value<'a>(row: &'a Row, field: &str) -> &'a Value {
     row.get(field).unwrap_or(&Value::Null)
 }
 
-/// The order of two values of the same field; a missing one comes first.
+/// Compares two values of the same field; a missing one sorts first.
 fn compare(a: &Value, b: &Value) -> Ordering {
     match (a, b) {
         (Value::Number(a), Value::Number(b)) => {
@@ -133,11 +136,11 @@
         }
         (Value::String(a), Value::String(b)) => a.cmp(b),
         (Value::Bool(a), Value::Bool(b)) => a.cmp(b),
-        (a, b) => rank(a).cmp(&rank(b)),
+        (a, b) => type_rank(a).cmp(&type_rank(b)),
     }
 }
 
-fn rank(value: &Value) -> u8 {
+fn type_rank(value: &Value) -> u8 {
     match value {
         Value::Null => 0,
         Value::Bool(_) => 1,
--- a/crates/ctl/src/run.rs
+++ b/crates/ctl/src/run.rs
@@ -1,4 +1,4 @@
-//! Carrying out commands.
+//! Executes commands.
 
 use std::fs::{self, File};
 use std::io::{self, BufReader, Write};
@@ -19,68 +19,69 @@
 use crate::schema::{HISTORY, Section, Source};
 use crate::trace::Trace;
 
-/// Carries out the command.
+/// Executes the command and prints its output.
 pub fn main(options: &Options) -> Exit {
     let text = options.command();
     let command = match language::parse(&text) {
         Ok(command) => command,
-        Err(fault) => {
-            eprintln!("{}", fault.show(&text));
+        Err(error) => {
+            eprintln!("{}", error.render(&text));
             return Exit::Usage;
         }
     };
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build();
     let result = match runtime {
-        Ok(runtime) => runtime.block_on(carry_out(options, command)),
-        Err(error) => {
-            Err(Stop::new(Exit::NoAnswer, format!("the runtime can't start: {error}")))
-        }
+        Ok(runtime) => runtime.block_on(execute(options, command)),
+        Err(error) => Err(CommandError::new(
+            Exit::NoResponse,
+            format!("the runtime can't start: {error}"),
+        )),
     };
     match result {
         Ok(exit) => exit,
-        Err(stop) => {
-            eprintln!("{}", stop.text);
-            stop.exit
+        Err(error) => {
+            eprintln!("{}", error.message);
+            error.exit
         }
     }
 }
 
-/// Why a command was not carried out.
+/// Why a command was not executed.
 #[derive(Debug)]
-pub struct Stop {
-    /// How the process ends.
+pub struct CommandError {
+    /// The result that determines the exit code.
     pub exit: Exit,
-    /// What the operator is told.
-    pub text: String,
+    /// The message for the operator.
+    pub message: String,
 }
 
-impl Stop {
-    /// Creates a reason.
-    pub fn new(exit: Exit, text: impl Into<String>) -> Self {
-        Self { exit, text: text.into() }
+impl CommandError {
+    /// Creates an error with a message for the operator.
+    pub fn new(exit: Exit, message: impl Into<String>) -> Self {
+        Self { exit, message: message.into() }
     }
 }
 
-impl From<ClientError> for Stop {
+impl From<ClientError> for CommandError {
     fn from(error: ClientError) -> Self {
         let exit = match error {
             ClientError::NoServer => Exit::Usage,
-            ClientError::Key(_) => Exit::Key,
-            ClientError::NoAnswer(_)
+            ClientError::InvalidKey(_) => Exit::InvalidKey,
+            ClientError::NoResponse(_)
             | ClientError::Unavailable(_)
-            | ClientError::Refused(..) => Exit::NoAnswer,
+            | ClientError::Refused(..) => Exit::NoResponse,
         };
         Self::new(exit, error.to_string())
     }
 }
 
-impl From<FileError> for Stop {
+impl From<FileError> for CommandError {
     fn from(error: FileError) -> Self {
-        Self::new(Exit::Files, error.to_string())
+        Self::new(Exit::InvalidFiles, error.to_string())
     }
 }
 
-async fn carry_out(options: &Options, command: Command) -> Result<Exit, Stop> {
+async fn execute(options: &Options, command: Command) -> Result<Exit, CommandError> {
     match command {
         Command::Check(path) => {
             println!("{path}: {} without problems", files::check(&path)?);
@@ -90,15 +91,15 @@
         Command::Plan(dir) => apply::plan(options, &client(options)?, &dir).await,
         Command::Apply(dir) => {
             let client = client(options)?;
-            let text = files::read(&dir)?;
-            files::check_text(&dir, &text)?;
-            apply::apply(options, &client, text, &options.note).await
+            let files = files::read(&dir)?;
+            files::check_files(&dir, &files)?;
+            apply::apply(options, &client, files, &options.note).await
         }
         Command::Rollback { to } => {
             let client = client(options)?;
-            let text = files_at(&client, Some(to)).await?.text();
+            let files = fetch_files(&client, Some(to)).await?.into_team_files();
             let note = format!("rollback to revision {to}");
-            apply::apply(options, &client, text, &note).await
+            apply::apply(options, &client, files, &note).await
         }
         Command::Change(id) => apply::change(options, &client(options)?, &id).await,
         Command::Show(query) => match query.subject.source {
@@ -106,23 +107,29 @@
             Source::Daemon => show(options, &client(options)?, &query).await,
         },
         Command::History { limit } => history(options, &client(options)?, limit).await,
-        Command::Explain(asked) => explain(options, &client(options)?, &asked).await,
+        Command::Explain(request) => explain(options, &client(options)?, &request).await,
         Command::Drain(vm) => drain(options, &client(options)?, &vm).await,
     }
 }
 
-fn client(options: &Options) -> Result<Client, Stop> {
+fn client(options: &Options) -> Result<Client, CommandError> {
     let team = options.team.clone().ok_or_else(|| {
-        Stop::new(Exit::Key, "no team is named; use --team or the variable CHESTNUT_TEAM")
+        CommandError::new(
+            Exit::InvalidKey,
+            "no team is named; use --team or the variable CHESTNUT_TEAM",
+        )
     })?;
     let key = match &options.key_file {
         Some(path) => fs::read_to_string(path).map_err(|error| {
             let path = path.display();
-            Stop::new(Exit::Key, format!("the key file {path} can't be read ({error})"))
+            CommandError::new(
+                Exit::InvalidKey,
+                format!("the key file {path} can't be read ({error})"),
+            )
         })?,
         None => std::env::var("CHESTNUT_KEY").map_err(|_| {
-            Stop::new(
-                Exit::Key,
+            CommandError::new(
+                Exit::InvalidKey,
                 "the team's key is missing; use --key-file or the variable CHESTNUT_KEY",
             )
         })?,
@@ -130,60 +137,67 @@
     Ok(Client::new(&options.server, team, key.trim().to_owned())?)
 }
 
-/// A team's files as a daemon knows them.
+/// A daemon's response with a team's files.
 #[derive(Debug, Clone, Deserialize)]
 pub struct FilesAtRevision {
-    /// The newest revision.
+    /// The newest revision, also if the files are of an earlier one.
     pub revision: u64,
     files: indexmap::IndexMap<String, String>,
 }
 
 impl FilesAtRevision {
-    /// The texts.
-    pub fn text(self) -> TeamFiles {
+    /// The files without the revision.
+    pub fn into_team_files(self) -> TeamFiles {
         TeamFiles { files: self.files }
     }
 }
 
-/// The team's files, now or at a revision.
-pub async fn files_at(client: &Client, at: Option<u64>) -> Result<FilesAtRevision, Stop> {
+/// Reads the team's files, of the newest revision or of `at`.
+pub async fn fetch_files(
+    client: &Client,
+    at: Option<u64>,
+) -> Result<FilesAtRevision, CommandError> {
     let query: Vec<_> = at.map(|at| ("at", at.to_string())).into_iter().collect();
     client.get("files", &query).await.map_err(|error| match error {
-        ClientError::Refused(_, why) => Stop::new(Exit::Refused, why),
+        ClientError::Refused(_, reason) => CommandError::new(Exit::Refused, reason),
         other => other.into(),
     })
 }
 
 #[derive(Debug, Deserialize)]
-struct Rows {
+struct RowsResponse {
     revision: u64,
     rows: Vec<Row>,
 }
 
-async fn show(options: &Options, client: &Client, query: &Query) -> Result<Exit, Stop> {
+async fn show(
+    options: &Options,
+    client: &Client,
+    query: &Query,
+) -> Result<Exit, CommandError> {
     let path = format!("show/{}", query.subject.name);
-    let found: Rows = client.get(&path, &[]).await?;
-    let rows = query.run(found.rows);
+    let response: RowsResponse = client.get(&path, &[]).await?;
+    let rows = query.run(response.rows);
     match options.output {
         Output::Table => print(&output::table(query.subject, &rows)),
         Output::Json => {
-            print_json(&json!({ "revision": found.revision, "rows": rows }));
+            print_json(&json!({ "revision": response.revision, "rows": rows }));
         }
     }
     Ok(Exit::Done)
 }
 
-/// Shows what all named daemons on the users' platform believe.
+/// Shows a section of the state of all named daemons on the users' platform.
 async fn show_gates(
     options: &Options,
     query: &Query,
     section: Section,
-) -> Result<Exit, Stop> {
-    let seen = gates::ask(&options.server, section).await?;
-    for (server, error) in &seen.silent {
+) -> Result<Exit, CommandError> {
+    let result = gates::query(&options.server, section).await?;
+    for (server, error) in &result.failed {
         eprintln!("{server}: {error}");
     }
-    let rows = query.run(seen.rows);
+    let rows = query.run(result.rows);
     match options.output {
         Output::Table => print(&output::table(query.subject, &rows)),
         Output::Json => print_json(&json!({ "rows": rows })),
@@ -191,26 +205,30 @@
     Ok(Exit::Done)
 }
 
-/// Tells a request's way from logs.
-fn trace(id: &str, files: &[String]) -> Result<Exit, Stop> {
+/// Shows a request's path from logs.
+fn trace(id: &str, files: &[String]) -> Result<Exit, CommandError> {
     let mut trace = Trace::new(id);
-    let unread = |name: &str, error: io::Error| {
-        Stop::new(Exit::Files, format!("{name} can't be read ({error}); name a log"))
+    let read_error = |name: &str, error: io::Error| {
+        CommandError::new(
+            Exit::InvalidFiles,
+            format!("{name} can't be read ({error}); name a log"),
+        )
     };
     for name in files {
-        let file = File::open(name).map_err(|error| unread(name, error))?;
-        trace.read(BufReader::new(file)).map_err(|error| unread(name, error))?;
+        let file = File::open(name).map_err(|error| read_error(name, error))?;
+        trace.read_log(BufReader::new(file)).map_err(|error| read_error(name, error))?;
     }
     if files.is_empty() {
-        let read = trace.read(io::stdin().lock());
-        read.map_err(|error| unread("standard input", error))?;
+        let read = trace.read_log(io::stdin().lock());
+        read.map_err(|error| read_error("standard input", error))?;
     }
-    if trace.unread() > 0 {
-        eprintln!("{} lines are no log lines and were passed over", trace.unread());
+    if trace.invalid_lines() > 0 {
+        eprintln!("skipped {} lines that are not valid log lines", trace.invalid_lines());
     }
     if trace.is_empty() {
-        let text = format!("no line names {id}; take the logs of all daemons");
-        return Err(Stop::new(Exit::Refused, text));
+        let message =
+            format!("no log line of request {id}; pass the logs of all daemons");
+        return Err(CommandError::new(Exit::Refused, message));
     }
     println!("{trace}");
     Ok(Exit::Done)
@@ -220,13 +238,13 @@
     options: &Options,
     client: &Client,
     limit: Option<usize>,
-) -> Result<Exit, Stop> {
+) -> Result<Exit, CommandError> {
     let query: Vec<_> = limit.map(|n| ("limit", n.to_string())).into_iter().collect();
-    let found: Rows = client.get("history", &query).await?;
+    let response: RowsResponse = client.get("history", &query).await?;
     match options.output {
-        Output::Table => print(&output::table(&HISTORY, &found.rows)),
+        Output::Table => print(&output::table(&HISTORY, &response.rows)),
         Output::Json => {
-            print_json(&json!({ "revision": found.revision, "rows": found.rows }));
+            print_json(&json!({ "revision": response.revision, "rows": response.rows }));
         }
     }
     Ok(Exit::Done)
@@ -235,17 +253,17 @@
 async fn explain(
     options: &Options,
     client: &Client,
-    asked: &[(&str, String)],
-) -> Result<Exit, Stop> {
-    let found: Value = client.get("explain", asked).await?;
+    request: &[(&str, String)],
+) -> Result<Exit, CommandError> {
+    let response: Value = client.get("explain", request).await?;
     if options.output == Output::Json {
-        print_json(&found);
+        print_json(&response);
         return Ok(Exit::Done);
     }
-    for step in found["steps"].as_array().into_iter().flatten() {
+    for step in response["steps"].as_array().into_iter().flatten() {
         println!("- {}", step.as_str().unwrap_or_default());
     }
-    for server in found["servers"].as_array().into_iter().flatten() {
+    for server in response["servers"].as_array().into_iter().flatten() {
         let text = |name: &str| server[name].as_str().unwrap_or("-").to_owned();
         let state = if server["leaving"] == true {
             "leaving"
@@ -258,7 +276,7 @@
         let load = &server["load"];
         let number = |name: &str| load[name].as_u64().unwrap_or(0);
         let queue = if load.is_null() {
-            "its queue is not known".to_owned()
+            "its queue is unknown".to_owned()
         } else {
             format!(
                 "{} run, {} wait before it, about {} ms",
@@ -272,44 +290,48 @@
     Ok(Exit::Done)
 }
 
-async fn drain(options: &Options, client: &Client, vm: &str) -> Result<Exit, Stop> {
+async fn drain(
+    options: &Options,
+    client: &Client,
+    vm: &str,
+) -> Result<Exit, CommandError> {
     if !confirm(options, &format!("let the daemon on {vm} leave?")) {
         return Ok(Exit::Declined);
     }
     let body = json!({ "vm": vm, "author": author(options)? });
-    let found: Value =
+    let response: Value =
         client.post("drain", &body).await.map_err(|error| match error {
-            ClientError::Refused(_, why) => Stop::new(Exit::Refused, why),
+            ClientError::Refused(_, reason) => CommandError::new(Exit::Refused, reason),
             other => other.into(),
         })?;
     match options.output {
         Output::Table => println!("{vm} was told to leave; see `show daemons`"),
-        Output::Json => print_json(&found),
+        Output::Json => print_json(&response),
     }
     Ok(Exit::Done)
 }
 
-/// Who makes the change.
-pub fn author(options: &Options) -> Result<String, Stop> {
+/// The author named in the options.
+pub fn author(options: &Options) -> Result<String, CommandError> {
     match &options.author {
         Some(author) if !author.is_empty() => Ok(author.clone()),
-        _ => Err(Stop::new(Exit::Usage, "nobody is named as author; use --author")),
+        _ => Err(CommandError::new(Exit::Usage, "no author is named; use --author")),
     }
 }
 
-/// Asks the operator, unless `--yes` answers.
+/// Asks the operator for confirmation, unless `--yes` is given.
 pub fn confirm(options: &Options, question: &str) -> bool {
     if options.yes {
         return true;
     }
     eprint!("{question} [y/N] ");
     let mut line = String::new();
-    // Without an answer nothing is changed.
+    // No response counts as no.
     let read = io::stderr().flush().and_then(|()| io::stdin().read_line(&mut line));
     read.is_ok() && matches!(line.trim(), "y" | "yes")
 }
 
-/// Prints a text; a reader that went away is not an error.
+/// Prints a text to standard output; a closed pipe is not an error.
 pub fn print(text: &str) {
     drop(io::stdout().write_all(text.as_bytes()));
 }
--- a/crates/ctl/src/schema.rs
+++ b/crates/ctl/src/schema.rs
@@ -1,49 +1,49 @@
-//! What can be shown, and which fields it has.
+//! The subjects that can be shown, and their fields.
 
-/// What can be shown.
+/// A type of rows that can be shown.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Subject {
-    /// Its name in commands and in the daemons' HTTP interface.
+    /// The name in commands and in the daemons' HTTP interface.
     pub name: &'static str,
-    /// Who is asked for it.
+    /// Where the rows come from.
     pub source: Source,
-    /// Its fields, in the order of the columns.
+    /// The fields, in the order of the columns.
     pub fields: &'static [Field],
 }
 
-/// Who is asked for what is shown.
+/// Where rows come from.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Source {
-    /// A daemon of the own interface, with a team's key; the first that answers.
+    /// The operators' interface of the first daemon that responds, with a team's key.
     Daemon,
-    /// All daemons that are named, on the users' platform: this part of their state.
+    /// This section of the state of all named daemons on the users' platform.
     Gate(Section),
 }
 
-/// A part of the state of a daemon on the users' platform.
+/// A section of the state of a daemon on the users' platform.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Section {
-    /// The daemon itself.
-    Own,
-    /// A list of rows.
+    /// The fields of the daemon itself.
+    TopLevel,
+    /// The list of rows under this key.
     List(&'static str),
-    /// Rows by their names.
+    /// The rows by name under this key.
     Map(&'static str),
 }
 
 /// A field of a subject.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Field {
-    /// Its name.
+    /// The name of the field and its column.
     pub name: &'static str,
-    /// What it holds.
+    /// The type of its values.
     pub kind: FieldKind,
 }
 
-/// What a field holds.
+/// The type of a field.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum FieldKind {
-    /// A text.
+    /// A string.
     Text,
     /// A number without a unit.
     Number,
@@ -52,16 +52,16 @@
     /// A number of milliseconds.
     Millis,
     /// True or false.
-    Flag,
+    Bool,
 }
 
 impl Subject {
-    /// The subject of a name.
+    /// The subject with this name.
     pub fn find(name: &str) -> Option<&'static Self> {
         SUBJECTS.iter().find(|subject| subject.name == name)
     }
 
-    /// The field of a name.
+    /// The field with this name.
     pub fn field(&self, name: &str) -> Option<&'static Field> {
         self.fields.iter().find(|field| field.name == name)
     }
@@ -87,11 +87,11 @@
     field(name, FieldKind::Millis)
 }
 
-const fn flag(name: &'static str) -> Field {
-    field(name, FieldKind::Flag)
+const fn boolean(name: &'static str) -> Field {
+    field(name, FieldKind::Bool)
 }
 
-/// Everything that can be shown.
+/// All subjects of `show`.
 pub const SUBJECTS: &[Subject] = &[
     Subject {
         name: "pools",
@@ -104,7 +104,7 @@
             number("streams"),
             number("tokens"),
             millis("step_ms"),
-            flag("fenced"),
+            boolean("fenced"),
             number("parallel_loads"),
             number("load_rate"),
             number("attainment_weight"),
@@ -142,7 +142,7 @@
             text("team"),
             text("urgency"),
             millis("deadline_ms"),
-            flag("idempotent"),
+            boolean("idempotent"),
         ],
     },
     Subject {
@@ -181,7 +181,7 @@
             text("domain"),
             number("revision"),
             number("behind"),
-            flag("leaving"),
+            boolean("leaving"),
             text("caller_addr"),
             text("ops_addr"),
             text("member"),
@@ -196,7 +196,7 @@
             text("of"),
             text("domain"),
             text("address"),
-            flag("leaving"),
+            boolean("leaving"),
             text("lead"),
         ],
     },
@@ -207,13 +207,13 @@
     },
     Subject {
         name: "gates",
-        source: Source::Gate(Section::Own),
+        source: Source::Gate(Section::TopLevel),
         fields: &[
             text("name"),
             text("member"),
             millis("uptime_ms"),
-            flag("ready"),
-            flag("leaving"),
+            boolean("ready"),
+            boolean("leaving"),
             number("active"),
             number("revision"),
         ],
@@ -230,8 +230,8 @@
             text("seen_by"),
             text("vm"),
             text("member"),
-            flag("alive"),
-            flag("open"),
+            boolean("alive"),
+            boolean("open"),
         ],
     },
     Subject {
@@ -254,7 +254,7 @@
             text("name"),
             text("service"),
             text("phase"),
-            flag("open"),
+            boolean("open"),
             number("requests"),
         ],
     },
@@ -277,7 +277,7 @@
     },
 ];
 
-/// The fields of a revision of the history.
+/// The rows of `history`.
 pub const HISTORY: Subject = Subject {
     name: "history",
     source: Source::Daemon,
--- a/crates/ctl/src/fault.rs
+++ b/crates/ctl/src/syntax_error.rs
@@ -1,4 +1,4 @@
-//! A command that can't be read: where, why, and what to write instead.
+//! Syntax errors in commands, shown with a mark under their position.
 
 use std::fmt::{self, Display, Formatter};
 use std::ops::Range;
@@ -7,37 +7,37 @@
 
 use crate::token::Token;
 
-/// A command that can't be read.
+/// A command that can't be parsed.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Fault {
-    /// The place in the command, in bytes; empty beyond the last word.
+pub struct SyntaxError {
+    /// The position in the command, in bytes; beyond its end if a word is missing.
     pub span: Range<usize>,
     /// What is wrong.
-    pub what: String,
+    pub message: String,
     /// What to write instead.
     pub remedy: String,
 }
 
-impl Fault {
-    /// Creates a fault.
+impl SyntaxError {
+    /// Creates an error at a position of the command.
     pub fn new(
         span: Range<usize>,
-        what: impl Into<String>,
+        message: impl Into<String>,
         remedy: impl Into<String>,
     ) -> Self {
-        Self { span, what: what.into(), remedy: remedy.into() }
+        Self { span, message: message.into(), remedy: remedy.into() }
     }
 
-    /// Shows the command with a mark under the place.
-    pub fn show(&self, text: &str) -> Shown<'_> {
-        // One line, so that the mark stands under the place.
+    /// Renders the error with the command and a mark under the position.
+    pub fn render(&self, command: &str) -> RenderedError<'_> {
+        // A single line keeps the mark under the position.
         let line: String =
-            text.chars().map(|c| if c == '\n' { ' ' } else { c }).collect();
-        Shown { fault: self, line }
+            command.chars().map(|c| if c == '\n' { ' ' } else { c }).collect();
+        RenderedError { error: self, line }
     }
 }
 
-impl<'a> ParserError<&'a [Token]> for Fault {
+impl<'a> ParserError<&'a [Token]> for SyntaxError {
     type Inner = Self;
 
     fn from_input(input: &&'a [Token]) -> Self {
@@ -54,28 +54,28 @@
     }
 }
 
-impl Fault {
-    /// A fault beyond the last word.
-    pub fn end(what: impl Into<String>, remedy: impl Into<String>) -> Self {
-        Self::new(usize::MAX..usize::MAX, what, remedy)
+impl SyntaxError {
+    /// Creates an error after the last word.
+    pub fn end(message: impl Into<String>, remedy: impl Into<String>) -> Self {
+        Self::new(usize::MAX..usize::MAX, message, remedy)
     }
 }
 
-/// A fault with its command.
+/// A syntax error with the command that it is in.
 #[derive(Debug)]
-pub struct Shown<'a> {
-    fault: &'a Fault,
+pub struct RenderedError<'a> {
+    error: &'a SyntaxError,
     line: String,
 }
 
-impl Display for Shown<'_> {
+impl Display for RenderedError<'_> {
     fn fmt(&self, f: &mut Formatter<'_>) -> fmt::Result {
-        let Fault { span, what, remedy } = self.fault;
+        let SyntaxError { span, message, remedy } = self.error;
         let start = span.start.min(self.line.len());
         let end = span.end.min(self.line.len());
         let before = self.line.get(..start).unwrap_or(&self.line).chars().count();
         let width = self.line.get(start..end).unwrap_or("").chars().count().max(1);
-        writeln!(f, "column {}: {what}", before + 1)?;
+        writeln!(f, "column {}: {message}", before + 1)?;
         writeln!(f, "  {}", self.line)?;
         writeln!(f, "  {}{}", " ".repeat(before), "^".repeat(width))?;
         write!(f, "{remedy}")
--- a/crates/ctl/src/token.rs
+++ b/crates/ctl/src/token.rs
@@ -1,4 +1,4 @@
-//! The words and signs of a command.
+//! Splits a command into tokens.
 
 use std::ops::Range;
 
@@ -8,106 +8,116 @@
 use winnow::stream::LocatingSlice;
 use winnow::token::{none_of, one_of, take_while};
 
-use crate::fault::Fault;
+use crate::syntax_error::SyntaxError;
 
-/// The characters that end a word.
-const SPECIAL: &[char] = &['=', '!', '<', '>', '~', '(', ')', ',', '"', '\''];
+/// Characters that end a word, besides whitespace.
+const DELIMITERS: &[char] = &['=', '!', '<', '>', '~', '(', ')', ',', '"', '\''];
 
-/// A word or sign and its place.
+/// A token and its position.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Token {
-    /// What it is.
-    pub kind: Kind,
-    /// Its place in the command, in bytes.
+    /// The kind and content.
+    pub kind: TokenKind,
+    /// The position in the command, in bytes.
     pub span: Range<usize>,
 }
 
-/// What a token is.
+/// The kind and content of a token.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub enum Kind {
-    /// Characters without spaces and signs.
+pub enum TokenKind {
+    /// A run of characters without whitespace or delimiters.
     Word(String),
-    /// A text in quotes, without them.
-    Text(String),
-    /// A sign, such as `<=`.
-    Sign(&'static str),
+    /// A quoted string, without its quotes.
+    Quoted(String),
+    /// An operator or punctuation, such as `<=`.
+    Symbol(&'static str),
 }
 
 type Input<'a> = LocatingSlice<&'a str>;
 
-/// Splits a command into words and signs.
-pub fn tokens(text: &str) -> Result<Vec<Token>, Fault> {
+/// Splits a command into tokens.
+pub fn tokens(text: &str) -> Result<Vec<Token>, SyntaxError> {
     let mut input = LocatingSlice::new(text);
-    let mut found = Vec::new();
+    let mut tokens = Vec::new();
     loop {
-        blank(&mut input);
+        skip_whitespace(&mut input);
         let start = text.len() - input.len();
         if input.is_empty() {
-            return Ok(found);
+            return Ok(tokens);
         }
         match token.parse_next(&mut input) {
             Ok(kind) => {
                 let end = text.len() - input.len();
-                found.push(Token { kind, span: start..end });
+                tokens.push(Token { kind, span: start..end });
             }
-            Err(_) => return Err(unreadable(text, start)),
+            Err(_) => return Err(invalid_token(text, start)),
         }
     }
 }
 
-fn blank(input: &mut Input<'_>) {
+fn skip_whitespace(input: &mut Input<'_>) {
     let skipped: Result<&str, ContextError> =
         take_while(0.., char::is_whitespace).parse_next(input);
-    // Taking nothing is fine too, so that this can't fail.
+    // Matching no characters is a success, so this can't fail.
     debug_assert!(skipped.is_ok());
 }
 
-fn token(input: &mut Input<'_>) -> Result<Kind, ContextError> {
-    alt((sign.map(Kind::Sign), quoted('"'), quoted('\''), word)).parse_next(input)
+fn token(input: &mut Input<'_>) -> Result<TokenKind, ContextError> {
+    alt((symbol.map(TokenKind::Symbol), quoted('"'), quoted('\''), word))
+        .parse_next(input)
 }
 
-fn sign(input: &mut Input<'_>) -> Result<&'static str, ContextError> {
-    // The longer signs go first, as they begin with shorter ones.
+fn symbol(input: &mut Input<'_>) -> Result<&'static str, ContextError> {
+    // The longer symbols go first, since they start with shorter ones.
     let equal = alt(("<=".value("<="), ">=".value(">="), "!=".value("!=")));
     let order = alt(("=".value("="), "<".value("<"), ">".value(">"), "~".value("~")));
     let list = alt(("(".value("("), ")".value(")"), ",".value(",")));
     alt((equal, order, list)).parse_next(input)
 }
 
-fn quoted(mark: char) -> impl FnMut(&mut Input<'_>) -> Result<Kind, ContextError> {
+fn quoted(mark: char) -> impl FnMut(&mut Input<'_>) -> Result<TokenKind, ContextError> {
     move |input| {
         let escaped = preceded('\\', one_of(['\\', '"', '\'']));
         let plain = none_of([mark, '\\']);
         let text = repeat(0.., alt((escaped, plain)));
-        delimited(mark, text, mark).map(Kind::Text).parse_next(input)
+        delimited(mark, text, mark).map(TokenKind::Quoted).parse_next(input)
     }
 }
 
-fn word(input: &mut Input<'_>) -> Result<Kind, ContextError> {
-    let inside = |c: char| !c.is_whitespace() && !SPECIAL.contains(&c);
-    let mut word = take_while(1.., inside).map(|word: &str| Kind::Word(word.to_owned()));
+fn word(input: &mut Input<'_>) -> Result<TokenKind, ContextError> {
+    let is_word_char = |c: char| !c.is_whitespace() && !DELIMITERS.contains(&c);
+    let mut word =
+        take_while(1.., is_word_char).map(|word: &str| TokenKind::Word(word.to_owned()));
     word.parse_next(input)
 }
 
-fn unreadable(text: &str, start: usize) -> Fault {
+fn invalid_token(text: &str, start: usize) -> SyntaxError {
     let rest = &text[start..];
     if rest.starts_with(['"', '\'']) {
         let mark = &rest[..1];
-        let what = "the text in quotes does not end";
-        return Fault::new(start..text.len(), what, format!("add {mark} at its end"));
+        let message = "the text in quotes does not end";
+        return SyntaxError::new(
+            start..text.len(),
+            message,
+            format!("add {mark} at its end"),
+        );
     }
-    let sign = rest.chars().next().unwrap_or(' ');
-    let end = start + sign.len_utf8();
-    let what = format!("the sign {sign:?} is not known");
-    Fault::new(start..end, what, "use =, !=, <, <=, >, >= or ~, or put it into quotes")
+    let symbol = rest.chars().next().unwrap_or(' ');
+    let end = start + symbol.len_utf8();
+    let message = format!("the character {symbol:?} is unknown");
+    SyntaxError::new(
+        start..end,
+        message,
+        "use =, !=, <, <=, >, >= or ~, or put it into quotes",
+    )
 }
 
-/// The parts of a number with a unit, such as `20GB`.
-pub fn number(text: &str) -> Option<(f64, &str)> {
+/// Splits a number with a unit, such as `20GB`; the unit may be empty.
+pub fn split_number(text: &str) -> Option<(f64, &str)> {
     let digits =
         take_while::<_, _, ContextError>(1.., |c: char| c.is_ascii_digit() || c == '.');
     let unit = take_while(0.., |c: char| c.is_ascii_alphabetic());
-    let mut both = terminated((digits, unit), eof);
-    let (digits, unit) = both.parse(text).ok()?;
+    let mut parser = terminated((digits, unit), eof);
+    let (digits, unit) = parser.parse(text).ok()?;
     Some((digits.parse().ok()?, unit))
 }
--- a/crates/ctl/src/trace.rs
+++ b/crates/ctl/src/trace.rs
@@ -1,7 +1,8 @@
-//! One request's way through daemons on the users' platform, from their logs.
+//! Follows one request through the logs of daemons on the users' platform.
 //!
-//! Of all lines those with the request's id are kept, in the order of their times, and for
-//! each server that they name what the daemon had last heard of it before, and heard next.
+//! Keeps the lines with the request's id, ordered by time. For each server that was
+//! chosen, it adds the daemon's last registry update of that server before the choice
+//! and the first one after it.
 
 use std::fmt::{self, Display, Formatter};
 use std::io::{self, BufRead};
@@ -11,115 +12,125 @@
 use time::OffsetDateTime;
 use time::format_description::well_known::Rfc3339;
 
-/// Fields that each line has, or that all lines of a request share.
-const SHARED: [&str; 5] = ["ts", "vm", "msg", "level", "id"];
+/// Fields that a line does not repeat, since they are printed elsewhere or are the
+/// same for the whole request.
+const COMMON_FIELDS: [&str; 5] = ["ts", "vm", "msg", "level", "id"];
 
-/// A line of a log.
+/// A parsed line of a log.
 #[derive(Debug, Clone, PartialEq)]
-struct Line {
-    at: OffsetDateTime,
+struct LogLine {
+    timestamp: OffsetDateTime,
     vm: String,
     message: String,
     fields: Value,
 }
 
-/// One request's way.
+/// The log lines of one request.
 #[derive(Debug, Default)]
 pub struct Trace {
     id: String,
-    lines: Vec<Line>,
-    /// What daemons heard of servers, by both their names.
-    heard: IndexMap<(String, String), Vec<Line>>,
-    /// Lines that are no log lines.
-    unread: usize,
+    lines: Vec<LogLine>,
+    /// Registry updates of servers, by the VM of the daemon and the server.
+    server_events: IndexMap<(String, String), Vec<LogLine>>,
+    /// The number of lines that are not valid log lines.
+    invalid_lines: usize,
 }
 
 impl Trace {
-    /// Begins with no line of a request.
+    /// Creates an empty trace of the request with this id.
     pub fn new(id: &str) -> Self {
         Self { id: id.to_owned(), ..Self::default() }
     }
 
-    /// Takes in a log.
-    pub fn read(&mut self, log: impl BufRead) -> io::Result<()> {
+    /// Adds the lines of a log.
+    pub fn read_log(&mut self, log: impl BufRead) -> io::Result<()> {
         for line in log.lines() {
-            self.push(&line?);
+            self.add_line(&line?);
         }
-        self.lines.sort_by_key(|line| line.at);
+        self.lines.sort_by_key(|line| line.timestamp);
         Ok(())
     }
 
-    /// Whether no line names the request.
+    /// Whether no line of the request was found.
     pub fn is_empty(&self) -> bool {
         self.lines.is_empty()
     }
 
-    /// Lines that are no log lines, of any request.
-    pub fn unread(&self) -> usize {
-        self.unread
+    /// The number of lines that are not valid log lines.
+    pub fn invalid_lines(&self) -> usize {
+        self.invalid_lines
     }
 
-    fn push(&mut self, text: &str) {
-        let Some(line) = Line::parse(text) else {
-            self.unread += usize::from(!text.trim().is_empty());
+    fn add_line(&mut self, text: &str) {
+        let Some(line) = LogLine::parse(text) else {
+            self.invalid_lines += usize::from(!text.trim().is_empty());
             return;
         };
         if line.text("id") == self.id {
             self.lines.push(line);
-        } else if is_about_server(&line.message) {
+        } else if is_server_event(&line.message) {
             let server = line.text("server").to_owned();
-            self.heard.entry((line.vm.clone(), server)).or_default().push(line);
+            self.server_events.entry((line.vm.clone(), server)).or_default().push(line);
         }
     }
 
-    /// What the daemon had heard of a server when a line was written, and what it heard
-    /// next.
-    fn belief(&self, line: &Line) -> (Option<&Line>, Option<&Line>) {
+    /// The daemon's last update of the line's server before the line and the first one
+    /// after it.
+    fn events_around(&self, line: &LogLine) -> (Option<&LogLine>, Option<&LogLine>) {
         let key = (line.vm.clone(), line.text("server").to_owned());
-        let Some(heard) = self.heard.get(&key) else { return (None, None) };
-        let before = heard.iter().filter(|one| one.at <= line.at);
-        let after = heard.iter().filter(|one| one.at > line.at);
-        (before.max_by_key(|one| one.at), after.min_by_key(|one| one.at))
+        let Some(events) = self.server_events.get(&key) else { return (None, None) };
+        let before = events.iter().filter(|event| event.timestamp <= line.timestamp);
+        let after = events.iter().filter(|event| event.timestamp > line.timestamp);
+        (
+            before.max_by_key(|event| event.timestamp),
+            after.min_by_key(|event| event.timestamp),
+        )
     }
 
-    /// What ended the request, in a sentence.
+    /// How and why the request ended.
     fn cause(&self) -> String {
         let Some(end) = self.lines.iter().rev().find(|line| line.is_end()) else {
             return "its end is not in these logs; are those of all daemons there?"
                 .into();
         };
-        let (how, why) = (end.text("end"), end.text("why"));
-        let missed = self.missed();
-        match (how, end.message.as_str()) {
+        let (result, reason) = (end.text("end"), end.text("why"));
+        let failed = self.failed_attempts();
+        match (result, end.message.as_str()) {
             (_, "request refused") => {
-                format!("refused before a server was looked for: {why}")
+                format!("refused before a server was chosen: {reason}")
+            }
+            ("answered", _) => {
+                format!("answered by {} with {reason}", end.text("server"))
             }
-            ("answered", _) => format!("answered by {} with {why}", end.text("server")),
             ("broken", _) => {
-                format!("{} broke the answer off: {why}", end.text("server"))
+                format!("{} broke the answer off: {reason}", end.text("server"))
+            }
+            ("caller left", _) => {
+                format!("its caller left {reason}").trim_end().to_owned()
+            }
+            _ if failed.is_empty() => {
+                format!("{result}: no server was sent to; {reason}")
             }
-            ("caller left", _) => format!("its caller left {why}").trim_end().to_owned(),
-            _ if missed.is_empty() => format!("{how}: no server was sent to; {why}"),
-            _ => format!("{how} after {}; {why}", missed.join(", ")),
+            _ => format!("{result} after {}; {reason}", failed.join(", ")),
         }
     }
 
-    /// The attempts that brought no answer.
-    fn missed(&self) -> Vec<String> {
-        let missed = self.lines.iter().filter(|line| line.message == "attempt missed");
-        missed
+    /// The attempts that got no response.
+    fn failed_attempts(&self) -> Vec<String> {
+        let failed = self.lines.iter().filter(|line| line.message == "attempt missed");
+        failed
             .map(|line| format!("{} {}", line.text("server"), line.text("why")))
             .collect()
     }
 }
 
-impl Line {
+impl LogLine {
     fn parse(text: &str) -> Option<Self> {
         let fields: Value = serde_json::from_str(text).ok()?;
-        let at = OffsetDateTime::parse(fields["ts"].as_str()?, &Rfc3339).ok()?;
+        let timestamp = OffsetDateTime::parse(fields["ts"].as_str()?, &Rfc3339).ok()?;
         let text = |name: &str| fields[name].as_str().map(str::to_owned);
         let (vm, message) = (text("vm")?, text("msg")?);
-        Some(Self { at, vm, message, fields })
+        Some(Self { timestamp, vm, message, fields })
     }
 
     fn text(&self, field: &str) -> &str {
@@ -131,15 +142,17 @@
     }
 }
 
-fn is_about_server(message: &str) -> bool {
+fn is_server_event(message: &str) -> bool {
     ["server listed", "server gone from the registry"].contains(&message)
 }
 
-impl Display for Line {
+impl Display for LogLine {
     fn fmt(&self, f: &mut Formatter<'_>) -> fmt::Result {
         write!(f, "{} {}:", self.vm, self.message)?;
         let fields = self.fields.as_object().into_iter().flatten();
-        for (name, value) in fields.filter(|(name, _)| !SHARED.contains(&name.as_str())) {
+        for (name, value) in
+            fields.filter(|(name, _)| !COMMON_FIELDS.contains(&name.as_str()))
+        {
             match value {
                 Value::Null => {}
                 Value::String(text) if text.is_empty() || text.contains(' ') => {
@@ -156,19 +169,23 @@
 impl Display for Trace {
     fn fmt(&self, f: &mut Formatter<'_>) -> fmt::Result {
         let Some(first) = self.lines.first() else {
-            return write!(f, "no line names {}", self.id);
+            return write!(f, "no log line of request {}", self.id);
         };
         writeln!(f, "{} at {}", self.id, first.text("ts"))?;
         for line in &self.lines {
-            writeln!(f, "{:>8} ms  {line}", (line.at - first.at).whole_milliseconds())?;
+            writeln!(
+                f,
+                "{:>8} ms  {line}",
+                (line.timestamp - first.timestamp).whole_milliseconds()
+            )?;
             if line.message != "server picked" {
                 continue;
             }
-            let (before, after) = self.belief(line);
-            for (name, heard) in [("by then", before), ("next", after)] {
-                let Some(heard) = heard else { continue };
-                let age = (heard.at - first.at).whole_milliseconds();
-                writeln!(f, "{age:>8} ms    heard {name}: {heard}")?;
+            let (before, after) = self.events_around(line);
+            for (label, event) in [("by then", before), ("next", after)] {
+                let Some(event) = event else { continue };
+                let offset = (event.timestamp - first.timestamp).whole_milliseconds();
+                writeln!(f, "{offset:>8} ms    heard {label}: {event}")?;
             }
         }
         write!(f, "cause: {}", self.cause())
--- a/crates/ctl/tests/schema.rs
+++ b/crates/ctl/tests/schema.rs
@@ -1,4 +1,5 @@
-//! The fields that can be shown are those that declarations have.
+//! Checks that the fields of subjects match the fields of declarations, and that the
+//! example files pass `chestnutctl check`.
 
 use std::fs;
 
@@ -22,7 +23,7 @@
 }
 
 #[test]
-fn every_declared_field_can_be_shown() {
+fn subjects_have_the_fields_of_declarations() {
     let catalog = catalog();
     for name in ["pools", "models", "adapters", "services", "kinds", "callers", "routes"]
     {
@@ -37,7 +38,7 @@
 }
 
 #[test]
-fn examples_pass_the_check_of_the_command_line() {
+fn example_files_pass_the_check() {
     for path in ["settings.jsonc", "declarations/letters", "declarations/seats"] {
         files::check(&format!("{EXAMPLES}/{path}")).unwrap();
     }
--- a/crates/ctl/tests/trace.rs
+++ b/crates/ctl/tests/trace.rs
@@ -1,4 +1,4 @@
-//! A request's way told from log lines, and what daemons believe as rows.
+//! Tests of request traces from logs and of rows from the state of daemons.
 
 use chestnut_ctl::gates::{self, rows};
 use chestnut_ctl::schema::Section;
@@ -6,8 +6,8 @@
 use insta::assert_snapshot;
 use serde_json::json;
 
-/// The logs of two daemons: one request was sent by an old copy of the registry, another
-/// was answered, and one line is cut off.
+/// The logs of two daemons: one request failed because the daemon's replica of the
+/// registry was outdated, another succeeded, and one line is truncated.
 const LOG: &str = r#"
 {"msg":"server listed","level":"INFO","ts":"2026-05-01T10:00:00.5Z","vm":"a1","server":"r3","models":"blue","phase":"Ready","version":6}
 {"msg":"server listed","level":"INFO","ts":"2026-05-01T10:00:01.2Z","vm":"a2","server":"r3","models":"","phase":"Ready","version":7}
@@ -21,15 +21,15 @@
 
 fn trace(id: &str, log: &str) -> Trace {
     let mut trace = Trace::new(id);
-    trace.read(log.as_bytes()).unwrap();
+    trace.read_log(log.as_bytes()).unwrap();
     trace
 }
 
 #[test]
-fn a_requests_way_is_told_in_order_with_what_was_known_of_servers() {
-    let found = trace("q1", LOG);
-    assert_eq!(found.unread(), 1);
-    assert_snapshot!(found, @r#"
+fn a_trace_is_ordered_by_time_and_shows_server_updates() {
+    let trace = trace("q1", LOG);
+    assert_eq!(trace.invalid_lines(), 1);
+    assert_snapshot!(trace, @r#"
 q1 at 2026-05-01T10:00:05Z
        0 ms  a1 server picked: cost_ms=23 registry_age_ms=3517 registry_version=6 server=r3 target=blue
    -4500 ms    heard by then: a1 server listed: models=blue phase=Ready server=r3 version=6
@@ -41,7 +41,7 @@
 }
 
 #[test]
-fn each_kind_of_end_is_told() {
+fn each_result_of_a_request_has_a_cause() {
     let line = |end: &str, why: &str| {
         json!({
             "msg": "request ended", "ts": "2026-05-01T10:00:00Z", "vm": "a1", "id": "q",
@@ -50,8 +50,8 @@
         .to_string()
     };
     let cause = |end: &str, why: &str| {
-        let told = trace("q", &line(end, why)).to_string();
-        told.lines().last().unwrap().to_owned()
+        let printed = trace("q", &line(end, why)).to_string();
+        printed.lines().last().unwrap().to_owned()
     };
     assert_eq!(cause("answered", "200"), "cause: answered by r1 with 200");
     assert_eq!(cause("broken", "reset"), "cause: r1 broke the answer off: reset");
@@ -75,7 +75,7 @@
         },
         "queues": { "ledger": 3 },
     });
-    let own = &rows(&state, Section::Own)[0];
+    let own = &rows(&state, Section::TopLevel)[0];
     assert_eq!((&own["name"], &own["revision"]), (&json!("a1"), &json!(5)));
     let tables = rows(&state, Section::List("tables"));
     assert_eq!((&tables[0]["seen_by"], &tables[0]["age_ms"]), (&json!("a1"), &json!(20)));
@@ -92,8 +92,8 @@
     );
 }
 
-/// Answers one call with a daemon's state that has no queues.
-async fn answer_once(listener: tokio::net::TcpListener) {
+/// Serves one request with the state of a daemon without queues.
+async fn serve_once(listener: tokio::net::TcpListener) {
     use tokio::io::{AsyncReadExt, AsyncWriteExt};
 
     let (mut stream, _) = listener.accept().await.unwrap();
@@ -105,16 +105,16 @@
 }
 
 #[tokio::test]
-async fn a_daemon_with_nothing_to_show_has_answered() {
-    // Two daemons are asked for their queues. One holds none and says so, the other does
-    // not answer: there is nothing to show, and one daemon to look after.
+async fn a_state_without_rows_counts_as_a_response() {
+    // One daemon reports that it has no queues, the other is unreachable: the result has
+    // no rows and one failed daemon.
     let listener = tokio::net::TcpListener::bind("127.0.0.1:0").await.unwrap();
-    let there = listener.local_addr().unwrap().to_string();
-    let answered = tokio::spawn(answer_once(listener));
-    let servers = [there, "127.0.0.1:1".to_owned()];
-    let seen = gates::ask(&servers, Section::Map("queues")).await.unwrap();
-    assert_eq!((seen.rows.len(), seen.silent.len()), (0, 1));
-    answered.await.unwrap();
-    let silent = ["127.0.0.1:1".to_owned()];
-    assert!(gates::ask(&silent, Section::Map("queues")).await.is_err());
+    let address = listener.local_addr().unwrap().to_string();
+    let server = tokio::spawn(serve_once(listener));
+    let servers = [address, "127.0.0.1:1".to_owned()];
+    let result = gates::query(&servers, Section::Map("queues")).await.unwrap();
+    assert_eq!((result.rows.len(), result.failed.len()), (0, 1));
+    server.await.unwrap();
+    let unreachable = ["127.0.0.1:1".to_owned()];
+    assert!(gates::query(&unreachable, Section::Map("queues")).await.is_err());
 }
