--- a/crates/ctl/src/files.rs
+++ b/crates/ctl/src/files.rs
@@ -67,8 +67,7 @@
 
 /// Checks settings or declarations and returns a description of them.
 ///
-/// References to other teams' declarations are checked only by a daemon, which knows
-/// those.
+/// References to declarations of other teams are not checked; only daemons have those.
 pub fn check(path: &str) -> Result<String, FileError> {
     let file = Path::new(path);
     if file.is_dir() {
