--- a/crates/gate/src/planner.rs
+++ b/crates/gate/src/planner.rs
@@ -202,7 +202,7 @@
                 "load" => planned.load.as_ref().map(|model| model.to_string()),
                 "drop" => format!("{:?}", planned.drop), "demand" => demand);
         }
-        planner.steps().collect()
+        planner.current_steps().collect()
     };
     // Moves are repeated while they are planned, so that a lost message only delays them.
     for planned in moves {
--- a/crates/gate/src/shared.rs
+++ b/crates/gate/src/shared.rs
@@ -344,7 +344,7 @@
         };
         let is_loaded = *self.system_table_loaded.borrow();
         let daemons = is_loaded.then(|| members::daemon_count(self));
-        self.with_budget(service, |budget| budget.try_take(bound, daemons, now))
+        self.with_budget(service, |budget| budget.try_consume(bound, daemons, now))
     }
 
     fn with_budget<T>(
--- a/crates/pool/src/budget.rs
+++ b/crates/pool/src/budget.rs
@@ -60,10 +60,10 @@
         self.requests.len() + self.retries.len()
     }
 
-    /// Takes a retry out of the budget; returns whether there was one.
+    /// Consumes one retry of the budget; returns whether one was left.
     ///
     /// All `daemons` share the slack; while their number is unknown there is none.
-    pub fn try_take(
+    pub fn try_consume(
         &mut self,
         bound: RetryBound,
         daemons: Option<usize>,
--- a/crates/pool/src/pacer.rs
+++ b/crates/pool/src/pacer.rs
@@ -62,8 +62,8 @@
         self.credit as usize
     }
 
-    /// Takes the credit for one load, which has to be available.
-    pub fn take(&mut self) {
+    /// Consumes the credit for one load, which has to be available.
+    pub fn consume(&mut self) {
         self.credit -= 1.0;
     }
 }
--- a/crates/pool/src/placement.rs
+++ b/crates/pool/src/placement.rs
@@ -151,7 +151,7 @@
     }
 
     /// The current step of each move in progress.
-    pub fn steps(&self) -> impl Iterator<Item = Move> {
+    pub fn current_steps(&self) -> impl Iterator<Item = Move> {
         self.active.values().map(ActiveMove::current_step)
     }
 
@@ -186,7 +186,7 @@
         }
         let allowed = self.pacer.available(input.load_bound, now) > 0;
         if allowed {
-            self.pacer.take();
+            self.pacer.consume();
         }
         allowed
     }
--- a/crates/pool/tests/bounds.rs
+++ b/crates/pool/tests/bounds.rs
@@ -36,7 +36,7 @@
     for run in 1..=20 {
         let now = start + Duration::from_millis(250) * run;
         while pacer.available(bound, now) > 0 {
-            pacer.take();
+            pacer.consume();
             started += 1;
         }
     }
@@ -66,7 +66,7 @@
             daemons[daemon].record_request(BOUND.window, now);
             requests.push(now);
             for _ in 0..tries {
-                if daemons[daemon].try_take(BOUND, Some(6), now) {
+                if daemons[daemon].try_consume(BOUND, Some(6), now) {
                     retries.push(now);
                 }
             }
@@ -87,7 +87,7 @@
         let now = start + BOUND.window;
         let mut budget = RetryBudget::new(start);
         (0..requests).for_each(|_| budget.record_request(BOUND.window, now));
-        let granted = (0..100).filter(|_| budget.try_take(BOUND, None, now)).count();
+        let granted = (0..100).filter(|_| budget.try_consume(BOUND, None, now)).count();
         prop_assert!(granted as f64 <= f64::from(requests) * BOUND.ratio);
     }
 
@@ -110,7 +110,7 @@
                 pacer = LoadPacer::new(now);
             }
             while pacer.available(bound, now) > 0 {
-                pacer.take();
+                pacer.consume();
                 loads.push(now);
             }
             let window = bound.window;
