--- a/crates/pool/src/attempts.rs
+++ b/crates/pool/src/attempts.rs
@@ -20,11 +20,11 @@
     NotSent,
     /// The server reported that it did not run the request and never will.
     Rejected,
-    /// It was sent, and whether it ran is unknown.
+    /// The request was sent, and whether it ran is unknown.
     ResponseLost,
-    /// It was sent, and the server exceeded its response timeout.
+    /// The request was sent, and the server exceeded its response timeout.
     Unresponsive,
-    /// It was sent, and the request's deadline passed.
+    /// The request was sent, and its deadline passed.
     TimedOut,
     /// The server ran it and reported a failure.
     Failed,
@@ -56,7 +56,7 @@
 #[derive(Debug, Clone)]
 pub struct Attempts {
     kind: RouteKind,
-    /// On how many servers it may run.
+    /// Largest number of servers on which it may run.
     max_runs: u32,
     /// Where it may have run without a complete response, oldest first.
     possible_runs: Vec<Incarnation>,
@@ -104,7 +104,8 @@
         }
     }
 
-    /// Whether the current attempt may be abandoned as unresponsive and followed by another.
+    /// Whether the current attempt may be abandoned as unresponsive and followed by
+    /// another.
     pub fn may_abandon(&self) -> bool {
         self.kind == RouteKind::Idempotent
             && self.possible_runs.len() as u32 + 1 < self.max_runs
@@ -119,7 +120,8 @@
     ///
     /// Once a stream that is interrupted repeatedly was on as many servers as its route
     /// allows, it continues only on these; a stream that crashes servers would otherwise
-    /// reach all of them. Incarnations that have ended, by `is_up`, do not count.
+    /// reach all of them. Incarnations for which `is_up` is false have ended and do not
+    /// count.
     pub fn restricted_to(
         &self,
         is_up: impl Fn(&Incarnation) -> bool,
--- a/crates/pool/src/budget.rs
+++ b/crates/pool/src/budget.rs
@@ -19,7 +19,7 @@
 pub struct RetryBound {
     /// Retries allowed for each request.
     pub ratio: f64,
-    /// Retries allowed in addition.
+    /// Retries allowed in addition, per window.
     pub slack: f64,
     /// The window in which both are counted.
     pub window: Duration,
@@ -48,8 +48,8 @@
 
     /// Records a request for the service.
     ///
-    /// This also removes what is older than `window`: a service without failures has no
-    /// retries for years, and its requests would fill the memory.
+    /// This also removes records older than `window`, which would accumulate in memory
+    /// while no request of the service is retried.
     pub fn record_request(&mut self, window: Duration, now: Instant) {
         self.remove_expired(window, now);
         self.requests.push_back(now);
--- a/crates/pool/src/choose.rs
+++ b/crates/pool/src/choose.rs
@@ -1,10 +1,10 @@
 //! Decides which server gets a request.
 //!
-//! Load pattern: bursts of generations whose prompts differ a hundredfold, over runners
-//! that many daemons send to. A daemon that uses only its own counts adds to queues that
-//! it does not see, and the busiest runner gets twice the mean load. Each runner's holder
-//! therefore estimates, from the usage reports of all daemons, when the first event of a
-//! request would come, and the daemon takes the lowest estimate.
+//! Load pattern: bursts of generations whose prompt lengths differ a hundredfold, over
+//! runners that many daemons send to. A daemon that uses only its own counts adds to
+//! queues that it does not see, and the busiest runner gets twice the mean load. Each
+//! runner's holder therefore estimates, from the usage reports of all daemons, when the
+//! first event of a request would come, and the daemon takes the lowest estimate.
 //!
 //! A prompt may be so long that its prefill alone exceeds the event gap limit of all
 //! streams on its runner. Spread evenly, a few such prompts a second make streams late on
@@ -92,9 +92,11 @@
 /// Cost of waiting until an adapter slot is no longer in use.
 const ADAPTER_SLOT_WAIT_MS: f64 = 2000.0;
 
-/// Cost of making the event gap of another caller's stream too long, for each stream on the
-/// runner and for all of them at most.
+/// Cost, for each stream on the runner, of making the event gaps of other callers' streams
+/// too long.
 const LATE_STREAM_COST_MS: f64 = 20.0;
+
+/// Largest total of [`LATE_STREAM_COST_MS`] over the streams of a runner.
 const MAX_LATE_STREAMS_COST_MS: f64 = 500.0;
 
 /// Cost to a request whose own event gap becomes too long.
@@ -113,7 +115,7 @@
 
 /// Computes a holder's estimate for its runner.
 ///
-/// It is infinite while the runner unloads the model.
+/// Its times are infinite while the runner unloads the model.
 pub fn bid(
     runner: &RunnerView,
     request: &GenerationRequest,
@@ -151,11 +153,11 @@
     );
     let wait = millis(ahead.prefill_time).max(adapter_wait).max(capacity_wait);
     let prefill_time = runner.prefill_time(request, timings);
-    let late_events =
+    let late_cost_ms =
         late_event_cost_ms(runner, prefill_time, requests, timings.service_time(), now);
     let wait =
         wait + millis(prefill_time) + f64::from(requests) * RUNNING_REQUEST_COST_MS;
-    Bid { wait_ms: wait, cost_ms: wait + late_events, requests }
+    Bid { wait_ms: wait, cost_ms: wait + late_cost_ms, requests }
 }
 
 /// Cost of event gaps that become too long: those of running streams if this prompt is
@@ -185,8 +187,8 @@
 ) -> f64 {
     let requests = f64::from(usage.requests + ahead.requests + 1);
     let tokens = (usage.kv_tokens + ahead.kv_tokens + size.tokens()) as f64;
-    // Streams end evenly over a service time, so a share of the capacity is free after
-    // that share of it.
+    // Running streams end evenly over one service time, so the wait for a share of the
+    // capacity is the same share of the service time.
     let shortage =
         |needed: f64, capacity: f64| ((needed - capacity) / capacity.max(1.0)).max(0.0);
     let slots = shortage(requests, f64::from(engine.slots));
--- a/crates/pool/src/demand.rs
+++ b/crates/pool/src/demand.rs
@@ -55,7 +55,7 @@
     /// Requests that ended after a runner began to respond.
     #[serde(rename = "ended")]
     pub finished: f64,
-    /// Sum of the service times of the latter, in seconds.
+    /// Sum of the service times of the finished requests, in seconds.
     #[serde(rename = "stay")]
     pub service_s: f64,
 }
@@ -216,7 +216,7 @@
     }
 }
 
-/// Time of a runner that requests take, in seconds.
+/// Runner time that requests take, in seconds.
 ///
 /// `service_s` is their mean service time in seconds, `token_time` the prefill time of one
 /// token.
--- a/crates/pool/src/health.rs
+++ b/crates/pool/src/health.rs
@@ -5,31 +5,32 @@
 //! responds fastest, looks idle and attracts the traffic of the whole pool. A failure
 //! raises a penalty that decays with time, so that the server gradually gets requests
 //! again; after a failed connection it gets none until a backoff has passed, which doubles
-//! with each further one.
+//! with each further failed connection.
 
 use std::time::{Duration, Instant};
 
 /// Backoff after the first failed connection.
 ///
-/// A crashed server is back after some seconds; the backoff only has to keep the requests
+/// A crashed server restarts within seconds; the backoff only has to keep the requests
 /// of one burst away from it.
 const MIN_CONNECT_BACKOFF: Duration = Duration::from_millis(200);
 
 /// Longest backoff after failed connections.
 ///
-/// It bounds how long a server that is back stays unused.
+/// It bounds how long a server stays unused after it has recovered.
 const MAX_CONNECT_BACKOFF: Duration = Duration::from_secs(1);
 
 /// Half-life of a penalty.
 ///
 /// With two seconds, a server that fails half of its requests keeps about a tenth of its
-/// share, and one that has recovered is back at half of it after four.
+/// share of the requests, and one that has recovered has half of its share again after
+/// four.
 const PENALTY_HALF_LIFE: Duration = Duration::from_secs(2);
 
 /// How long a failed connection counts as recent.
 const UNREACHABLE_TIME: Duration = Duration::from_millis(1500);
 
-/// Largest penalty.
+/// Largest penalty, in recent failures.
 const MAX_PENALTY: f64 = 8.0;
 
 /// Recent failures of a server.
--- a/crates/pool/src/lib.rs
+++ b/crates/pool/src/lib.rs
@@ -1,6 +1,6 @@
 //! Decisions on a pool of backend servers. Nothing here does I/O.
 //!
-//! The modules follow a request on its way:
+//! The modules are listed in the order in which they concern a request:
 //!
 //! 1. [`fleet`] holds the servers that the registry lists,
 //! 2. [`health`] tracks the recent failures of a server,
--- a/crates/pool/src/moves.rs
+++ b/crates/pool/src/moves.rs
@@ -1,4 +1,4 @@
-//! Moves of models between runners, and their progress.
+//! Moves, which change the models that runners hold, and their progress.
 //!
 //! A model is dropped only after the requests that run on it have finished, and the load
 //! takes seconds after that. The registry lists the old state meanwhile; a planner that
@@ -38,9 +38,9 @@
 /// Progress of a move, with the deadline of its current step.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum Stage {
-    /// The dropped models may be listed until then.
+    /// The dropped models may still be listed until then.
     Draining(Instant),
-    /// The loaded model may not be listed until then.
+    /// The loaded model may be missing from the listing until then.
     Loading(Instant),
 }
 
--- a/crates/pool/src/placement.rs
+++ b/crates/pool/src/placement.rs
@@ -28,19 +28,20 @@
 /// Highest share of their throughput that runners of an evenly loaded pool use.
 const MAX_UTILIZATION: f64 = 0.8;
 
-/// How long a change of demand is expected to last, compared with the time of a load.
-const HORIZON: Duration = Duration::from_secs(20);
+/// How long a change of demand is expected to last; a load that takes a large part of it
+/// has little benefit.
+const DEMAND_HORIZON: Duration = Duration::from_secs(20);
 
-/// Cost of a move, in percent of a runner's throughput.
+/// Weight of the cost of a move against its benefit, whose weight is 1.
 const MOVE_WEIGHT: f64 = 2.0;
 
 /// How long a runner gets no further move after one failed.
 ///
-/// An unanswered order may take effect for seconds, and the next one fails as often;
-/// another runner serves the model sooner.
+/// An order without a response may still take effect seconds later, and the next one is as
+/// likely to fail; another runner serves the model sooner.
 const MOVE_FAILURE_BACKOFF: Duration = Duration::from_secs(2);
 
-/// How long before its load may begin a runner starts to free room.
+/// How far ahead of an allowed load its runner starts to free room.
 ///
 /// The requests that run on a dropped model finish first, within a few seconds.
 const DRAIN_AHEAD: Duration = Duration::from_secs(2);
@@ -73,7 +74,7 @@
     pub runners: &'a [ServerEntry],
     /// Runners to which no daemon can give orders now.
     pub fixed: &'a [ServerName],
-    /// The declaration of their engine and models.
+    /// The declared engine of the runners, with its models.
     pub engine: &'a Engine,
     /// The operators' bound on loads from the weight store.
     pub load_bound: LoadBound,
@@ -343,7 +344,7 @@
             frozen: false,
             attainment_weight: 1.0,
             move_weight: MOVE_WEIGHT,
-            demand_horizon: HORIZON,
+            demand_horizon: DEMAND_HORIZON,
         }
     }
 
--- a/crates/pool/src/prefill_queue.rs
+++ b/crates/pool/src/prefill_queue.rs
@@ -1,12 +1,12 @@
 //! Decides when a runner gets its next prompt.
 //!
 //! Load pattern: bursts of prompts of very different length at a runner with twenty
-//! running streams. An engine prefills waiting prompts between the tokens of those
-//! streams, several at a time, and each prefill delays the next event of all of them. If
-//! prompts are sent as they arrive, three long ones at once make every stream on the
-//! runner late, though the runner has spare time a moment later. The queue therefore
-//! sends prompts one after another, at the engine's prefill rate, and leaves a gap after
-//! long ones.
+//! running streams. An engine runs in steps, each of which generates one token of every
+//! stream. Between steps it prefills waiting prompts, several at a time, and each prefill
+//! delays the next event of all streams. If prompts are sent as they arrive, three long
+//! ones at once make every stream on the runner late, though the runner has spare time a
+//! moment later. The queue therefore sends prompts one after another, at the engine's
+//! prefill rate, and leaves a gap after long ones.
 //!
 //! When prompts arrive faster than the engine can prefill them, those that can still meet
 //! their target go first, by urgency; a prompt that is already late loses little more by
@@ -62,7 +62,8 @@
     pub requests: u32,
     /// Free tokens in the KV cache.
     pub kv_tokens: u64,
-    /// Longest gap between events for which its streams count as on time.
+    /// Longest gap between events for which its streams count as on time; `None` if none is
+    /// declared.
     pub max_event_gap: Option<Duration>,
     /// Duration of a step without prefill.
     pub step_time: Duration,
@@ -109,10 +110,11 @@
     /// Longest prefill that keeps the event gap within its limit; `None` until the runner's
     /// limits are known.
     max_prefill: Option<Duration>,
-    /// Decaying rate of longer prompts, per second, as of `last_long`.
+    /// Decaying rate of prompts that exceed `max_prefill`, per second, as of
+    /// `last_long_sent_at`.
     long_rate: f64,
-    /// When the last of them was sent.
-    last_long: Option<Instant>,
+    /// When the last prompt that exceeds `max_prefill` was sent.
+    last_long_sent_at: Option<Instant>,
 }
 
 /// A prompt that was sent and has no first event yet.
@@ -192,7 +194,7 @@
 
     /// Recent rate of prompts for which [`Self::exceeds_event_gap`] holds, per second.
     pub fn long_prompt_rate(&self, now: Instant) -> f64 {
-        let age = self.last_long.map(|at| now.saturating_duration_since(at));
+        let age = self.last_long_sent_at.map(|at| now.saturating_duration_since(at));
         let age = age.unwrap_or_default().as_secs_f64();
         self.long_rate * (-age / LONG_RATE_DECAY.as_secs_f64()).exp()
     }
@@ -204,9 +206,12 @@
         now: Instant,
     ) -> PrefillAction {
         self.step_time = capacity.step_time;
-        let event = capacity.step_time * capacity.steps_per_event;
+        let event_time = capacity.step_time * capacity.steps_per_event;
         self.max_prefill = Some(
-            capacity.max_event_gap.unwrap_or(DEFAULT_MAX_EVENT_GAP).saturating_sub(event),
+            capacity
+                .max_event_gap
+                .unwrap_or(DEFAULT_MAX_EVENT_GAP)
+                .saturating_sub(event_time),
         );
         if let Some(index) = self.queued.iter().position(|prompt| now >= prompt.deadline)
         {
@@ -228,7 +233,7 @@
     /// was not prefill. Returns whether the engine was idle when the prompt was sent.
     ///
     /// Corrects the estimate of the engine's progress: prompts that were sent after this
-    /// one are prefilled from now on. Only the time of a prompt that found the engine idle
+    /// one are prefilled after it. Only the time of a prompt that found the engine idle
     /// is a sample of its prefill rate.
     pub fn record_first_event(
         &mut self,
@@ -271,7 +276,7 @@
         if self.exceeds_event_gap(prefill_time) {
             self.long_rate =
                 self.long_prompt_rate(now) + 1.0 / LONG_RATE_DECAY.as_secs_f64();
-            self.last_long = Some(now);
+            self.last_long_sent_at = Some(now);
         }
         let idle_steps = self.idle_steps(now);
         self.recent.push_back(RecentPrefill {
@@ -307,7 +312,8 @@
         eligible.min_by_key(|(_, prompt)| rank(prompt)).map(|(index, _)| index)
     }
 
-    /// Earliest time at which a prompt with this prefill time may be sent.
+    /// Earliest time at which a prompt with this prefill time may be sent; `None` if no
+    /// prompt was sent before.
     ///
     /// All prefills within the steps of one event have to fit into the event gap limit,
     /// so recent prompts count as long as one event can span their steps and the new
--- a/crates/pool/src/prefix.rs
+++ b/crates/pool/src/prefix.rs
@@ -2,7 +2,7 @@
 //!
 //! An engine does not prefill a part again that it has cached for the same model and
 //! adapter, as long as it has all parts before it. Its own reports of the cache are late
-//! and incomplete; the prompts that were sent to it tell almost the same at no cost, since
+//! and incomplete; the prompts that were sent to it show almost the same at no cost, since
 //! it evicts the least recently used parts.
 
 use chestnut_edge::{PromptPart, TargetModel};
@@ -34,8 +34,8 @@
         cached.map(|(_, tokens)| tokens).sum()
     }
 
-    /// Prompt tokens that the runner may have cached without this estimate knowing: shared
-    /// parts that were not sent from here. The last part is a request's own.
+    /// Tokens of shared prompt parts that are not in this estimate, so that the runner
+    /// may or may not have them cached. The last part is not shared with other requests.
     pub fn uncertain_tokens(&self, target: &TargetModel, parts: &[PromptPart]) -> u32 {
         let shared = &parts[..parts.len().saturating_sub(1)];
         let unknown = prefix_hashes(target, shared)
--- a/crates/pool/src/queue.rs
+++ b/crates/pool/src/queue.rs
@@ -39,9 +39,10 @@
 /// Half-life of the failure rate of a server that gets no requests.
 const FAILURE_HALF_LIFE: Duration = Duration::from_secs(2);
 
-/// Difference to the lowest failure rate of all servers that costs nothing.
+/// Excess over the lowest failure rate of all servers that has no cost.
 ///
-/// Where every seventh request fails on its own, rates over ten requests differ by as much.
+/// Where every seventh request fails whatever server runs it, rates over ten requests
+/// differ by as much.
 const FAILURE_SLACK: f64 = 0.2;
 
 /// Cost of sending to a server that fails all requests.
@@ -92,7 +93,7 @@
     pub wait_limit: Duration,
     /// Failure domain of the daemon that sends it.
     pub domain: DomainName,
-    /// Servers that have not served it, or that its daemon can't reach.
+    /// Servers that failed to serve it, or that its daemon can't reach.
     pub avoid: Vec<ServerName>,
 }
 
@@ -226,7 +227,7 @@
         self.queued.push(QueuedRequest { key, request, target, deadline, is_new: true });
     }
 
-    /// The server for which a request has a permit.
+    /// The server for which a request has a permit; `None` if it has none.
     pub fn permit(&self, key: RequestKey) -> Option<&ServerName> {
         self.permits.get(&key).map(|permit| &permit.server)
     }
@@ -257,13 +258,13 @@
 
     /// Decides about the next request; `None` while all queued requests have to wait.
     ///
-    /// Called for each message of all daemons, so that while every slot is taken it costs
-    /// no more than one pass over the queue.
+    /// This is called for each message of every daemon. While every slot is taken it
+    /// therefore does not sort the queue, but only passes over it for each new request.
     pub fn next_decision(&mut self, now: Instant) -> Option<QueueDecision> {
         self.expire(now);
         let lead_time =
             Duration::from_secs_f64(self.mean_service_ms * START_AHEAD / 1000.0);
-        if let Some(index) = self.hopeless(lead_time, now) {
+        if let Some(index) = self.find_unservable(lead_time, now) {
             let key = self.queued.swap_remove(index).key;
             return Some(QueueDecision::Full(key, self.wait_behind(0)));
         }
@@ -273,10 +274,10 @@
         if !self.servers.values().any(|server| self.is_free(server, now)) {
             return self.refuse_new(lead_time, now);
         }
-        let mut order: Vec<usize> = (0..self.queued.len()).collect();
-        order.sort_by_key(|index| self.queued[*index].rank(now, lead_time));
-        for (before, index) in order.into_iter().enumerate() {
-            match self.best(&self.queued[index].request, before, now) {
+        let mut by_rank: Vec<usize> = (0..self.queued.len()).collect();
+        by_rank.sort_by_key(|index| self.queued[*index].rank(now, lead_time));
+        for (ahead, index) in by_rank.into_iter().enumerate() {
+            match self.best(&self.queued[index].request, ahead, now) {
                 None => {
                     let key = self.queued.swap_remove(index).key;
                     return Some(QueueDecision::NoServer(key));
@@ -302,14 +303,15 @@
         self.next_expiry = self.permits.values().map(|permit| permit.expires_at).min();
     }
 
-    /// A request whose caller no longer waits, or that is late under overload.
-    fn hopeless(&mut self, lead_time: Duration, now: Instant) -> Option<usize> {
+    /// Index of a request to refuse: its caller no longer waits, or it is late under
+    /// overload.
+    fn find_unservable(&mut self, lead_time: Duration, now: Instant) -> Option<usize> {
         let overloaded = self.is_overloaded(now);
-        let is_hopeless = |queued: &QueuedRequest| {
+        let is_unservable = |queued: &QueuedRequest| {
             now >= queued.deadline
                 || overloaded && !queued.is_new && queued.is_late(now, lead_time)
         };
-        self.queued.iter().position(is_hopeless)
+        self.queued.iter().position(is_unservable)
     }
 
     /// Refuses a new request that would wait for longer than its caller or, under overload,
@@ -376,12 +378,12 @@
         QueueDecision::Grant(key, server)
     }
 
-    /// The best server for a request that has `before` others ahead of it, and whether a
+    /// The best server for a request that has `ahead` others before it, and whether a
     /// permit for it is free.
     fn best(
         &self,
         request: &PlainRequest,
-        before: usize,
+        ahead: usize,
         now: Instant,
     ) -> Option<(ServerName, bool)> {
         let is_reachable = |server: &&Server| {
@@ -392,9 +394,9 @@
         let untried: Vec<&Server> = servers.iter().copied().filter(is_untried).collect();
         // If it has failed on all servers, one may have recovered.
         let servers = if untried.is_empty() { servers } else { untried };
-        let least =
+        let lowest_rate =
             servers.iter().map(|server| server.failure_rate(now)).fold(1.0, f64::min);
-        let queue_wait = WAIT_COST_MS + millis(self.wait_behind(before));
+        let queue_wait = WAIT_COST_MS + millis(self.wait_behind(ahead));
         let cost = |server: &Server| {
             let free = self.is_free(server, now);
             let load = f64::from(server.in_use) / f64::from(server.slots());
@@ -407,7 +409,8 @@
             } else {
                 REMOTE_DOMAIN_COST_MS
             };
-            let failures = (server.failure_rate(now) - least - FAILURE_SLACK).max(0.0);
+            let failures =
+                (server.failure_rate(now) - lowest_rate - FAILURE_SLACK).max(0.0);
             (wait + remote + failures * FAILURE_COST_MS, free)
         };
         let costs = servers.into_iter().map(|server| (cost(server), server));
@@ -420,11 +423,11 @@
         !backing_off && server.in_use < server.slots() + EXTRA_PERMITS
     }
 
-    /// Estimated wait of a request with `before` others ahead of it.
-    fn wait_behind(&self, before: usize) -> Duration {
+    /// Estimated wait of a request with `ahead` others before it.
+    fn wait_behind(&self, ahead: usize) -> Duration {
         let slots: u32 = self.servers.values().map(Server::slots).sum();
         let each = self.mean_service_ms / f64::from(slots.max(1));
-        Duration::from_secs_f64((before + 1) as f64 * each / 1000.0)
+        Duration::from_secs_f64((ahead + 1) as f64 * each / 1000.0)
     }
 }
 
@@ -460,8 +463,8 @@
 
     /// Sends nothing to the server until one of its slots may be free.
     ///
-    /// Its slots are taken by requests that this queue did not grant: those of daemons
-    /// that did not ask, or from before this queue was set up.
+    /// Its slots are taken by requests without a permit of this queue: those of daemons
+    /// that bypass it, or those sent before it was created.
     fn back_off(&mut self, mean_service_ms: f64, now: Instant) {
         let backoff =
             mean_service_ms / f64::from(self.slots()) * f64::from(1 << self.rejections);
--- a/crates/pool/src/runner.rs
+++ b/crates/pool/src/runner.rs
@@ -28,7 +28,7 @@
 /// the runner's orders until its requests have finished.
 const ADAPTER_IN_USE: Duration = Duration::from_secs(2);
 
-/// How long to wait after a runner reported an order in progress.
+/// How long a runner counts as busy after it reported an order in progress.
 const REPORTED_BUSY_TIME: Duration = Duration::from_millis(200);
 
 /// An adapter on a runner.
@@ -63,7 +63,7 @@
     SlotsInUse,
 }
 
-/// The next step to make an adapter available on a runner.
+/// The next action to make an adapter available on a runner.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum AdapterNeed {
     /// None; it is ready after this time.
@@ -200,10 +200,15 @@
     }
 
     /// Records that the runner accepted an order that takes `time`.
-    pub fn record_accepted(&mut self, step: &OrderAction, time: Duration, now: Instant) {
+    pub fn record_accepted(
+        &mut self,
+        action: &OrderAction,
+        time: Duration,
+        now: Instant,
+    ) {
         self.order_count = self.order_count.map(|orders| orders + 1);
         self.min_order_count = self.order_count.unwrap_or(self.min_order_count);
-        match step {
+        match action {
             OrderAction::Load(model) => {
                 self.busy_until = Some(now + time);
                 self.models.push(model.clone());
@@ -222,8 +227,8 @@
     }
 
     /// Records that the result of an order is in force.
-    pub fn record_in_force(&mut self, step: &OrderAction, now: Instant) {
-        match step {
+    pub fn record_in_force(&mut self, action: &OrderAction, now: Instant) {
+        match action {
             OrderAction::Load(model) if !self.models.contains(model) => {
                 self.models.push(model.clone());
             }
@@ -256,8 +261,8 @@
     /// was missing.
     ///
     /// The adapter may still be loading, so its slot counts as taken until an order or a
-    /// report settles it. If it counted as free while no order can be given, the next
-    /// adapter would exceed the runner's slots and crash it.
+    /// report shows whether it is loaded. If it counted as free while no order can be
+    /// given, the next adapter would exceed the runner's slots and crash it.
     pub fn mark_adapter_missing(&mut self, target: &TargetModel) {
         if let Some(slot) = self.adapters.get_mut(target) {
             slot.reported_missing = true;
@@ -294,8 +299,8 @@
         }
     }
 
-    /// The next step to make an adapter available on the runner, which has `slots` adapter
-    /// slots.
+    /// The next action to make an adapter available on the runner, which has `slots`
+    /// adapter slots.
     pub fn adapter_need(
         &self,
         target: &TargetModel,
@@ -309,15 +314,15 @@
             AdapterState::Ready => AdapterNeed::ReadyIn(Duration::ZERO),
             AdapterState::Loading(left) => AdapterNeed::ReadyIn(left),
             AdapterState::SlotFree => {
-                let step = OrderAction::LoadAdapter(target.model.clone(), adapter);
-                AdapterNeed::Order(step)
+                let action = OrderAction::LoadAdapter(target.model.clone(), adapter);
+                AdapterNeed::Order(action)
             }
             AdapterState::NeedsEviction | AdapterState::SlotsInUse => {
                 let evicted = self.eviction_candidate(now).cloned();
-                let step = evicted.and_then(|evicted| {
+                let action = evicted.and_then(|evicted| {
                     Some(OrderAction::UnloadAdapter(evicted.model, evicted.adapter?))
                 });
-                step.map_or(AdapterNeed::SlotsInUse, AdapterNeed::Order)
+                action.map_or(AdapterNeed::SlotsInUse, AdapterNeed::Order)
             }
         }
     }
--- a/crates/pool/src/timing.rs
+++ b/crates/pool/src/timing.rs
@@ -13,10 +13,10 @@
 //! Only prompts that found the engine idle are samples, and of those only the ones whose
 //! cached parts are known. The first event of a prompt that waited at the engine is late
 //! whatever its length, and that of a prompt with more cached parts than known is early;
-//! both make prefill look faster than it is, so more prompts are sent, more of them wait,
-//! and prefill looks faster still. With samples from all prompts during a rolling restart
-//! of the daemons, the event gap was too long in an eighth of the streams; with only these
-//! samples, in a twenty-fifth.
+//! from both, prefill is estimated to be faster than it is, so that more prompts are
+//! sent, more of them wait, and the estimate becomes still worse. With samples from all
+//! prompts during a rolling restart of the daemons, the event gap was too long in an
+//! eighth of the streams; with only these samples, in a twenty-fifth.
 
 use std::time::Duration;
 
@@ -58,7 +58,7 @@
 /// the running streams.
 const STEP_TIME_MARGIN: f64 = 1.2;
 
-/// Relative change of the learned step duration by one gap.
+/// Learning rate of the step duration: scales its relative change by one gap.
 const STEP_GAIN: f64 = 0.02;
 
 /// Shorter gaps are between events that arrived together, and are ignored.
@@ -73,12 +73,12 @@
 /// Time of a first event besides prefill that is assumed at first, in milliseconds.
 ///
 /// The network round trip and the running step take 15; engines add nothing or up to 80.
-/// If the assumption is too short, each first event makes the engine look behind and
-/// prompts wait without need: with 0 the slowest hundredth of first events took 5 s
-/// instead of one.
+/// If the assumption is too short, the engine appears to be behind after each first event,
+/// and prompts wait without need: with 0 the slowest hundredth of first events took 5 s
+/// instead of 1 s.
 const INITIAL_OVERHEAD_MS: f64 = 50.0;
 
-/// Prompt lengths at which an expectation is added to a line as samples.
+/// Prompt lengths at which an expected timing is added to a regression as samples.
 const EXPECTED_AT_TOKENS: [f64; 2] = [200.0, 2200.0];
 
 /// Number of samples that an expectation counts for: the initial assumption, timings of
@@ -87,10 +87,12 @@
 const OTHER_MODELS_WEIGHT: f64 = 2.0;
 const SHARED_WEIGHT: f64 = 5.0;
 
-/// Number of samples from which on a line is shared with other daemons.
+/// Smallest number of samples with which a model's timing is shared with other daemons.
 const MIN_SHARED_WEIGHT: f64 = 12.0;
 
-/// Relative change of a time that is worth sharing.
+/// Relative change of a prefill time that is worth sharing.
+///
+/// Step and service times have to change by twice as much.
 const SHARED_CHANGE: f64 = 0.1;
 
 /// Smallest standard deviation of first event times around the line, in milliseconds.
@@ -226,7 +228,7 @@
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(default)]
 pub struct LearnedTimings {
-    /// Models with enough samples.
+    /// Prefill timings of the models with enough samples.
     pub models: IndexMap<ModelName, PrefillTiming>,
     /// Duration of a step without prefill.
     #[serde_as(as = "DurationMicroSeconds<u64>")]
@@ -302,7 +304,7 @@
         if gap < MIN_EVENT_GAP {
             return;
         }
-        // Converges to the quantile of the gaps that contain nothing but steps.
+        // Converges to this quantile of the gap for each token.
         let is_shorter = gap / tokens.max(1) < self.step_time;
         let gain =
             if is_shorter { STEP_QUANTILE - 1.0 } else { STEP_QUANTILE } * STEP_GAIN;
@@ -327,7 +329,7 @@
 
     /// Merges timings from another daemon.
     ///
-    /// Step and service times are taken over only while this daemon has no samples.
+    /// Step and service times are copied only while this daemon has no samples.
     pub fn merge(&mut self, learned: &LearnedTimings) {
         if self.models.is_empty() {
             self.step_time =
--- a/crates/pool/src/unreachable.rs
+++ b/crates/pool/src/unreachable.rs
@@ -1,10 +1,10 @@
 //! Servers to which daemons can't connect though the registry lists them.
 //!
-//! Load pattern: a rack of runners fails at once. The registry lists them for some seconds
-//! more; meanwhile the planner counts their models as resident, and callers of models whose
-//! only replica was there wait in vain. Daemons that send requests notice within one
-//! connection attempt. A single daemon may be disconnected itself, so its report is not
-//! enough where there are others.
+//! Load pattern: a rack of runners fails at once. The registry lists them for some
+//! seconds more; meanwhile the planner counts their models as resident, and callers of
+//! models whose only replica was there wait until they time out. Daemons that send
+//! requests notice within one connection attempt. A single daemon may be disconnected
+//! itself, so its report is not enough where there are others.
 
 use std::time::{Duration, Instant};
 
@@ -14,7 +14,7 @@
 /// How long a daemon's report counts; it is repeated four times a second.
 const REPORT_TIMEOUT: Duration = Duration::from_millis(700);
 
-/// Number of daemons that have to report a server, where there are as many.
+/// Number of daemons that have to report a server; all of them where there are fewer.
 const QUORUM: usize = 2;
 
 /// Reports of daemons that can't connect to servers.
--- a/crates/pool/src/usage.rs
+++ b/crates/pool/src/usage.rs
@@ -5,7 +5,7 @@
 use chestnut_edge::GenerationSize;
 use serde::{Deserialize, Serialize};
 
-/// One request in flight, as far as it takes capacity of a server.
+/// What one request in flight takes of a server's capacity.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct InFlightRequest {
     /// Prompt and output tokens of a generation; zero for plain requests.
