--- a/crates/pool/tests/choose.rs
+++ b/crates/pool/tests/choose.rs
@@ -75,7 +75,7 @@
 #[test]
 fn usage_reports_of_dead_daemons_expire() {
     // A daemon dies with 40 requests in flight at a runner and never reports their end. The
-    // runner must not look full for ever.
+    // runner must not count as full for ever.
     let mut runner = RunnerView::default();
     let now = Instant::now();
     runner.update_usage(MemberId(1), usage(40, 9_000), now);
@@ -125,8 +125,8 @@
     // shows it; callers would be sent there again and again.
     let now = Instant::now();
     let mut runner = loaded_runner(0, now);
-    let step = chestnut_edge::OrderAction::Unload(model("m"));
-    runner.record_accepted(&step, Duration::from_secs(1), now);
+    let action = chestnut_edge::OrderAction::Unload(model("m"));
+    runner.record_accepted(&action, Duration::from_secs(1), now);
     assert!(bid_for(&runner, without_adapter("m"), now).cost_ms.is_infinite());
 }
 
--- a/crates/pool/tests/orders.rs
+++ b/crates/pool/tests/orders.rs
@@ -33,7 +33,8 @@
     order_count: u64,
     /// The load in progress, and its end.
     loading: Option<(OrderAction, Instant)>,
-    /// Late orders: the step, the number that it carries, and when it arrives.
+    /// Late orders: the action, the number of orders that must have been accepted before,
+    /// and the time of arrival.
     late_orders: Vec<(OrderAction, u64, Instant)>,
     /// All reports, oldest first.
     reports: Vec<(Instant, EngineReport)>,
@@ -48,12 +49,14 @@
     Answered,
     /// It takes effect, and the response is lost.
     ResponseLost,
-    /// It arrives after so many milliseconds, and takes effect if its number still fits.
+    /// It arrives after so many milliseconds, and takes effect if no other order was
+    /// accepted meanwhile.
     Late(u64),
 }
 
 #[derive(Debug, Clone)]
 enum Op {
+    /// Advances the time by so many milliseconds.
     Wait(u64),
     LoadAdapter {
         model: usize,
@@ -114,44 +117,49 @@
 
     /// Finishes loads and delivers late orders that are due.
     fn advance(&mut self, now: Instant) {
-        if let Some((step, at)) = self.loading.clone()
+        if let Some((action, at)) = self.loading.clone()
             && at <= now
         {
             self.loading = None;
-            self.finish(step);
+            self.finish(action);
             self.add_report(at);
         }
         let is_due = |(.., at): &(OrderAction, u64, Instant)| *at <= now;
         let (due, later): (Vec<_>, Vec<_>) =
             std::mem::take(&mut self.late_orders).into_iter().partition(is_due);
         self.late_orders = later;
-        for (step, after, at) in due {
-            self.order(step, after, at);
+        for (action, orders_before, at) in due {
+            self.order(action, orders_before, at);
         }
     }
 
     /// Handles an order; returns whether it was accepted, and whether its result was in
     /// force already.
-    fn order(&mut self, step: OrderAction, after: u64, now: Instant) -> (bool, bool) {
-        if self.loading.is_some() || after != self.order_count {
+    fn order(
+        &mut self,
+        action: OrderAction,
+        orders_before: u64,
+        now: Instant,
+    ) -> (bool, bool) {
+        if self.loading.is_some() || orders_before != self.order_count {
             return (false, false);
         }
-        if self.is_in_force(&step) {
+        if self.is_in_force(&action) {
             return (false, true);
         }
         self.order_count += 1;
-        match step {
-            OrderAction::Load(_) => self.loading = Some((step, now + LOAD_TIME)),
-            _ => self.finish(step),
+        match action {
+            OrderAction::Load(_) => self.loading = Some((action, now + LOAD_TIME)),
+            _ => self.finish(action),
         }
         self.check_capacity();
         self.add_report(now);
         (true, false)
     }
 
-    fn is_in_force(&self, step: &OrderAction) -> bool {
+    fn is_in_force(&self, action: &OrderAction) -> bool {
         let held = |name: &ModelName| self.models.iter().find(|held| held.model == *name);
-        match step {
+        match action {
             OrderAction::Load(name) => held(name).is_some(),
             OrderAction::Unload(name) => held(name).is_none(),
             OrderAction::LoadAdapter(name, adapter) => {
@@ -163,11 +171,11 @@
         }
     }
 
-    fn finish(&mut self, step: OrderAction) {
+    fn finish(&mut self, action: OrderAction) {
         let position = |models: &[LoadedModel], name: ModelName| {
             models.iter().position(|held| held.model == name)
         };
-        match step {
+        match action {
             OrderAction::Load(model) => {
                 self.models.push(LoadedModel { model, version: 1, adapters: Vec::new() });
             }
@@ -186,7 +194,7 @@
     }
 
     fn check_capacity(&mut self) {
-        let loading = self.loading.iter().filter_map(|(step, _)| match step {
+        let loading = self.loading.iter().filter_map(|(action, _)| match action {
             OrderAction::Load(model) => Some(model),
             _ => None,
         });
@@ -252,7 +260,7 @@
             }
             Op::Restart => {
                 self.runner.restart(self.now);
-                // The registry lists the new incarnation, and the holder starts anew.
+                // The registry lists the new incarnation, and the holder's view is reset.
                 self.listed_incarnation = self.runner.incarnation;
                 self.view = RunnerView::default();
             }
@@ -266,9 +274,10 @@
             return;
         }
         let slots = self.runner.declared.adapter_slots;
-        if let AdapterNeed::Order(step) = self.view.adapter_need(target, slots, self.now)
+        if let AdapterNeed::Order(action) =
+            self.view.adapter_need(target, slots, self.now)
         {
-            self.order(step, delivery);
+            self.order(action, delivery);
         }
     }
 
@@ -282,24 +291,27 @@
             && self.view.apply_report(&report, self.now)
     }
 
-    fn order(&mut self, step: OrderAction, delivery: Delivery) {
-        let Some(after) = self.view.order_count() else { return };
+    fn order(&mut self, action: OrderAction, delivery: Delivery) {
+        let Some(orders_before) = self.view.order_count() else { return };
         if let Delivery::Late(millis) = delivery {
             let at = self.now + Duration::from_millis(millis);
-            self.runner.late_orders.push((step, after, at));
+            self.runner.late_orders.push((action, orders_before, at));
             return self.view.forget_order_count();
         }
-        let (accepted, in_force) = self.runner.order(step.clone(), after, self.now);
-        let unloads_adapter = matches!(step, OrderAction::UnloadAdapter(..));
+        let (accepted, in_force) =
+            self.runner.order(action.clone(), orders_before, self.now);
+        let unloads_adapter = matches!(action, OrderAction::UnloadAdapter(..));
         match (delivery, accepted, in_force) {
             (Delivery::ResponseLost, ..) | (_, false, false) => {
                 self.view.forget_order_count()
             }
             // An unused adapter is dropped at once.
-            (_, true, _) if unloads_adapter => self.view.record_in_force(&step, self.now),
-            (_, true, _) => self.view.record_accepted(&step, LOAD_TIME, self.now),
+            (_, true, _) if unloads_adapter => {
+                self.view.record_in_force(&action, self.now)
+            }
+            (_, true, _) => self.view.record_accepted(&action, LOAD_TIME, self.now),
             (_, _, true) if unloads_adapter => self.view.forget_order_count(),
-            (_, _, true) => self.view.record_in_force(&step, self.now),
+            (_, _, true) => self.view.record_in_force(&action, self.now),
         }
     }
 }
--- a/crates/pool/tests/permits.rs
+++ b/crates/pool/tests/permits.rs
@@ -17,9 +17,16 @@
 
 #[derive(Debug, Clone)]
 enum Op {
-    Push { wait_limit: u64 },
-    Release { index: usize, outcome: PermitOutcome },
+    Push {
+        wait_limit_ms: u64,
+    },
+    Release {
+        index: usize,
+        outcome: PermitOutcome,
+    },
+    /// Advances the time by so many milliseconds.
     Wait(u64),
+    /// Numbers of the servers that are listed from now on.
     List(Vec<usize>),
 }
 
@@ -30,7 +37,7 @@
         1 => Just(PermitOutcome::Unused),
     ];
     prop_oneof![
-        8 => (50u64..2000).prop_map(|wait_limit| Op::Push { wait_limit }),
+        8 => (50u64..2000).prop_map(|wait_limit_ms| Op::Push { wait_limit_ms }),
         6 => (0usize..20, outcome).prop_map(|(index, outcome)| Op::Release { index, outcome }),
         2 => (1u64..300).prop_map(Op::Wait),
         1 => prop::sample::subsequence(vec![0, 1, 2], 0..=SERVERS).prop_map(Op::List),
@@ -50,7 +57,7 @@
     numbers.iter().map(entry).collect()
 }
 
-/// A queue, and the permits that it has granted and that were not released.
+/// A queue, and the permits that it has granted and that are neither released nor expired.
 struct PermitHolder {
     queue: PermitQueue,
     now: Instant,
@@ -79,8 +86,8 @@
         self.listed = numbers;
     }
 
-    fn push(&mut self, wait_limit: u64) {
-        let wait_limit = Duration::from_millis(wait_limit);
+    fn push(&mut self, wait_limit_ms: u64) {
+        let wait_limit = Duration::from_millis(wait_limit_ms);
         let request = PlainRequest {
             urgency: 1,
             target_time: wait_limit,
@@ -130,7 +137,7 @@
         let mut holder = PermitHolder::new();
         for op in ops {
             match op {
-                Op::Push { wait_limit } => holder.push(wait_limit),
+                Op::Push { wait_limit_ms } => holder.push(wait_limit_ms),
                 Op::Release { index, outcome } => holder.release(index, outcome),
                 Op::Wait(ms) => holder.now += Duration::from_millis(ms),
                 Op::List(numbers) => holder.list(numbers),
--- a/crates/pool/tests/prefill_queue.rs
+++ b/crates/pool/tests/prefill_queue.rs
@@ -138,7 +138,7 @@
 /// Time of a first event besides prefill.
 const OVERHEAD_MS: f64 = 80.0;
 
-/// Number of first prompts of which the engine has cached half without the queue knowing.
+/// Number of initial prompts that the engine has half cached without the queue's knowledge.
 const UNKNOWN_CACHED: usize = 60;
 
 /// Passes a load through a queue whose timings are learned from first events.
@@ -178,8 +178,8 @@
         let prefilled = engine.run_step();
         events.extend(prefilled.into_iter().map(|id| (engine.now_ms + OVERHEAD_MS, id)));
     }
-    let thousand = timings.prefill_time(&name, 1000).as_secs_f64() * 1000.0;
-    (engine.timings.into_values().collect(), thousand)
+    let ms_per_1000_tokens = timings.prefill_time(&name, 1000).as_secs_f64() * 1000.0;
+    (engine.timings.into_values().collect(), ms_per_1000_tokens)
 }
 
 #[test]
@@ -192,11 +192,11 @@
     let lengths = [300, 2700, 400, 1500, 200, 1800, 600, 1200, 2900, 500];
     let prompt = |number: usize| (number as f64 * 55.0, lengths[number * 7 % 10]);
     let load: Vec<(f64, u32)> = (0..550).map(prompt).collect();
-    let (timings, thousand) = run_with_learning(&load);
+    let (timings, ms_per_1000_tokens) = run_with_learning(&load);
     let late = count_late(&timings);
     assert!(
-        (45.0..65.0).contains(&thousand),
-        "{thousand} ms for 1000 tokens instead of 50"
+        (45.0..65.0).contains(&ms_per_1000_tokens),
+        "{ms_per_1000_tokens} ms for 1000 tokens instead of 50"
     );
     assert!(late * 50 <= load.len(), "{late} of {} streams are late", load.len());
 }
@@ -333,7 +333,7 @@
 }
 
 proptest! {
-    // Every prompt is sent once or expires, and the queue never asks to wait for a time in
+    // Every prompt is sent once or expires, and the queue never waits for a time in
     // the past.
     #[test]
     fn every_prompt_is_sent_or_expires_once(
--- a/crates/pool/tests/queue.rs
+++ b/crates/pool/tests/queue.rs
@@ -57,10 +57,10 @@
 }
 
 /// Arrivals in bursts, as (time in ms, service time in ms).
-fn arrivals(seed: u64, ms: u64, per_s: f64) -> Vec<(u64, u64)> {
+fn arrivals(seed: u64, duration_ms: u64, per_s: f64) -> Vec<(u64, u64)> {
     let mut rng = SmallRng::seed_from_u64(seed);
     let mut arrivals = Vec::new();
-    for at in 0..ms {
+    for at in 0..duration_ms {
         // Requests arrive in pairs, at half the rate.
         if rng.random_bool(per_s / 2000.0) {
             for _ in 0..2 {
@@ -269,7 +269,7 @@
 
 #[test]
 fn a_failing_server_gets_few_requests() {
-    // One of three servers fails all requests and looks idle, since it fails fast. After
+    // One of three servers fails all requests and appears idle, since it fails fast. After
     // the first failures requests go to the other two, and now and then to the failing one,
     // so that its recovery is noticed.
     let load = arrivals(2, 20_000, 150.0);
--- a/crates/pool/tests/servers.rs
+++ b/crates/pool/tests/servers.rs
@@ -10,10 +10,10 @@
 use chestnut_pool::unreachable::UnreachableReports;
 use chestnut_pool::{Fleet, Health, InFlightRequest};
 
-fn entry(name: &str, born: u64, phase: Phase) -> ServerEntry {
+fn entry(name: &str, started_at_ms: u64, phase: Phase) -> ServerEntry {
     ServerEntry {
         name: server(name),
-        started_at_ms: Some(born),
+        started_at_ms: Some(started_at_ms),
         service: ServiceName::try_from("letters").expect("a valid name"),
         address: "10.0.0.1:80".parse().expect("a valid address"),
         domain: DomainName::try_from("a").expect("a valid name"),
@@ -113,7 +113,7 @@
 #[test]
 fn the_penalty_for_failures_decays() {
     // A server fails half of its requests for a while, though its health check passes. It
-    // keeps little of its share meanwhile and has it back some seconds later.
+    // gets few requests meanwhile and its whole share again some seconds later.
     let (mut health, now) = (Health::default(), Instant::now());
     for _ in 0..4 {
         health.record_failure(now);
--- a/crates/pool/tests/support/mod.rs
+++ b/crates/pool/tests/support/mod.rs
@@ -94,7 +94,7 @@
         self.prompts.len() + self.streams.len()
     }
 
-    /// Runs one step; returns the requests whose first event it brought.
+    /// Runs one step; returns the requests that had their first event in it.
     pub fn run_step(&mut self) -> Vec<usize> {
         let mut budget = MAX_PREFILL_TOKENS;
         let mut prefilled = Vec::new();
--- a/crates/pool/tests/timing.rs
+++ b/crates/pool/tests/timing.rs
@@ -59,7 +59,7 @@
 
 #[test]
 fn a_daemon_that_starts_uses_shared_timings() {
-    // Guards against the initial assumption after all daemons lost power.
+    // Guards against using the initial assumption after all daemons lost power.
     for actual in RATES {
         let mut before = EngineTimings::default();
         record_prompts(&mut before, "m", actual, SAMPLES * 4);
@@ -71,7 +71,7 @@
 
 #[test]
 fn a_model_without_samples_is_expected_to_be_like_others() {
-    // Guards against the initial assumption for a model whose demand has just begun.
+    // Guards against using the initial assumption for a model whose demand has just begun.
     let mut timings = EngineTimings::default();
     record_prompts(&mut timings, "m", 60.0, SAMPLES * 4);
     assert_near(&timings, "n", 60.0);
@@ -81,7 +81,7 @@
 
 #[test]
 fn timings_are_shared_when_they_change() {
-    // Guards against a write to the store with every prompt.
+    // Guards against a write to the store after every prompt.
     let mut timings = EngineTimings::default();
     record_prompts(&mut timings, "m", 20.0, SAMPLES * 4);
     let shared = timings.learned();
@@ -141,7 +141,8 @@
 
 #[test]
 fn implausible_shared_times_are_clamped() {
-    // Guards against a row in the store with values that a daemon can't calculate with.
+    // Guards against stored values so large or small that estimates made from them are
+    // useless.
     let mut timings = EngineTimings::default();
     let huge = Duration::from_micros(u64::MAX);
     timings.merge(&LearnedTimings {
