--- a/crates/gate/src/permit_queue.rs
+++ b/crates/gate/src/permit_queue.rs
@@ -167,7 +167,8 @@
         let Some(held) = queue.upgrade() else { return };
         decide_all(&shared, &held);
         let now = shared.now();
-        let wake = held.state().queue.next_wake(now).unwrap_or(now + MAX_CHECK_INTERVAL);
+        let wake =
+            held.state().queue.next_decision_at(now).unwrap_or(now + MAX_CHECK_INTERVAL);
         let until = tokio::time::Instant::from_std(wake.min(now + MAX_CHECK_INTERVAL));
         // A timeout also leads to the next check.
         let _ = timeout_at(until, held.changed.notified()).await;
--- a/crates/pool/src/attempts.rs
+++ b/crates/pool/src/attempts.rs
@@ -4,7 +4,7 @@
 //! have run, may be running, or may run later: a server that was suspended processes what
 //! was sent to it when it resumes. A request that must run at most once is therefore sent
 //! again only if no byte was sent or the server itself reported that it did not run it,
-//! and only in these cases is its caller told that it has not run.
+//! and only then does its caller get a response that says so.
 //!
 //! The number of servers on which a request may run is bounded: a request that crashes
 //! servers would otherwise reach all of them, and each retry adds to the load that made
@@ -48,7 +48,7 @@
 pub struct Incarnation {
     /// The name, which later incarnations share.
     pub server: ServerName,
-    /// Start time in Unix milliseconds, which tells incarnations apart.
+    /// Start time in Unix milliseconds, which distinguishes incarnations.
     pub started_at: Option<u64>,
 }
 
--- a/crates/pool/src/health.rs
+++ b/crates/pool/src/health.rs
@@ -2,7 +2,7 @@
 //!
 //! Load pattern: a server fails some or all of its requests while the registry still lists
 //! it as ready; it crashed, is disconnected, or responds with errors. Without tracking, it
-//! responds fastest, looks idle and attracts the traffic of the whole pool. A failure
+//! responds fastest, appears idle and attracts the traffic of the whole pool. A failure
 //! raises a penalty that decays with time, so that the server gradually gets requests
 //! again; after a failed connection it gets none until a backoff has passed, which doubles
 //! with each further failed connection.
--- a/crates/pool/src/queue.rs
+++ b/crates/pool/src/queue.rs
@@ -348,7 +348,7 @@
     }
 
     /// When to call [`Self::next_decision`] again if nothing changes before.
-    pub fn next_wake(&self, now: Instant) -> Option<Instant> {
+    pub fn next_decision_at(&self, now: Instant) -> Option<Instant> {
         let deadlines = self.queued.iter().map(|queued| queued.deadline);
         let backoffs = self.servers.values().filter_map(|server| server.backoff_until);
         let times =
--- a/crates/pool/tests/choose.rs
+++ b/crates/pool/tests/choose.rs
@@ -75,7 +75,7 @@
 #[test]
 fn usage_reports_of_dead_daemons_expire() {
     // A daemon dies with 40 requests in flight at a runner and never reports their end. The
-    // runner must not count as full for ever.
+    // runner must not count as full forever.
     let mut runner = RunnerView::default();
     let now = Instant::now();
     runner.update_usage(MemberId(1), usage(40, 9_000), now);
--- a/crates/pool/tests/queue.rs
+++ b/crates/pool/tests/queue.rs
@@ -341,7 +341,7 @@
     queue.release(key(1), PermitOutcome::Rejected, now);
     queue.push(key(2), request(0), now);
     assert_eq!(queue.next_decision(now), None);
-    let wake = queue.next_wake(now).expect("the backoff ends");
-    assert!(wake <= now + Duration::from_millis(10));
-    assert!(matches!(queue.next_decision(wake), Some(QueueDecision::Grant(..))));
+    let backoff_end = queue.next_decision_at(now).expect("the backoff ends");
+    assert!(backoff_end <= now + Duration::from_millis(10));
+    assert!(matches!(queue.next_decision(backoff_end), Some(QueueDecision::Grant(..))));
 }
--- a/crates/pool/tests/servers.rs
+++ b/crates/pool/tests/servers.rs
@@ -67,8 +67,8 @@
 fn the_rest_of_the_grace_period_is_known() {
     // All machines lose power while the registry is unavailable. A daemon then reads a
     // registry that is nearly empty and refuses its callers; those that retry before the
-    // entries are back are refused again and may not retry any more. They are therefore
-    // told to retry after the grace period.
+    // entries are back are refused again and may not retry any more. Responses
+    // therefore ask for a retry after the grace period.
     let (mut fleet, now) = (Fleet::default(), Instant::now());
     assert_eq!(fleet.grace_left(now), Duration::ZERO);
     fleet.start_grace(now);
