--- a/crates/pool/src/budget.rs
+++ b/crates/pool/src/budget.rs
@@ -19,7 +19,7 @@
 pub struct RetryBound {
     /// Retries allowed for each request.
     pub ratio: f64,
-    /// Retries allowed in addition.
+    /// Retries allowed in addition, per window.
     pub slack: f64,
     /// The window in which both are counted.
     pub window: Duration,
@@ -48,8 +48,8 @@
 
     /// Records a request for the service.
     ///
-    /// This also removes what is older than `window`: a service without failures has no
-    /// retries for years, and its requests would fill the memory.
+    /// This also removes records older than `window`, which would accumulate in memory
+    /// while no request of the service is retried.
     pub fn record_request(&mut self, window: Duration, now: Instant) {
         self.remove_expired(window, now);
         self.requests.push_back(now);
@@ -60,10 +60,10 @@
         self.requests.len() + self.retries.len()
     }
 
-    /// Takes a retry out of the budget; returns whether there was one.
+    /// Consumes one retry of the budget; returns whether one was left.
     ///
     /// All `daemons` share the slack; while their number is unknown there is none.
-    pub fn try_take(
+    pub fn try_consume(
         &mut self,
         bound: RetryBound,
         daemons: Option<usize>,
--- a/crates/pool/tests/servers.rs
+++ b/crates/pool/tests/servers.rs
@@ -10,10 +10,10 @@
 use chestnut_pool::unreachable::UnreachableReports;
 use chestnut_pool::{Fleet, Health, InFlightRequest};
 
-fn entry(name: &str, born: u64, phase: Phase) -> ServerEntry {
+fn entry(name: &str, started_at_ms: u64, phase: Phase) -> ServerEntry {
     ServerEntry {
         name: server(name),
-        started_at_ms: Some(born),
+        started_at_ms: Some(started_at_ms),
         service: ServiceName::try_from("letters").expect("a valid name"),
         address: "10.0.0.1:80".parse().expect("a valid address"),
         domain: DomainName::try_from("a").expect("a valid name"),
@@ -67,8 +67,8 @@
 fn the_rest_of_the_grace_period_is_known() {
     // All machines lose power while the registry is unavailable. A daemon then reads a
     // registry that is nearly empty and refuses its callers; those that retry before the
-    // entries are back are refused again and may not retry any more. They are therefore
-    // told to retry after the grace period.
+    // entries are back are refused again and may not retry any more. Responses
+    // therefore ask for a retry after the grace period.
     let (mut fleet, now) = (Fleet::default(), Instant::now());
     assert_eq!(fleet.grace_left(now), Duration::ZERO);
     fleet.start_grace(now);
@@ -113,7 +113,7 @@
 #[test]
 fn the_penalty_for_failures_decays() {
     // A server fails half of its requests for a while, though its health check passes. It
-    // keeps little of its share meanwhile and has it back some seconds later.
+    // gets few requests meanwhile and its whole share again some seconds later.
     let (mut health, now) = (Health::default(), Instant::now());
     for _ in 0..4 {
         health.record_failure(now);
