--- a/crates/lab/src/config.rs
+++ b/crates/lab/src/config.rs
@@ -4,7 +4,7 @@
 //! loopback. Each daemon reaches the table through a relay that counts bytes.
 
 mod relay;
-mod stage;
+mod testbed;
 
 use std::time::{Duration, Instant};
 
@@ -15,7 +15,7 @@
 use indexmap::IndexMap;
 use serde_json::{Value, json};
 
-use self::stage::Stage;
+use self::testbed::Testbed;
 
 /// The changes a day that the system is designed for.
 const DAY: f64 = 86_400.0;
@@ -60,21 +60,21 @@
     println!("{}", check_cost());
     let runtime = tokio::runtime::Runtime::new().expect("threads can be started");
     runtime.block_on(async {
-        let mut stage = Stage::start(options).await;
+        let mut testbed = Testbed::start(options).await;
         let rates = if options.rate.is_empty() {
             vec![0.0, 1_900.0, 19_000.0, 190_000.0, 864_000.0]
         } else {
             options.rate.clone()
         };
         for rate in rates {
-            println!("{}", at_rate(&mut stage, options, rate).await);
+            println!("{}", at_rate(&mut testbed, options, rate).await);
         }
     });
 }
 
 /// Changes files at a rate and tells what came of it.
-async fn at_rate(stage: &mut Stage, options: &Options, rate: f64) -> Value {
-    let before = stage.costs().await;
+async fn at_rate(testbed: &mut Testbed, options: &Options, rate: f64) -> Value {
+    let before = testbed.table_traffic().await;
     let start = Instant::now();
     let end = start + Duration::from_secs(options.seconds);
     let gap = Duration::from_secs_f64(DAY / rate.max(1.0));
@@ -82,18 +82,20 @@
     let mut next = start + gap.min(Duration::from_secs(options.seconds)) / 2;
     while rate > 0.0 && next < end {
         tokio::time::sleep_until(next.into()).await;
-        sent.push(stage.change(options.size).await);
+        sent.push(testbed.apply_change(options.size).await);
         next += gap;
     }
     tokio::time::sleep_until(end.into()).await;
-    let after = stage.costs().await;
-    stage.settle().await;
+    let after = testbed.table_traffic().await;
+    testbed.wait_until_in_force().await;
     let spent = start.elapsed().as_secs_f64().max(options.seconds as f64);
     let (mut told, mut whole) = (histogram(), histogram());
     for change in &sent {
-        let seen = stage.in_force(change.revision);
-        told.saturating_record(micros(seen.saturating_duration_since(change.told)));
-        whole.saturating_record(micros(seen.saturating_duration_since(change.sent)));
+        let seen = testbed.in_force_at(change.revision);
+        told.saturating_record(micros(
+            seen.saturating_duration_since(change.accepted_at),
+        ));
+        whole.saturating_record(micros(seen.saturating_duration_since(change.sent_at)));
     }
     let daemons = options.daemons as f64;
     let each = |count: u64| count as f64 / spent / daemons;
--- a/crates/lab/src/config/relay.rs
+++ b/crates/lab/src/config/relay.rs
@@ -11,17 +11,20 @@
 
 /// The bytes that passed a relay in both directions.
 #[derive(Debug, Default)]
-pub struct Count(AtomicU64);
+pub struct ByteCounter(AtomicU64);
 
-impl Count {
+impl ByteCounter {
     /// The bytes so far.
-    pub fn bytes(&self) -> u64 {
+    pub fn total(&self) -> u64 {
         self.0.load(Ordering::Relaxed)
     }
 }
 
 /// Starts a relay to `target`; returns where it listens.
-pub async fn start(target: SocketAddr, count: Arc<Count>) -> std::io::Result<SocketAddr> {
+pub async fn start(
+    target: SocketAddr,
+    count: Arc<ByteCounter>,
+) -> std::io::Result<SocketAddr> {
     let listener = TcpListener::bind(("127.0.0.1", 0)).await?;
     let address = listener.local_addr()?;
     tokio::spawn(async move {
@@ -46,7 +49,7 @@
 async fn pass(
     mut from: impl AsyncRead + Unpin,
     mut to: impl AsyncWrite + Unpin,
-    count: &Count,
+    count: &ByteCounter,
 ) {
     let mut chunk = vec![0; CHUNK];
     while let Ok(read) = from.read(&mut chunk).await {
--- a/crates/lab/src/config/stage.rs
+++ b/crates/lab/src/config/testbed.rs
@@ -15,7 +15,7 @@
 use serde_json::{Value, json};
 
 use super::Options;
-use super::relay::{self, Count};
+use super::relay::{self, ByteCounter};
 
 const TEAM: &str = "team";
 const KEY: &str = "key";
@@ -24,10 +24,10 @@
 type Seen = Mutex<Vec<(Revision, Instant)>>;
 
 /// The platform's stand-in and the daemons of the experiment.
-pub struct Stage {
+pub struct Testbed {
     platform: Handle,
     daemons: Vec<Daemon>,
-    counts: Vec<Arc<Count>>,
+    counts: Vec<Arc<ByteCounter>>,
     /// When each daemon had which revision in force.
     seen: Vec<Arc<Seen>>,
     http: Client,
@@ -36,24 +36,24 @@
 }
 
 /// A change that was accepted.
-pub struct Sent {
+pub struct AcceptedChange {
     /// When it was sent.
-    pub sent: Instant,
+    pub sent_at: Instant,
     /// When its answer came.
-    pub told: Instant,
+    pub accepted_at: Instant,
     /// The revision that it made.
     pub revision: Revision,
 }
 
 /// What the daemons cost the platform so far.
-pub struct Costs {
+pub struct TableTraffic {
     /// Bytes to and from the table.
     pub bytes: u64,
     /// Calls to the table of any kind.
     pub calls: u64,
 }
 
-impl Stage {
+impl Testbed {
     /// Starts everything and declares all files.
     pub async fn start(options: &Options) -> Self {
         let any = SocketAddr::from(([127, 0, 0, 1], 0));
@@ -61,7 +61,7 @@
         let platform = platform.expect("a port is free");
         let http = Client::builder().no_proxy().build().expect("clients can be made");
         let dir = certs();
-        let mut stage = Self {
+        let mut testbed = Self {
             platform,
             daemons: Vec::new(),
             counts: Vec::new(),
@@ -71,22 +71,22 @@
             changes: 0,
         };
         let faults = json!({ "table": { "delay_ms": options.delay } });
-        let url = format!("{}/faults", stage.platform.url());
-        let done = stage.http.post(url).json(&faults).send().await;
+        let url = format!("{}/faults", testbed.platform.url());
+        let done = testbed.http.post(url).json(&faults).send().await;
         done.expect("the stand-in answers");
         for index in 0..options.daemons {
-            stage.start_daemon(options, index, &dir).await;
+            testbed.start_daemon(options, index, &dir).await;
         }
         std::fs::remove_dir_all(&dir).expect("the folder is ours");
-        for _ in 0..stage.files {
-            stage.change(options.size).await;
+        for _ in 0..testbed.files {
+            testbed.apply_change(options.size).await;
         }
-        stage.settle().await;
-        stage
+        testbed.wait_until_in_force().await;
+        testbed
     }
 
     async fn start_daemon(&mut self, options: &Options, index: usize, dir: &Path) {
-        let count = Arc::new(Count::default());
+        let count = Arc::new(ByteCounter::default());
         let table = relay::start(self.platform.address, count.clone()).await;
         let table = format!("http://{}", table.expect("a port is free"));
         let file = |name: &str| dir.join(name).display().to_string();
@@ -123,7 +123,7 @@
     }
 
     /// Changes the next file through the next daemon.
-    pub async fn change(&mut self, size: usize) -> Sent {
+    pub async fn apply_change(&mut self, size: usize) -> AcceptedChange {
         let number = self.changes;
         self.changes += 1;
         let daemon = &self.daemons[number % self.daemons.len()];
@@ -140,11 +140,15 @@
         let answer: Value = answer.json().await.expect("the answer is JSON");
         let revision = answer["revision"].as_u64();
         let revision = revision.unwrap_or_else(|| panic!("not accepted: {answer}"));
-        Sent { sent, told: Instant::now(), revision: Revision(revision) }
+        AcceptedChange {
+            sent_at: sent,
+            accepted_at: Instant::now(),
+            revision: Revision(revision),
+        }
     }
 
     /// Waits until the newest revision is in force everywhere.
-    pub async fn settle(&self) {
+    pub async fn wait_until_in_force(&self) {
         let newest = Revision(self.changes as u64);
         for daemon in &self.daemons {
             while daemon.node().shared.catalog().revision < newest {
@@ -154,7 +158,7 @@
     }
 
     /// When a revision or a later one was in force at all daemons.
-    pub fn in_force(&self, revision: Revision) -> Instant {
+    pub fn in_force_at(&self, revision: Revision) -> Instant {
         let first = |seen: &Arc<Seen>| {
             let seen = seen.lock().expect("no holder panics");
             let found = seen.iter().find(|(it, _)| *it >= revision);
@@ -164,13 +168,13 @@
     }
 
     /// What the daemons cost the platform so far.
-    pub async fn costs(&self) -> Costs {
+    pub async fn table_traffic(&self) -> TableTraffic {
         let url = format!("{}/counts", self.platform.url());
         let counts = self.http.get(url).send().await.expect("the stand-in answers");
         let counts: Value = counts.json().await.expect("the answer is JSON");
         let count = |name: &str| counts[name].as_u64().unwrap_or(0);
-        Costs {
-            bytes: self.counts.iter().map(|count| count.bytes()).sum(),
+        TableTraffic {
+            bytes: self.counts.iter().map(|count| count.total()).sum(),
             calls: count("commits") + count("conflicts") + count("reads"),
         }
     }
--- a/crates/lab/src/journal.rs
+++ b/crates/lab/src/journal.rs
@@ -19,7 +19,7 @@
 use reqwest::Client;
 use serde_json::json;
 
-use self::daemon::{Daemon, Tally};
+use self::daemon::{Daemon, Measurements};
 
 /// The time that a call to the table service may take, as in the settings.
 const TIMEOUT: Duration = Duration::from_secs(2);
@@ -92,9 +92,9 @@
         fault_objects(&url, false).await;
     }
     let back = start + time / 3 + Duration::from_secs(options.outage);
-    let mut sum = Tally::default();
+    let mut sum = Measurements::default();
     for task in tasks {
-        sum.add(task.await.expect("no daemon of the experiment panics"));
+        sum.merge(task.await.expect("no daemon of the experiment panics"));
     }
     report(options, &sum, start, back);
 }
@@ -107,17 +107,17 @@
     options: &Options,
 ) {
     let claims = claim(table, [SlotId(0)].into_iter()).await;
-    daemon::fill(table, SlotId(0), options.recover).await;
+    daemon::write_finished_requests(table, SlotId(0), options.recover).await;
     fault(url, json!({ "delay_ms": options.delay })).await;
     let mut daemon = Daemon::new(0, 1, table.clone(), objects, claims);
     let (start, before) = (Instant::now(), resident_kb());
-    daemon.open().await;
+    daemon.open_slots().await;
     let line = json!({
         "grown_kb": resident_kb().saturating_sub(before),
         "ids": options.recover,
         "delay_ms": options.delay,
         "open_ms": millis(start.elapsed()),
-        "ids_in_memory": daemon.ids(),
+        "ids_in_memory": daemon.id_count(),
     });
     println!("{line}");
 }
@@ -160,26 +160,26 @@
     call.send().await.expect("the stand-in answers");
 }
 
-fn report(options: &Options, sum: &Tally, start: Instant, back: Instant) {
+fn report(options: &Options, sum: &Measurements, start: Instant, back: Instant) {
     let seconds = options.seconds as f64;
     let line = json!({
         "daemons": options.daemons,
         "slots": options.slots,
         "rate": options.rate,
         "delay_ms": options.delay,
-        "requests": sum.asked,
-        "answered": sum.answered,
-        "refused": sum.refused,
-        "transactions_a_second": sum.commits.len() as f64 / seconds,
-        "rows_a_second": sum.rows as f64 / seconds,
-        "start_ms": quantiles(&sum.started),
-        "end_ms": quantiles(&sum.ended),
+        "requests": sum.requests,
+        "answered": sum.responses,
+        "refused": sum.refusals,
+        "transactions_a_second": sum.commit_times.len() as f64 / seconds,
+        "rows_a_second": sum.rows_written as f64 / seconds,
+        "start_ms": quantiles(&sum.start_latency),
+        "end_ms": quantiles(&sum.completion_latency),
         "outage_s": options.outage,
-        "most_transactions_in_a_second_after": busiest(&sum.commits, back),
-        "appends": sum.appends.len(),
-        "most_appends_in_a_second": busiest(&sum.appends, start),
-        "most_before": busiest_before(&sum.commits, start, start + (back - start) / 3),
-        "last_answer_after_s": sum.last.map(|last| {
+        "most_transactions_in_a_second_after": busiest(&sum.commit_times, back),
+        "appends": sum.append_times.len(),
+        "most_appends_in_a_second": busiest(&sum.append_times, start),
+        "most_before": busiest_before(&sum.commit_times, start, start + (back - start) / 3),
+        "last_answer_after_s": sum.last_response.map(|last| {
             last.saturating_duration_since(back).as_secs_f64()
         }),
     });
--- a/crates/lab/src/journal/daemon.rs
+++ b/crates/lab/src/journal/daemon.rs
@@ -27,56 +27,58 @@
 const MINUTE: u64 = 60_000_000;
 
 /// What the experiment counts.
-pub struct Tally {
+pub struct Measurements {
     /// Requests that came.
-    pub asked: u64,
+    pub requests: u64,
     /// Requests that were answered.
-    pub answered: u64,
+    pub responses: u64,
     /// Refusals; each request came back as it was told.
-    pub refused: u64,
+    pub refusals: u64,
     /// Rows that were written.
-    pub rows: u64,
+    pub rows_written: u64,
     /// When transactions were sent.
-    pub commits: Vec<Instant>,
+    pub commit_times: Vec<Instant>,
     /// When appends to slots' logs were sent.
-    pub appends: Vec<Instant>,
+    pub append_times: Vec<Instant>,
     /// From the request to its run, in microseconds.
-    pub started: Histogram<u64>,
+    pub start_latency: Histogram<u64>,
     /// From the end of the run to the end mark, in microseconds.
-    pub ended: Histogram<u64>,
+    pub completion_latency: Histogram<u64>,
     /// When the last answer came.
-    pub last: Option<Instant>,
+    pub last_response: Option<Instant>,
 }
 
-impl Default for Tally {
+impl Default for Measurements {
     fn default() -> Self {
         let empty = || Histogram::new_with_bounds(1, MINUTE, 3).expect("valid bounds");
         Self {
-            asked: 0,
-            answered: 0,
-            refused: 0,
-            rows: 0,
-            commits: Vec::new(),
-            appends: Vec::new(),
-            started: empty(),
-            ended: empty(),
-            last: None,
+            requests: 0,
+            responses: 0,
+            refusals: 0,
+            rows_written: 0,
+            commit_times: Vec::new(),
+            append_times: Vec::new(),
+            start_latency: empty(),
+            completion_latency: empty(),
+            last_response: None,
         }
     }
 }
 
-impl Tally {
+impl Measurements {
     /// Adds another daemon's counts.
-    pub fn add(&mut self, other: Self) {
-        self.asked += other.asked;
-        self.answered += other.answered;
-        self.refused += other.refused;
-        self.rows += other.rows;
-        self.commits.extend(other.commits);
-        self.appends.extend(other.appends);
-        self.started.add(&other.started).expect("both have the same bounds");
-        self.ended.add(&other.ended).expect("both have the same bounds");
-        self.last = self.last.max(other.last);
+    pub fn merge(&mut self, other: Self) {
+        self.requests += other.requests;
+        self.responses += other.responses;
+        self.refusals += other.refusals;
+        self.rows_written += other.rows_written;
+        self.commit_times.extend(other.commit_times);
+        self.append_times.extend(other.append_times);
+        self.start_latency.add(&other.start_latency).expect("both have the same bounds");
+        self.completion_latency
+            .add(&other.completion_latency)
+            .expect("both have the same bounds");
+        self.last_response = self.last_response.max(other.last_response);
     }
 }
 
@@ -104,7 +106,7 @@
     returning: BinaryHeap<Reverse<(Instant, u64)>>,
     refused: IndexMap<u64, Asked>,
     tickets: u64,
-    tally: Tally,
+    tally: Measurements,
 }
 
 impl Daemon {
@@ -132,12 +134,12 @@
             returning: BinaryHeap::new(),
             refused: IndexMap::new(),
             tickets: 0,
-            tally: Tally::default(),
+            tally: Measurements::default(),
         }
     }
 
     /// Takes the slots and waits until their rows are read.
-    pub async fn open(&mut self) {
+    pub async fn open_slots(&mut self) {
         for (slot, version) in self.claims.clone() {
             self.tell(Event::SlotClaimed { slot, version });
         }
@@ -148,13 +150,13 @@
     }
 
     /// The number of ids in memory.
-    pub fn ids(&self) -> usize {
+    pub fn id_count(&self) -> usize {
         self.journal.id_count()
     }
 
     /// Takes a request every `gap` for `time`, then ends what is left.
-    pub async fn run(mut self, gap: Duration, time: Duration) -> Tally {
-        self.open().await;
+    pub async fn run(mut self, gap: Duration, time: Duration) -> Measurements {
+        self.open_slots().await;
         let start = Instant::now();
         let mut next = start + gap.mul_f64(f64::from(self.index % 7) / 7.0);
         let mut number = 0;
@@ -189,7 +191,7 @@
     fn ask_new(&mut self, number: u64) {
         let slot = self.claims[number as usize % self.claims.len()].0;
         let id = request(&format!("{}-{number}", self.index));
-        self.tally.asked += 1;
+        self.tally.requests += 1;
         self.ask(Asked { id, slot, since: Instant::now() });
     }
 
@@ -242,8 +244,8 @@
                     });
                 }
                 Effect::Commit(batch) => {
-                    self.tally.commits.push(Instant::now());
-                    self.tally.rows += batch.changes.len() as u64;
+                    self.tally.commit_times.push(Instant::now());
+                    self.tally.rows_written += batch.changes.len() as u64;
                     let (table, inbox) = (self.table.clone(), self.inbox.clone());
                     tokio::spawn(async move {
                         let stored = commit(&table, &batch).await;
@@ -256,7 +258,7 @@
                     });
                 }
                 Effect::AppendToLog { slot, number, position: place, records } => {
-                    self.tally.appends.push(Instant::now());
+                    self.tally.append_times.push(Instant::now());
                     let (objects, inbox) = (self.objects.clone(), self.inbox.clone());
                     tokio::spawn(async move {
                         let appended = append(&objects, slot, place, &records).await;
@@ -281,7 +283,7 @@
     fn ran(&mut self, ticket: WaiterId, id: RequestId, attempt: AttemptId) {
         let now = Instant::now();
         if let Some(asked) = self.waiting.get(&ticket) {
-            self.tally.started.saturating_record(micros(now - asked.since));
+            self.tally.start_latency.saturating_record(micros(now - asked.since));
         }
         self.ends.insert(id.clone(), now);
         let answer = answer().into();
@@ -297,14 +299,14 @@
         let now = Instant::now();
         match reply {
             Reply::Response(_) => {
-                self.tally.answered += 1;
-                self.tally.last = Some(now);
+                self.tally.responses += 1;
+                self.tally.last_response = Some(now);
                 if let Some(end) = self.ends.swap_remove(&asked.id) {
-                    self.tally.ended.saturating_record(micros(now - end));
+                    self.tally.completion_latency.saturating_record(micros(now - end));
                 }
             }
             Reply::Refused(refusal) => {
-                self.tally.refused += 1;
+                self.tally.refusals += 1;
                 let wait = refusal.retry_after.unwrap_or(Duration::from_secs(1));
                 self.returning.push(Reverse((now + wait, ticket.0)));
                 self.refused.insert(ticket.0, asked);
@@ -315,7 +317,7 @@
 }
 
 /// Writes `count` finished ids into a slot.
-pub async fn fill(table: &TableClient, slot: SlotId, count: usize) {
+pub async fn write_finished_requests(table: &TableClient, slot: SlotId, count: usize) {
     let ids: Vec<usize> = (0..count).collect();
     for part in ids.chunks(500) {
         let put = |txn: Txn, number: &usize| {
--- a/crates/lab/src/lib.rs
+++ b/crates/lab/src/lib.rs
@@ -11,12 +11,12 @@
 
 pub mod causes;
 pub mod config;
-mod cost;
 pub mod decisions;
 pub mod journal;
 pub mod logs;
 pub mod moves;
 pub mod policies;
+mod resource_usage;
 pub mod slopes;
 
 use std::process::ExitCode;
--- a/crates/lab/src/logs.rs
+++ b/crates/lab/src/logs.rs
@@ -15,7 +15,7 @@
 use chestnut_gate::logs::{WRITER_THREAD, logger_to};
 use slog::{Discard, Logger, info, o};
 
-use crate::cost;
+use crate::resource_usage;
 
 /// The name of the thread that serves, as far as logging is concerned.
 const SERVING: &str = "serving";
@@ -107,8 +107,8 @@
         thread::sleep(REST);
         // Threads that have ended are not counted.
         Cost {
-            serving: cost::processor(SERVING),
-            writing: cost::processor(WRITER_THREAD),
+            serving: resource_usage::cpu_seconds(SERVING),
+            writing: resource_usage::cpu_seconds(WRITER_THREAD),
             slowest,
         }
     });
--- a/crates/lab/src/cost.rs
+++ b/crates/lab/src/resource_usage.rs
@@ -6,12 +6,12 @@
 pub const DAEMON_THREADS: &str = "daemon";
 
 /// The start of the names of the stand-ins' threads.
-pub const OUTSIDE_THREADS: &str = "outside";
+pub const HARNESS_THREADS: &str = "outside";
 
 /// The processor time of all threads whose name starts with `name`, in seconds.
 ///
 /// Threads that ended are not counted; runtimes keep theirs.
-pub fn processor(name: &str) -> f64 {
+pub fn cpu_seconds(name: &str) -> f64 {
     let Ok(tasks) = fs::read_dir("/proc/self/task") else { return 0.0 };
     let time = |path: std::path::PathBuf| {
         let comm = fs::read_to_string(path.join("comm")).ok()?;
@@ -26,7 +26,7 @@
 }
 
 /// The memory that this process occupies, in bytes.
-pub fn resident() -> f64 {
+pub fn resident_bytes() -> f64 {
     let status = fs::read_to_string("/proc/self/status").unwrap_or_default();
     let line = status.lines().find(|line| line.starts_with("VmRSS:"));
     let kib = line.and_then(|line| line.split_whitespace().nth(1)?.parse::<f64>().ok());
--- a/crates/lab/src/slopes/mod.rs
+++ b/crates/lab/src/slopes/mod.rs
@@ -10,7 +10,7 @@
 mod requests;
 mod rows;
 mod state;
-mod world;
+mod testbed;
 
 use std::process::ExitCode;
 
@@ -77,4 +77,4 @@
     ExitCode::SUCCESS
 }
 
-type Experiment = fn(u64) -> Result<Vec<Point>, world::WorldError>;
+type Experiment = fn(u64) -> Result<Vec<Point>, testbed::ExperimentError>;
--- a/crates/lab/src/slopes/requests.rs
+++ b/crates/lab/src/slopes/requests.rs
@@ -8,8 +8,8 @@
 use serde_json::{Value, json};
 
 use super::Point;
-use super::world::{World, WorldError, sha256};
-use crate::cost::{self, DAEMON_THREADS};
+use super::testbed::{ExperimentError, Testbed, sha256_hex};
+use crate::resource_usage::{self, DAEMON_THREADS};
 
 /// Daemons; most requests pass through two of them.
 const DAEMONS: usize = 2;
@@ -27,31 +27,35 @@
 const MINUTE: u64 = 60_000_000;
 
 /// Measures processor time for each request as answers grow longer.
-pub fn run(seconds: u64) -> Result<Vec<Point>, WorldError> {
-    let mut world = World::new(json!({ "poll_ms": 500 }))?;
+pub fn run(seconds: u64) -> Result<Vec<Point>, ExperimentError> {
+    let mut testbed = Testbed::new(json!({ "poll_ms": 500 }))?;
     for _ in 0..2 {
-        world.start_engine(EngineConfig {
+        testbed.start_engine(EngineConfig {
             streams: 256,
             step: Duration::from_millis(1),
             ..EngineConfig::default()
         })?;
     }
     for _ in 0..DAEMONS {
-        world.start_daemon()?;
+        testbed.start_daemon()?;
     }
-    world.declare(&declarations())?;
-    wait_ready(&world)?;
-    TOKENS.iter().map(|&tokens| measure(&world, tokens, seconds)).collect()
+    testbed.apply_declarations(&declarations())?;
+    wait_ready(&testbed)?;
+    TOKENS.iter().map(|&tokens| measure(&testbed, tokens, seconds)).collect()
 }
 
-fn measure(world: &World, tokens: u32, seconds: u64) -> Result<Point, WorldError> {
-    let busy = cost::processor(DAEMON_THREADS);
+fn measure(
+    testbed: &Testbed,
+    tokens: u32,
+    seconds: u64,
+) -> Result<Point, ExperimentError> {
+    let busy = resource_usage::cpu_seconds(DAEMON_THREADS);
     let begin = Instant::now();
     let until = begin + Duration::from_secs(seconds);
-    let loops = (0..PARALLEL).map(|n| ask_until(world, n, tokens, until));
-    let found = world.outside.block_on(futures::future::join_all(loops));
+    let loops = (0..PARALLEL).map(|n| ask_until(testbed, n, tokens, until));
+    let found = testbed.harness_runtime.block_on(futures::future::join_all(loops));
     let time = begin.elapsed().as_secs_f64();
-    let busy = cost::processor(DAEMON_THREADS) - busy;
+    let busy = resource_usage::cpu_seconds(DAEMON_THREADS) - busy;
     let mut first = Histogram::<u64>::new_with_bounds(1, MINUTE, 3).expect("bounds");
     let mut served = 0;
     for one in found {
@@ -80,18 +84,18 @@
 }
 
 async fn ask_until(
-    world: &World,
+    testbed: &Testbed,
     caller: usize,
     tokens: u32,
     until: Instant,
-) -> Result<Seen, WorldError> {
+) -> Result<Seen, ExperimentError> {
     let first = Histogram::new_with_bounds(1, MINUTE, 3).expect("valid bounds");
     let mut seen = Seen { served: 0, first };
-    let entry = world.entry(caller % DAEMONS);
+    let entry = testbed.caller_url(caller % DAEMONS);
     while Instant::now() < until {
         let sent = Instant::now();
         let prompt = format!("caller {caller} asks for the {}th time", seen.served);
-        let answer = ask(world, &entry, &prompt, tokens).send().await?;
+        let answer = ask(testbed, &entry, &prompt, tokens).send().await?;
         let served = answer.status().is_success();
         let mut body = answer.bytes_stream();
         let mut begun = false;
@@ -108,8 +112,13 @@
     Ok(seen)
 }
 
-fn ask(world: &World, entry: &str, prompt: &str, tokens: u32) -> reqwest::RequestBuilder {
-    world
+fn ask(
+    testbed: &Testbed,
+    entry: &str,
+    prompt: &str,
+    tokens: u32,
+) -> reqwest::RequestBuilder {
+    testbed
         .http
         .post(format!("{entry}/v1/completions"))
         .header("authorization", "Bearer caller")
@@ -118,13 +127,13 @@
         }))
 }
 
-fn wait_ready(world: &World) -> Result<(), WorldError> {
+fn wait_ready(testbed: &Testbed) -> Result<(), ExperimentError> {
     let begin = Instant::now();
     for daemon in 0..DAEMONS {
-        let entry = world.entry(daemon);
+        let entry = testbed.caller_url(daemon);
         loop {
-            let call = ask(world, &entry, "ready?", 1).send();
-            let ready = world.outside.block_on(call)?.status().is_success();
+            let call = ask(testbed, &entry, "ready?", 1).send();
+            let ready = testbed.harness_runtime.block_on(call)?.status().is_success();
             if ready || begin.elapsed() > READY {
                 break;
             }
@@ -146,6 +155,6 @@
             "replicas": 2,
         }},
         "routes": { "route": { "model": "model" } },
-        "callers": { "caller": { "key_sha256": sha256("caller") } },
+        "callers": { "caller": { "key_sha256": sha256_hex("caller") } },
     })
 }
--- a/crates/lab/src/slopes/rows.rs
+++ b/crates/lab/src/slopes/rows.rs
@@ -28,7 +28,7 @@
 
 /// The size of a system.
 #[derive(Debug, Clone, Copy)]
-pub struct Size {
+pub struct SystemSize {
     /// Daemons.
     pub members: usize,
     /// Runners.
@@ -36,23 +36,26 @@
     /// Models.
     pub models: usize,
     /// Slots of the journal.
-    pub slots: u16,
+    pub journal_slots: u16,
 }
 
-impl Size {
+impl SystemSize {
     /// The proportions of the full size, with so many runners.
-    pub fn of(runners: usize) -> Self {
+    pub fn with_runners(runners: usize) -> Self {
         Self {
             members: (runners * 2100 / 12_000).max(1),
             runners,
             models: (runners * 1900 / 12_000).max(1),
-            slots: 64,
+            journal_slots: 64,
         }
     }
 }
 
 /// Writes all rows of a system.
-pub async fn fill(table: &TableClient, size: Size) -> Result<(), PlatformError> {
+pub async fn write_system(
+    table: &TableClient,
+    size: SystemSize,
+) -> Result<(), PlatformError> {
     let mut rows = Rows { table, txn: Txn::new() };
     for n in 0..size.members {
         let vm = format!("entry-{n}");
@@ -66,16 +69,19 @@
         rows.put(LEDGER, name.to_string(), json!(ledger(n, size.models, 0))).await?;
     }
     let pool = PoolName::try_from("main").expect("a valid name");
-    let slots = (0..size.slots).map(|n| ClaimKey::Slot(SlotId(n)));
+    let slots = (0..size.journal_slots).map(|n| ClaimKey::Slot(SlotId(n)));
     for (n, key) in slots.chain([ClaimKey::Vms, ClaimKey::Pool(pool)]).enumerate() {
         rows.put(CLAIMS, key.to_string(), json!(claim(n % size.members))).await?;
     }
     rows.commit().await?;
-    renew(table, size).await
+    renew_leases(table, size).await
 }
 
 /// Renews the leases of all members.
-pub async fn renew(table: &TableClient, size: Size) -> Result<(), PlatformError> {
+pub async fn renew_leases(
+    table: &TableClient,
+    size: SystemSize,
+) -> Result<(), PlatformError> {
     let mut rows = Rows { table, txn: Txn::new() };
     for n in 0..size.members {
         let lease = LeaseRow { member: id(n), revision: Default::default(), modified: 0 };
@@ -85,9 +91,9 @@
 }
 
 /// Rewrites `count` ledgers, from the one numbered `from` on.
-pub async fn change(
+pub async fn rewrite_ledgers(
     table: &TableClient,
-    size: Size,
+    size: SystemSize,
     from: usize,
     count: usize,
 ) -> Result<(), PlatformError> {
@@ -135,12 +141,12 @@
 }
 
 /// The name of a model.
-pub fn model(n: usize) -> ModelName {
+pub fn model_name(n: usize) -> ModelName {
     ModelName::try_from(format!("model-{n}")).expect("a valid name")
 }
 
 /// The version of all models.
-pub fn version() -> VersionName {
+pub fn model_version() -> VersionName {
     VersionName::try_from("v1").expect("a valid name")
 }
 
@@ -181,7 +187,10 @@
 /// A runner's ledger; another `turn` holds other models.
 fn ledger(n: usize, models: usize, turn: usize) -> Ledger {
     let item = |k: usize| Reservation {
-        asset: Asset::model(model((n * HELD + k + turn * 7) % models), version()),
+        asset: Asset::model(
+            model_name((n * HELD + k + turn * 7) % models),
+            model_version(),
+        ),
         bytes: MODEL_BYTES,
         state: ReservationState::Ready,
         loads: Vec::new(),
--- a/crates/lab/src/slopes/state.rs
+++ b/crates/lab/src/slopes/state.rs
@@ -9,9 +9,9 @@
 use serde_json::{Value, json};
 
 use super::Point;
-use super::rows::{self, MODEL_BYTES, RUNNER_BYTES, Size};
-use super::world::{World, WorldError};
-use crate::cost::{self, DAEMON_THREADS};
+use super::rows::{self, MODEL_BYTES, RUNNER_BYTES, SystemSize};
+use super::testbed::{ExperimentError, Testbed};
+use crate::resource_usage::{self, DAEMON_THREADS};
 
 /// Runners at each size; the last is the full one.
 const RUNNERS: [usize; 4] = [1_500, 3_000, 6_000, 12_000];
@@ -32,23 +32,28 @@
 const RENEWAL: Duration = Duration::from_secs(5);
 
 /// Measures memory, processor time and traffic as the number of runners grows.
-pub fn run(seconds: u64) -> Result<Vec<Point>, WorldError> {
+pub fn run(seconds: u64) -> Result<Vec<Point>, ExperimentError> {
     RUNNERS.iter().map(|&runners| measure_size(runners, seconds)).collect()
 }
 
 /// Measures processor time and traffic as more rows change.
-pub fn run_changes(seconds: u64) -> Result<Vec<Point>, WorldError> {
-    let size = Size::of(CHANGED_RUNNERS);
-    let mut world = filled(size)?;
-    let _leases = keep_leases(&world, size);
+pub fn run_changes(seconds: u64) -> Result<Vec<Point>, ExperimentError> {
+    let size = SystemSize::with_runners(CHANGED_RUNNERS);
+    let mut testbed = filled(size)?;
+    let _leases = keep_leases(&testbed, size);
     for _ in 0..WATCHED {
-        start(&mut world, size)?;
+        start(&mut testbed, size)?;
     }
     let mut points = Vec::new();
     let mut next = 0;
     for rate in RATES {
-        let cost = watch(&world, seconds, |_| {
-            world.outside.block_on(rows::change(&world.table, size, next, rate))?;
+        let cost = watch(&testbed, seconds, |_| {
+            testbed.harness_runtime.block_on(rows::rewrite_ledgers(
+                &testbed.table,
+                size,
+                next,
+                rate,
+            ))?;
             next += rate;
             Ok(())
         })?;
@@ -63,41 +68,43 @@
     Ok(points)
 }
 
-fn measure_size(runners: usize, seconds: u64) -> Result<Point, WorldError> {
-    let size = Size::of(runners);
-    let mut world = filled(size)?;
-    let _leases = keep_leases(&world, size);
+fn measure_size(runners: usize, seconds: u64) -> Result<Point, ExperimentError> {
+    let size = SystemSize::with_runners(runners);
+    let mut testbed = filled(size)?;
+    let _leases = keep_leases(&testbed, size);
     // The first daemon also warms up what they share in this process.
-    start(&mut world, size)?;
-    let (memory, busy) = (cost::resident(), cost::processor(DAEMON_THREADS));
+    start(&mut testbed, size)?;
+    let (memory, busy) =
+        (resource_usage::resident_bytes(), resource_usage::cpu_seconds(DAEMON_THREADS));
     for _ in 1..WATCHED {
-        start(&mut world, size)?;
+        start(&mut testbed, size)?;
     }
     let others = (WATCHED - 1) as f64;
-    let memory = (cost::resident() - memory) / others;
-    let start = (cost::processor(DAEMON_THREADS) - busy) / others;
-    let cost = watch(&world, seconds, |_| Ok(()))?;
+    let memory = (resource_usage::resident_bytes() - memory) / others;
+    let start = (resource_usage::cpu_seconds(DAEMON_THREADS) - busy) / others;
+    let cost = watch(&testbed, seconds, |_| Ok(()))?;
     let mut values = vec![("memory_mb", memory / 1e6), ("start_cpu_s", start)];
     values.extend(cost.values());
     Ok(Point { experiment: "state", unit: "runner", size: runners as f64, values })
 }
 
-fn filled(size: Size) -> Result<World, WorldError> {
-    let world = World::new(json!({
+fn filled(size: SystemSize) -> Result<Testbed, ExperimentError> {
+    let testbed = Testbed::new(json!({
         "lease_ms": 20_000, "renewal_ms": 6_000, "poll_ms": 500, "stale_ms": 60_000,
         "platform_ms": 20_000,
     }))?;
-    world.outside.block_on(rows::fill(&world.table, size))?;
-    Ok(world)
+    testbed.harness_runtime.block_on(rows::write_system(&testbed.table, size))?;
+    Ok(testbed)
 }
 
 /// Renews leases until the returned sender is dropped.
-fn keep_leases(world: &World, size: Size) -> mpsc::Sender<()> {
+fn keep_leases(testbed: &Testbed, size: SystemSize) -> mpsc::Sender<()> {
     let (alive, gone) = mpsc::channel();
-    let (table, handle) = (world.table.clone(), world.outside.handle().clone());
+    let (table, handle) =
+        (testbed.table.clone(), testbed.harness_runtime.handle().clone());
     thread::spawn(move || {
         while gone.recv_timeout(RENEWAL) == Err(mpsc::RecvTimeoutError::Timeout) {
-            if let Err(error) = handle.block_on(rows::renew(&table, size)) {
+            if let Err(error) = handle.block_on(rows::renew_leases(&table, size)) {
                 eprintln!("leases were not renewed: {error}");
             }
         }
@@ -106,13 +113,13 @@
 }
 
 /// Starts a daemon and waits until it knows the whole system.
-fn start(world: &mut World, size: Size) -> Result<(), WorldError> {
-    world.start_daemon()?;
-    if world.daemons.len() == 1 {
-        world.declare(&declarations(size))?;
+fn start(testbed: &mut Testbed, size: SystemSize) -> Result<(), ExperimentError> {
+    testbed.start_daemon()?;
+    if testbed.daemons.len() == 1 {
+        testbed.apply_declarations(&declarations(size))?;
     }
     let begin = Instant::now();
-    let shared = world.daemons.last().expect("one was started").node().shared.clone();
+    let shared = testbed.daemons.last().expect("one was started").node().shared.clone();
     let knows = || {
         shared.view().servers.len() == size.runners
             && shared.residency().runners().len() == size.runners
@@ -149,23 +156,23 @@
 
 /// Watches the daemons for some seconds, doing something in each.
 fn watch(
-    world: &World,
+    testbed: &Testbed,
     seconds: u64,
-    mut each: impl FnMut(u64) -> Result<(), WorldError>,
-) -> Result<Cost, WorldError> {
-    let before = sums(world);
-    let busy = cost::processor(DAEMON_THREADS);
+    mut each: impl FnMut(u64) -> Result<(), ExperimentError>,
+) -> Result<Cost, ExperimentError> {
+    let before = sums(testbed);
+    let busy = resource_usage::cpu_seconds(DAEMON_THREADS);
     let begin = Instant::now();
     for second in 0..seconds {
         each(second)?;
         let due = begin + Duration::from_secs(second + 1);
         thread::sleep(due.saturating_duration_since(Instant::now()));
     }
-    let share = 1.0 / (begin.elapsed().as_secs_f64() * world.daemons.len() as f64);
-    let after = sums(world);
+    let share = 1.0 / (begin.elapsed().as_secs_f64() * testbed.daemons.len() as f64);
+    let after = sums(testbed);
     let per = |n: usize| (after[n] - before[n]) as f64 * share;
     Ok(Cost {
-        cpu: (cost::processor(DAEMON_THREADS) - busy) * share,
+        cpu: (resource_usage::cpu_seconds(DAEMON_THREADS) - busy) * share,
         reads: per(0),
         writes: per(1),
         received: per(2),
@@ -174,9 +181,9 @@
 }
 
 /// Reads, writes, bytes received and bytes sent of all daemons.
-fn sums(world: &World) -> [u64; 4] {
+fn sums(testbed: &Testbed) -> [u64; 4] {
     let mut sums = [0; 4];
-    for daemon in &world.daemons {
+    for daemon in &testbed.daemons {
         let traffic: &TrafficCounters = daemon.node().shared.table.traffic();
         let parts = [&traffic.reads, &traffic.commits, &traffic.received, &traffic.sent];
         for (sum, part) in sums.iter_mut().zip(parts) {
@@ -186,18 +193,18 @@
     sums
 }
 
-fn declarations(size: Size) -> Value {
+fn declarations(size: SystemSize) -> Value {
     let models: serde_json::Map<String, Value> = (0..size.models)
         .map(|n| {
             let model = json!({
-                "pool": "main", "version": rows::version().as_str(),
+                "pool": "main", "version": rows::model_version().as_str(),
                 "bytes": MODEL_BYTES, "cold_ms": 30_000,
             });
-            (rows::model(n).to_string(), model)
+            (rows::model_name(n).to_string(), model)
         })
         .collect();
     let routes: serde_json::Map<String, Value> = (0..size.models)
-        .map(|n| (format!("route-{n}"), json!({ "model": rows::model(n).as_str() })))
+        .map(|n| (format!("route-{n}"), json!({ "model": rows::model_name(n).as_str() })))
         .collect();
     json!({
         "pools": { "main": {
--- a/crates/lab/src/slopes/world.rs
+++ b/crates/lab/src/slopes/testbed.rs
@@ -17,7 +17,7 @@
 use sha2::{Digest, Sha256};
 use tokio::runtime::{Builder, Runtime};
 
-use crate::cost::{DAEMON_THREADS, OUTSIDE_THREADS};
+use crate::resource_usage::{DAEMON_THREADS, HARNESS_THREADS};
 
 const THREADS: usize = 4;
 
@@ -26,40 +26,40 @@
 
 /// Why an experiment could not be carried out.
 #[derive(Debug)]
-pub struct WorldError(String);
+pub struct ExperimentError(String);
 
-impl Display for WorldError {
+impl Display for ExperimentError {
     fn fmt(&self, f: &mut Formatter<'_>) -> fmt::Result {
         f.write_str(&self.0)
     }
 }
 
-impl std::error::Error for WorldError {}
+impl std::error::Error for ExperimentError {}
 
-impl From<std::io::Error> for WorldError {
+impl From<std::io::Error> for ExperimentError {
     fn from(error: std::io::Error) -> Self {
         Self(error.to_string())
     }
 }
 
-impl From<PlatformError> for WorldError {
+impl From<PlatformError> for ExperimentError {
     fn from(error: PlatformError) -> Self {
         Self(error.to_string())
     }
 }
 
-impl From<reqwest::Error> for WorldError {
+impl From<reqwest::Error> for ExperimentError {
     fn from(error: reqwest::Error) -> Self {
         Self(error.to_string())
     }
 }
 
 /// The stand-ins and daemons of an experiment.
-pub struct World {
+pub struct Testbed {
     /// The threads of the daemons.
-    pub inside: Runtime,
+    pub daemon_runtime: Runtime,
     /// The threads of everything else.
-    pub outside: Runtime,
+    pub harness_runtime: Runtime,
     /// The table, as the experiment itself uses it.
     pub table: TableClient,
     /// The daemons.
@@ -73,9 +73,9 @@
     times: Value,
 }
 
-impl World {
+impl Testbed {
     /// Starts the platform's stand-in.
-    pub fn new(times: Value) -> Result<Self, WorldError> {
+    pub fn new(times: Value) -> Result<Self, ExperimentError> {
         let runtime = |name: &str| {
             Builder::new_multi_thread()
                 .worker_threads(THREADS)
@@ -83,10 +83,10 @@
                 .enable_all()
                 .build()
         };
-        let inside = runtime(DAEMON_THREADS)?;
-        let outside = runtime(OUTSIDE_THREADS)?;
+        let daemon_runtime = runtime(DAEMON_THREADS)?;
+        let harness_runtime = runtime(HARNESS_THREADS)?;
         let speed = WeightSpeed { rate: 100.0, parallel: 8, bytes: 400e9 };
-        let platform = outside.block_on(platform::start(any(), speed))?;
+        let platform = harness_runtime.block_on(platform::start(any(), speed))?;
         let table = TableClient::new(platform.url(), WAIT)?;
         let folder = std::env::temp_dir().join(format!(
             "chestnutlane-lab-{}-{}",
@@ -98,8 +98,8 @@
         let http = Client::builder().no_proxy().build()?;
         let (daemons, engines) = (Vec::new(), Vec::new());
         Ok(Self {
-            inside,
-            outside,
+            daemon_runtime,
+            harness_runtime,
             table,
             daemons,
             http,
@@ -111,7 +111,7 @@
     }
 
     /// Starts a daemon.
-    pub fn start_daemon(&mut self) -> Result<(), WorldError> {
+    pub fn start_daemon(&mut self) -> Result<(), ExperimentError> {
         let name = format!("real-{}", self.daemons.len());
         let file = |name: &str| self.folder.join(name).display().to_string();
         let (url, any) = (self.platform.url(), any().to_string());
@@ -124,33 +124,37 @@
                 "key": file("daemon.key"),
                 "trust": file("trust.pem"),
             },
-            "operators": { "lab": sha256("operator") },
+            "operators": { "lab": sha256_hex("operator") },
             "times": self.times,
         });
         let settings = Settings::parse("the experiment's settings", &text.to_string())
-            .map_err(|problems| WorldError(problems.to_string()))?;
+            .map_err(|problems| ExperimentError(problems.to_string()))?;
         let start = run::start(settings, Arc::new(SystemClock), logs::discard());
-        let daemon = self.inside.block_on(start);
-        self.daemons.push(daemon.map_err(|report| WorldError(format!("{report:?}")))?);
+        let daemon = self.daemon_runtime.block_on(start);
+        self.daemons
+            .push(daemon.map_err(|report| ExperimentError(format!("{report:?}")))?);
         Ok(())
     }
 
     /// Starts an engine and puts it on the list of VMs.
-    pub fn start_engine(&mut self, config: EngineConfig) -> Result<(), WorldError> {
+    pub fn start_engine(&mut self, config: EngineConfig) -> Result<(), ExperimentError> {
         let name = format!("runner-{}", self.engines.len());
-        let engine = self.outside.block_on(engine::start(any(), config))?;
+        let engine = self.harness_runtime.block_on(engine::start(any(), config))?;
         let row = json!({
             "vm": name, "domain": "domain-0", "state": "live",
             "address": engine.address.to_string(), "role": "runner", "pool": "main",
         });
         let call = self.http.put(format!("{}/v1/vms/{name}", self.platform.url()));
-        self.outside.block_on(call.json(&row).send())?.error_for_status()?;
+        self.harness_runtime.block_on(call.json(&row).send())?.error_for_status()?;
         self.engines.push(engine);
         Ok(())
     }
 
     /// Declares a pool and models, and waits until it is accepted.
-    pub fn declare(&self, declarations: &Value) -> Result<(), WorldError> {
+    pub fn apply_declarations(
+        &self,
+        declarations: &Value,
+    ) -> Result<(), ExperimentError> {
         let ops = format!("http://{}", self.daemons[0].addresses.ops);
         let call = || async {
             let change = json!({
@@ -167,27 +171,27 @@
         };
         let start = std::time::Instant::now();
         loop {
-            let answer = self.outside.block_on(call())?;
+            let answer = self.harness_runtime.block_on(call())?;
             if answer["verdict"] == "accepted" {
                 return Ok(());
             }
             if start.elapsed() > WAIT {
-                return Err(WorldError(answer.to_string()));
+                return Err(ExperimentError(answer.to_string()));
             }
             std::thread::sleep(Duration::from_millis(100));
         }
     }
 
     /// Where callers reach a daemon.
-    pub fn entry(&self, daemon: usize) -> String {
+    pub fn caller_url(&self, daemon: usize) -> String {
         format!("http://{}", self.daemons[daemon].addresses.caller)
     }
 }
 
-impl Drop for World {
+impl Drop for Testbed {
     fn drop(&mut self) {
         for daemon in self.daemons.drain(..) {
-            self.inside.block_on(daemon.kill());
+            self.daemon_runtime.block_on(daemon.kill());
         }
         if let Err(error) = std::fs::remove_dir_all(&self.folder) {
             eprintln!("{} remains ({error}); remove it", self.folder.display());
@@ -196,7 +200,7 @@
 }
 
 /// The SHA-256 of a key, as settings and declarations want it.
-pub fn sha256(text: &str) -> String {
+pub fn sha256_hex(text: &str) -> String {
     Sha256::digest(text.as_bytes()).iter().map(|byte| format!("{byte:02x}")).collect()
 }
 
