--- a/crates/lab/src/config.rs
+++ b/crates/lab/src/config.rs
@@ -1,7 +1,7 @@
 //! Measures how soon accepted declarations are in force and what that costs.
 //!
-//! Real daemons with an embedded stand-in of the platform, over HTTP and QUIC on
-//! loopback. Each daemon reaches the table through a relay that counts bytes.
+//! Runs real daemons with an embedded fake platform, over HTTP and QUIC on loopback.
+//! Each daemon reaches the table through a relay that counts bytes.
 
 mod relay;
 mod testbed;
@@ -17,48 +17,48 @@
 
 use self::testbed::Testbed;
 
-/// The changes a day that the system is designed for.
-const DAY: f64 = 86_400.0;
+/// Seconds in a day, for rates given as changes a day.
+const SECONDS_PER_DAY: f64 = 86_400.0;
 
-/// Models at the size that the system is designed for.
+/// Models in the largest system that is supported.
 const MODELS: usize = 1_900;
 
-/// Teams at that size.
+/// Teams in the largest system that is supported.
 const TEAMS: usize = 100;
 
-/// The longest time that is told apart, in microseconds.
-const LONGEST: u64 = 600_000_000;
+/// Upper bound of the latency histograms, in microseconds; longer ones count as this.
+const MAX_LATENCY_US: u64 = 600_000_000;
 
 /// Measures how soon accepted declarations are in force and what that costs.
 #[derive(Debug, Clone, Bpaf)]
 pub struct Options {
-    /// Daemons.
+    /// Number of daemons.
     #[bpaf(argument("NUMBER"), fallback(6), display_fallback)]
     daemons: usize,
-    /// How often a daemon reads the table, in milliseconds.
+    /// Interval at which a daemon reads the table, in milliseconds.
     #[bpaf(argument("MS"), fallback(500), display_fallback)]
     poll: u64,
-    /// Files that are declared.
+    /// Number of declaration files.
     #[bpaf(argument("NUMBER"), fallback(50), display_fallback)]
     files: usize,
-    /// The size of a file, in bytes.
+    /// Size of a declaration file, in bytes.
     #[bpaf(argument("BYTES"), fallback(2000), display_fallback)]
     size: usize,
     /// Changes a day; may be repeated.
     #[bpaf(argument("NUMBER"))]
     rate: Vec<f64>,
-    /// How long each rate lasts, in seconds.
+    /// Duration of the measurement at each rate, in seconds.
     #[bpaf(argument("S"), fallback(20), display_fallback)]
     seconds: u64,
-    /// The time that each call to the table takes, in milliseconds.
+    /// Delay of each call to the table, in milliseconds.
     #[bpaf(argument("MS"), fallback(5), display_fallback)]
     delay: u64,
 }
 
-/// Runs the experiment and prints a line of JSON for each rate.
+/// Prints the cost of a check, then the results at each rate, as JSON lines.
 pub fn run(options: &Options) {
-    println!("{}", check_cost());
-    let runtime = tokio::runtime::Runtime::new().expect("threads can be started");
+    println!("{}", measure_check());
+    let runtime = tokio::runtime::Runtime::new().expect("the runtime starts");
     runtime.block_on(async {
         let mut testbed = Testbed::start(options).await;
         let rates = if options.rate.is_empty() {
@@ -67,55 +67,58 @@
             options.rate.clone()
         };
         for rate in rates {
-            println!("{}", at_rate(&mut testbed, options, rate).await);
+            println!("{}", measure_rate(&mut testbed, options, rate).await);
         }
     });
 }
 
-/// Changes files at a rate and tells what came of it.
-async fn at_rate(testbed: &mut Testbed, options: &Options, rate: f64) -> Value {
+/// Applies `rate` changes a day and returns latencies and the traffic of each daemon.
+async fn measure_rate(testbed: &mut Testbed, options: &Options, rate: f64) -> Value {
     let before = testbed.table_traffic().await;
     let start = Instant::now();
     let end = start + Duration::from_secs(options.seconds);
-    let gap = Duration::from_secs_f64(DAY / rate.max(1.0));
-    let mut sent = Vec::new();
-    let mut next = start + gap.min(Duration::from_secs(options.seconds)) / 2;
+    let interval = Duration::from_secs_f64(SECONDS_PER_DAY / rate.max(1.0));
+    let mut changes = Vec::new();
+    let mut next = start + interval.min(Duration::from_secs(options.seconds)) / 2;
     while rate > 0.0 && next < end {
         tokio::time::sleep_until(next.into()).await;
-        sent.push(testbed.apply_change(options.size).await);
-        next += gap;
+        changes.push(testbed.apply_change(options.size).await);
+        next += interval;
     }
     tokio::time::sleep_until(end.into()).await;
     let after = testbed.table_traffic().await;
     testbed.wait_until_in_force().await;
-    let spent = start.elapsed().as_secs_f64().max(options.seconds as f64);
-    let (mut told, mut whole) = (histogram(), histogram());
-    for change in &sent {
-        let seen = testbed.in_force_at(change.revision);
-        told.saturating_record(micros(
-            seen.saturating_duration_since(change.accepted_at),
+    let elapsed_s = start.elapsed().as_secs_f64().max(options.seconds as f64);
+    let (mut from_response, mut from_sending) = (histogram(), histogram());
+    for change in &changes {
+        let in_force_at = testbed.in_force_at(change.revision);
+        from_response.saturating_record(micros(
+            in_force_at.saturating_duration_since(change.accepted_at),
+        ));
+        from_sending.saturating_record(micros(
+            in_force_at.saturating_duration_since(change.sent_at),
         ));
-        whole.saturating_record(micros(seen.saturating_duration_since(change.sent_at)));
     }
     let daemons = options.daemons as f64;
-    let each = |count: u64| count as f64 / spent / daemons;
+    let per_daemon = |count: u64| count as f64 / elapsed_s / daemons;
     json!({
-        "changes_per_day": rate, "changes": sent.len(), "daemons": options.daemons,
-        "from_answer_ms": quantiles(&told), "from_sending_ms": quantiles(&whole),
-        "table_bytes_per_s": each(after.bytes - before.bytes),
-        "table_calls_per_s": each(after.calls - before.calls),
+        "changes_per_day": rate, "changes": changes.len(), "daemons": options.daemons,
+        "from_answer_ms": quantiles(&from_response),
+        "from_sending_ms": quantiles(&from_sending),
+        "table_bytes_per_s": per_daemon(after.bytes - before.bytes),
+        "table_calls_per_s": per_daemon(after.calls - before.calls),
     })
 }
 
-/// The cost of checking all declarations at the size the system is designed for.
-fn check_cost() -> Value {
+/// Times the check of all declarations of the largest supported system, best of 5.
+fn measure_check() -> Value {
     let mut teams = IndexMap::new();
-    let each = MODELS / TEAMS;
+    let models_per_team = MODELS / TEAMS;
     let mut bytes = 0;
     for team in 0..TEAMS {
         let mut models = Vec::new();
         let mut routes = Vec::new();
-        for number in 0..each {
+        for number in 0..models_per_team {
             let name = format!("model-{team}-{number}");
             models.push(format!(
                 "\"{name}\": {{ \"pool\": \"p\", \"version\": \"v1\", \"bytes\": \
@@ -141,7 +144,8 @@
     let mut best = Duration::MAX;
     for _ in 0..5 {
         let start = Instant::now();
-        let catalog = Catalog::merge(Revision(1), &teams).expect("they are valid");
+        let catalog =
+            Catalog::merge(Revision(1), &teams).expect("the declarations are valid");
         assert_eq!(catalog.models.len(), MODELS);
         best = best.min(start.elapsed());
     }
@@ -150,7 +154,7 @@
 }
 
 fn histogram() -> Histogram<u64> {
-    Histogram::new_with_bounds(1, LONGEST, 3).expect("the bounds are valid")
+    Histogram::new_with_bounds(1, MAX_LATENCY_US, 3).expect("the bounds are valid")
 }
 
 fn micros(time: Duration) -> u64 {
--- a/crates/lab/src/config/relay.rs
+++ b/crates/lab/src/config/relay.rs
@@ -1,4 +1,4 @@
-//! A relay of TCP connections that counts what passes.
+//! A TCP relay that counts the bytes it forwards.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -7,36 +7,36 @@
 use tokio::io::{AsyncRead, AsyncReadExt, AsyncWrite, AsyncWriteExt};
 use tokio::net::{TcpListener, TcpStream};
 
-const CHUNK: usize = 16 * 1024;
+const BUFFER_BYTES: usize = 16 * 1024;
 
-/// The bytes that passed a relay in both directions.
+/// Counts the bytes that a relay forwards, both directions together.
 #[derive(Debug, Default)]
 pub struct ByteCounter(AtomicU64);
 
 impl ByteCounter {
-    /// The bytes so far.
+    /// Bytes forwarded so far.
     pub fn total(&self) -> u64 {
         self.0.load(Ordering::Relaxed)
     }
 }
 
-/// Starts a relay to `target`; returns where it listens.
+/// Starts a relay to `target` on a free loopback port and returns its address.
 pub async fn start(
     target: SocketAddr,
-    count: Arc<ByteCounter>,
+    counter: Arc<ByteCounter>,
 ) -> std::io::Result<SocketAddr> {
     let listener = TcpListener::bind(("127.0.0.1", 0)).await?;
     let address = listener.local_addr()?;
     tokio::spawn(async move {
-        while let Ok((near, _)) = listener.accept().await {
-            let count = count.clone();
+        while let Ok((client, _)) = listener.accept().await {
+            let counter = counter.clone();
             tokio::spawn(async move {
-                if let Ok(far) = TcpStream::connect(target).await {
-                    let (near_in, near_out) = near.into_split();
-                    let (far_in, far_out) = far.into_split();
+                if let Ok(server) = TcpStream::connect(target).await {
+                    let (client_read, client_write) = client.into_split();
+                    let (server_read, server_write) = server.into_split();
                     tokio::join!(
-                        pass(near_in, far_out, &count),
-                        pass(far_in, near_out, &count)
+                        forward(client_read, server_write, &counter),
+                        forward(server_read, client_write, &counter)
                     );
                 }
             });
@@ -45,19 +45,19 @@
     Ok(address)
 }
 
-/// Passes bytes on until one side ends.
-async fn pass(
+/// Copies bytes until either side closes or fails.
+async fn forward(
     mut from: impl AsyncRead + Unpin,
     mut to: impl AsyncWrite + Unpin,
-    count: &ByteCounter,
+    counter: &ByteCounter,
 ) {
-    let mut chunk = vec![0; CHUNK];
-    while let Ok(read) = from.read(&mut chunk).await {
-        if read == 0 || to.write_all(&chunk[..read]).await.is_err() {
+    let mut buffer = vec![0; BUFFER_BYTES];
+    while let Ok(length) = from.read(&mut buffer).await {
+        if length == 0 || to.write_all(&buffer[..length]).await.is_err() {
             break;
         }
-        count.0.fetch_add(read as u64, Ordering::Relaxed);
+        counter.0.fetch_add(length as u64, Ordering::Relaxed);
     }
-    // The other side may be gone already.
+    // Fails if the peer has closed already.
     to.shutdown().await.ok();
 }
--- a/crates/lab/src/config/testbed.rs
+++ b/crates/lab/src/config/testbed.rs
@@ -1,4 +1,4 @@
-//! The platform's stand-in and the daemons of the experiment.
+//! Real daemons on a fake platform, and the changes that they apply.
 
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
@@ -20,65 +20,69 @@
 const TEAM: &str = "team";
 const KEY: &str = "key";
 
-/// The revisions that a daemon had in force, and since when.
-type Seen = Mutex<Vec<(Revision, Instant)>>;
+/// The revisions that a daemon put in force, each with the time when it did.
+type RevisionLog = Mutex<Vec<(Revision, Instant)>>;
 
-/// The platform's stand-in and the daemons of the experiment.
+/// The fake platform and the daemons of the experiment.
 pub struct Testbed {
     platform: Handle,
     daemons: Vec<Daemon>,
-    counts: Vec<Arc<ByteCounter>>,
-    /// When each daemon had which revision in force.
-    seen: Vec<Arc<Seen>>,
+    /// Traffic with the table, by daemon.
+    byte_counters: Vec<Arc<ByteCounter>>,
+    /// Revisions in force over time, by daemon.
+    revision_logs: Vec<Arc<RevisionLog>>,
     http: Client,
-    files: usize,
-    changes: usize,
+    /// Declaration files, at least one.
+    file_count: usize,
+    /// Changes that were sent, each of which made a revision.
+    change_count: usize,
 }
 
-/// A change that was accepted.
+/// An accepted change.
 pub struct AcceptedChange {
-    /// When it was sent.
+    /// When the daemon was called.
     pub sent_at: Instant,
-    /// When its answer came.
+    /// When the daemon's response arrived.
     pub accepted_at: Instant,
-    /// The revision that it made.
+    /// The revision that the change made.
     pub revision: Revision,
 }
 
-/// What the daemons cost the platform so far.
+/// Traffic of all daemons with the table since the start.
 pub struct TableTraffic {
-    /// Bytes to and from the table.
+    /// Bytes in both directions, by the relays.
     pub bytes: u64,
-    /// Calls to the table of any kind.
+    /// Commits, conflicting ones included, and reads.
     pub calls: u64,
 }
 
 impl Testbed {
-    /// Starts everything and declares all files.
+    /// Starts the platform and the daemons, and declares all files.
     pub async fn start(options: &Options) -> Self {
-        let any = SocketAddr::from(([127, 0, 0, 1], 0));
-        let platform = platform::start(any, WeightSpeed::default()).await;
-        let platform = platform.expect("a port is free");
-        let http = Client::builder().no_proxy().build().expect("clients can be made");
-        let dir = certs();
+        let any_port = SocketAddr::from(([127, 0, 0, 1], 0));
+        let platform = platform::start(any_port, WeightSpeed::default()).await;
+        let platform = platform.expect("a free port");
+        let http =
+            Client::builder().no_proxy().build().expect("the HTTP client is valid");
+        let dir = write_certificates();
         let mut testbed = Self {
             platform,
             daemons: Vec::new(),
-            counts: Vec::new(),
-            seen: Vec::new(),
+            byte_counters: Vec::new(),
+            revision_logs: Vec::new(),
             http,
-            files: options.files.max(1),
-            changes: 0,
+            file_count: options.files.max(1),
+            change_count: 0,
         };
         let faults = json!({ "table": { "delay_ms": options.delay } });
         let url = format!("{}/faults", testbed.platform.url());
-        let done = testbed.http.post(url).json(&faults).send().await;
-        done.expect("the stand-in answers");
+        let response = testbed.http.post(url).json(&faults).send().await;
+        response.expect("the fake platform responds");
         for index in 0..options.daemons {
             testbed.start_daemon(options, index, &dir).await;
         }
-        std::fs::remove_dir_all(&dir).expect("the folder is ours");
-        for _ in 0..testbed.files {
+        std::fs::remove_dir_all(&dir).expect("the experiment created the folder");
+        for _ in 0..testbed.file_count {
             testbed.apply_change(options.size).await;
         }
         testbed.wait_until_in_force().await;
@@ -86,14 +90,14 @@
     }
 
     async fn start_daemon(&mut self, options: &Options, index: usize, dir: &Path) {
-        let count = Arc::new(ByteCounter::default());
-        let table = relay::start(self.platform.address, count.clone()).await;
-        let table = format!("http://{}", table.expect("a port is free"));
+        let byte_counter = Arc::new(ByteCounter::default());
+        let table = relay::start(self.platform.address, byte_counter.clone()).await;
+        let table = format!("http://{}", table.expect("a free port"));
         let file = |name: &str| dir.join(name).display().to_string();
-        let any = "127.0.0.1:0";
+        let any_port = "127.0.0.1:0";
         let text = json!({
             "vm": format!("entry-{index}"), "domain": format!("domain-{}", index % 3),
-            "caller_addr": any, "peer_addr": any, "ops_addr": any,
+            "caller_addr": any_port, "peer_addr": any_port, "ops_addr": any_port,
             "table_url": table, "object_url": self.platform.url(),
             "vms_url": self.platform.url(),
             "tls": {
@@ -107,49 +111,49 @@
         let settings = settings.expect("the settings are valid");
         let daemon = run::start(settings, Arc::new(SystemClock), logs::discard()).await;
         let daemon = daemon.expect("the daemon starts");
-        let seen: Arc<Seen> = Arc::default();
+        let revision_log: Arc<RevisionLog> = Arc::default();
         let mut catalog = daemon.node().shared.catalog.subscribe();
-        let note = seen.clone();
+        let log = revision_log.clone();
         tokio::spawn(async move {
             while catalog.changed().await.is_ok() {
                 let revision = catalog.borrow_and_update().revision;
-                let mut note = note.lock().expect("no holder panics");
-                note.push((revision, Instant::now()));
+                let mut log = log.lock().expect("no thread panics with the lock");
+                log.push((revision, Instant::now()));
             }
         });
         self.daemons.push(daemon);
-        self.counts.push(count);
-        self.seen.push(seen);
+        self.byte_counters.push(byte_counter);
+        self.revision_logs.push(revision_log);
     }
 
-    /// Changes the next file through the next daemon.
+    /// Replaces one file through one daemon, both in turn, with `size` bytes of text.
     pub async fn apply_change(&mut self, size: usize) -> AcceptedChange {
-        let number = self.changes;
-        self.changes += 1;
+        let number = self.change_count;
+        self.change_count += 1;
         let daemon = &self.daemons[number % self.daemons.len()];
-        let sent = Instant::now();
+        let sent_at = Instant::now();
         let change = json!({
             "id": format!("change-{number}"), "team": TEAM, "author": "the experiment",
             "base": number,
-            "edits": { format!("file-{}.jsonc", number % self.files):
-                       text(number, number % self.files, size) },
+            "edits": { format!("file-{}.jsonc", number % self.file_count):
+                       file_text(number, number % self.file_count, size) },
         });
         let url = format!("http://{}/v1/config/apply", daemon.addresses.ops);
         let call = self.http.post(url).header("x-team", TEAM).bearer_auth(KEY);
-        let answer = call.json(&change).send().await.expect("the daemon answers");
-        let answer: Value = answer.json().await.expect("the answer is JSON");
-        let revision = answer["revision"].as_u64();
-        let revision = revision.unwrap_or_else(|| panic!("not accepted: {answer}"));
+        let response = call.json(&change).send().await.expect("the daemon responds");
+        let response: Value = response.json().await.expect("the response is JSON");
+        let revision = response["revision"].as_u64();
+        let revision = revision.unwrap_or_else(|| panic!("not accepted: {response}"));
         AcceptedChange {
-            sent_at: sent,
+            sent_at,
             accepted_at: Instant::now(),
             revision: Revision(revision),
         }
     }
 
-    /// Waits until the newest revision is in force everywhere.
+    /// Waits until the newest revision is in force at all daemons.
     pub async fn wait_until_in_force(&self) {
-        let newest = Revision(self.changes as u64);
+        let newest = Revision(self.change_count as u64);
         for daemon in &self.daemons {
             while daemon.node().shared.catalog().revision < newest {
                 tokio::time::sleep(Duration::from_millis(5)).await;
@@ -157,44 +161,48 @@
         }
     }
 
-    /// When a revision or a later one was in force at all daemons.
+    /// When `revision` or a later one was first in force at all daemons.
+    ///
+    /// Panics if it isn't in force everywhere yet.
     pub fn in_force_at(&self, revision: Revision) -> Instant {
-        let first = |seen: &Arc<Seen>| {
-            let seen = seen.lock().expect("no holder panics");
-            let found = seen.iter().find(|(it, _)| *it >= revision);
-            found.map(|(_, at)| *at).expect("the experiment waited for it")
+        let first_time = |log: &Arc<RevisionLog>| {
+            let log = log.lock().expect("no thread panics with the lock");
+            let found = log.iter().find(|(logged, _)| *logged >= revision);
+            found.map(|(_, at)| *at).expect("the revision is in force")
         };
-        self.seen.iter().map(first).max().expect("there is a daemon")
+        self.revision_logs.iter().map(first_time).max().expect("there is a daemon")
     }
 
-    /// What the daemons cost the platform so far.
+    /// Reads the relays' byte counters and the platform's call counters.
     pub async fn table_traffic(&self) -> TableTraffic {
         let url = format!("{}/counts", self.platform.url());
-        let counts = self.http.get(url).send().await.expect("the stand-in answers");
-        let counts: Value = counts.json().await.expect("the answer is JSON");
+        let counts = self.http.get(url).send().await.expect("the fake platform responds");
+        let counts: Value = counts.json().await.expect("the response is JSON");
         let count = |name: &str| counts[name].as_u64().unwrap_or(0);
         TableTraffic {
-            bytes: self.counts.iter().map(|count| count.total()).sum(),
+            bytes: self.byte_counters.iter().map(|counter| counter.total()).sum(),
             calls: count("commits") + count("conflicts") + count("reads"),
         }
     }
 }
 
-/// A file of kinds of request, filled up with a comment.
-fn text(number: usize, file: usize, size: usize) -> String {
+/// A file that declares one kind of request, padded to `size` bytes by a comment.
+///
+/// Its deadline is `number` + 1 ms, so that each change differs.
+fn file_text(number: usize, file: usize, size: usize) -> String {
     let text = format!(
         "{{ \"kinds\": {{ \"kind-{file}\": {{ \"urgency\": \"slow\", \"deadline_ms\": {}, \
          \"idempotent\": true }} }} }}\n",
         number + 1
     );
-    let rest = size.saturating_sub(text.len() + 3);
-    format!("{text}// {}", "x".repeat(rest))
+    let padding = size.saturating_sub(text.len() + 3);
+    format!("{text}// {}", "x".repeat(padding))
 }
 
-/// Writes certificates into a folder of their own.
-fn certs() -> PathBuf {
-    let name = format!("chestnutlane-lab-{}", std::process::id());
-    let dir = std::env::temp_dir().join(name);
+/// Writes certificates and keys into a new temporary folder.
+fn write_certificates() -> PathBuf {
+    let folder_name = format!("chestnutlane-lab-{}", std::process::id());
+    let dir = std::env::temp_dir().join(folder_name);
     std::fs::create_dir_all(&dir).expect("the temporary folder is writable");
     chestnut_fake::certs::write(&dir).expect("the folder is writable");
     dir
--- a/crates/lab/src/resource_usage.rs
+++ b/crates/lab/src/resource_usage.rs
@@ -1,31 +1,32 @@
-//! Processor time and memory as the system tells them.
+//! CPU time and memory of this process, as `/proc` reports them.
 
 use std::fs;
 
-/// The start of the names of the daemons' threads.
+/// Name prefix of the threads that run daemons.
 pub const DAEMON_THREADS: &str = "daemon";
 
-/// The start of the names of the stand-ins' threads.
+/// Name prefix of the threads that run the fake platform, engines and callers.
 pub const HARNESS_THREADS: &str = "outside";
 
-/// The processor time of all threads whose name starts with `name`, in seconds.
+/// CPU time of all threads whose name starts with `prefix`, in seconds.
 ///
-/// Threads that ended are not counted; runtimes keep theirs.
-pub fn cpu_seconds(name: &str) -> f64 {
+/// Counts only threads that still exist; a runtime keeps its threads until it is
+/// dropped. Returns 0 where `/proc` cannot be read.
+pub fn cpu_seconds(prefix: &str) -> f64 {
     let Ok(tasks) = fs::read_dir("/proc/self/task") else { return 0.0 };
-    let time = |path: std::path::PathBuf| {
+    let thread_nanos = |path: std::path::PathBuf| {
         let comm = fs::read_to_string(path.join("comm")).ok()?;
-        if !comm.starts_with(name) {
+        if !comm.starts_with(prefix) {
             return None;
         }
         let stat = fs::read_to_string(path.join("schedstat")).ok()?;
         stat.split_whitespace().next()?.parse::<f64>().ok()
     };
-    let nanos: f64 = tasks.flatten().filter_map(|task| time(task.path())).sum();
+    let nanos: f64 = tasks.flatten().filter_map(|task| thread_nanos(task.path())).sum();
     nanos / 1e9
 }
 
-/// The memory that this process occupies, in bytes.
+/// Resident memory of this process, in bytes; 0 where `/proc` cannot be read.
 pub fn resident_bytes() -> f64 {
     let status = fs::read_to_string("/proc/self/status").unwrap_or_default();
     let line = status.lines().find(|line| line.starts_with("VmRSS:"));
