--- a/crates/lab/src/journal.rs
+++ b/crates/lab/src/journal.rs
@@ -1,8 +1,8 @@
-//! Measures the journal of non-idempotent requests against a table service.
+//! Measures the latency and the writes of the journal of non-idempotent requests.
 //!
-//! Each daemon of the experiment owns a [`Journal`](chestnut_once::Journal) as the
-//! real one does and speaks to an embedded stand-in of the table service over HTTP.
-//! The request itself takes no time, so that only the journal's share is measured.
+//! Each simulated daemon owns a real [`Journal`](chestnut_once::Journal) and calls an
+//! embedded fake table service over HTTP. A run of a request takes no time, so that
+//! only the journal's share is measured.
 
 mod daemon;
 
@@ -21,40 +21,40 @@
 
 use self::daemon::{Daemon, Measurements};
 
-/// The time that a call to the table service may take, as in the settings.
-const TIMEOUT: Duration = Duration::from_secs(2);
+/// Timeout of calls to the table and the object store, as in the daemons' settings.
+const PLATFORM_TIMEOUT: Duration = Duration::from_secs(2);
 
 /// Measures the journal of non-idempotent requests.
 #[derive(Debug, Clone, Bpaf)]
 pub struct Options {
-    /// Daemons that journal.
+    /// Number of daemons.
     #[bpaf(argument("NUMBER"), fallback(6), display_fallback)]
     daemons: u16,
-    /// Slots, shared by the daemons.
+    /// Number of journal slots, distributed over the daemons.
     #[bpaf(argument("NUMBER"), fallback(64), display_fallback)]
     slots: u16,
-    /// Requests a second over all daemons.
+    /// Requests a second, all daemons together.
     #[bpaf(argument("NUMBER"), fallback(100), display_fallback)]
     rate: u32,
-    /// How long requests come, in seconds.
+    /// How long new requests are submitted, in seconds.
     #[bpaf(argument("S"), fallback(10), display_fallback)]
     seconds: u64,
-    /// The time that each call to the table takes, in milliseconds.
+    /// Delay of each call to the table, in milliseconds.
     #[bpaf(argument("MS"), fallback(5), display_fallback)]
     delay: u64,
-    /// Whether the object store is down with the table.
+    /// Make the object store unavailable during the table's outage too.
     both: bool,
-    /// How long the table is down after a third of the time, in seconds.
+    /// Length of a table outage that starts after a third of the time, in seconds.
     #[bpaf(argument("S"), fallback(0), display_fallback)]
     outage: u64,
-    /// Journalled ids in a slot that is taken over at the start.
+    /// Only measure how long a slot with this many finished ids takes to open.
     #[bpaf(argument("NUMBER"), fallback(0), display_fallback)]
     recover: usize,
 }
 
-/// Runs the experiment and prints one line of JSON.
+/// Runs the experiment and prints its results as one line of JSON.
 pub fn run(options: &Options) {
-    let runtime = tokio::runtime::Runtime::new().expect("threads can be started");
+    let runtime = tokio::runtime::Runtime::new().expect("the runtime starts");
     runtime.block_on(measure(options));
 }
 
@@ -63,57 +63,59 @@
     let speed = WeightSpeed { rate: 1.0, parallel: 1, bytes: 1e9 };
     let platform = platform::start(listen, speed).await.expect("a free port");
     let url = platform.url();
-    let table = TableClient::new(&url, TIMEOUT).expect("a client");
-    let objects = ObjectStore::new(&url, TIMEOUT).expect("a client");
+    let table = TableClient::new(&url, PLATFORM_TIMEOUT).expect("a client");
+    let objects = ObjectStore::new(&url, PLATFORM_TIMEOUT).expect("a client");
     if options.recover > 0 {
-        return recover(&table, objects, &url, options).await;
+        return measure_recovery(&table, objects, &url, options).await;
     }
     let mut daemons = Vec::new();
     for index in 0..options.daemons {
         let slots = (0..options.slots).filter(|slot| slot % options.daemons == index);
-        let claims = claim(&table, slots.map(SlotId)).await;
+        let claims = write_claims(&table, slots.map(SlotId)).await;
         let (table, objects) = (table.clone(), objects.clone());
         daemons.push(Daemon::new(index, options.daemons, table, objects, claims));
     }
-    fault(&url, json!({ "delay_ms": options.delay })).await;
-    let time = Duration::from_secs(options.seconds);
+    set_table_faults(&url, json!({ "delay_ms": options.delay })).await;
+    let duration = Duration::from_secs(options.seconds);
     let start = Instant::now();
-    let gap = Duration::from_secs(u64::from(options.daemons)) / options.rate;
-    let tasks: Vec<_> =
-        daemons.into_iter().map(|daemon| tokio::spawn(daemon.run(gap, time))).collect();
+    let interval = Duration::from_secs(u64::from(options.daemons)) / options.rate;
+    let tasks: Vec<_> = daemons
+        .into_iter()
+        .map(|daemon| tokio::spawn(daemon.run(interval, duration)))
+        .collect();
     if options.outage > 0 {
-        tokio::time::sleep(time / 3).await;
-        fault(&url, json!({ "down": true })).await;
+        tokio::time::sleep(duration / 3).await;
+        set_table_faults(&url, json!({ "down": true })).await;
         if options.both {
-            fault_objects(&url, true).await;
+            set_object_store_down(&url, true).await;
         }
         tokio::time::sleep(Duration::from_secs(options.outage)).await;
-        fault(&url, json!({ "down": false })).await;
-        fault_objects(&url, false).await;
+        set_table_faults(&url, json!({ "down": false })).await;
+        set_object_store_down(&url, false).await;
     }
-    let back = start + time / 3 + Duration::from_secs(options.outage);
-    let mut sum = Measurements::default();
+    let outage_end = start + duration / 3 + Duration::from_secs(options.outage);
+    let mut totals = Measurements::default();
     for task in tasks {
-        sum.merge(task.await.expect("no daemon of the experiment panics"));
+        totals.merge(task.await.expect("no daemon task panics"));
     }
-    report(options, &sum, start, back);
+    print_results(options, &totals, start, outage_end);
 }
 
-/// Times how long a slot with many ids takes to be taken over.
-async fn recover(
+/// Prints how long a slot with many finished ids takes to open, and its memory.
+async fn measure_recovery(
     table: &TableClient,
     objects: ObjectStore,
     url: &str,
     options: &Options,
 ) {
-    let claims = claim(table, [SlotId(0)].into_iter()).await;
+    let claims = write_claims(table, [SlotId(0)].into_iter()).await;
     daemon::write_finished_requests(table, SlotId(0), options.recover).await;
-    fault(url, json!({ "delay_ms": options.delay })).await;
+    set_table_faults(url, json!({ "delay_ms": options.delay })).await;
     let mut daemon = Daemon::new(0, 1, table.clone(), objects, claims);
-    let (start, before) = (Instant::now(), resident_kb());
+    let (start, initial_kb) = (Instant::now(), resident_kb());
     daemon.open_slots().await;
     let line = json!({
-        "grown_kb": resident_kb().saturating_sub(before),
+        "grown_kb": resident_kb().saturating_sub(initial_kb),
         "ids": options.recover,
         "delay_ms": options.delay,
         "open_ms": millis(start.elapsed()),
@@ -122,8 +124,8 @@
     println!("{line}");
 }
 
-/// Writes the claims of slots and returns their rows' version.
-async fn claim(
+/// Writes claims of `slots` in one transaction and returns each with its version.
+async fn write_claims(
     table: &TableClient,
     slots: impl Iterator<Item = SlotId>,
 ) -> Vec<(SlotId, u64)> {
@@ -136,11 +138,11 @@
         Ok(TxnResponse::Committed { version, .. }) => {
             slots.into_iter().map(|slot| (slot, version)).collect()
         }
-        other => panic!("the claims can't be written: {other:?}"),
+        other => panic!("claims not written: {other:?}"),
     }
 }
 
-/// The memory of this process, the stand-in's included, in kilobytes.
+/// Resident memory of this process, the fake platform included, in KiB.
 fn resident_kb() -> u64 {
     let status = std::fs::read_to_string("/proc/self/status").unwrap_or_default();
     let line = status.lines().find_map(|line| line.strip_prefix("VmRSS:"));
@@ -148,64 +150,74 @@
     number.unwrap_or(0)
 }
 
-async fn fault(url: &str, fault: serde_json::Value) {
+async fn set_table_faults(url: &str, faults: serde_json::Value) {
     let call =
-        Client::new().post(format!("{url}/faults")).json(&json!({ "table": fault }));
-    call.send().await.expect("the stand-in answers");
+        Client::new().post(format!("{url}/faults")).json(&json!({ "table": faults }));
+    call.send().await.expect("the fake platform responds");
 }
 
-async fn fault_objects(url: &str, down: bool) {
-    let fault = json!({ "objects": { "down": down } });
-    let call = Client::new().post(format!("{url}/faults")).json(&fault);
-    call.send().await.expect("the stand-in answers");
+async fn set_object_store_down(url: &str, down: bool) {
+    let faults = json!({ "objects": { "down": down } });
+    let call = Client::new().post(format!("{url}/faults")).json(&faults);
+    call.send().await.expect("the fake platform responds");
 }
 
-fn report(options: &Options, sum: &Measurements, start: Instant, back: Instant) {
+fn print_results(
+    options: &Options,
+    totals: &Measurements,
+    start: Instant,
+    outage_end: Instant,
+) {
     let seconds = options.seconds as f64;
     let line = json!({
         "daemons": options.daemons,
         "slots": options.slots,
         "rate": options.rate,
         "delay_ms": options.delay,
-        "requests": sum.requests,
-        "answered": sum.responses,
-        "refused": sum.refusals,
-        "transactions_a_second": sum.commit_times.len() as f64 / seconds,
-        "rows_a_second": sum.rows_written as f64 / seconds,
-        "start_ms": quantiles(&sum.start_latency),
-        "end_ms": quantiles(&sum.completion_latency),
+        "requests": totals.requests,
+        "answered": totals.responses,
+        "refused": totals.refusals,
+        "transactions_a_second": totals.commit_times.len() as f64 / seconds,
+        "rows_a_second": totals.rows_written as f64 / seconds,
+        "start_ms": quantiles(&totals.start_latency),
+        "end_ms": quantiles(&totals.completion_latency),
         "outage_s": options.outage,
-        "most_transactions_in_a_second_after": busiest(&sum.commit_times, back),
-        "appends": sum.append_times.len(),
-        "most_appends_in_a_second": busiest(&sum.append_times, start),
-        "most_before": busiest_before(&sum.commit_times, start, start + (back - start) / 3),
-        "last_answer_after_s": sum.last_response.map(|last| {
-            last.saturating_duration_since(back).as_secs_f64()
+        "most_transactions_in_a_second_after":
+            max_in_one_second(&totals.commit_times, outage_end),
+        "appends": totals.append_times.len(),
+        "most_appends_in_a_second": max_in_one_second(&totals.append_times, start),
+        "most_before": max_in_one_second_before(
+            &totals.commit_times, start, start + (outage_end - start) / 3
+        ),
+        "last_answer_after_s": totals.last_response.map(|time| {
+            time.saturating_duration_since(outage_end).as_secs_f64()
         }),
     });
     println!("{line}");
 }
 
+/// Quantiles in milliseconds, of a histogram in microseconds.
 fn quantiles(times: &Histogram<u64>) -> serde_json::Value {
     let at = |quantile| times.value_at_quantile(quantile) as f64 / 1000.0;
     json!({ "p50": at(0.5), "p99": at(0.99), "max": times.max() as f64 / 1000.0 })
 }
 
-/// The most commits in any second from `from` on.
-fn busiest(commits: &[Instant], from: Instant) -> usize {
-    let mut times: Vec<_> = commits.iter().filter(|time| **time >= from).collect();
+/// The largest number of `times` within any second from `from` on.
+fn max_in_one_second(times: &[Instant], from: Instant) -> usize {
+    let mut times: Vec<_> = times.iter().filter(|time| **time >= from).collect();
     times.sort();
-    let within = |first: usize| {
+    let count_from = |first: usize| {
         let end = *times[first] + Duration::from_secs(1);
         times[first..].iter().take_while(|time| ***time < end).count()
     };
-    (0..times.len()).map(within).max().unwrap_or(0)
+    (0..times.len()).map(count_from).max().unwrap_or(0)
 }
 
-fn busiest_before(commits: &[Instant], from: Instant, to: Instant) -> usize {
+/// Like [`max_in_one_second`], of the `times` before `to`.
+fn max_in_one_second_before(times: &[Instant], from: Instant, to: Instant) -> usize {
     let times: Vec<_> =
-        commits.iter().copied().filter(|time| (from..to).contains(time)).collect();
-    busiest(&times, from)
+        times.iter().copied().filter(|time| (from..to).contains(time)).collect();
+    max_in_one_second(&times, from)
 }
 
 fn millis(time: Duration) -> f64 {
--- a/crates/lab/src/journal/daemon.rs
+++ b/crates/lab/src/journal/daemon.rs
@@ -1,4 +1,4 @@
-//! A daemon of the experiment: its journal, its callers, and what it counts.
+//! A simulated daemon: its journal, its callers and its measurements.
 
 use std::cmp::Reverse;
 use std::collections::BinaryHeap;
@@ -20,37 +20,38 @@
 use indexmap::IndexMap;
 use tokio::sync::mpsc::{self, UnboundedReceiver, UnboundedSender};
 
-/// How long the daemons go on when no new requests come.
-const GRACE: Duration = Duration::from_secs(30);
+/// How long a daemon waits for pending requests after the last new one.
+const DRAIN_TIMEOUT: Duration = Duration::from_secs(30);
 
-/// The longest time that is told apart, in microseconds.
-const MINUTE: u64 = 60_000_000;
+/// Upper bound of the latency histograms, in microseconds; longer ones count as this.
+const MAX_LATENCY_US: u64 = 60_000_000;
 
-/// What the experiment counts.
+/// Counts and latencies of one daemon or of several.
 pub struct Measurements {
-    /// Requests that came.
+    /// Submitted requests, without retries.
     pub requests: u64,
-    /// Requests that were answered.
+    /// Requests that got a response.
     pub responses: u64,
-    /// Refusals; each request came back as it was told.
+    /// Refusals; a refused request is retried after the delay that the refusal gives.
     pub refusals: u64,
-    /// Rows that were written.
+    /// Changes in all transactions that were sent.
     pub rows_written: u64,
-    /// When transactions were sent.
+    /// When each transaction was sent to the table.
     pub commit_times: Vec<Instant>,
-    /// When appends to slots' logs were sent.
+    /// When each append to a slot's log was sent to the object store.
     pub append_times: Vec<Instant>,
-    /// From the request to its run, in microseconds.
+    /// From a request's latest submission to its run, in microseconds.
     pub start_latency: Histogram<u64>,
-    /// From the end of the run to the end mark, in microseconds.
+    /// From the end of a run to the response, in microseconds.
     pub completion_latency: Histogram<u64>,
-    /// When the last answer came.
+    /// When the last response arrived; none before the first.
     pub last_response: Option<Instant>,
 }
 
 impl Default for Measurements {
     fn default() -> Self {
-        let empty = || Histogram::new_with_bounds(1, MINUTE, 3).expect("valid bounds");
+        let empty =
+            || Histogram::new_with_bounds(1, MAX_LATENCY_US, 3).expect("valid bounds");
         Self {
             requests: 0,
             responses: 0,
@@ -66,7 +67,7 @@
 }
 
 impl Measurements {
-    /// Adds another daemon's counts.
+    /// Adds the measurements of another daemon.
     pub fn merge(&mut self, other: Self) {
         self.requests += other.requests;
         self.responses += other.responses;
@@ -82,35 +83,38 @@
     }
 }
 
-/// A request of a caller.
+/// A request that awaits its reply or its retry.
 #[derive(Debug, Clone)]
-struct Asked {
+struct PendingRequest {
     id: RequestId,
     slot: SlotId,
-    since: Instant,
+    submitted_at: Instant,
 }
 
-/// A daemon of the experiment.
+/// A simulated daemon.
 pub struct Daemon {
     index: u16,
     table: TableClient,
     objects: ObjectStore,
     journal: Journal,
+    /// Claimed slots with the versions of their claims.
     claims: Vec<(SlotId, u64)>,
-    inbox: UnboundedSender<Event>,
+    event_sender: UnboundedSender<Event>,
     events: UnboundedReceiver<Event>,
-    waiting: IndexMap<WaiterId, Asked>,
-    /// When each run ended.
-    ends: IndexMap<RequestId, Instant>,
-    /// Requests that were refused and come back, by number.
-    returning: BinaryHeap<Reverse<(Instant, u64)>>,
-    refused: IndexMap<u64, Asked>,
-    tickets: u64,
-    tally: Measurements,
+    pending: IndexMap<WaiterId, PendingRequest>,
+    /// When each run ended, until its response arrives.
+    run_ends: IndexMap<RequestId, Instant>,
+    /// When to retry each request in `refused`, by its key there; earliest first.
+    retries: BinaryHeap<Reverse<(Instant, u64)>>,
+    /// Refused requests, by the number of their latest waiter.
+    refused: IndexMap<u64, PendingRequest>,
+    /// Number of the latest waiter and attempt.
+    last_number: u64,
+    measurements: Measurements,
 }
 
 impl Daemon {
-    /// Creates a daemon with these claims, one of `count`.
+    /// Creates daemon `index` of `count` with these claims, each with its row's version.
     pub fn new(
         index: u16,
         count: u16,
@@ -120,208 +124,209 @@
     ) -> Self {
         let limits =
             Limits { batch_interval: batch_interval(count.into()), ..Limits::default() };
-        let (inbox, events) = mpsc::unbounded_channel();
+        let (event_sender, events) = mpsc::unbounded_channel();
         Self {
             index,
             table,
             objects,
             journal: Journal::new(limits, index.into(), Instant::now()),
             claims,
-            inbox,
+            event_sender,
             events,
-            waiting: IndexMap::new(),
-            ends: IndexMap::new(),
-            returning: BinaryHeap::new(),
+            pending: IndexMap::new(),
+            run_ends: IndexMap::new(),
+            retries: BinaryHeap::new(),
             refused: IndexMap::new(),
-            tickets: 0,
-            tally: Measurements::default(),
+            last_number: 0,
+            measurements: Measurements::default(),
         }
     }
 
-    /// Takes the slots and waits until their rows are read.
+    /// Claims the slots and waits until the journal has loaded them.
     pub async fn open_slots(&mut self) {
         for (slot, version) in self.claims.clone() {
-            self.tell(Event::SlotClaimed { slot, version });
+            self.handle(Event::SlotClaimed { slot, version });
         }
         while self.journal.open_slots() < self.claims.len() {
             let event = self.events.recv().await.expect("the daemon holds a sender");
-            self.tell(event);
+            self.handle(event);
         }
     }
 
-    /// The number of ids in memory.
+    /// Request ids that the journal holds in memory.
     pub fn id_count(&self) -> usize {
         self.journal.id_count()
     }
 
-    /// Takes a request every `gap` for `time`, then ends what is left.
-    pub async fn run(mut self, gap: Duration, time: Duration) -> Measurements {
+    /// Submits a request every `interval` for `duration`, then waits for pending ones.
+    ///
+    /// Gives up pending requests after [`DRAIN_TIMEOUT`].
+    pub async fn run(mut self, interval: Duration, duration: Duration) -> Measurements {
         self.open_slots().await;
         let start = Instant::now();
-        let mut next = start + gap.mul_f64(f64::from(self.index % 7) / 7.0);
+        // Staggers the daemons' requests within the interval.
+        let mut next = start + interval.mul_f64(f64::from(self.index % 7) / 7.0);
         let mut number = 0;
         loop {
             let now = Instant::now();
-            let open = now < start + time;
-            let done = self.waiting.is_empty() && self.refused.is_empty();
-            if !open && (done || now > start + time + GRACE) {
-                return self.tally;
+            let submitting = now < start + duration;
+            let done = self.pending.is_empty() && self.refused.is_empty();
+            if !submitting && (done || now > start + duration + DRAIN_TIMEOUT) {
+                return self.measurements;
             }
-            while open && next <= Instant::now() {
+            while submitting && next <= Instant::now() {
                 number += 1;
-                next += gap;
-                self.ask_new(number);
+                next += interval;
+                self.submit_new(number);
             }
-            self.ask_again();
-            let wake = self.journal.next_deadline().unwrap_or(now + gap);
-            let wake = if open { wake.min(next) } else { wake };
-            let back = self.returning.peek().map_or(wake, |Reverse((at, _))| *at);
+            self.submit_retries();
+            let deadline = self.journal.next_deadline().unwrap_or(now + interval);
+            let deadline = if submitting { deadline.min(next) } else { deadline };
+            let retry_at = self.retries.peek().map_or(deadline, |Reverse((at, _))| *at);
             tokio::select! {
                 event = self.events.recv() => {
-                    self.tell(event.expect("the daemon holds a sender"));
+                    self.handle(event.expect("the daemon holds a sender"));
                 }
-                () = tokio::time::sleep_until(wake.min(back).into()) => {
+                () = tokio::time::sleep_until(deadline.min(retry_at).into()) => {
                     self.journal.tick(Instant::now());
-                    self.act();
+                    self.run_effects();
                 }
             }
         }
     }
 
-    fn ask_new(&mut self, number: u64) {
+    fn submit_new(&mut self, number: u64) {
         let slot = self.claims[number as usize % self.claims.len()].0;
-        let id = request(&format!("{}-{number}", self.index));
-        self.tally.requests += 1;
-        self.ask(Asked { id, slot, since: Instant::now() });
+        let id = request_id(&format!("{}-{number}", self.index));
+        self.measurements.requests += 1;
+        self.submit(PendingRequest { id, slot, submitted_at: Instant::now() });
     }
 
-    fn ask_again(&mut self) {
+    fn submit_retries(&mut self) {
         let now = Instant::now();
-        while let Some(Reverse((at, number))) = self.returning.peek().copied()
+        while let Some(Reverse((at, number))) = self.retries.peek().copied()
             && at <= now
         {
-            self.returning.pop();
-            if let Some(mut asked) = self.refused.swap_remove(&number) {
-                asked.since = now;
-                self.ask(asked);
+            self.retries.pop();
+            if let Some(mut request) = self.refused.swap_remove(&number) {
+                request.submitted_at = now;
+                self.submit(request);
             }
         }
     }
 
-    fn ask(&mut self, asked: Asked) {
-        self.tickets += 1;
-        let ticket = WaiterId(self.tickets);
+    fn submit(&mut self, request: PendingRequest) {
+        self.last_number += 1;
+        let waiter = WaiterId(self.last_number);
         let member = MemberId(self.index.into());
         let event = Event::Submit {
-            waiter: ticket,
-            slot: asked.slot,
-            id: asked.id.clone(),
+            waiter,
+            slot: request.slot,
+            id: request.id.clone(),
             digest: Digest(1),
-            attempt: AttemptId { member, number: self.tickets },
+            attempt: AttemptId { member, number: self.last_number },
             target: target(),
         };
-        self.waiting.insert(ticket, asked);
-        self.tell(event);
+        self.pending.insert(waiter, request);
+        self.handle(event);
     }
 
-    fn tell(&mut self, event: Event) {
+    fn handle(&mut self, event: Event) {
         let now = Instant::now();
         self.journal.handle(Event::LeaseExpiry(now + Duration::from_secs(6)), now);
         self.journal.handle(event, now);
-        self.act();
+        self.run_effects();
     }
 
-    fn act(&mut self) {
+    fn run_effects(&mut self) {
         while let Some(effect) = self.journal.next_effect() {
             match effect {
                 Effect::LoadSlot { slot, version } => {
-                    let (table, inbox) = (self.table.clone(), self.inbox.clone());
+                    let (table, event_sender) =
+                        (self.table.clone(), self.event_sender.clone());
                     let objects = self.objects.clone();
                     tokio::spawn(async move {
-                        let me = MemberId(0);
-                        let event = load(&table, &objects, slot, version, me).await;
-                        inbox.send(event).ok();
+                        let member = MemberId(0);
+                        let event = load(&table, &objects, slot, version, member).await;
+                        event_sender.send(event).ok();
                     });
                 }
                 Effect::Commit(batch) => {
-                    self.tally.commit_times.push(Instant::now());
-                    self.tally.rows_written += batch.changes.len() as u64;
-                    let (table, inbox) = (self.table.clone(), self.inbox.clone());
+                    self.measurements.commit_times.push(Instant::now());
+                    self.measurements.rows_written += batch.changes.len() as u64;
+                    let (table, event_sender) =
+                        (self.table.clone(), self.event_sender.clone());
                     tokio::spawn(async move {
-                        let stored = commit(&table, &batch).await;
-                        inbox
-                            .send(Event::CommitFinished {
-                                number: batch.number,
-                                result: stored,
-                            })
+                        let result = commit(&table, &batch).await;
+                        event_sender
+                            .send(Event::CommitFinished { number: batch.number, result })
                             .ok();
                     });
                 }
-                Effect::AppendToLog { slot, number, position: place, records } => {
-                    self.tally.append_times.push(Instant::now());
-                    let (objects, inbox) = (self.objects.clone(), self.inbox.clone());
+                Effect::AppendToLog { slot, number, position, records } => {
+                    self.measurements.append_times.push(Instant::now());
+                    let (objects, event_sender) =
+                        (self.objects.clone(), self.event_sender.clone());
                     tokio::spawn(async move {
-                        let appended = append(&objects, slot, place, &records).await;
-                        inbox
-                            .send(Event::AppendFinished {
-                                slot,
-                                number,
-                                result: appended,
-                            })
+                        let result = append(&objects, slot, position, &records).await;
+                        event_sender
+                            .send(Event::AppendFinished { slot, number, result })
                             .ok();
                     });
                 }
-                Effect::Run { waiter: ticket, id, attempt } => {
-                    self.ran(ticket, id, attempt)
+                Effect::Run { waiter, id, attempt } => {
+                    self.finish_run(waiter, id, attempt)
                 }
-                Effect::Reply { waiter: ticket, reply } => self.replied(ticket, reply),
+                Effect::Reply { waiter, reply } => self.record_reply(waiter, reply),
                 _ => {}
             }
         }
     }
 
-    fn ran(&mut self, ticket: WaiterId, id: RequestId, attempt: AttemptId) {
+    fn finish_run(&mut self, waiter: WaiterId, id: RequestId, attempt: AttemptId) {
         let now = Instant::now();
-        if let Some(asked) = self.waiting.get(&ticket) {
-            self.tally.start_latency.saturating_record(micros(now - asked.since));
+        if let Some(request) = self.pending.get(&waiter) {
+            self.measurements
+                .start_latency
+                .saturating_record(micros(now - request.submitted_at));
         }
-        self.ends.insert(id.clone(), now);
-        let answer = answer().into();
-        let kept = BodyLocation::Inline("booked".into());
-        // The daemon holds the receiver.
-        self.inbox
-            .send(Event::RunFinished { id, attempt, response: answer, body: kept })
-            .ok();
+        self.run_ends.insert(id.clone(), now);
+        let response = booked_response().into();
+        let body = BodyLocation::Inline("booked".into());
+        // The daemon holds the receiver, so that sending cannot fail.
+        self.event_sender.send(Event::RunFinished { id, attempt, response, body }).ok();
     }
 
-    fn replied(&mut self, ticket: WaiterId, reply: Reply) {
-        let Some(asked) = self.waiting.swap_remove(&ticket) else { return };
+    fn record_reply(&mut self, waiter: WaiterId, reply: Reply) {
+        let Some(request) = self.pending.swap_remove(&waiter) else { return };
         let now = Instant::now();
         match reply {
             Reply::Response(_) => {
-                self.tally.responses += 1;
-                self.tally.last_response = Some(now);
-                if let Some(end) = self.ends.swap_remove(&asked.id) {
-                    self.tally.completion_latency.saturating_record(micros(now - end));
+                self.measurements.responses += 1;
+                self.measurements.last_response = Some(now);
+                if let Some(end) = self.run_ends.swap_remove(&request.id) {
+                    self.measurements
+                        .completion_latency
+                        .saturating_record(micros(now - end));
                 }
             }
             Reply::Refused(refusal) => {
-                self.tally.refusals += 1;
-                let wait = refusal.retry_after.unwrap_or(Duration::from_secs(1));
-                self.returning.push(Reverse((now + wait, ticket.0)));
-                self.refused.insert(ticket.0, asked);
+                self.measurements.refusals += 1;
+                let delay = refusal.retry_after.unwrap_or(Duration::from_secs(1));
+                self.retries.push(Reverse((now + delay, waiter.0)));
+                self.refused.insert(waiter.0, request);
             }
             Reply::Running => {}
         }
     }
 }
 
-/// Writes `count` finished ids into a slot.
+/// Writes `count` rows of finished requests into a slot.
 pub async fn write_finished_requests(table: &TableClient, slot: SlotId, count: usize) {
-    let ids: Vec<usize> = (0..count).collect();
-    for part in ids.chunks(500) {
+    let numbers: Vec<usize> = (0..count).collect();
+    for chunk in numbers.chunks(500) {
         let put = |txn: Txn, number: &usize| {
-            let id = request(&format!("old-{number}"));
+            let id = request_id(&format!("old-{number}"));
             let record = Record {
                 slot,
                 id: id.clone(),
@@ -330,16 +335,18 @@
                 target: target(),
                 transaction_id: 0,
                 server: None,
-                response: Some(answer().summary(BodyLocation::Inline("booked".into()))),
+                response: Some(
+                    booked_response().summary(BodyLocation::Inline("booked".into())),
+                ),
             };
             txn.put(JOURNAL, row_key(slot, &id), record.to_value())
         };
-        let txn = part.iter().fold(Txn::new(), put);
-        table.commit(&txn).await.expect("the stand-in answers");
+        let txn = chunk.iter().fold(Txn::new(), put);
+        table.commit(&txn).await.expect("the fake platform responds");
     }
 }
 
-fn answer() -> Response {
+fn booked_response() -> Response {
     Response {
         status: 200,
         content_type: "application/json".into(),
@@ -349,7 +356,7 @@
     }
 }
 
-fn request(key: &str) -> RequestId {
+fn request_id(key: &str) -> RequestId {
     let caller = CallerName::try_from("lab").expect("a valid name");
     RequestId { caller, key: key.to_owned() }
 }
