--- a/crates/lab/src/slopes/fit.rs
+++ b/crates/lab/src/slopes/fit.rs
@@ -1,19 +1,19 @@
-//! Straight lines through measured points.
+//! Fits lines to measured points and prints both.
 
 use indexmap::IndexMap;
 use serde_json::{Value, json};
 
 use super::Point;
 
-/// A straight line and how well it fits.
-struct Line {
-    base: f64,
+/// A line through the points of one series.
+struct LinearFit {
+    intercept: f64,
     slope: f64,
-    /// The greatest distance of a point from the line, relative to the greatest value.
-    error: f64,
+    /// The largest residual, as a fraction of the largest value.
+    max_error: f64,
 }
 
-/// Prints each point and each line as an object a line.
+/// Prints each point and each fit as one JSON object a line.
 pub fn print_json(points: &[Point]) {
     for point in points {
         let mut row = json!({
@@ -26,41 +26,43 @@
         }
         println!("{row}");
     }
-    for ((experiment, unit, name), line) in lines(points) {
+    for ((experiment, unit, name), fit) in linear_fits(points) {
         println!(
             "{}",
             json!({
                 "experiment": experiment, "line": name, "unit": unit,
-                "base": line.base, "slope": line.slope, "error": line.error,
+                "base": fit.intercept, "slope": fit.slope, "error": fit.max_error,
             })
         );
     }
 }
 
-/// Prints points and lines for people.
+/// Prints points and fits as text.
 pub fn print_table(points: &[Point]) {
     for point in points {
         print!("{:<9} {:>8} {:<14}", point.experiment, point.size, point.unit);
         for (name, value) in &point.values {
-            print!("  {name} {}", short(*value));
+            print!("  {name} {}", rounded(*value));
         }
         println!();
     }
     println!();
-    for ((experiment, unit, name), line) in lines(points) {
+    for ((experiment, unit, name), fit) in linear_fits(points) {
         println!(
             "{experiment:<9} {name:<22} = {} + {} per {unit} (off by at most {:.0} %)",
-            short(line.base),
-            short(line.slope),
-            line.error * 100.0,
+            rounded(fit.intercept),
+            rounded(fit.slope),
+            fit.max_error * 100.0,
         );
     }
 }
 
-type Key = (&'static str, &'static str, &'static str);
+/// Experiment, unit of the size and name of the value.
+type SeriesKey = (&'static str, &'static str, &'static str);
 
-fn lines(points: &[Point]) -> IndexMap<Key, Line> {
-    let mut series: IndexMap<Key, Vec<(f64, f64)>> = IndexMap::new();
+/// Fits a line to each series of at least 3 points.
+fn linear_fits(points: &[Point]) -> IndexMap<SeriesKey, LinearFit> {
+    let mut series: IndexMap<SeriesKey, Vec<(f64, f64)>> = IndexMap::new();
     for point in points {
         for (name, value) in &point.values {
             let key = (point.experiment, point.unit, *name);
@@ -68,24 +70,26 @@
         }
     }
     series.retain(|_, values| values.len() >= 3);
-    series.into_iter().map(|(key, values)| (key, line(&values))).collect()
+    series.into_iter().map(|(key, values)| (key, least_squares(&values))).collect()
 }
 
-/// The line of least squares.
-fn line(points: &[(f64, f64)]) -> Line {
+/// Fits a line by least squares; the slope is 0 if all sizes are equal.
+fn least_squares(points: &[(f64, f64)]) -> LinearFit {
     let count = points.len() as f64;
     let mean = |of: fn(&(f64, f64)) -> f64| points.iter().map(of).sum::<f64>() / count;
-    let (x, y) = (mean(|p| p.0), mean(|p| p.1));
-    let above: f64 = points.iter().map(|p| (p.0 - x) * (p.1 - y)).sum();
-    let below: f64 = points.iter().map(|p| (p.0 - x).powi(2)).sum();
-    let slope = if below == 0.0 { 0.0 } else { above / below };
-    let base = y - slope * x;
-    let off = points.iter().map(|p| (base + slope * p.0 - p.1).abs()).fold(0.0, f64::max);
-    let most = points.iter().map(|p| p.1.abs()).fold(f64::MIN_POSITIVE, f64::max);
-    Line { base, slope, error: off / most }
+    let (mean_x, mean_y) = (mean(|p| p.0), mean(|p| p.1));
+    let sum_xy: f64 = points.iter().map(|p| (p.0 - mean_x) * (p.1 - mean_y)).sum();
+    let sum_xx: f64 = points.iter().map(|p| (p.0 - mean_x).powi(2)).sum();
+    let slope = if sum_xx == 0.0 { 0.0 } else { sum_xy / sum_xx };
+    let intercept = mean_y - slope * mean_x;
+    let max_residual =
+        points.iter().map(|p| (intercept + slope * p.0 - p.1).abs()).fold(0.0, f64::max);
+    let max_value = points.iter().map(|p| p.1.abs()).fold(f64::MIN_POSITIVE, f64::max);
+    LinearFit { intercept, slope, max_error: max_residual / max_value }
 }
 
-fn short(value: f64) -> Value {
+/// `value` without decimals from 100 on, else with at most 4.
+fn rounded(value: f64) -> Value {
     let digits = if value.abs() >= 100.0 { 0 } else { 4 };
     let text = format!("{value:.digits$}");
     text.parse::<f64>().map_or(Value::Null, |number| json!(number))
--- a/crates/lab/src/slopes/mod.rs
+++ b/crates/lab/src/slopes/mod.rs
@@ -1,10 +1,10 @@
-//! What real daemons cost as the system grows.
+//! Measures what real daemons cost as the system grows.
 //!
-//! Daemons run in this process beside the platform's stand-in, each on threads of
-//! their own, so that the system tells the processor time of each apart. The
-//! table is filled with rows of members, runners, claims and ledgers that no
-//! process stands behind: to a daemon a system of 2,100 daemons looks like that.
-//! Each experiment takes three or more sizes and a straight line is fitted.
+//! Daemons and a fake platform run in this process on separate threads, so that the
+//! CPU time of the daemons can be told apart. The table holds rows of members,
+//! runners, claims and ledgers without any process behind them; to a daemon this
+//! looks like a system of up to 2,100 daemons. Each experiment measures three or more
+//! sizes and fits a line to each value.
 
 mod fit;
 mod requests;
@@ -17,35 +17,37 @@
 use bpaf::Bpaf;
 use serde::Serialize;
 
-/// What to measure.
+/// Measures what real daemons cost as the system grows.
 #[derive(Debug, Clone, Bpaf)]
 pub struct Options {
     /// Print one JSON object a line
     json: bool,
-    /// Seconds for which each size is watched
+    /// Duration of the measurement at each size, in seconds
     #[bpaf(argument("SECONDS"), fallback(10), display_fallback)]
     seconds: u64,
-    /// Only this experiment: state, changes or requests
+    /// Run only this experiment: state, changes or requests
     #[bpaf(argument("NAME"))]
     only: Option<String>,
 }
 
-/// One measured size of one experiment.
+/// The results of an experiment at one size.
 #[derive(Debug, Clone, Serialize)]
 pub struct Point {
-    /// The experiment.
+    /// Name of the experiment.
     pub experiment: &'static str,
-    /// What grows.
+    /// The unit of `size`, such as a runner.
     pub unit: &'static str,
-    /// How much of it there was.
+    /// The size, in that unit.
     pub size: f64,
-    /// What was measured, and its value.
+    /// Measured values by column name, which includes the unit.
     pub values: Vec<(&'static str, f64)>,
 }
 
-/// Runs the experiments.
+/// Runs the selected experiments and prints points and fits.
+///
+/// Exits with 1 where an experiment fails and with 2 where none has the given name.
 pub fn run(options: &Options) -> ExitCode {
-    let wanted =
+    let is_selected =
         |name: &str| options.only.as_ref().is_none_or(|only| only.as_str() == name);
     let mut points = Vec::new();
     let experiments: [(&str, Experiment); 3] = [
@@ -54,13 +56,13 @@
         ("requests", requests::run),
     ];
     for (name, experiment) in experiments {
-        if !wanted(name) {
+        if !is_selected(name) {
             continue;
         }
         match experiment(options.seconds) {
-            Ok(found) => points.extend(found),
+            Ok(measured) => points.extend(measured),
             Err(error) => {
-                eprintln!("{name}: {error}; free ports and memory and run it again");
+                eprintln!("{name}: {error}; free up ports and memory and run it again");
                 return ExitCode::FAILURE;
             }
         }
@@ -77,4 +79,5 @@
     ExitCode::SUCCESS
 }
 
+/// Measures each size for the given number of seconds.
 type Experiment = fn(u64) -> Result<Vec<Point>, testbed::ExperimentError>;
--- a/crates/lab/src/slopes/requests.rs
+++ b/crates/lab/src/slopes/requests.rs
@@ -1,4 +1,4 @@
-//! What requests and tokens cost, and how long the way through a lead takes.
+//! CPU time per request and token, and latency to the first token through a lead.
 
 use std::time::{Duration, Instant};
 
@@ -11,22 +11,22 @@
 use super::testbed::{ExperimentError, Testbed, sha256_hex};
 use crate::resource_usage::{self, DAEMON_THREADS};
 
-/// Daemons; most requests pass through two of them.
+/// Daemons; most requests pass through both, one as the entry and one as the lead.
 const DAEMONS: usize = 2;
 
-/// Requests at the same time.
-const PARALLEL: usize = 32;
+/// Callers that send requests at the same time.
+const CALLERS: usize = 32;
 
-/// Tokens of an answer at each size; the slope is the cost of a token.
-const TOKENS: [u32; 4] = [1, 50, 100, 200];
+/// Tokens of a response at each size; the slope is the cost of a token.
+const OUTPUT_TOKENS: [u32; 4] = [1, 50, 100, 200];
 
-/// How long to wait until the model is resident.
-const READY: Duration = Duration::from_secs(60);
+/// How long to wait until all daemons serve the model.
+const READY_TIMEOUT: Duration = Duration::from_secs(60);
 
-/// The longest time that is told apart, in microseconds.
-const MINUTE: u64 = 60_000_000;
+/// Upper bound of the latency histograms, in microseconds; longer ones count as this.
+const MAX_LATENCY_US: u64 = 60_000_000;
 
-/// Measures processor time for each request as answers grow longer.
+/// Measures CPU time and latency of requests as responses grow longer.
 pub fn run(seconds: u64) -> Result<Vec<Point>, ExperimentError> {
     let mut testbed = Testbed::new(json!({ "poll_ms": 500 }))?;
     for _ in 0..2 {
@@ -40,8 +40,8 @@
         testbed.start_daemon()?;
     }
     testbed.apply_declarations(&declarations())?;
-    wait_ready(&testbed)?;
-    TOKENS.iter().map(|&tokens| measure(&testbed, tokens, seconds)).collect()
+    wait_until_ready(&testbed)?;
+    OUTPUT_TOKENS.iter().map(|&tokens| measure(&testbed, tokens, seconds)).collect()
 }
 
 fn measure(
@@ -49,92 +49,103 @@
     tokens: u32,
     seconds: u64,
 ) -> Result<Point, ExperimentError> {
-    let busy = resource_usage::cpu_seconds(DAEMON_THREADS);
-    let begin = Instant::now();
-    let until = begin + Duration::from_secs(seconds);
-    let loops = (0..PARALLEL).map(|n| ask_until(testbed, n, tokens, until));
-    let found = testbed.harness_runtime.block_on(futures::future::join_all(loops));
-    let time = begin.elapsed().as_secs_f64();
-    let busy = resource_usage::cpu_seconds(DAEMON_THREADS) - busy;
-    let mut first = Histogram::<u64>::new_with_bounds(1, MINUTE, 3).expect("bounds");
+    let initial_cpu_s = resource_usage::cpu_seconds(DAEMON_THREADS);
+    let start = Instant::now();
+    let until = start + Duration::from_secs(seconds);
+    let callers = (0..CALLERS).map(|caller| run_caller(testbed, caller, tokens, until));
+    let results = testbed.harness_runtime.block_on(futures::future::join_all(callers));
+    let elapsed_s = start.elapsed().as_secs_f64();
+    let cpu_s = resource_usage::cpu_seconds(DAEMON_THREADS) - initial_cpu_s;
+    let mut first_token =
+        Histogram::<u64>::new_with_bounds(1, MAX_LATENCY_US, 3).expect("valid bounds");
     let mut served = 0;
-    for one in found {
-        let one = one?;
-        served += one.served;
-        first.add(&one.first).expect("the same bounds");
+    for result in results {
+        let result = result?;
+        served += result.served;
+        first_token.add(&result.first_token).expect("the same bounds");
     }
-    let at = |q| first.value_at_quantile(q) as f64 / 1000.0;
+    let at = |quantile| first_token.value_at_quantile(quantile) as f64 / 1000.0;
     Ok(Point {
         experiment: "requests",
         unit: "token",
         size: f64::from(tokens),
         values: vec![
-            ("cpu_us_per_request", busy * 1e6 / f64::from(served)),
-            ("requests_per_s", f64::from(served) / time),
+            ("cpu_us_per_request", cpu_s * 1e6 / f64::from(served)),
+            ("requests_per_s", f64::from(served) / elapsed_s),
             ("first_token_p50_ms", at(0.5)),
             ("first_token_p99_ms", at(0.99)),
         ],
     })
 }
 
-/// What one caller saw.
-struct Seen {
+/// Results of one caller.
+struct CallerResult {
+    /// Successful responses.
     served: u32,
-    first: Histogram<u64>,
+    /// Latency to the first bytes of a successful response, in microseconds.
+    first_token: Histogram<u64>,
 }
 
-async fn ask_until(
+/// Sends requests one after another until `until`.
+async fn run_caller(
     testbed: &Testbed,
     caller: usize,
     tokens: u32,
     until: Instant,
-) -> Result<Seen, ExperimentError> {
-    let first = Histogram::new_with_bounds(1, MINUTE, 3).expect("valid bounds");
-    let mut seen = Seen { served: 0, first };
-    let entry = testbed.caller_url(caller % DAEMONS);
+) -> Result<CallerResult, ExperimentError> {
+    let first_token =
+        Histogram::new_with_bounds(1, MAX_LATENCY_US, 3).expect("valid bounds");
+    let mut result = CallerResult { served: 0, first_token };
+    let url = testbed.caller_url(caller % DAEMONS);
     while Instant::now() < until {
-        let sent = Instant::now();
-        let prompt = format!("caller {caller} asks for the {}th time", seen.served);
-        let answer = ask(testbed, &entry, &prompt, tokens).send().await?;
-        let served = answer.status().is_success();
-        let mut body = answer.bytes_stream();
-        let mut begun = false;
+        let sent_at = Instant::now();
+        let prompt = format!("caller {caller} asks for the {}th time", result.served);
+        let response = completion_request(testbed, &url, &prompt, tokens).send().await?;
+        let served = response.status().is_success();
+        let mut body = response.bytes_stream();
+        let mut started = false;
         while let Some(chunk) = body.next().await {
             chunk?;
-            if served && !begun {
-                begun = true;
-                let wait = sent.elapsed().as_micros() as u64;
-                seen.first.record(wait.clamp(1, MINUTE)).expect("in bounds");
+            if served && !started {
+                started = true;
+                let latency_us = sent_at.elapsed().as_micros() as u64;
+                result
+                    .first_token
+                    .record(latency_us.clamp(1, MAX_LATENCY_US))
+                    .expect("in bounds");
             }
         }
-        seen.served += u32::from(served);
+        result.served += u32::from(served);
     }
-    Ok(seen)
+    Ok(result)
 }
 
-fn ask(
+fn completion_request(
     testbed: &Testbed,
-    entry: &str,
+    url: &str,
     prompt: &str,
     tokens: u32,
 ) -> reqwest::RequestBuilder {
     testbed
         .http
-        .post(format!("{entry}/v1/completions"))
+        .post(format!("{url}/v1/completions"))
         .header("authorization", "Bearer caller")
         .json(&json!({
             "model": "route", "prompt": prompt, "max_tokens": tokens, "stream": true,
         }))
 }
 
-fn wait_ready(testbed: &Testbed) -> Result<(), ExperimentError> {
-    let begin = Instant::now();
+/// Sends requests to each daemon until one succeeds.
+///
+/// Returns after [`READY_TIMEOUT`] even if none has.
+fn wait_until_ready(testbed: &Testbed) -> Result<(), ExperimentError> {
+    let start = Instant::now();
     for daemon in 0..DAEMONS {
-        let entry = testbed.caller_url(daemon);
+        let url = testbed.caller_url(daemon);
         loop {
-            let call = ask(testbed, &entry, "ready?", 1).send();
+            let call = completion_request(testbed, &url, "ready?", 1).send();
             let ready = testbed.harness_runtime.block_on(call)?.status().is_success();
-            if ready || begin.elapsed() > READY {
+            if ready || start.elapsed() > READY_TIMEOUT {
                 break;
             }
             std::thread::sleep(Duration::from_millis(100));
--- a/crates/lab/src/slopes/rows.rs
+++ b/crates/lab/src/slopes/rows.rs
@@ -1,4 +1,4 @@
-//! Rows of a large system that no process stands behind.
+//! Rows of a large system whose daemons and runners do not exist.
 
 use std::net::SocketAddr;
 
@@ -14,33 +14,35 @@
 use chestnut_plat::{PlatformError, TableClient, Txn};
 use serde_json::json;
 
-/// Rows in one transaction.
-const BATCH: usize = 500;
+/// Rows in a full transaction.
+const ROWS_PER_TXN: usize = 500;
 
-/// Models that each runner holds.
-const HELD: usize = 3;
+/// Models that are resident on each runner.
+const MODELS_PER_RUNNER: usize = 3;
 
-/// The memory of a model, in bytes.
+/// Memory of each model, in bytes.
 pub const MODEL_BYTES: u64 = 20_000_000_000;
 
-/// The memory of a runner, in bytes.
+/// Memory of each runner, in bytes.
 pub const RUNNER_BYTES: u64 = 80_000_000_000;
 
-/// The size of a system.
+/// How many daemons, runners, models and journal slots a system has.
 #[derive(Debug, Clone, Copy)]
 pub struct SystemSize {
-    /// Daemons.
+    /// Daemons with a member row and a lease.
     pub members: usize,
-    /// Runners.
+    /// Runners with a server, a claim and a ledger row.
     pub runners: usize,
-    /// Models.
+    /// Declared models.
     pub models: usize,
-    /// Slots of the journal.
+    /// Journal slots with a claim row.
     pub journal_slots: u16,
 }
 
 impl SystemSize {
-    /// The proportions of the full size, with so many runners.
+    /// A system with this number of runners and the proportions of the largest one.
+    ///
+    /// The largest one has 12,000 runners, 2,100 daemons and 1,900 models.
     pub fn with_runners(runners: usize) -> Self {
         Self {
             members: (runners * 2100 / 12_000).max(1),
@@ -51,29 +53,31 @@
     }
 }
 
-/// Writes all rows of a system.
+/// Writes all rows of a system, leases included.
 pub async fn write_system(
     table: &TableClient,
     size: SystemSize,
 ) -> Result<(), PlatformError> {
-    let mut rows = Rows { table, txn: Txn::new() };
+    let mut writer = RowWriter { table, txn: Txn::new() };
     for n in 0..size.members {
         let vm = format!("entry-{n}");
-        rows.put(MEMBERS, vm, json!(member(n))).await?;
+        writer.put(MEMBERS, vm, json!(member_row(n))).await?;
     }
     for n in 0..size.runners {
-        let name = runner(n);
-        rows.put(SERVERS, name.to_string(), json!(server(n))).await?;
+        let name = runner_name(n);
+        writer.put(SERVERS, name.to_string(), json!(server_row(n))).await?;
         let key = ClaimKey::Server(name.clone());
-        rows.put(CLAIMS, key.to_string(), json!(claim(n % size.members))).await?;
-        rows.put(LEDGER, name.to_string(), json!(ledger(n, size.models, 0))).await?;
+        writer.put(CLAIMS, key.to_string(), json!(claim_row(n % size.members))).await?;
+        writer
+            .put(LEDGER, name.to_string(), json!(ledger_row(n, size.models, 0)))
+            .await?;
     }
     let pool = PoolName::try_from("main").expect("a valid name");
     let slots = (0..size.journal_slots).map(|n| ClaimKey::Slot(SlotId(n)));
     for (n, key) in slots.chain([ClaimKey::Vms, ClaimKey::Pool(pool)]).enumerate() {
-        rows.put(CLAIMS, key.to_string(), json!(claim(n % size.members))).await?;
+        writer.put(CLAIMS, key.to_string(), json!(claim_row(n % size.members))).await?;
     }
-    rows.commit().await?;
+    writer.commit().await?;
     renew_leases(table, size).await
 }
 
@@ -82,36 +86,41 @@
     table: &TableClient,
     size: SystemSize,
 ) -> Result<(), PlatformError> {
-    let mut rows = Rows { table, txn: Txn::new() };
+    let mut writer = RowWriter { table, txn: Txn::new() };
     for n in 0..size.members {
-        let lease = LeaseRow { member: id(n), revision: Default::default(), modified: 0 };
-        rows.put(LEASES, format!("entry-{n}"), json!(lease)).await?;
+        let lease =
+            LeaseRow { member: member_id(n), revision: Default::default(), modified: 0 };
+        writer.put(LEASES, format!("entry-{n}"), json!(lease)).await?;
     }
-    rows.commit().await
+    writer.commit().await
 }
 
-/// Rewrites `count` ledgers, from the one numbered `from` on.
+/// Rewrites `count` ledgers from number `from` on.
+///
+/// Numbers beyond the last runner start over at the first; each round over the
+/// runners gives them other models.
 pub async fn rewrite_ledgers(
     table: &TableClient,
     size: SystemSize,
     from: usize,
     count: usize,
 ) -> Result<(), PlatformError> {
-    let mut rows = Rows { table, txn: Txn::new() };
+    let mut writer = RowWriter { table, txn: Txn::new() };
     for n in from..from + count {
-        let (n, turn) = (n % size.runners, n / size.runners);
-        let row = ledger(n, size.models, turn + 1);
-        rows.put(LEDGER, runner(n).to_string(), json!(row)).await?;
+        let (n, round) = (n % size.runners, n / size.runners);
+        let row = ledger_row(n, size.models, round + 1);
+        writer.put(LEDGER, runner_name(n).to_string(), json!(row)).await?;
     }
-    rows.commit().await
+    writer.commit().await
 }
 
-struct Rows<'a> {
+/// Writes rows in transactions of [`ROWS_PER_TXN`]; `commit` writes the rest.
+struct RowWriter<'a> {
     table: &'a TableClient,
     txn: Txn,
 }
 
-impl Rows<'_> {
+impl RowWriter<'_> {
     async fn put(
         &mut self,
         table: &str,
@@ -120,7 +129,7 @@
     ) -> Result<(), PlatformError> {
         let txn = std::mem::take(&mut self.txn);
         self.txn = txn.put(table, key, value);
-        if self.txn.writes.len() >= BATCH { self.commit().await } else { Ok(()) }
+        if self.txn.writes.len() >= ROWS_PER_TXN { self.commit().await } else { Ok(()) }
     }
 
     async fn commit(&mut self) -> Result<(), PlatformError> {
@@ -132,20 +141,20 @@
     }
 }
 
-fn id(n: usize) -> MemberId {
+fn member_id(n: usize) -> MemberId {
     MemberId(1000 + n as u64)
 }
 
-fn runner(n: usize) -> ServerName {
+fn runner_name(n: usize) -> ServerName {
     ServerName::try_from(format!("runner-{n}")).expect("a valid name")
 }
 
-/// The name of a model.
+/// Name of model number `n`.
 pub fn model_name(n: usize) -> ModelName {
     ModelName::try_from(format!("model-{n}")).expect("a valid name")
 }
 
-/// The version of all models.
+/// Version of every model.
 pub fn model_version() -> VersionName {
     VersionName::try_from("v1").expect("a valid name")
 }
@@ -158,9 +167,9 @@
     SocketAddr::from(([10, 1, (n >> 8) as u8, n as u8], 8080))
 }
 
-fn member(n: usize) -> MemberRow {
+fn member_row(n: usize) -> MemberRow {
     MemberRow {
-        member: id(n),
+        member: member_id(n),
         domain: domain(n),
         caller_addr: address(n),
         peer_addr: address(n),
@@ -170,7 +179,7 @@
     }
 }
 
-fn server(n: usize) -> Server {
+fn server_row(n: usize) -> Server {
     let pool = PoolName::try_from("main").expect("a valid name");
     Server {
         address: address(n),
@@ -180,15 +189,15 @@
     }
 }
 
-fn claim(n: usize) -> ClaimRow {
-    ClaimRow { holder: Some(id(n)), fence: Fence(1) }
+fn claim_row(n: usize) -> ClaimRow {
+    ClaimRow { holder: Some(member_id(n)), fence: Fence(1) }
 }
 
-/// A runner's ledger; another `turn` holds other models.
-fn ledger(n: usize, models: usize, turn: usize) -> Ledger {
-    let item = |k: usize| Reservation {
+/// The ledger of runner `n`; its models depend on `round`.
+fn ledger_row(n: usize, models: usize, round: usize) -> Ledger {
+    let reservation = |k: usize| Reservation {
         asset: Asset::model(
-            model_name((n * HELD + k + turn * 7) % models),
+            model_name((n * MODELS_PER_RUNNER + k + round * 7) % models),
             model_version(),
         ),
         bytes: MODEL_BYTES,
@@ -199,8 +208,8 @@
     Ledger {
         capacity: RUNNER_BYTES,
         incarnation: 1,
-        last_order: 1 + turn as u64,
+        last_order: 1 + round as u64,
         down: false,
-        reservations: (0..HELD).map(item).collect(),
+        reservations: (0..MODELS_PER_RUNNER).map(reservation).collect(),
     }
 }
--- a/crates/lab/src/slopes/state.rs
+++ b/crates/lab/src/slopes/state.rs
@@ -1,4 +1,4 @@
-//! What the knowledge of a large system costs a daemon.
+//! Memory, CPU time and table traffic of a daemon in a large system.
 
 use std::sync::atomic::Ordering;
 use std::sync::mpsc;
@@ -13,41 +13,41 @@
 use super::testbed::{ExperimentError, Testbed};
 use crate::resource_usage::{self, DAEMON_THREADS};
 
-/// Runners at each size; the last is the full one.
-const RUNNERS: [usize; 4] = [1_500, 3_000, 6_000, 12_000];
+/// Runners at each size; the last is the largest supported system.
+const RUNNER_COUNTS: [usize; 4] = [1_500, 3_000, 6_000, 12_000];
 
-/// Daemons that are watched at each size.
-const WATCHED: usize = 3;
+/// Real daemons at each size.
+const DAEMONS: usize = 3;
 
-/// Changed rows a second at each rate.
-const RATES: [usize; 4] = [0, 20, 80, 320];
+/// Changed rows a second at each size.
+const CHANGE_RATES: [usize; 4] = [0, 20, 80, 320];
 
-/// Runners while the rate of changes grows.
-const CHANGED_RUNNERS: usize = 3_000;
+/// Runners in the experiment with changes.
+const RUNNERS_WITH_CHANGES: usize = 3_000;
 
-/// How long a daemon may take to learn all there is.
-const LEARN: Duration = Duration::from_secs(60);
+/// How long a daemon may take to read the whole system.
+const SYNC_TIMEOUT: Duration = Duration::from_secs(60);
 
-/// How often the leases of the members that don't exist are renewed.
-const RENEWAL: Duration = Duration::from_secs(5);
+/// How often the leases of members without a daemon are renewed.
+const RENEWAL_INTERVAL: Duration = Duration::from_secs(5);
 
-/// Measures memory, processor time and traffic as the number of runners grows.
+/// Measures memory, CPU time and traffic as the number of runners grows.
 pub fn run(seconds: u64) -> Result<Vec<Point>, ExperimentError> {
-    RUNNERS.iter().map(|&runners| measure_size(runners, seconds)).collect()
+    RUNNER_COUNTS.iter().map(|&runners| measure_size(runners, seconds)).collect()
 }
 
-/// Measures processor time and traffic as more rows change.
+/// Measures CPU time and traffic as the rate of changed rows grows.
 pub fn run_changes(seconds: u64) -> Result<Vec<Point>, ExperimentError> {
-    let size = SystemSize::with_runners(CHANGED_RUNNERS);
-    let mut testbed = filled(size)?;
-    let _leases = keep_leases(&testbed, size);
-    for _ in 0..WATCHED {
-        start(&mut testbed, size)?;
+    let size = SystemSize::with_runners(RUNNERS_WITH_CHANGES);
+    let mut testbed = start_testbed(size)?;
+    let _renewal = renew_leases_in_background(&testbed, size);
+    for _ in 0..DAEMONS {
+        start_daemon(&mut testbed, size)?;
     }
     let mut points = Vec::new();
     let mut next = 0;
-    for rate in RATES {
-        let cost = watch(&testbed, seconds, |_| {
+    for rate in CHANGE_RATES {
+        let usage = measure_usage(&testbed, seconds, |_| {
             testbed.harness_runtime.block_on(rows::rewrite_ledgers(
                 &testbed.table,
                 size,
@@ -57,7 +57,7 @@
             next += rate;
             Ok(())
         })?;
-        let values = cost.values();
+        let values = usage.values();
         points.push(Point {
             experiment: "changes",
             unit: "row/s",
@@ -70,25 +70,28 @@
 
 fn measure_size(runners: usize, seconds: u64) -> Result<Point, ExperimentError> {
     let size = SystemSize::with_runners(runners);
-    let mut testbed = filled(size)?;
-    let _leases = keep_leases(&testbed, size);
-    // The first daemon also warms up what they share in this process.
-    start(&mut testbed, size)?;
-    let (memory, busy) =
+    let mut testbed = start_testbed(size)?;
+    let _renewal = renew_leases_in_background(&testbed, size);
+    // The first daemon also sets up what all daemons of this process share, so its
+    // start isn't measured.
+    start_daemon(&mut testbed, size)?;
+    let (initial_memory, initial_cpu_s) =
         (resource_usage::resident_bytes(), resource_usage::cpu_seconds(DAEMON_THREADS));
-    for _ in 1..WATCHED {
-        start(&mut testbed, size)?;
+    for _ in 1..DAEMONS {
+        start_daemon(&mut testbed, size)?;
     }
-    let others = (WATCHED - 1) as f64;
-    let memory = (resource_usage::resident_bytes() - memory) / others;
-    let start = (resource_usage::cpu_seconds(DAEMON_THREADS) - busy) / others;
-    let cost = watch(&testbed, seconds, |_| Ok(()))?;
-    let mut values = vec![("memory_mb", memory / 1e6), ("start_cpu_s", start)];
-    values.extend(cost.values());
+    let others = (DAEMONS - 1) as f64;
+    let memory = (resource_usage::resident_bytes() - initial_memory) / others;
+    let start_cpu_s =
+        (resource_usage::cpu_seconds(DAEMON_THREADS) - initial_cpu_s) / others;
+    let usage = measure_usage(&testbed, seconds, |_| Ok(()))?;
+    let mut values = vec![("memory_mb", memory / 1e6), ("start_cpu_s", start_cpu_s)];
+    values.extend(usage.values());
     Ok(Point { experiment: "state", unit: "runner", size: runners as f64, values })
 }
 
-fn filled(size: SystemSize) -> Result<Testbed, ExperimentError> {
+/// Starts the platform and writes the rows of a system.
+fn start_testbed(size: SystemSize) -> Result<Testbed, ExperimentError> {
     let testbed = Testbed::new(json!({
         "lease_ms": 20_000, "renewal_ms": 6_000, "poll_ms": 500, "stale_ms": 60_000,
         "platform_ms": 20_000,
@@ -97,100 +100,108 @@
     Ok(testbed)
 }
 
-/// Renews leases until the returned sender is dropped.
-fn keep_leases(testbed: &Testbed, size: SystemSize) -> mpsc::Sender<()> {
-    let (alive, gone) = mpsc::channel();
+/// Renews the leases on a thread of its own until the returned sender is dropped.
+fn renew_leases_in_background(testbed: &Testbed, size: SystemSize) -> mpsc::Sender<()> {
+    let (stop_sender, stopped) = mpsc::channel();
     let (table, handle) =
         (testbed.table.clone(), testbed.harness_runtime.handle().clone());
     thread::spawn(move || {
-        while gone.recv_timeout(RENEWAL) == Err(mpsc::RecvTimeoutError::Timeout) {
+        while stopped.recv_timeout(RENEWAL_INTERVAL)
+            == Err(mpsc::RecvTimeoutError::Timeout)
+        {
             if let Err(error) = handle.block_on(rows::renew_leases(&table, size)) {
-                eprintln!("leases were not renewed: {error}");
+                eprintln!("could not renew leases: {error}");
             }
         }
     });
-    alive
+    stop_sender
 }
 
-/// Starts a daemon and waits until it knows the whole system.
-fn start(testbed: &mut Testbed, size: SystemSize) -> Result<(), ExperimentError> {
+/// Starts a daemon and waits until it has read the whole system.
+///
+/// Returns after [`SYNC_TIMEOUT`] even if it has not.
+fn start_daemon(testbed: &mut Testbed, size: SystemSize) -> Result<(), ExperimentError> {
     testbed.start_daemon()?;
     if testbed.daemons.len() == 1 {
         testbed.apply_declarations(&declarations(size))?;
     }
-    let begin = Instant::now();
+    let start = Instant::now();
     let shared = testbed.daemons.last().expect("one was started").node().shared.clone();
-    let knows = || {
+    let is_synced = || {
         shared.view().servers.len() == size.runners
             && shared.residency().runners().len() == size.runners
             && shared.catalog().models.len() == size.models
     };
-    while !knows() && begin.elapsed() < LEARN {
+    while !is_synced() && start.elapsed() < SYNC_TIMEOUT {
         thread::sleep(Duration::from_millis(50));
     }
-    // What it takes in only while learning is given back before memory is read.
+    // Lets the daemon free what only the initial read needs before memory is measured.
     thread::sleep(Duration::from_secs(2));
     Ok(())
 }
 
-/// What one daemon cost while it was watched.
-struct Cost {
+/// Mean usage of one daemon.
+struct DaemonUsage {
+    /// As a fraction of one core.
     cpu: f64,
-    reads: f64,
-    writes: f64,
-    received: f64,
-    sent: f64,
+    reads_per_s: f64,
+    writes_per_s: f64,
+    received_bytes_per_s: f64,
+    sent_bytes_per_s: f64,
 }
 
-impl Cost {
+impl DaemonUsage {
     fn values(&self) -> Vec<(&'static str, f64)> {
         vec![
             ("cpu_percent", self.cpu * 100.0),
-            ("reads_per_s", self.reads),
-            ("writes_per_s", self.writes),
-            ("received_bytes_per_s", self.received),
-            ("sent_bytes_per_s", self.sent),
+            ("reads_per_s", self.reads_per_s),
+            ("writes_per_s", self.writes_per_s),
+            ("received_bytes_per_s", self.received_bytes_per_s),
+            ("sent_bytes_per_s", self.sent_bytes_per_s),
         ]
     }
 }
 
-/// Watches the daemons for some seconds, doing something in each.
-fn watch(
+/// Measures the daemons for `seconds`, calling `each_second` at the start of each second.
+fn measure_usage(
     testbed: &Testbed,
     seconds: u64,
-    mut each: impl FnMut(u64) -> Result<(), ExperimentError>,
-) -> Result<Cost, ExperimentError> {
-    let before = sums(testbed);
-    let busy = resource_usage::cpu_seconds(DAEMON_THREADS);
-    let begin = Instant::now();
+    mut each_second: impl FnMut(u64) -> Result<(), ExperimentError>,
+) -> Result<DaemonUsage, ExperimentError> {
+    let before = traffic_totals(testbed);
+    let initial_cpu_s = resource_usage::cpu_seconds(DAEMON_THREADS);
+    let start = Instant::now();
     for second in 0..seconds {
-        each(second)?;
-        let due = begin + Duration::from_secs(second + 1);
+        each_second(second)?;
+        let due = start + Duration::from_secs(second + 1);
         thread::sleep(due.saturating_duration_since(Instant::now()));
     }
-    let share = 1.0 / (begin.elapsed().as_secs_f64() * testbed.daemons.len() as f64);
-    let after = sums(testbed);
-    let per = |n: usize| (after[n] - before[n]) as f64 * share;
-    Ok(Cost {
-        cpu: (resource_usage::cpu_seconds(DAEMON_THREADS) - busy) * share,
-        reads: per(0),
-        writes: per(1),
-        received: per(2),
-        sent: per(3),
+    let per_daemon_second =
+        1.0 / (start.elapsed().as_secs_f64() * testbed.daemons.len() as f64);
+    let after = traffic_totals(testbed);
+    let mean = |n: usize| (after[n] - before[n]) as f64 * per_daemon_second;
+    Ok(DaemonUsage {
+        cpu: (resource_usage::cpu_seconds(DAEMON_THREADS) - initial_cpu_s)
+            * per_daemon_second,
+        reads_per_s: mean(0),
+        writes_per_s: mean(1),
+        received_bytes_per_s: mean(2),
+        sent_bytes_per_s: mean(3),
     })
 }
 
-/// Reads, writes, bytes received and bytes sent of all daemons.
-fn sums(testbed: &Testbed) -> [u64; 4] {
-    let mut sums = [0; 4];
+/// Reads, writes, bytes received and bytes sent, since the start, of all daemons.
+fn traffic_totals(testbed: &Testbed) -> [u64; 4] {
+    let mut totals = [0; 4];
     for daemon in &testbed.daemons {
         let traffic: &TrafficCounters = daemon.node().shared.table.traffic();
-        let parts = [&traffic.reads, &traffic.commits, &traffic.received, &traffic.sent];
-        for (sum, part) in sums.iter_mut().zip(parts) {
-            *sum += part.load(Ordering::Relaxed);
+        let counters =
+            [&traffic.reads, &traffic.commits, &traffic.received, &traffic.sent];
+        for (total, counter) in totals.iter_mut().zip(counters) {
+            *total += counter.load(Ordering::Relaxed);
         }
     }
-    sums
+    totals
 }
 
 fn declarations(size: SystemSize) -> Value {
--- a/crates/lab/src/slopes/testbed.rs
+++ b/crates/lab/src/slopes/testbed.rs
@@ -1,4 +1,4 @@
-//! The stand-ins and daemons of an experiment.
+//! Real daemons, fake engines and a fake platform in one process.
 
 use std::fmt::{self, Display, Formatter};
 use std::net::{Ipv4Addr, SocketAddr};
@@ -19,12 +19,13 @@
 
 use crate::resource_usage::{DAEMON_THREADS, HARNESS_THREADS};
 
-const THREADS: usize = 4;
+/// Worker threads of each of the two runtimes.
+const RUNTIME_THREADS: usize = 4;
 
-/// How long a call of the experiment itself may take.
-const WAIT: Duration = Duration::from_secs(60);
+/// Timeout of the harness's calls to the table, and of applying declarations.
+const HARNESS_TIMEOUT: Duration = Duration::from_secs(60);
 
-/// Why an experiment could not be carried out.
+/// Why an experiment failed, as text to print.
 #[derive(Debug)]
 pub struct ExperimentError(String);
 
@@ -54,31 +55,32 @@
     }
 }
 
-/// The stand-ins and daemons of an experiment.
+/// The daemons, engines and platform of an experiment; stopped on drop.
 pub struct Testbed {
-    /// The threads of the daemons.
+    /// Runs the daemons, and nothing else.
     pub daemon_runtime: Runtime,
-    /// The threads of everything else.
+    /// Runs the platform, the engines and the callers.
     pub harness_runtime: Runtime,
-    /// The table, as the experiment itself uses it.
+    /// The harness's own client of the table.
     pub table: TableClient,
-    /// The daemons.
+    /// The started daemons, in the order of their start.
     pub daemons: Vec<Daemon>,
-    /// The client of the experiment.
+    /// The harness's own HTTP client.
     pub http: Client,
     platform: Handle,
     engines: Vec<Handle>,
-    folder: PathBuf,
-    /// The times in the daemons' settings.
+    /// Certificates and keys of the daemons; removed on drop.
+    certs_folder: PathBuf,
+    /// The `times` in the daemons' settings.
     times: Value,
 }
 
 impl Testbed {
-    /// Starts the platform's stand-in.
+    /// Starts the platform; `times` are those of the daemons' settings.
     pub fn new(times: Value) -> Result<Self, ExperimentError> {
         let runtime = |name: &str| {
             Builder::new_multi_thread()
-                .worker_threads(THREADS)
+                .worker_threads(RUNTIME_THREADS)
                 .thread_name(name)
                 .enable_all()
                 .build()
@@ -86,15 +88,15 @@
         let daemon_runtime = runtime(DAEMON_THREADS)?;
         let harness_runtime = runtime(HARNESS_THREADS)?;
         let speed = WeightSpeed { rate: 100.0, parallel: 8, bytes: 400e9 };
-        let platform = harness_runtime.block_on(platform::start(any(), speed))?;
-        let table = TableClient::new(platform.url(), WAIT)?;
-        let folder = std::env::temp_dir().join(format!(
+        let platform = harness_runtime.block_on(platform::start(any_port(), speed))?;
+        let table = TableClient::new(platform.url(), HARNESS_TIMEOUT)?;
+        let certs_folder = std::env::temp_dir().join(format!(
             "chestnutlane-lab-{}-{}",
             std::process::id(),
             platform.address.port()
         ));
-        std::fs::create_dir_all(&folder)?;
-        certs::write(&folder)?;
+        std::fs::create_dir_all(&certs_folder)?;
+        certs::write(&certs_folder)?;
         let http = Client::builder().no_proxy().build()?;
         let (daemons, engines) = (Vec::new(), Vec::new());
         Ok(Self {
@@ -105,19 +107,19 @@
             http,
             platform,
             engines,
-            folder,
+            certs_folder,
             times,
         })
     }
 
-    /// Starts a daemon.
+    /// Starts a daemon on free ports.
     pub fn start_daemon(&mut self) -> Result<(), ExperimentError> {
         let name = format!("real-{}", self.daemons.len());
-        let file = |name: &str| self.folder.join(name).display().to_string();
-        let (url, any) = (self.platform.url(), any().to_string());
+        let file = |name: &str| self.certs_folder.join(name).display().to_string();
+        let (url, any_addr) = (self.platform.url(), any_port().to_string());
         let text = json!({
             "vm": name, "domain": "domain-0",
-            "caller_addr": any, "peer_addr": any, "ops_addr": any,
+            "caller_addr": any_addr, "peer_addr": any_addr, "ops_addr": any_addr,
             "table_url": url, "object_url": url, "vms_url": url,
             "tls": {
                 "cert": file("daemon.pem"),
@@ -129,17 +131,17 @@
         });
         let settings = Settings::parse("the experiment's settings", &text.to_string())
             .map_err(|problems| ExperimentError(problems.to_string()))?;
-        let start = run::start(settings, Arc::new(SystemClock), logs::discard());
-        let daemon = self.daemon_runtime.block_on(start);
+        let starting = run::start(settings, Arc::new(SystemClock), logs::discard());
+        let daemon = self.daemon_runtime.block_on(starting);
         self.daemons
             .push(daemon.map_err(|report| ExperimentError(format!("{report:?}")))?);
         Ok(())
     }
 
-    /// Starts an engine and puts it on the list of VMs.
+    /// Starts a fake engine and adds it to the platform's list of VMs as a runner.
     pub fn start_engine(&mut self, config: EngineConfig) -> Result<(), ExperimentError> {
         let name = format!("runner-{}", self.engines.len());
-        let engine = self.harness_runtime.block_on(engine::start(any(), config))?;
+        let engine = self.harness_runtime.block_on(engine::start(any_port(), config))?;
         let row = json!({
             "vm": name, "domain": "domain-0", "state": "live",
             "address": engine.address.to_string(), "role": "runner", "pool": "main",
@@ -150,13 +152,15 @@
         Ok(())
     }
 
-    /// Declares a pool and models, and waits until it is accepted.
+    /// Applies declarations through the first daemon, retrying until they are accepted.
+    ///
+    /// Fails with the last response after [`HARNESS_TIMEOUT`].
     pub fn apply_declarations(
         &self,
         declarations: &Value,
     ) -> Result<(), ExperimentError> {
         let ops = format!("http://{}", self.daemons[0].addresses.ops);
-        let call = || async {
+        let apply = || async {
             let change = json!({
                 "id": format!("lab-{:x}", rand::random::<u64>()),
                 "team": "lab", "author": "lab", "base": 0,
@@ -171,18 +175,18 @@
         };
         let start = std::time::Instant::now();
         loop {
-            let answer = self.harness_runtime.block_on(call())?;
-            if answer["verdict"] == "accepted" {
+            let response = self.harness_runtime.block_on(apply())?;
+            if response["verdict"] == "accepted" {
                 return Ok(());
             }
-            if start.elapsed() > WAIT {
-                return Err(ExperimentError(answer.to_string()));
+            if start.elapsed() > HARNESS_TIMEOUT {
+                return Err(ExperimentError(response.to_string()));
             }
             std::thread::sleep(Duration::from_millis(100));
         }
     }
 
-    /// Where callers reach a daemon.
+    /// Base URL at which callers reach a daemon, by its number.
     pub fn caller_url(&self, daemon: usize) -> String {
         format!("http://{}", self.daemons[daemon].addresses.caller)
     }
@@ -193,17 +197,20 @@
         for daemon in self.daemons.drain(..) {
             self.daemon_runtime.block_on(daemon.kill());
         }
-        if let Err(error) = std::fs::remove_dir_all(&self.folder) {
-            eprintln!("{} remains ({error}); remove it", self.folder.display());
+        if let Err(error) = std::fs::remove_dir_all(&self.certs_folder) {
+            eprintln!(
+                "could not remove {}: {error}; remove it by hand",
+                self.certs_folder.display()
+            );
         }
     }
 }
 
-/// The SHA-256 of a key, as settings and declarations want it.
+/// SHA-256 of a key in hexadecimal, as in settings and declarations.
 pub fn sha256_hex(text: &str) -> String {
     Sha256::digest(text.as_bytes()).iter().map(|byte| format!("{byte:02x}")).collect()
 }
 
-fn any() -> SocketAddr {
+fn any_port() -> SocketAddr {
     SocketAddr::from((Ipv4Addr::LOCALHOST, 0))
 }
