--- a/crates/lab/src/config.rs
+++ b/crates/lab/src/config.rs
@@ -44,7 +44,7 @@
     /// Size of a declaration file, in bytes.
     #[bpaf(argument("BYTES"), fallback(2000), display_fallback)]
     size: usize,
-    /// Changes a day; may be repeated.
+    /// Changes a day; may be repeated. By default five rates from 0 to 864,000.
     #[bpaf(argument("NUMBER"))]
     rate: Vec<f64>,
     /// Duration of the measurement at each rate, in seconds.
--- a/crates/lab/src/config/testbed.rs
+++ b/crates/lab/src/config/testbed.rs
@@ -126,7 +126,7 @@
         self.revision_logs.push(revision_log);
     }
 
-    /// Replaces one file through one daemon, both in turn, with `size` bytes of text.
+    /// Replaces the next file through the next daemon, with a text of `size` bytes.
     pub async fn apply_change(&mut self, size: usize) -> AcceptedChange {
         let number = self.change_count;
         self.change_count += 1;
--- a/crates/lab/src/slopes/mod.rs
+++ b/crates/lab/src/slopes/mod.rs
@@ -1,7 +1,7 @@
 //! Measures what real daemons cost as the system grows.
 //!
-//! Daemons and a fake platform run in this process on separate threads, so that the
-//! CPU time of the daemons can be told apart. The table holds rows of members,
+//! Daemons and a fake platform run in this process on separate threads, so that only
+//! the daemons' CPU time is counted. The table holds rows of members,
 //! runners, claims and ledgers without any process behind them; to a daemon this
 //! looks like a system of up to 2,100 daemons. Each experiment measures three or more
 //! sizes and fits a line to each value.
@@ -17,7 +17,7 @@
 use bpaf::Bpaf;
 use serde::Serialize;
 
-/// Measures what real daemons cost as the system grows.
+/// What to measure.
 #[derive(Debug, Clone, Bpaf)]
 pub struct Options {
     /// Print one JSON object a line
