--- a/crates/lab/src/slopes/mod.rs
+++ b/crates/lab/src/slopes/mod.rs
@@ -1,10 +1,10 @@
 //! Measures what real daemons cost as the system grows.
 //!
 //! Daemons and a fake platform run in this process on separate threads, so that only
-//! the daemons' CPU time is counted. The table holds rows of members,
-//! runners, claims and ledgers without any process behind them; to a daemon this
-//! looks like a system of up to 2,100 daemons. Each experiment measures three or more
-//! sizes and fits a line to each value.
+//! the daemons' CPU time is counted. The table holds rows of members, runners, claims
+//! and ledgers without any process behind them; to a daemon this looks like a system
+//! of up to 2,100 daemons. Each experiment measures three or more sizes and fits a
+//! line to each value.
 
 mod fit;
 mod requests;
