--- a/tests/support/command.rs
+++ b/tests/support/command.rs
@@ -1,114 +1,117 @@
-//! The commands of a scenario.
+//! Commands of a scenario.
 
 use indexmap::IndexMap;
 use serde_json::Value;
 
 use super::Failure;
 
-/// A command and the line it stands on.
+/// A command with its position.
 pub struct Step {
-    /// The line, counted from 1.
+    /// Line in the scenario file, counted from 1.
     pub line: usize,
-    /// The command.
+    /// What the line asks for.
     pub command: Command,
 }
 
-/// What a line asks for.
+/// A command, each with its syntax.
 pub enum Command {
-    /// `world [engines=N] [daemons=N] [services=N]`: the usual processes, ready.
-    World(Options),
+    /// `world [engines=N] [daemons=N] [services=N]`: starts the default processes and waits until they serve.
+    Cluster(Options),
     /// `start platform|engine|service|daemon NAME [OPTION=VALUE]..`
-    Start(Kind, String, Options),
+    Start(ProcessKind, String, Options),
     /// `kill|freeze|thaw|terminate NAME`
     Signal(Signal, String),
     /// `exits NAME CODE`: waits until the process ends with this code.
-    Exits(String, i32),
-    /// `alias NAME [not] server:NAME|slot:CALLER/KEY`: calls the daemon that leads
-    /// this, or one that does not, by another name.
-    Alias { alias: String, claim: String, not: bool },
-    /// `fault NAME JSON`: switches faults of a stand-in.
-    Fault(String, Value),
+    AwaitExit(String, i32),
+    /// `alias NAME [not] server:NAME|slot:CALLER/KEY`: gives another name to the daemon
+    /// that leads this, or with `not` to one that does not.
+    Alias { alias: String, claim: String, inverted: bool },
+    /// `fault NAME JSON`: sets the faults of a stand-in.
+    SetFault(String, Value),
     /// `vm NAME live|leaving|gone`: changes the platform's list of VMs.
-    Vm(String, String),
-    /// `declare TEAM FILE [at=NAME] [base=REVISION]`, then the text up to a line
-    /// `end`, or with the option `removed`; expectations about the answer may follow.
+    SetVmState(String, String),
+    /// `declare TEAM FILE [at=NAME] [base=REVISION]`, then the text up to a line `end`,
+    /// or with the option `removed`: sends a change of the declarations. Expectations
+    /// about the response may follow.
     Declare { team: String, file: String, text: Option<String>, options: Options },
     /// `file DIR FILE`, then the text up to a line `end`, or `file DIR FILE removed`:
-    /// changes a file of an operator's directory.
-    File { dir: String, file: String, text: Option<String> },
+    /// changes a file in an operator's directory.
+    WriteFile { dir: String, file: String, text: Option<String> },
     /// `operate NAME TEAM [at=DAEMONS] WORD..`: starts `chestnutctl` with the words;
     /// `@DIR` stands for an operator's directory.
-    Operate { name: String, team: String, at: Vec<String>, words: Vec<String> },
-    /// `ended NAME`: waits until an operator's command ends; `-> exit=N WORD..` may
+    StartOperator { name: String, team: String, at: Vec<String>, words: Vec<String> },
+    /// `ended NAME`: waits until an operator's command exits; `-> exit=N WORD..` may
     /// follow.
-    Ended(String),
-    /// `gone NAME`: an operator is killed.
-    Gone(String),
-    /// `ask NAME [OPTION=VALUE]..`: sends requests and waits for the answers.
-    Ask(String, Options),
-    /// `send NAME [OPTION=VALUE]..`: sends requests and goes on.
+    AwaitOperator(String),
+    /// `gone NAME`: kills an operator's command.
+    KillOperator(String),
+    /// `ask NAME [OPTION=VALUE]..`: sends requests and waits for the responses.
+    SendAndAwait(String, Options),
+    /// `send NAME [OPTION=VALUE]..`: sends requests without waiting.
     Send(String, Options),
-    /// `await NAME`: waits for the answers to what was sent.
-    Await(String),
-    /// `pending NAME`: none of the answers has come yet.
-    Pending(String),
-    /// `drop NAME`: the callers go away.
-    Drop(String),
-    /// `seen NAME N`: waits until an answer has so many tokens.
-    Seen(String, usize),
-    /// `-> FACT.. | FACT..`: what must be true of all answers that came last.
+    /// `await NAME`: waits for the responses to what was sent.
+    AwaitResponses(String),
+    /// `pending NAME`: checks that none of the responses has arrived yet.
+    CheckPending(String),
+    /// `drop NAME`: closes the callers' connections.
+    Disconnect(String),
+    /// `seen NAME N`: waits until each response has at least N tokens.
+    AwaitTokens(String, usize),
+    /// `-> FACT.. | FACT..`: facts of which one alternative must hold for each of the
+    /// latest responses.
     Expect(Vec<Vec<String>>),
-    /// `eventually NAME [OPTION=VALUE].. -> FACTS`: asks until the facts hold.
-    Eventually(String, Options, Vec<Vec<String>>),
-    /// `until|check NAME[:PATH] POINTER OP VALUE`: looks at a process's JSON.
-    Look { wait: bool, look: Look },
-    /// `sleep MS`: lets time pass where the scenario is about time.
+    /// `eventually NAME [OPTION=VALUE].. -> FACTS`: sends requests until the facts hold.
+    SendUntil(String, Options, Vec<Vec<String>>),
+    /// `until|check NAME[:PATH] POINTER OP VALUE`: compares a value in the JSON of a
+    /// process; `until` waits for it.
+    CheckState { wait: bool, query: StateQuery },
+    /// `sleep MS`: waits, in scenarios that depend on elapsed time.
     Sleep(u64),
 }
 
-/// The processes that a scenario can start.
+/// Kinds of processes that a scenario can start.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Kind {
-    /// The stand-in of the platform.
+pub enum ProcessKind {
+    /// Stand-in for the platform.
     Platform,
-    /// The stand-in of a model engine.
+    /// Stand-in for a model engine.
     Engine,
-    /// The stand-in of a plain service.
+    /// Stand-in for a server of a plain service.
     Service,
-    /// The daemon.
+    /// The daemon under test.
     Daemon,
 }
 
-/// What can be sent to a process.
+/// Signals that a scenario can send to a process.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Signal {
-    /// SIGKILL: the process dies at once.
+    /// SIGKILL: the process ends at once.
     Kill,
-    /// SIGSTOP: the process stands still and knows nothing of it.
-    Freeze,
-    /// SIGCONT: the process goes on.
-    Thaw,
-    /// SIGTERM: the process leaves.
+    /// SIGSTOP: the process is suspended without noticing.
+    Suspend,
+    /// SIGCONT: the process resumes.
+    Resume,
+    /// SIGTERM: the process shuts down gracefully.
     Terminate,
 }
 
-/// A question about the JSON that a process answers.
-pub struct Look {
-    /// The process; `engines` or `services` stand for the sum over all of them.
-    pub name: String,
-    /// The path; the process's own page of state if it is empty.
+/// A comparison of a value in the JSON of a process.
+pub struct StateQuery {
+    /// The process; `engines` and `services` stand for the sum over all of them.
+    pub process: String,
+    /// URL path; if empty, the process's own state page.
     pub path: String,
-    /// The JSON pointer; with `#` at its end it stands for the number of entries.
+    /// JSON pointer to the value; with `#` at the end, the number of entries is compared.
     pub pointer: String,
-    /// How the value is compared.
-    pub compare: Compare,
-    /// What it is compared with.
-    pub value: Value,
+    /// How the value is compared with the expected one.
+    pub comparison: Comparison,
+    /// The expected value.
+    pub expected: Value,
 }
 
-/// How a value is compared.
+/// Comparison operators.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Compare {
+pub enum Comparison {
     /// `==`
     Equal,
     /// `!=`
@@ -119,29 +122,29 @@
     AtMost,
 }
 
-/// Options of a command; a flag's value is empty.
+/// Options of a command, `NAME=VALUE`; a flag's value is empty.
 #[derive(Debug, Clone, Default)]
 pub struct Options(pub IndexMap<String, String>);
 
 impl Options {
-    /// An option's text.
+    /// An option's text, if it is given.
     pub fn text(&self, name: &str) -> Option<&str> {
         self.0.get(name).map(String::as_str)
     }
 
-    /// An option's text, or another one.
-    pub fn or<'a>(&'a self, name: &str, other: &'a str) -> &'a str {
-        self.text(name).unwrap_or(other)
+    /// An option's text, or the default.
+    pub fn text_or<'a>(&'a self, name: &str, default: &'a str) -> &'a str {
+        self.text(name).unwrap_or(default)
     }
 
-    /// An option's number, or another one.
-    pub fn number(&self, name: &str, other: usize) -> Result<usize, Failure> {
-        let Some(text) = self.text(name) else { return Ok(other) };
-        text.parse().map_err(|_| format!("{name}={text} is no whole number"))
+    /// An option's number, or the default.
+    pub fn number_or(&self, name: &str, default: usize) -> Result<usize, Failure> {
+        let Some(text) = self.text(name) else { return Ok(default) };
+        text.parse().map_err(|_| format!("{name}={text} is not a whole number"))
     }
 
-    /// Whether a flag is set.
-    pub fn flag(&self, name: &str) -> bool {
+    /// Whether an option or flag is given.
+    pub fn is_set(&self, name: &str) -> bool {
         self.0.contains_key(name)
     }
 }
--- /dev/null
+++ b/tests/support/invariants.rs
@@ -0,0 +1,177 @@
+//! Invariants that every scenario has to keep, whatever its faults.
+//!
+//! - No caller gets another's response, and a response with an end mark is complete.
+//! - What was refused as not run did not run.
+//! - A non-idempotent request ran at most once.
+//! - No engine was ever ordered to hold more than its memory.
+//! - No key of an operator or caller appears in a log or a dump of state.
+
+use std::time::Duration;
+
+use indexmap::IndexMap;
+use serde_json::Value;
+
+use super::Failure;
+use super::cluster::Cluster;
+use super::command::ProcessKind;
+use super::request::{Ask, Form, Reply, is_idempotent};
+
+/// Attempts to read a stand-in's counts.
+const COUNT_ATTEMPTS: u32 = 15;
+
+/// Delay between these attempts.
+const RETRY_DELAY: Duration = Duration::from_millis(100);
+
+/// Checks all invariants.
+pub async fn check(cluster: &Cluster) -> Result<(), Failure> {
+    for (request, reply) in &cluster.replies {
+        if let Some(reason) = reply.wrong(request) {
+            return Err(format!("{request:?} got {reason}"));
+        }
+    }
+    let mut run_counts = RunCounts::default();
+    for name in cluster.named(ProcessKind::Service) {
+        run_counts.add_service(&counts(cluster, name).await);
+    }
+    for name in cluster.named(ProcessKind::Engine) {
+        let counts = counts(cluster, name).await;
+        check_memory(name, &counts)?;
+        run_counts.add_engine(&counts);
+    }
+    check_no_keys_leaked(cluster).await?;
+    check_at_most_once(cluster, &run_counts)?;
+    check_not_run(cluster, &run_counts)
+}
+
+/// Prefixes of all keys of operators and callers in the scenarios.
+const KEY_PREFIXES: [&str; 5] =
+    ["ops-base", "ops-letters", "ops-seats", "key-portal", "key-caseworker"];
+
+/// Checks that the daemons' logs and state dumps contain no keys.
+async fn check_no_keys_leaked(cluster: &Cluster) -> Result<(), Failure> {
+    for name in cluster.named(ProcessKind::Daemon) {
+        let log = std::fs::read_to_string(cluster.dir.join(format!("{name}.log")));
+        // A killed daemon has no state to dump.
+        let dump = cluster.get(&format!("{}/debug/state", cluster.ops(name)?)).await;
+        let text = format!("{}{}", log.unwrap_or_default(), dump.unwrap_or_default());
+        if let Some(key) = KEY_PREFIXES.iter().find(|key| text.contains(**key)) {
+            return Err(format!("{name} shows the key {key}"));
+        }
+    }
+    Ok(())
+}
+
+/// Run counts of all backend servers.
+#[derive(Default)]
+struct RunCounts {
+    /// Calls of plain services, by the caller's key.
+    calls: IndexMap<String, u64>,
+    /// Started prompts, by text.
+    prompts: IndexMap<String, u64>,
+}
+
+impl RunCounts {
+    fn add_service(&mut self, counts: &Value) {
+        add(&mut self.calls, &counts["runs"]);
+    }
+
+    fn add_engine(&mut self, counts: &Value) {
+        add(&mut self.prompts, &counts["prompts"]);
+    }
+
+    fn runs_of(&self, request: &Ask) -> u64 {
+        let count = match (&request.form, &request.key) {
+            (Form::Completion(completion), _) => self.prompts.get(&completion.prompt),
+            (Form::Service { .. }, Some(key)) => self.calls.get(key),
+            _ => None,
+        };
+        count.copied().unwrap_or(0)
+    }
+}
+
+fn add(totals: &mut IndexMap<String, u64>, counts: &Value) {
+    for (key, count) in counts.as_object().into_iter().flatten() {
+        *totals.entry(key.clone()).or_default() += count.as_u64().unwrap_or(0);
+    }
+}
+
+/// Counts of a stand-in; null if it was killed.
+async fn counts(cluster: &Cluster, name: &str) -> Value {
+    let Ok(base) = cluster.base(name) else { return Value::Null };
+    for _ in 0..COUNT_ATTEMPTS {
+        if let Ok(counts) = cluster.get(&format!("{base}/counts")).await {
+            return counts;
+        }
+        // A crashed stand-in opens its port again soon; a killed one does not.
+        tokio::time::sleep(RETRY_DELAY).await;
+    }
+    Value::Null
+}
+
+fn check_memory(name: &str, counts: &Value) -> Result<(), Failure> {
+    if counts.is_null() {
+        return Ok(());
+    }
+    let number = |field: &str| counts[field].as_u64().unwrap_or(u64::MAX);
+    if number("peak") <= number("capacity") && number("overfull") == 0 {
+        return Ok(());
+    }
+    Err(format!("{name} was ordered to hold more than its memory: {counts}"))
+}
+
+fn check_at_most_once(cluster: &Cluster, run_counts: &RunCounts) -> Result<(), Failure> {
+    for (request, _) in
+        cluster.replies.iter().filter(|(request, _)| !is_idempotent(request))
+    {
+        let max_runs = distinct_keys(cluster, request);
+        let count = run_counts.runs_of(request);
+        if count > max_runs {
+            return Err(format!("{request:?} ran {count} times"));
+        }
+    }
+    Ok(())
+}
+
+/// Number of distinct requests of the scenario that share this prompt or service key.
+fn distinct_keys(cluster: &Cluster, request: &Ask) -> u64 {
+    let mut keys: Vec<_> = cluster
+        .replies
+        .iter()
+        .filter(|(other, _)| is_same_run(request, other))
+        .map(|(other, _)| (&other.caller, &other.key))
+        .collect();
+    keys.sort();
+    keys.dedup();
+    keys.len() as u64
+}
+
+fn check_not_run(cluster: &Cluster, run_counts: &RunCounts) -> Result<(), Failure> {
+    for (request, _) in cluster.replies.iter().filter(|(_, reply)| is_not_run(reply)) {
+        let same_count = cluster
+            .replies
+            .iter()
+            .filter(|(other, _)| is_same_run(request, other))
+            .count();
+        // Another request with the same text, or an earlier attempt of this one, may have
+        // run.
+        let is_only_send = same_count == 1 && request.patience.is_zero();
+        if is_only_send && run_counts.runs_of(request) > 0 {
+            return Err(format!("{request:?} was refused as not run and ran"));
+        }
+    }
+    Ok(())
+}
+
+fn is_not_run(reply: &Reply) -> bool {
+    reply.outcome.as_deref() == Some("not_run")
+}
+
+fn is_same_run(first: &Ask, other: &Ask) -> bool {
+    match (&first.form, &other.form) {
+        (Form::Completion(first), Form::Completion(other)) => {
+            first.prompt == other.prompt
+        }
+        (Form::Service { .. }, Form::Service { .. }) => first.key == other.key,
+        _ => false,
+    }
+}
--- a/tests/support/mod.rs
+++ b/tests/support/mod.rs
@@ -1,37 +1,40 @@
-//! The small language of the scenarios.
+//! Parser and executor for the scenario files.
 //!
 //! 1. [`parse`] turns a file into [`command`]s,
-//! 2. [`steps`] carries them out in a [`world`] of [`process`]es,
-//! 3. [`ask`] sends requests and tells facts of their answers,
-//! 4. [`promises`] checks at the end what must hold in every scenario.
+//! 2. [`steps`] executes them in a [`cluster`] of [`process`]es,
+//! 3. [`request`] sends requests and derives facts from their responses,
+//! 4. [`operator`] runs `chestnutctl`,
+//! 5. [`invariants`] checks at the end what must hold in every scenario.
 
-pub mod ask;
+pub mod cluster;
 pub mod command;
-pub mod operate;
+pub mod invariants;
+pub mod operator;
 pub mod parse;
 pub mod process;
-pub mod promises;
+pub mod request;
 pub mod steps;
-pub mod world;
 
+use self::cluster::Cluster;
 use self::command::Step;
-use self::world::World;
 
-/// The longest that anything is waited for, far more than it takes.
-pub const PATIENCE: std::time::Duration = std::time::Duration::from_secs(40);
+/// Wait limit of every condition, far longer than it takes.
+pub const TIMEOUT: std::time::Duration = std::time::Duration::from_secs(40);
 
-/// Why a scenario failed.
+/// Message that explains why a scenario failed.
 pub type Failure = String;
 
-/// Runs a scenario in a world of its own.
+/// Runs a scenario in a new cluster, then checks the invariants; a failure includes the
+/// ends of all logs.
 pub async fn run(steps: Vec<Step>) -> Result<(), Failure> {
-    let mut world = World::new()?;
+    let mut cluster = Cluster::new()?;
     for step in &steps {
-        let done = steps::run(&mut world, &step.command).await;
-        if let Err(why) = done {
-            return Err(world.report(&format!("line {}: {why}", step.line)));
+        let result = steps::run(&mut cluster, &step.command).await;
+        if let Err(reason) = result {
+            return Err(cluster.report(&format!("line {}: {reason}", step.line)));
         }
     }
-    let kept = promises::check(&world).await;
-    kept.map_err(|why| world.report(&format!("a promise was broken: {why}")))
+    let result = invariants::check(&cluster).await;
+    result
+        .map_err(|reason| cluster.report(&format!("an invariant was violated: {reason}")))
 }
--- a/tests/support/operate.rs
+++ b/tests/support/operator.rs
@@ -1,18 +1,18 @@
-//! Operators who run `chestnutctl`.
+//! Operators that run `chestnutctl`.
 
 use std::fs::{self, File};
 use std::path::{Path, PathBuf};
 use std::process::{Child, Command, Stdio};
 use std::time::{Duration, Instant};
 
-use super::command::Kind;
-use super::world::World;
-use super::{Failure, PATIENCE};
+use super::cluster::Cluster;
+use super::command::ProcessKind;
+use super::{Failure, TIMEOUT};
 
-/// How often a running command is looked at.
-const LOOK: Duration = Duration::from_millis(20);
+/// Interval at which a running command is polled.
+const POLL_INTERVAL: Duration = Duration::from_millis(20);
 
-/// A running command, killed when this is dropped.
+/// A running command, killed when dropped.
 pub struct Operator {
     child: Child,
     output: PathBuf,
@@ -21,27 +21,27 @@
 impl Operator {
     /// Starts a command of a team's operator.
     ///
-    /// A word that starts with `@` names a directory that the case wrote. The
-    /// command may ask any daemon; `at` names those to ask first.
+    /// A word that starts with `@` names a directory that the scenario wrote. The command
+    /// may send requests to the daemons in `at`, or to any if that is empty.
     pub fn start(
-        world: &World,
+        cluster: &Cluster,
         name: &str,
         team: &str,
         at: &[String],
         words: &[String],
     ) -> Result<Self, Failure> {
-        let text = |error: std::io::Error| error.to_string();
-        let output = world.dir.join(format!("{name}.out"));
-        let file = File::create(&output).map_err(text)?;
+        let message = |error: std::io::Error| error.to_string();
+        let output = cluster.dir.join(format!("{name}.out"));
+        let file = File::create(&output).map_err(message)?;
         let mut command = Command::new(env!("CARGO_BIN_EXE_chestnutctl"));
-        let rest = world.named(Kind::Daemon).map(str::to_owned);
-        let asked = if at.is_empty() { rest.collect() } else { at.to_vec() };
-        for daemon in asked {
-            command.arg(format!("--server={}", world.ops(&daemon)?));
+        let all_daemons = cluster.named(ProcessKind::Daemon).map(str::to_owned);
+        let daemons = if at.is_empty() { all_daemons.collect() } else { at.to_vec() };
+        for daemon in daemons {
+            command.arg(format!("--server={}", cluster.ops(&daemon)?));
         }
         for word in words {
             command.arg(match word.strip_prefix('@') {
-                Some(dir) => directory(&world.dir, dir).display().to_string(),
+                Some(dir) => directory(&cluster.dir, dir).display().to_string(),
                 None => word.clone(),
             });
         }
@@ -52,23 +52,24 @@
             .arg(format!("--author={name}"))
             .env("CHESTNUT_KEY", format!("ops-{team}"))
             .stdin(Stdio::null())
-            .stdout(file.try_clone().map_err(text)?)
+            .stdout(file.try_clone().map_err(message)?)
             .stderr(file)
             .spawn()
-            .map_err(text)?;
+            .map_err(message)?;
         Ok(Self { child, output })
     }
 
-    /// Waits until the command ends; its exit code and the words it printed.
-    pub async fn end(mut self) -> Result<Vec<String>, Failure> {
+    /// Waits until the command exits and returns its exit code and printed words as
+    /// facts.
+    pub async fn await_exit(mut self) -> Result<Vec<String>, Failure> {
         let start = Instant::now();
         let status = loop {
             match self.child.try_wait().map_err(|error| error.to_string())? {
                 Some(status) => break status,
-                None if start.elapsed() > 2 * PATIENCE => {
-                    return Err(format!("it does not end: {}", self.printed()));
+                None if start.elapsed() > 2 * TIMEOUT => {
+                    return Err(format!("the command does not exit: {}", self.printed()));
                 }
-                None => tokio::time::sleep(LOOK).await,
+                None => tokio::time::sleep(POLL_INTERVAL).await,
             }
         };
         let printed = self.printed();
@@ -84,27 +85,27 @@
 
 impl Drop for Operator {
     fn drop(&mut self) {
-        // One that has ended can't be killed, and that is as good.
+        // The command may have exited already.
         drop(self.child.kill());
         drop(self.child.wait());
     }
 }
 
-/// Writes or removes a file of an operator's directory.
+/// Writes a file in an operator's directory, or removes it if there is no text.
 pub fn write(
-    world: &World,
+    cluster: &Cluster,
     dir: &str,
     file: &str,
     text: Option<&str>,
 ) -> Result<(), Failure> {
-    let dir = directory(&world.dir, dir);
+    let dir = directory(&cluster.dir, dir);
     fs::create_dir_all(&dir).map_err(|error| error.to_string())?;
     let path = dir.join(file);
-    let done = match text {
+    let result = match text {
         Some(text) => fs::write(path, text),
         None => fs::remove_file(path),
     };
-    done.map_err(|error| error.to_string())
+    result.map_err(|error| error.to_string())
 }
 
 fn directory(root: &Path, name: &str) -> PathBuf {
--- a/tests/support/parse.rs
+++ b/tests/support/parse.rs
@@ -1,4 +1,4 @@
-//! Turns the text of a scenario into commands.
+//! Parser for scenario files.
 
 use std::iter::Enumerate;
 use std::str::Lines;
@@ -6,18 +6,20 @@
 use serde_json::Value;
 
 use super::Failure;
-use super::command::{Command, Compare, Kind, Look, Options, Signal, Step};
+use super::command::{
+    Command, Comparison, Options, ProcessKind, Signal, StateQuery, Step,
+};
 
-/// The least number of comment lines at the start of a case.
-const PREFACE: usize = 2;
+/// Least number of comment lines at the start of a scenario.
+const MIN_HEADER_LINES: usize = 2;
 
-/// Reads a case.
+/// Parses a scenario.
 pub fn parse(text: &str) -> Result<Vec<Step>, Failure> {
-    let preface = text.lines().take_while(|line| line.starts_with('#')).count();
-    if preface < PREFACE {
+    let header_lines = text.lines().take_while(|line| line.starts_with('#')).count();
+    if header_lines < MIN_HEADER_LINES {
         return Err(format!(
-            "a case opens with at least {PREFACE} comment lines: what the caller sees, \
-             in what order, why"
+            "a scenario opens with at least {MIN_HEADER_LINES} comment lines: which failure \
+             it guards against and how it comes about"
         ));
     }
     let mut lines = text.lines().enumerate();
@@ -28,122 +30,128 @@
             continue;
         }
         let number = index + 1;
-        let command = command(line, &mut lines)
-            .map_err(|why| format!("line {number}: {why}: {line}"))?;
+        let command = parse_command(line, &mut lines)
+            .map_err(|reason| format!("line {number}: {reason}: {line}"))?;
         steps.push(Step { line: number, command });
     }
     Ok(steps)
 }
 
-fn command(line: &str, lines: &mut Enumerate<Lines>) -> Result<Command, Failure> {
+fn parse_command(line: &str, lines: &mut Enumerate<Lines>) -> Result<Command, Failure> {
     let (verb, rest) = line.split_once(' ').unwrap_or((line, ""));
     let rest = rest.trim();
     match verb {
-        "world" => Ok(Command::World(options(&words(rest)?)?)),
-        "start" => start(rest),
-        "kill" => signal(Signal::Kill, rest),
-        "freeze" => signal(Signal::Freeze, rest),
-        "thaw" => signal(Signal::Thaw, rest),
-        "terminate" => signal(Signal::Terminate, rest),
+        "world" => Ok(Command::Cluster(parse_options(&split_words(rest)?)?)),
+        "start" => parse_start(rest),
+        "kill" => parse_signal(Signal::Kill, rest),
+        "freeze" => parse_signal(Signal::Suspend, rest),
+        "thaw" => parse_signal(Signal::Resume, rest),
+        "terminate" => parse_signal(Signal::Terminate, rest),
         "exits" => {
-            let (name, code) = pair(rest)?;
-            let code = code.parse().map_err(|_| "the exit code is no number")?;
-            Ok(Command::Exits(name, code))
+            let (name, code) = split_first_word(rest)?;
+            let code = code.parse().map_err(|_| "the exit code is not a number")?;
+            Ok(Command::AwaitExit(name, code))
         }
-        "alias" => alias(rest),
+        "alias" => parse_alias(rest),
         "fault" => {
-            let (name, json) = pair(rest)?;
+            let (name, json) = split_first_word(rest)?;
             let fault = serde_json::from_str(&json).map_err(|e| e.to_string())?;
-            Ok(Command::Fault(name, fault))
+            Ok(Command::SetFault(name, fault))
         }
-        "vm" => pair(rest).map(|(name, state)| Command::Vm(name, state)),
-        "declare" => declare(rest, lines),
-        "file" => file(rest, lines),
-        "operate" => operate(rest),
-        "ended" => Ok(Command::Ended(one(rest)?)),
-        "gone" => Ok(Command::Gone(one(rest)?)),
-        "ask" => asked(rest).map(|(name, options)| Command::Ask(name, options)),
-        "send" => asked(rest).map(|(name, options)| Command::Send(name, options)),
-        "await" => Ok(Command::Await(one(rest)?)),
-        "pending" => Ok(Command::Pending(one(rest)?)),
-        "drop" => Ok(Command::Drop(one(rest)?)),
+        "vm" => {
+            split_first_word(rest).map(|(name, state)| Command::SetVmState(name, state))
+        }
+        "declare" => parse_declare(rest, lines),
+        "file" => parse_file(rest, lines),
+        "operate" => parse_operator(rest),
+        "ended" => Ok(Command::AwaitOperator(single_word(rest)?)),
+        "gone" => Ok(Command::KillOperator(single_word(rest)?)),
+        "ask" => parse_request(rest)
+            .map(|(name, options)| Command::SendAndAwait(name, options)),
+        "send" => parse_request(rest).map(|(name, options)| Command::Send(name, options)),
+        "await" => Ok(Command::AwaitResponses(single_word(rest)?)),
+        "pending" => Ok(Command::CheckPending(single_word(rest)?)),
+        "drop" => Ok(Command::Disconnect(single_word(rest)?)),
         "seen" => {
-            let (name, count) = pair(rest)?;
-            let count = count.parse().map_err(|_| "the count is no number")?;
-            Ok(Command::Seen(name, count))
+            let (name, count) = split_first_word(rest)?;
+            let count = count.parse().map_err(|_| "the count is not a number")?;
+            Ok(Command::AwaitTokens(name, count))
         }
-        "->" => Ok(Command::Expect(facts(rest)?)),
+        "->" => Ok(Command::Expect(parse_facts(rest)?)),
         "eventually" => {
-            let (ask, expected) = rest.split_once("->").ok_or("`-> FACTS` is missing")?;
-            let (name, options) = asked(ask)?;
-            Ok(Command::Eventually(name, options, facts(expected)?))
+            let (request, expected) =
+                rest.split_once("->").ok_or("`-> FACTS` is missing")?;
+            let (name, options) = parse_request(request)?;
+            Ok(Command::SendUntil(name, options, parse_facts(expected)?))
+        }
+        "until" => Ok(Command::CheckState { wait: true, query: state_query(rest)? }),
+        "check" => Ok(Command::CheckState { wait: false, query: state_query(rest)? }),
+        "sleep" => {
+            Ok(Command::Sleep(rest.parse().map_err(|_| "the time is not a number")?))
         }
-        "until" => Ok(Command::Look { wait: true, look: look(rest)? }),
-        "check" => Ok(Command::Look { wait: false, look: look(rest)? }),
-        "sleep" => Ok(Command::Sleep(rest.parse().map_err(|_| "the time is no number")?)),
-        _ => Err("no such command".into()),
+        _ => Err("unknown command".into()),
     }
 }
 
-fn start(rest: &str) -> Result<Command, Failure> {
-    let words = words(rest)?;
+fn parse_start(rest: &str) -> Result<Command, Failure> {
+    let words = split_words(rest)?;
     let [kind, name, options @ ..] = &words[..] else {
-        return Err("write start KIND NAME".into());
+        return Err("usage: start KIND NAME".into());
     };
     let kind = match kind.as_str() {
-        "platform" => Kind::Platform,
-        "engine" => Kind::Engine,
-        "service" => Kind::Service,
-        "daemon" => Kind::Daemon,
-        _ => return Err("the kind is platform, engine, service or daemon".into()),
+        "platform" => ProcessKind::Platform,
+        "engine" => ProcessKind::Engine,
+        "service" => ProcessKind::Service,
+        "daemon" => ProcessKind::Daemon,
+        _ => return Err("the kind must be platform, engine, service or daemon".into()),
     };
-    Ok(Command::Start(kind, name.clone(), self::options(options)?))
+    Ok(Command::Start(kind, name.clone(), parse_options(options)?))
 }
 
-fn signal(signal: Signal, rest: &str) -> Result<Command, Failure> {
-    Ok(Command::Signal(signal, one(rest)?))
+fn parse_signal(signal: Signal, rest: &str) -> Result<Command, Failure> {
+    Ok(Command::Signal(signal, single_word(rest)?))
 }
 
-fn alias(rest: &str) -> Result<Command, Failure> {
-    let words = words(rest)?;
-    let (alias, claim, not) = match &words[..] {
+fn parse_alias(rest: &str) -> Result<Command, Failure> {
+    let words = split_words(rest)?;
+    let (alias, claim, inverted) = match &words[..] {
         [alias, claim] => (alias, claim, false),
         [alias, not, claim] if not == "not" => (alias, claim, true),
-        _ => return Err("write alias NAME [not] CLAIM".into()),
+        _ => return Err("usage: alias NAME [not] CLAIM".into()),
     };
-    Ok(Command::Alias { alias: alias.clone(), claim: claim.clone(), not })
+    Ok(Command::Alias { alias: alias.clone(), claim: claim.clone(), inverted })
 }
 
-fn declare(rest: &str, lines: &mut Enumerate<Lines>) -> Result<Command, Failure> {
-    let words = words(rest)?;
-    let [team, file, more @ ..] = &words[..] else {
-        return Err("write declare TEAM FILE".into());
+fn parse_declare(rest: &str, lines: &mut Enumerate<Lines>) -> Result<Command, Failure> {
+    let words = split_words(rest)?;
+    let [team, file, option_words @ ..] = &words[..] else {
+        return Err("usage: declare TEAM FILE".into());
     };
-    let options = options(more)?;
+    let options = parse_options(option_words)?;
     let (team, file) = (team.clone(), file.clone());
-    if options.flag("removed") {
+    if options.is_set("removed") {
         return Ok(Command::Declare { team, file, text: None, options });
     }
-    Ok(Command::Declare { team, file, text: Some(block(lines)?), options })
+    Ok(Command::Declare { team, file, text: Some(read_block(lines)?), options })
 }
 
-fn file(rest: &str, lines: &mut Enumerate<Lines>) -> Result<Command, Failure> {
-    match &words(rest)?[..] {
+fn parse_file(rest: &str, lines: &mut Enumerate<Lines>) -> Result<Command, Failure> {
+    match &split_words(rest)?[..] {
         [dir, file] => {
             let (dir, file) = (dir.clone(), file.clone());
-            Ok(Command::File { dir, file, text: Some(block(lines)?) })
+            Ok(Command::WriteFile { dir, file, text: Some(read_block(lines)?) })
         }
         [dir, file, removed] if removed == "removed" => {
-            Ok(Command::File { dir: dir.clone(), file: file.clone(), text: None })
+            Ok(Command::WriteFile { dir: dir.clone(), file: file.clone(), text: None })
         }
-        _ => Err("write file DIR FILE [removed]".into()),
+        _ => Err("usage: file DIR FILE [removed]".into()),
     }
 }
 
-fn operate(rest: &str) -> Result<Command, Failure> {
-    let words = words(rest)?;
+fn parse_operator(rest: &str) -> Result<Command, Failure> {
+    let words = split_words(rest)?;
     let [name, team, words @ ..] = &words[..] else {
-        return Err("write operate NAME TEAM WORD..".into());
+        return Err("usage: operate NAME TEAM WORD..".into());
     };
     let (at, words) = match words.split_first() {
         Some((first, rest)) if first.starts_with("at=") => {
@@ -152,11 +160,11 @@
         _ => (Vec::new(), words),
     };
     let (name, team) = (name.clone(), team.clone());
-    Ok(Command::Operate { name, team, at, words: words.to_vec() })
+    Ok(Command::StartOperator { name, team, at, words: words.to_vec() })
 }
 
-/// The lines up to a line `end`.
-fn block(lines: &mut Enumerate<Lines>) -> Result<String, Failure> {
+/// Reads the lines up to a line `end`.
+fn read_block(lines: &mut Enumerate<Lines>) -> Result<String, Failure> {
     let mut text = String::new();
     for (_, line) in lines {
         if line.trim() == "end" {
@@ -168,37 +176,37 @@
     Err("the line `end` is missing".into())
 }
 
-fn look(rest: &str) -> Result<Look, Failure> {
-    let words = words(rest)?;
-    let [target, pointer, compare, value] = &words[..] else {
-        return Err("write NAME[:PATH] POINTER OP VALUE".into());
+fn state_query(rest: &str) -> Result<StateQuery, Failure> {
+    let words = split_words(rest)?;
+    let [target, pointer, operator, expected] = &words[..] else {
+        return Err("usage: NAME[:PATH] POINTER OP VALUE".into());
     };
-    let (name, path) = target.split_once(':').unwrap_or((target, ""));
-    let compare = match compare.as_str() {
-        "==" => Compare::Equal,
-        "!=" => Compare::Differs,
-        ">=" => Compare::AtLeast,
-        "<=" => Compare::AtMost,
-        _ => return Err("compare by ==, !=, >= or <=".into()),
+    let (process, path) = target.split_once(':').unwrap_or((target, ""));
+    let comparison = match operator.as_str() {
+        "==" => Comparison::Equal,
+        "!=" => Comparison::Differs,
+        ">=" => Comparison::AtLeast,
+        "<=" => Comparison::AtMost,
+        _ => return Err("the operator must be ==, !=, >= or <=".into()),
     };
-    let value =
-        serde_json::from_str(value).unwrap_or_else(|_| Value::from(value.as_str()));
-    let (name, path) = (name.to_owned(), path.to_owned());
-    Ok(Look { name, path, pointer: pointer.clone(), compare, value })
+    let expected =
+        serde_json::from_str(expected).unwrap_or_else(|_| Value::from(expected.as_str()));
+    let (process, path) = (process.to_owned(), path.to_owned());
+    Ok(StateQuery { process, path, pointer: pointer.clone(), comparison, expected })
 }
 
-fn asked(rest: &str) -> Result<(String, Options), Failure> {
-    let words = words(rest)?;
+fn parse_request(rest: &str) -> Result<(String, Options), Failure> {
+    let words = split_words(rest)?;
     let [name, options @ ..] = &words[..] else {
         return Err("the request's name is missing".into());
     };
     if name.contains('=') {
         return Err("the request's name comes first".into());
     }
-    Ok((name.clone(), self::options(options)?))
+    Ok((name.clone(), parse_options(options)?))
 }
 
-fn facts(rest: &str) -> Result<Vec<Vec<String>>, Failure> {
+fn parse_facts(rest: &str) -> Result<Vec<Vec<String>>, Failure> {
     let alternatives: Vec<Vec<String>> = rest
         .split('|')
         .map(|facts| facts.split_whitespace().map(str::to_owned).collect())
@@ -209,31 +217,31 @@
     Ok(alternatives)
 }
 
-fn one(rest: &str) -> Result<String, Failure> {
-    match &words(rest)?[..] {
+fn single_word(rest: &str) -> Result<String, Failure> {
+    match &split_words(rest)?[..] {
         [name] => Ok(name.clone()),
-        _ => Err("write one name".into()),
+        _ => Err("expected one name".into()),
     }
 }
 
-fn pair(rest: &str) -> Result<(String, String), Failure> {
-    let (first, second) = rest.split_once(' ').ok_or("two words are needed")?;
+fn split_first_word(rest: &str) -> Result<(String, String), Failure> {
+    let (first, second) = rest.split_once(' ').ok_or("expected two words")?;
     Ok((first.to_owned(), second.trim().to_owned()))
 }
 
-fn options(words: &[String]) -> Result<Options, Failure> {
+fn parse_options(words: &[String]) -> Result<Options, Failure> {
     let mut options = Options::default();
     for word in words {
         let (name, value) = word.split_once('=').unwrap_or((word, ""));
         if options.0.insert(name.to_owned(), value.to_owned()).is_some() {
-            return Err(format!("the option {name} stands twice"));
+            return Err(format!("the option {name} is given twice"));
         }
     }
     Ok(options)
 }
 
-/// Splits a line at blanks outside double quotes, which are dropped.
-fn words(line: &str) -> Result<Vec<String>, Failure> {
+/// Splits a line at white space outside double quotes, and drops the quotes.
+fn split_words(line: &str) -> Result<Vec<String>, Failure> {
     let mut words = Vec::new();
     let mut word = String::new();
     let mut quoted = false;
--- a/tests/support/steps.rs
+++ b/tests/support/steps.rs
@@ -1,4 +1,4 @@
-//! Carries out the commands of a scenario.
+//! Executes the commands of a scenario.
 
 use std::sync::Arc;
 use std::sync::atomic::Ordering;
@@ -6,64 +6,67 @@
 
 use serde_json::{Value, json};
 
-use super::ask::{self, Ask};
-use super::command::{Command, Compare, Kind, Look, Options, Signal};
-use super::operate::{self, Operator};
-use super::world::{Sent, World};
-use super::{Failure, PATIENCE};
+use super::cluster::{Cluster, SentRequest};
+use super::command::{Command, Comparison, Options, ProcessKind, Signal, StateQuery};
+use super::operator::{self, Operator};
+use super::request::{self, Ask};
+use super::{Failure, TIMEOUT};
 
-/// How often a condition is looked at.
-const LOOK: Duration = Duration::from_millis(30);
+/// Interval at which conditions are polled.
+const POLL_INTERVAL: Duration = Duration::from_millis(30);
 
-/// Carries out one command.
-pub async fn run(world: &mut World, command: &Command) -> Result<(), Failure> {
+/// Executes one command.
+pub async fn run(cluster: &mut Cluster, command: &Command) -> Result<(), Failure> {
     match command {
-        Command::World(options) => world.start_usual(options).await,
-        Command::Start(kind, name, options) => world.start(*kind, name, options).await,
-        Command::Signal(signal, name) => signal_one(world, *signal, name).await,
-        Command::Exits(name, code) => exits(world, name, *code).await,
-        Command::Alias { alias, claim, not } => name(world, alias, claim, *not).await,
-        Command::Fault(name, fault) => switch(world, name, fault).await,
-        Command::Vm(name, state) => vm(world, name, state).await,
+        Command::Cluster(options) => cluster.start_default(options).await,
+        Command::Start(kind, name, options) => cluster.start(*kind, name, options).await,
+        Command::Signal(signal, name) => send_signal(cluster, *signal, name).await,
+        Command::AwaitExit(name, code) => await_exit(cluster, name, *code).await,
+        Command::Alias { alias, claim, inverted } => {
+            set_alias(cluster, alias, claim, *inverted).await
+        }
+        Command::SetFault(name, fault) => set_fault(cluster, name, fault).await,
+        Command::SetVmState(name, state) => set_vm_state(cluster, name, state).await,
         Command::Declare { team, file, text, options } => {
-            declare(world, options, team, file, text.clone()).await
+            declare(cluster, options, team, file, text.clone()).await
         }
-        Command::File { dir, file, text } => {
-            operate::write(world, dir, file, text.as_deref())
+        Command::WriteFile { dir, file, text } => {
+            operator::write(cluster, dir, file, text.as_deref())
         }
-        Command::Operate { name, team, at, words } => {
-            let operator = Operator::start(world, name, team, at, words)?;
-            world.operators.insert(name.clone(), operator);
+        Command::StartOperator { name, team, at, words } => {
+            let running = Operator::start(cluster, name, team, at, words)?;
+            cluster.operators.insert(name.clone(), running);
             Ok(())
         }
-        Command::Ended(name) => {
-            let operator = world.operators.shift_remove(name);
-            let facts = operator.ok_or("no such operator")?.end().await?;
-            world.last = vec![facts];
+        Command::AwaitOperator(name) => {
+            let running = cluster.operators.shift_remove(name);
+            let facts = running.ok_or("no such operator")?.await_exit().await?;
+            cluster.last_facts = vec![facts];
             Ok(())
         }
-        Command::Gone(name) => {
-            world.operators.shift_remove(name).ok_or("no such operator")?;
+        Command::KillOperator(name) => {
+            cluster.operators.shift_remove(name).ok_or("no such operator")?;
             Ok(())
         }
-        Command::Ask(name, options) => {
-            send(world, name, options)?;
-            answers(world, name).await
+        Command::SendAndAwait(name, options) => {
+            send(cluster, name, options)?;
+            await_responses(cluster, name).await
         }
-        Command::Send(name, options) => send(world, name, options),
-        Command::Await(name) => answers(world, name).await,
-        Command::Pending(name) => pending(world, name),
-        Command::Drop(name) => {
-            let sent = world.sent.shift_remove(name).ok_or("nothing was sent")?;
-            sent.iter().for_each(|one| one.reply.abort());
+        Command::Send(name, options) => send(cluster, name, options),
+        Command::AwaitResponses(name) => await_responses(cluster, name).await,
+        Command::CheckPending(name) => check_pending(cluster, name),
+        Command::Disconnect(name) => {
+            let sent =
+                cluster.sent.shift_remove(name).ok_or("nothing of that name was sent")?;
+            sent.iter().for_each(|sent_request| sent_request.reply.abort());
             Ok(())
         }
-        Command::Seen(name, count) => seen(world, name, *count).await,
-        Command::Expect(expected) => expect(world, expected),
-        Command::Eventually(name, options, expected) => {
-            eventually(world, name, options, expected).await
+        Command::AwaitTokens(name, count) => await_tokens(cluster, name, *count).await,
+        Command::Expect(expected) => expect(cluster, expected),
+        Command::SendUntil(name, options, expected) => {
+            send_until(cluster, name, options, expected).await
         }
-        Command::Look { wait, look } => look_at(world, look, *wait).await,
+        Command::CheckState { wait, query } => check_state(cluster, query, *wait).await,
         Command::Sleep(millis) => {
             tokio::time::sleep(Duration::from_millis(*millis)).await;
             Ok(())
@@ -71,235 +74,258 @@
     }
 }
 
-async fn signal_one(
-    world: &mut World,
+async fn send_signal(
+    cluster: &mut Cluster,
     signal: Signal,
     name: &str,
 ) -> Result<(), Failure> {
-    world.process(name)?.signal(signal)?;
+    cluster.process(name)?.send_signal(signal)?;
     if signal == Signal::Kill {
-        world.process_mut(name)?.exit().await?;
+        cluster.process_mut(name)?.wait_exit_code().await?;
     }
     Ok(())
 }
 
-async fn exits(world: &mut World, name: &str, code: i32) -> Result<(), Failure> {
-    match world.process_mut(name)?.exit().await? {
+async fn await_exit(cluster: &mut Cluster, name: &str, code: i32) -> Result<(), Failure> {
+    match cluster.process_mut(name)?.wait_exit_code().await? {
         Some(found) if found == code => Ok(()),
-        found => Err(format!("{name} ended with {found:?}")),
+        found => Err(format!("{name} exited with {found:?}")),
     }
 }
 
-async fn name(
-    world: &mut World,
+async fn set_alias(
+    cluster: &mut Cluster,
     alias: &str,
     claim: &str,
-    not: bool,
+    inverted: bool,
 ) -> Result<(), Failure> {
-    let daemons: Vec<_> = world.named(Kind::Daemon).map(str::to_owned).collect();
+    let daemons: Vec<_> = cluster.named(ProcessKind::Daemon).map(str::to_owned).collect();
     let start = Instant::now();
-    let mut holder = Err("there is no daemon".to_owned());
-    while start.elapsed() < PATIENCE {
+    let mut holder = Err("no daemon was started".to_owned());
+    while start.elapsed() < TIMEOUT {
         for at in &daemons {
             if holder.is_err() {
-                holder = world.holder(at, claim).await;
+                holder = cluster.holder(at, claim).await;
             }
         }
         if holder.is_ok() {
             break;
         }
-        tokio::time::sleep(LOOK).await;
+        tokio::time::sleep(POLL_INTERVAL).await;
     }
     let holder = holder?;
     let mut others = daemons.into_iter().filter(|daemon| *daemon != holder);
-    let found = if not { others.next().ok_or("there is no other")? } else { holder };
-    world.aliases.insert(alias.to_owned(), found);
+    let daemon =
+        if inverted { others.next().ok_or("there is no other daemon")? } else { holder };
+    cluster.aliases.insert(alias.to_owned(), daemon);
     Ok(())
 }
 
-async fn switch(world: &World, name: &str, fault: &Value) -> Result<(), Failure> {
-    let url = format!("{}/faults", world.base(name)?);
-    let answer = world.http.post(url).json(fault).send().await;
-    let answer = answer.map_err(|error| error.to_string())?;
-    if answer.status().is_success() {
+async fn set_fault(cluster: &Cluster, name: &str, fault: &Value) -> Result<(), Failure> {
+    let url = format!("{}/faults", cluster.base(name)?);
+    let response = cluster.http.post(url).json(fault).send().await;
+    let response = response.map_err(|error| error.to_string())?;
+    if response.status().is_success() {
         return Ok(());
     }
-    Err(answer.text().await.unwrap_or_default())
+    Err(response.text().await.unwrap_or_default())
 }
 
-async fn vm(world: &World, name: &str, state: &str) -> Result<(), Failure> {
-    let list = format!("{}/v1/vms", world.base("platform")?);
+async fn set_vm_state(cluster: &Cluster, name: &str, state: &str) -> Result<(), Failure> {
+    let list = format!("{}/v1/vms", cluster.base("platform")?);
     let url = format!("{list}/{name}");
     if state == "gone" {
-        let answer = world.http.delete(url).send().await;
-        return answer.map(drop).map_err(|error| error.to_string());
+        let response = cluster.http.delete(url).send().await;
+        return response.map(drop).map_err(|error| error.to_string());
     }
-    let rows = world.get(&list).await?;
-    let rows = rows.as_array().ok_or("the list is none")?;
+    let rows = cluster.get(&list).await?;
+    let rows = rows.as_array().ok_or("the list of VMs is not an array")?;
     let mut row = rows
         .iter()
         .find(|row| row["vm"] == name)
         .cloned()
         .ok_or("the VM is not on the list")?;
     row["state"] = state.into();
-    world.put(&url, &row).await
+    cluster.put(&url, &row).await
 }
 
 async fn declare(
-    world: &mut World,
+    cluster: &mut Cluster,
     options: &Options,
     team: &str,
     file: &str,
     text: Option<String>,
 ) -> Result<(), Failure> {
-    let at = options.or("at", "e1");
+    let at = options.text_or("at", "e1");
     let base = match options.text("base") {
-        Some(_) => Some(options.number("base", 0)?),
+        Some(_) => Some(options.number_or("base", 0)?),
         None => None,
     };
-    let (status, answer) = world.declare(at, team, file, text, base).await?;
+    let (status, response) = cluster.declare(at, team, file, text, base).await?;
     let mut facts = vec![status.to_string()];
     for pointer in ["/verdict", "/reason", "/reason/reason"] {
-        let fact = answer.pointer(pointer).and_then(Value::as_str);
+        let fact = response.pointer(pointer).and_then(Value::as_str);
         facts.extend(fact.map(str::to_owned));
     }
-    facts.push(answer.to_string());
-    world.last = vec![facts];
+    facts.push(response.to_string());
+    cluster.last_facts = vec![facts];
     Ok(())
 }
 
-fn send(world: &mut World, name: &str, options: &Options) -> Result<(), Failure> {
-    let base = read(world, options)?;
-    let count = options.number("count", 1)?;
-    let single = !options.flag("count");
+fn send(cluster: &mut Cluster, name: &str, options: &Options) -> Result<(), Failure> {
+    let base = build_request(cluster, options)?;
+    let count = options.number_or("count", 1)?;
+    let single = !options.is_set("count");
     for index in 0..count {
-        let ask = if single { base.clone() } else { base.numbered(index) };
-        let seen = Arc::default();
-        let run = ask.clone().run(world.http.clone(), Arc::clone(&seen));
-        let sent = Sent { ask, seen, reply: tokio::spawn(run) };
-        world.sent.entry(name.to_owned()).or_default().push(sent);
+        let request = if single { base.clone() } else { base.numbered(index) };
+        let token_count = Arc::default();
+        let run = request.clone().run(cluster.http.clone(), Arc::clone(&token_count));
+        let sent = SentRequest { request, token_count, reply: tokio::spawn(run) };
+        cluster.sent.entry(name.to_owned()).or_default().push(sent);
     }
     Ok(())
 }
 
-fn read(world: &World, options: &Options) -> Result<Ask, Failure> {
-    let at = options.or("at", "e1");
-    let bases = at.split(',').map(|name| world.base(name)).collect::<Result<_, _>>()?;
-    ask::read(options, bases)
+fn build_request(cluster: &Cluster, options: &Options) -> Result<Ask, Failure> {
+    let at = options.text_or("at", "e1");
+    let bases = at.split(',').map(|name| cluster.base(name)).collect::<Result<_, _>>()?;
+    request::parse(options, bases)
 }
 
-async fn answers(world: &mut World, name: &str) -> Result<(), Failure> {
-    let sent = world.sent.shift_remove(name).ok_or("nothing of that name was sent")?;
-    world.last.clear();
-    for one in sent {
-        let waited = tokio::time::timeout(2 * PATIENCE, one.reply).await;
-        let reply = waited.map_err(|_| "no answer came")?.map_err(|e| e.to_string())?;
-        let mut facts = ask::facts(&reply, &one.ask);
-        // The rest is for the reader of a failure; no case can expect it.
-        let (form, text, body) = (&one.ask.form, &reply.text, &reply.body);
-        facts.push(format!("(asked {form:?}, got text {text:?} body {body})"));
-        world.last.push(facts);
-        world.replies.push((one.ask, reply));
+async fn await_responses(cluster: &mut Cluster, name: &str) -> Result<(), Failure> {
+    let sent = cluster.sent.shift_remove(name).ok_or("nothing of that name was sent")?;
+    cluster.last_facts.clear();
+    for sent_request in sent {
+        let waited = tokio::time::timeout(2 * TIMEOUT, sent_request.reply).await;
+        let reply =
+            waited.map_err(|_| "no response arrived")?.map_err(|e| e.to_string())?;
+        let mut facts = request::facts(&reply, &sent_request.request);
+        // The last entry is for the reader of a failure; no scenario can expect it.
+        let (form, text, body) = (&sent_request.request.form, &reply.text, &reply.body);
+        facts.push(format!("(sent {form:?}, received text {text:?} body {body})"));
+        cluster.last_facts.push(facts);
+        cluster.replies.push((sent_request.request, reply));
     }
     Ok(())
 }
 
-fn pending(world: &World, name: &str) -> Result<(), Failure> {
-    let sent = world.sent.get(name).ok_or("nothing of that name was sent")?;
-    let came = sent.iter().filter(|one| one.reply.is_finished()).count();
-    if came == 0 { Ok(()) } else { Err(format!("{came} answers came already")) }
+fn check_pending(cluster: &Cluster, name: &str) -> Result<(), Failure> {
+    let sent = cluster.sent.get(name).ok_or("nothing of that name was sent")?;
+    let arrived =
+        sent.iter().filter(|sent_request| sent_request.reply.is_finished()).count();
+    if arrived == 0 {
+        Ok(())
+    } else {
+        Err(format!("{arrived} responses have arrived already"))
+    }
 }
 
-async fn seen(world: &World, name: &str, count: usize) -> Result<(), Failure> {
-    let sent = world.sent.get(name).ok_or("nothing of that name was sent")?;
+async fn await_tokens(
+    cluster: &Cluster,
+    name: &str,
+    count: usize,
+) -> Result<(), Failure> {
+    let sent = cluster.sent.get(name).ok_or("nothing of that name was sent")?;
     let start = Instant::now();
-    while sent.iter().any(|one| one.seen.load(Ordering::SeqCst) < count) {
-        if start.elapsed() > PATIENCE {
-            return Err("the tokens never came".into());
+    while sent
+        .iter()
+        .any(|sent_request| sent_request.token_count.load(Ordering::SeqCst) < count)
+    {
+        if start.elapsed() > TIMEOUT {
+            return Err("the tokens did not arrive".into());
         }
         tokio::time::sleep(Duration::from_millis(2)).await;
     }
     Ok(())
 }
 
-fn expect(world: &World, expected: &[Vec<String>]) -> Result<(), Failure> {
-    if world.last.is_empty() {
-        return Err("nothing was answered".into());
+fn expect(cluster: &Cluster, expected: &[Vec<String>]) -> Result<(), Failure> {
+    if cluster.last_facts.is_empty() {
+        return Err("there is no response to check".into());
     }
-    match world.last.iter().find(|facts| !holds(facts, expected)) {
-        Some(facts) => Err(format!("the answer was: {}", facts.join(" "))),
+    match cluster.last_facts.iter().find(|facts| !matches_any(facts, expected)) {
+        Some(facts) => Err(format!("the response was: {}", facts.join(" "))),
         None => Ok(()),
     }
 }
 
-fn holds(facts: &[String], expected: &[Vec<String>]) -> bool {
+fn matches_any(facts: &[String], expected: &[Vec<String>]) -> bool {
     expected.iter().any(|all| all.iter().all(|fact| facts.contains(fact)))
 }
 
-async fn eventually(
-    world: &mut World,
+async fn send_until(
+    cluster: &mut Cluster,
     name: &str,
     options: &Options,
     expected: &[Vec<String>],
 ) -> Result<(), Failure> {
     let start = Instant::now();
     loop {
-        send(world, name, options)?;
-        answers(world, name).await?;
-        match expect(world, expected) {
-            Err(why) if start.elapsed() > PATIENCE => return Err(why),
-            Err(_) => tokio::time::sleep(LOOK).await,
+        send(cluster, name, options)?;
+        await_responses(cluster, name).await?;
+        match expect(cluster, expected) {
+            Err(reason) if start.elapsed() > TIMEOUT => return Err(reason),
+            Err(_) => tokio::time::sleep(POLL_INTERVAL).await,
             Ok(()) => return Ok(()),
         }
     }
 }
 
-async fn look_at(world: &World, look: &Look, wait: bool) -> Result<(), Failure> {
+async fn check_state(
+    cluster: &Cluster,
+    query: &StateQuery,
+    wait: bool,
+) -> Result<(), Failure> {
     let start = Instant::now();
     loop {
-        let found = value(world, look).await;
+        let found = value(cluster, query).await;
         if let Ok(found) = &found
-            && compare(found, look.compare, &look.value)
+            && compare(found, query.comparison, &query.expected)
         {
             return Ok(());
         }
-        // A page that can't be read, as of an engine that starts again, says nothing.
-        let again = wait || found.is_err();
-        if !again || start.elapsed() > PATIENCE {
+        // A page that can't be read, as of an engine that restarts, is neither a match
+        // nor a mismatch.
+        let retry = wait || found.is_err();
+        if !retry || start.elapsed() > TIMEOUT {
             return Err(format!("found {found:?}"));
         }
-        tokio::time::sleep(LOOK).await;
+        tokio::time::sleep(POLL_INTERVAL).await;
     }
 }
 
-/// The value of one process, or the sum over all engines or services.
-async fn value(world: &World, look: &Look) -> Result<Value, Failure> {
-    let kind = match look.name.as_str() {
-        "engines" => Kind::Engine,
-        "services" => Kind::Service,
-        name => return value_of(world, name, look).await,
+/// The queried value of one process, or the sum over all engines or services.
+async fn value(cluster: &Cluster, query: &StateQuery) -> Result<Value, Failure> {
+    let kind = match query.process.as_str() {
+        "engines" => ProcessKind::Engine,
+        "services" => ProcessKind::Service,
+        name => return value_at(cluster, name, query).await,
     };
     let mut sum = 0.0;
-    for name in world.named(kind) {
-        let found = value_of(world, name, look).await?;
+    for name in cluster.named(kind) {
+        let found = value_at(cluster, name, query).await?;
         sum += found.as_f64().unwrap_or(0.0);
     }
     Ok(json!(sum as u64))
 }
 
-async fn value_of(world: &World, name: &str, look: &Look) -> Result<Value, Failure> {
-    let daemon = world.process(name)?.kind == Kind::Daemon;
-    let url = match (look.path.as_str(), daemon) {
-        ("", true) => format!("{}/debug/state", world.ops(name)?),
-        ("", false) => format!("{}/counts", world.base(name)?),
+async fn value_at(
+    cluster: &Cluster,
+    name: &str,
+    query: &StateQuery,
+) -> Result<Value, Failure> {
+    let is_daemon = cluster.process(name)?.kind == ProcessKind::Daemon;
+    let url = match (query.path.as_str(), is_daemon) {
+        ("", true) => format!("{}/debug/state", cluster.ops(name)?),
+        ("", false) => format!("{}/counts", cluster.base(name)?),
         (path, true) if path.starts_with("/debug") => {
-            format!("{}{path}", world.ops(name)?)
+            format!("{}{path}", cluster.ops(name)?)
         }
-        (path, _) => format!("{}{path}", world.base(name)?),
+        (path, _) => format!("{}{path}", cluster.base(name)?),
     };
-    let page = world.get(&url).await?;
-    let Some(pointer) = look.pointer.strip_suffix('#') else {
-        return Ok(page.pointer(&look.pointer).cloned().unwrap_or(Value::Null));
+    let page = cluster.get(&url).await?;
+    let Some(pointer) = query.pointer.strip_suffix('#') else {
+        return Ok(page.pointer(&query.pointer).cloned().unwrap_or(Value::Null));
     };
     let count = match page.pointer(pointer) {
         Some(Value::Array(list)) => list.len(),
@@ -309,14 +335,14 @@
     Ok(json!(count))
 }
 
-fn compare(found: &Value, compare: Compare, value: &Value) -> bool {
-    // What was never counted is not in the counts.
+fn compare(found: &Value, comparison: Comparison, expected: &Value) -> bool {
+    // A count of zero is absent from the counts.
     let found_number = if found.is_null() { Some(0.0) } else { found.as_f64() };
-    let numbers = found_number.zip(value.as_f64());
-    match compare {
-        Compare::Equal => found == value,
-        Compare::Differs => found != value,
-        Compare::AtLeast => numbers.is_some_and(|(found, value)| found >= value),
-        Compare::AtMost => numbers.is_some_and(|(found, value)| found <= value),
+    let numbers = found_number.zip(expected.as_f64());
+    match comparison {
+        Comparison::Equal => found == expected,
+        Comparison::Differs => found != expected,
+        Comparison::AtLeast => numbers.is_some_and(|(found, expected)| found >= expected),
+        Comparison::AtMost => numbers.is_some_and(|(found, expected)| found <= expected),
     }
 }
