--- a/tests/platform/cluster.rs
+++ b/tests/platform/cluster.rs
@@ -246,7 +246,7 @@
 
     /// Exit status, or none while the process runs.
     pub fn exit_status(&mut self) -> Option<ExitStatus> {
-        self.child.try_wait().expect("the process can be asked for")
+        self.child.try_wait().expect("the status of the process can be read")
     }
 
     /// Waits until the end of the request with this id is logged.
--- a/tests/platform/servers.rs
+++ b/tests/platform/servers.rs
@@ -58,14 +58,14 @@
         service.set_fault(ServerFault::Rejecting);
     }
     let request = CallerRequest::plain("record");
-    let sent = cluster.send(0, &request);
+    let exchange = cluster.send(0, &request);
     let clear_faults = async {
         sleep(Duration::from_millis(100)).await;
         for service in &cluster.services {
             service.set_fault(ServerFault::None);
         }
     };
-    let (response, ()) = tokio::join!(sent, clear_faults);
+    let (response, ()) = tokio::join!(exchange, clear_faults);
     assert_eq!(response.status, 200);
     assert_eq!(cluster.runs(&response), 1);
 }
--- a/tests/platform/soak.rs
+++ b/tests/platform/soak.rs
@@ -29,7 +29,7 @@
 ///
 /// In 13 a daemon receives SIGHUP before it has installed its signal handlers, and is
 /// ended by it. In 616 the row of a daemon that has just been suspended is removed while
-/// the store discards its history; the daemon once continued without a row and removed
+/// the store discards its history; the daemon continued without a row and removed
 /// those of the others.
 const SEEDS: [u64; 4] = [1, 2, 13, 616];
 
--- a/tests/support/operator.rs
+++ b/tests/support/operator.rs
@@ -30,9 +30,9 @@
         at: &[String],
         words: &[String],
     ) -> Result<Self, Failure> {
-        let message = |error: std::io::Error| error.to_string();
+        let to_message = |error: std::io::Error| error.to_string();
         let output = cluster.dir.join(format!("{name}.out"));
-        let file = File::create(&output).map_err(message)?;
+        let file = File::create(&output).map_err(to_message)?;
         let mut command = Command::new(env!("CARGO_BIN_EXE_chestnutctl"));
         let all_daemons = cluster.named(ProcessKind::Daemon).map(str::to_owned);
         let daemons = if at.is_empty() { all_daemons.collect() } else { at.to_vec() };
@@ -52,10 +52,10 @@
             .arg(format!("--author={name}"))
             .env("CHESTNUT_KEY", format!("ops-{team}"))
             .stdin(Stdio::null())
-            .stdout(file.try_clone().map_err(message)?)
+            .stdout(file.try_clone().map_err(to_message)?)
             .stderr(file)
             .spawn()
-            .map_err(message)?;
+            .map_err(to_message)?;
         Ok(Self { child, output })
     }
 
--- a/tests/support/process.rs
+++ b/tests/support/process.rs
@@ -17,7 +17,7 @@
 
 /// A process, killed when dropped.
 pub struct Process {
-    /// What the process is.
+    /// Selects the addresses and state page that commands use.
     pub kind: ProcessKind,
     /// Addresses by name, from the first line that the process printed.
     pub addresses: Value,
@@ -33,19 +33,19 @@
         args: &[String],
         log: PathBuf,
     ) -> Result<Self, Failure> {
-        let message = |error: std::io::Error| error.to_string();
+        let to_message = |error: std::io::Error| error.to_string();
         let log_file = File::options().create(true).append(true).open(&log);
         let child = Command::new(program)
             .args(args)
             .stdin(Stdio::null())
             .stdout(Stdio::piped())
-            .stderr(log_file.map_err(message)?)
+            .stderr(log_file.map_err(to_message)?)
             .spawn()
-            .map_err(message)?;
+            .map_err(to_message)?;
         let mut process = Self { kind, addresses: Value::Null, child, log };
         let stdout = process.child.stdout.take().ok_or("no standard output")?;
         let mut line = String::new();
-        BufReader::new(stdout).read_line(&mut line).map_err(message)?;
+        BufReader::new(stdout).read_line(&mut line).map_err(to_message)?;
         process.addresses = serde_json::from_str(&line).map_err(|_| {
             format!("the process printed no addresses: {line:?}; {}", process.log_tail())
         })?;
@@ -70,7 +70,7 @@
         kill_process(pid, number).map_err(|error| error.to_string())
     }
 
-    /// Waits until the process exits; the code is empty if a signal ended it.
+    /// Waits until the process exits; there is no code if a signal ended it.
     pub async fn wait_exit_code(&mut self) -> Result<Option<i32>, Failure> {
         let start = Instant::now();
         while start.elapsed() < TIMEOUT {
