--- a/crates/admit/src/controller.rs
+++ b/crates/admit/src/controller.rs
@@ -4,8 +4,8 @@
 //! whose deadlines are minutes away. Waiting for a stream to end costs an urgent request
 //! its deadline, and streams reserved for urgent requests are idle the rest of the day.
 //! So a slow stream is preempted if its remainder can still be in time. By the figures in
-//! `docs/POLICY.md`, without preemption 4 to 15 in 100 fewer requests of a burst are in
-//! time; a reserve of a tenth of the streams does not make up for that, and letting
+//! `docs/POLICY.md`, without preemption another 4 to 15 in 100 requests of a burst are
+//! late; a reserve of a tenth of the streams does not make up for that, and letting
 //! requests of normal urgency preempt, or be preempted, gains nothing.
 
 mod overload;
@@ -31,9 +31,9 @@
 
 /// The most retries that a caller is allowed in the time until its deadline.
 ///
-/// A refused request is often late by only a little. With that little as retry delay, at
-/// five times the capacity, callers with much time left retried 22 times each and got no
-/// more responses.
+/// A refused request is often late by only a little. With this lateness as the retry
+/// delay and a load of five times the capacity, callers with much time left would retry
+/// 22 times each and get no more responses.
 const MAX_RETRIES_BEFORE_DEADLINE: u32 = 10;
 
 /// The multiple of the declared step time from which a server counts as slow.
@@ -87,7 +87,7 @@
     estimated_run_time: Duration,
     /// The arrival of the last token, or the dispatch before the first one.
     last_token_at: Instant,
-    /// [`AdmissionController::prefilled_tokens`] at that time.
+    /// [`AdmissionController::prefilled_tokens`] at `last_token_at`.
     prefilled_tokens: u64,
     /// Tokens received so far.
     generated: u32,
--- a/crates/admit/src/controller/overload.rs
+++ b/crates/admit/src/controller/overload.rs
@@ -125,7 +125,7 @@
         {
             return;
         }
-        let normal_step = self.limits.step_time * 3 / 2;
+        let step_time_elsewhere = self.limits.step_time * 3 / 2;
         for &ticket in &self.running {
             let request = &self.requests[ticket];
             let (job, RequestState::Running(progress)) = (&request.job, request.state)
@@ -136,7 +136,7 @@
             let remaining_tokens =
                 job.max_output_tokens.saturating_sub(progress.generated);
             let end_elsewhere = now
-                + normal_step * remaining_tokens
+                + step_time_elsewhere * remaining_tokens
                 + self.latency.prefill_time(job.prompt_tokens + progress.generated);
             if job.resumable && end_here > job.deadline && end_elsewhere <= job.deadline {
                 self.effects.push(Effect::Preempt(ticket));
--- a/crates/admit/src/forecast.rs
+++ b/crates/admit/src/forecast.rs
@@ -2,7 +2,7 @@
 //!
 //! The backend server is modelled as a number of streams and an amount of KV cache;
 //! waiting requests start in order, each as soon as a stream and enough cache are free.
-//! One pass costs `(running + waiting) · log(streams)` and tells whether a new request
+//! One pass costs `(running + waiting) · log(streams)` and shows whether a new request
 //! would be in time, whether it would push an admitted one past its deadline, and how
 //! long the wait is. A formula over the mean backlog would not do: it can't tell one long
 //! stream that ends late from many short ones, which matters when long requests are mixed
@@ -37,7 +37,7 @@
 pub struct Capacity {
     /// Streams in total.
     pub streams: usize,
-    /// Of the streams, those reserved for urgent requests.
+    /// The number of these streams that are reserved for urgent requests.
     pub urgent_reserve: usize,
     /// Tokens of KV cache.
     pub cache_tokens: u64,
--- a/crates/admit/src/job.rs
+++ b/crates/admit/src/job.rs
@@ -45,12 +45,12 @@
     }
 }
 
-/// An action that the controller requests from the daemon around it.
+/// An action that the daemon carries out for the controller.
 #[derive(Debug, Clone, PartialEq)]
 pub enum Effect {
     /// Send the request to the backend server.
     Dispatch(Ticket),
-    /// Tell the caller that the request was not run; the ticket is no longer valid.
+    /// Report to the caller that the request was not run; the ticket is no longer valid.
     Refuse(Ticket, Rejection),
     /// Cancel the stream, report its end, and offer the remainder again.
     Preempt(Ticket),
@@ -74,12 +74,12 @@
     DeadlineMissed,
     /// The queue is full.
     QueueFull,
-    /// A request that is more urgent, shorter, or from a caller with less usage took its
-    /// position in the queue.
+    /// It was removed from the queue in favour of requests that are more urgent, shorter,
+    /// or from callers with less usage.
     Displaced,
     /// The caller exceeds its share while the server is overloaded.
     ShareExceeded,
-    /// The daemon is handing the lead of the backend server over.
+    /// The daemon is handing over the lead of the backend server.
     Closed,
 }
 
@@ -103,7 +103,7 @@
     pub fn message(self) -> &'static str {
         match self {
             Self::Infeasible => {
-                "the deadline is shorter than the request takes; allow more time or ask for fewer tokens"
+                "the deadline is shorter than the request takes; allow more time or request fewer tokens"
             }
             Self::DeadlineMissed => {
                 "the request can't be finished by its deadline; retry after the given delay"
--- a/crates/admit/src/latency.rs
+++ b/crates/admit/src/latency.rs
@@ -7,7 +7,7 @@
 //! tokens prefilled in the step, and predicted from the prompts and responses of the
 //! requests that run and wait. Weights halve after [`SAMPLE_HALF_LIFE`] samples: for a
 //! server that emits 1,000 tokens a second the model adapts within a second, while a
-//! single outlier moves the estimate by less than half a percent.
+//! single outlier moves the estimate by less than half a percent of its deviation.
 
 use std::time::Duration;
 
@@ -24,7 +24,9 @@
 /// The least and the greatest correction factor of estimated run times.
 const CORRECTION_RANGE: (f64, f64) = (0.5, 4.0);
 
-/// The least variance of prompt tokens at which the fitted slope is used.
+/// The least variance of x, in tokens², at which the fitted slope is used.
+///
+/// Below it, predictions are the mean.
 const MIN_VARIANCE: f64 = 1.0;
 
 /// A linear regression with exponentially decaying weights.
@@ -32,10 +34,15 @@
 pub struct DecayingRegression {
     /// The factor by which all weights shrink per sample.
     decay: f64,
+    /// The sum of the samples' weights.
     weight: f64,
+    /// Weighted sum of x.
     x: f64,
+    /// Weighted sum of y.
     y: f64,
+    /// Weighted sum of x².
     xx: f64,
+    /// Weighted sum of x · y.
     xy: f64,
 }
 
@@ -88,7 +95,7 @@
 }
 
 impl LatencyModel {
-    /// Starts from the declared step time.
+    /// Starts from the declared step time, which counts as much as five measured samples.
     pub fn new(limits: &Limits) -> Self {
         let step_time = limits.step_time.as_secs_f64();
         Self {
--- a/crates/admit/src/lib.rs
+++ b/crates/admit/src/lib.rs
@@ -9,7 +9,7 @@
 //!
 //! 1. [`AdmissionController::offer`] estimates its end with [`LatencyModel`] and
 //!    [`forecast`]; a request that can't meet its deadline is refused at once, with a
-//!    retry delay,
+//!    retry delay if a later attempt could meet it,
 //! 2. it waits in the order of [`queue`]; under overload, [`shedding`] and
 //!    [`UsageTracker`] determine which request is refused,
 //! 3. it is dispatched within the [`Limits`] and holds a stream until
--- a/crates/admit/src/limits.rs
+++ b/crates/admit/src/limits.rs
@@ -59,7 +59,7 @@
     pub urgent_reserve: f64,
     /// The minimum fraction of the stream time that goes to slow requests.
     pub slow_floor: f64,
-    /// The fraction of the estimated run time that is kept as a safety margin.
+    /// The safety margin before the deadline, as a fraction of the estimated run time.
     pub deadline_margin: f64,
 }
 
--- a/crates/admit/src/shedding.rs
+++ b/crates/admit/src/shedding.rs
@@ -44,6 +44,8 @@
         self.share_ratio > SHARE_TOLERANCE
     }
 
+    /// The class; a slow request below the floor counts as urgent, so that it is refused
+    /// last.
     fn class(&self) -> Urgency {
         if self.below_floor { Urgency::Urgent } else { self.urgency }
     }
--- a/crates/admit/src/usage.rs
+++ b/crates/admit/src/usage.rs
@@ -1,10 +1,10 @@
 //! Recent usage of a backend server by caller and team.
 //!
-//! Load pattern: one caller or key sends far more than its share. Without accounting its
-//! requests fill the queue, and everyone else's miss their deadlines. Usage is measured
-//! in stream time, not in requests, so that a caller can't hide long jobs among short
-//! ones. It halves every [`HALF_LIFE`], a few times the length of a job, so that a caller
-//! that stops soon regains its full share.
+//! Load pattern: one caller or team sends far more than its share. Without accounting,
+//! its requests fill the queue, and everyone else's miss their deadlines. Usage is
+//! measured in stream time, not in requests, so that a caller can't hide long jobs among
+//! short ones. It halves every [`HALF_LIFE`], a few times the length of a job, so that a
+//! caller that stops soon regains its full share.
 
 use std::hash::Hash;
 use std::time::{Duration, Instant};
@@ -27,19 +27,20 @@
 /// Usage and weight of one caller or team.
 #[derive(Debug, Clone, Copy, Default)]
 struct Account {
-    /// Scaled seconds of stream time; never negative.
+    /// Seconds of stream time, multiplied by the scale; never negative.
     used: f64,
+    /// The weight in the fair share.
     share: f64,
 }
 
 /// The accounts of all callers or all teams, with their totals.
 #[derive(Debug, Clone)]
-struct Ledger<K> {
+struct AccountSet<K> {
     accounts: IndexMap<K, Account>,
     total: Account,
 }
 
-impl<K: Clone + Eq + Hash> Ledger<K> {
+impl<K: Clone + Eq + Hash> AccountSet<K> {
     fn new() -> Self {
         Self { accounts: IndexMap::new(), total: Account::default() }
     }
@@ -88,9 +89,9 @@
 /// of the scale.
 #[derive(Debug, Clone)]
 pub struct UsageTracker {
-    callers: Ledger<CallerName>,
-    teams: Ledger<TeamName>,
-    /// Scaled seconds of stream time of slow requests.
+    callers: AccountSet<CallerName>,
+    teams: AccountSet<TeamName>,
+    /// Seconds of stream time of slow requests, multiplied by the scale.
     slow_used: f64,
     /// The time at which the scale is 1.
     scale_base: Instant,
@@ -100,8 +101,8 @@
     /// Starts without any usage.
     pub fn new(now: Instant) -> Self {
         Self {
-            callers: Ledger::new(),
-            teams: Ledger::new(),
+            callers: AccountSet::new(),
+            teams: AccountSet::new(),
             slow_used: 0.0,
             scale_base: now,
         }
@@ -159,7 +160,7 @@
         self.callers.accounts.len()
     }
 
-    /// The factor by which new charges are multiplied.
+    /// The factor by which new charges are multiplied; it doubles every [`HALF_LIFE`].
     fn scale(&self, now: Instant) -> f64 {
         let age = now.saturating_duration_since(self.scale_base).as_secs_f64();
         (age / HALF_LIFE.as_secs_f64()).exp2()
