--- a/crates/route/src/health.rs
+++ b/crates/route/src/health.rs
@@ -54,7 +54,10 @@
         }
     }
 
-    /// The fraction of its normal requests that the server may get, from 0 to 1.
+    /// The fraction of its normal requests that the server may get.
+    ///
+    /// It is 0 during an ejection, grows from 0.05 to 1 over [`RAMP_UP`] after it, and is
+    /// 1 otherwise.
     pub fn traffic_share(&self, now: Instant) -> f64 {
         let Some(until) = self.ejected_until else { return 1.0 };
         let Some(elapsed) = now.checked_duration_since(until) else { return 0.0 };
--- a/crates/route/src/lib.rs
+++ b/crates/route/src/lib.rs
@@ -1,7 +1,7 @@
 //! Load balancing and retries: which backend server gets the next attempt of a request.
 //!
-//! An entry knows which backend servers can serve a request, what it sent to each of
-//! them itself, and the load that their leads reported with their last response. The
+//! An entry knows which backend servers can serve a request, its own attempts in flight
+//! at each of them, and the load that their leads reported with their last response. The
 //! crate does no I/O and reads no clock. Steps of an attempt:
 //!
 //! 1. [`Router::choose`] gets the candidates, without those already tried,
@@ -9,7 +9,7 @@
 //! 3. [`prefix`] estimates where the start of the prompt is cached,
 //! 4. [`RoutingPolicy`] picks a server; [`Router::begin_attempt`] counts the attempt as
 //!    in flight until [`Router::end_attempt`],
-//! 5. [`Router::record`] takes the outcome and the reported load,
+//! 5. [`Router::record`] records the outcome and the reported load,
 //! 6. [`retry`] decides whether the budget allows another attempt, and when.
 
 pub mod health;
--- a/crates/route/src/load.rs
+++ b/crates/route/src/load.rs
@@ -5,17 +5,17 @@
 //! entries to the server that was idle a moment ago. So a report is corrected by the
 //! attempts that this entry started since, is averaged with a projection from this
 //! entry's own attempts in flight, and expires after [`REPORT_MAX_AGE`]. The waits that
-//! leads report are not used, since they make the choice worse: they depend more on the
-//! single long stream at hand than on what a server can still take.
+//! leads report are not used, since they make the choice worse: they depend more on a
+//! single long stream than on the spare capacity of a server.
 
 use std::time::{Duration, Instant};
 
-/// The age at which a report no longer counts as load.
+/// The age at which a report is no longer used to estimate the load.
 pub const REPORT_MAX_AGE: Duration = Duration::from_secs(5);
 
-/// The age at which a reported step time no longer counts.
+/// The age at which a reported step time is no longer used.
 ///
-/// A slow server gets next to no requests, so no report tells when it has recovered. Over
+/// A slow server gets next to no requests, so no report shows when it has recovered. Over
 /// this time its assumed step time returns to the declared one, until a request is sent
 /// there again and brings a report.
 pub const STEP_TIME_MAX_AGE: Duration = Duration::from_secs(20);
@@ -27,7 +27,7 @@
     pub running: u32,
     /// Requests that wait.
     pub queued: u32,
-    /// The estimated wait of a request that arrived at that time.
+    /// The estimated wait of a request that arrived at the time of the report.
     pub estimated_wait: Duration,
     /// The measured time of an engine step; zero if unknown.
     pub step_time: Duration,
@@ -73,8 +73,8 @@
         self.weighted(now, REPORT_MAX_AGE)
     }
 
-    /// The step time in seconds, between the reported and the declared one by the age of
-    /// the report.
+    /// The step time, interpolated by the age of the report from the reported to the
+    /// `declared` one; both in seconds.
     pub fn step_time(&self, now: Instant, declared: f64) -> f64 {
         match self.weighted(now, STEP_TIME_MAX_AGE) {
             Some((report, weight)) if !report.step_time.is_zero() => {
@@ -96,7 +96,8 @@
     ///
     /// The mean of the corrected report and of this entry's attempts in flight,
     /// projected to all entries: the former is complete and old, the latter is current
-    /// and a sample. Together they beat either alone (`docs/POLICY.md`).
+    /// and a sample. The mean leads to better choices than either alone
+    /// (`docs/POLICY.md`).
     pub fn estimated_requests(&self, now: Instant, entry_count: f64) -> f64 {
         let own = f64::from(self.in_flight);
         match self.weighted_report(now) {
--- a/crates/route/src/policy.rs
+++ b/crates/route/src/policy.rs
@@ -43,12 +43,12 @@
 impl RoutingPolicy {
     /// The index of the chosen candidate, or `None` if there are no candidates.
     ///
-    /// `turn` is the number of choices so far, and `run_time_s` the time of the request
-    /// on an idle server in seconds.
+    /// `choice_count` is the number of choices so far, and `run_time_s` the time of the
+    /// request on an idle server in seconds.
     pub fn choose(
         self,
         scores: &[CandidateScore],
-        turn: usize,
+        choice_count: usize,
         run_time_s: f64,
         rng: &mut impl Rng,
     ) -> Option<usize> {
@@ -57,7 +57,7 @@
             return None;
         }
         Some(match self {
-            Self::RoundRobin => turn % count,
+            Self::RoundRobin => choice_count % count,
             Self::LeastInFlight => least_in_flight(scores, 1, rng)[0],
             Self::TwoChoices => {
                 let (a, b) = (rng.random_range(0..count), rng.random_range(0..count));
--- a/crates/route/src/prefix.rs
+++ b/crates/route/src/prefix.rs
@@ -3,19 +3,19 @@
 //! Load pattern: many requests share the start of their prompt, and an engine that has it
 //! cached skips its prefill; a KV cache holds the starts of a few dozen prompts. Without
 //! affinity every server gets every start, and they evict each other. If each entry
-//! remembers where it sent what, six entries choose different servers and again fill all
-//! caches. So a start is assigned to a server by rendezvous hashing, on which all entries
-//! agree without communication. The saved prefill time enters the estimate as it is, so a
-//! popular start spills over to other servers as soon as the wait costs more. The starts
-//! of an unreachable server go to the next in rank. `docs/POLICY.md` compares the
-//! alternatives.
+//! remembered to which server it sent a start, six entries would choose different servers
+//! and again fill all caches. So a start is assigned to a server by rendezvous hashing,
+//! on which all entries agree without communication. The saved prefill time enters the
+//! estimate unweighted, so a popular start spills over to other servers as soon as the
+//! wait costs more. The starts of an unreachable server go to the next in rank.
+//! `docs/POLICY.md` compares the alternatives.
 //!
 //! The engines' own cache events are not used: they arrive late and with gaps, and a
-//! wrong guess costs only one prefill.
+//! wrong prediction costs only one prefill.
 
 use indexmap::IndexSet;
 
-/// The most blocks that are remembered; at about 24 bytes each, 200 KB.
+/// The most blocks that are retained; at about 24 bytes each, 200 KB.
 pub const MAX_BLOCKS: usize = 8192;
 
 /// Blocks of recent prompts, by their hashes.
--- a/crates/route/src/router.rs
+++ b/crates/route/src/router.rs
@@ -91,7 +91,7 @@
     servers: SlotMap<ServerKey, Server>,
     recent_blocks: RecentBlocks,
     /// The number of choices so far.
-    turn: usize,
+    choice_count: usize,
     /// Entries that send to the same servers, including this one; at least 1.
     entry_count: f64,
     rng: SmallRng,
@@ -106,7 +106,7 @@
             keys: IndexMap::new(),
             servers: SlotMap::with_key(),
             recent_blocks: RecentBlocks::default(),
-            turn: 0,
+            choice_count: 0,
             entry_count: 1.0,
             rng: SmallRng::seed_from_u64(seed),
         }
@@ -147,7 +147,7 @@
         request: RouteRequest,
         now: Instant,
     ) -> Option<ServerKey> {
-        self.turn += 1;
+        self.choice_count += 1;
         let affinity = match self.policy {
             RoutingPolicy::Estimate => self.affinity(candidates, request),
             _ => Affinity::default(),
@@ -158,7 +158,8 @@
             .map(|candidate| self.score(candidate, request, affinity, now))
             .collect();
         let run_time_s = sampled.first().map_or(0.0, |c| self.decode_s(c, request, now));
-        let index = self.policy.choose(&scores, self.turn, run_time_s, &mut self.rng)?;
+        let index =
+            self.policy.choose(&scores, self.choice_count, run_time_s, &mut self.rng)?;
         Some(sampled[index].server)
     }
 
