--- a/crates/member/src/assignment.rs
+++ b/crates/member/src/assignment.rs
@@ -25,7 +25,7 @@
 
 /// How long a member must have been present before claims are handed over to it.
 ///
-/// Longer than a lease, so that a crash right after the start is noticed first.
+/// Longer than a lease, so that a crash right after the start is detected first.
 pub const STABLE_AFTER: Duration = Duration::from_secs(10);
 
 /// The maximum number of claims that a holder hands over in one plan for rebalancing.
@@ -37,7 +37,7 @@
 /// The changes of claims that a daemon should commit.
 #[derive(Debug, Clone, Default, PartialEq)]
 pub struct ClaimPlan {
-    /// Each change is a transaction of its own or part of one.
+    /// Each may be committed alone or in one transaction with others.
     pub changes: Vec<ClaimChange>,
 }
 
--- a/crates/member/src/rows.rs
+++ b/crates/member/src/rows.rs
@@ -12,7 +12,7 @@
 /// A daemon's row, written when the daemon joins and when it starts to leave.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct MemberRow {
-    /// Identifies this start of the daemon.
+    /// Identifies the incarnation of the daemon that wrote the row.
     pub member: MemberId,
     /// The failure domain of its VM.
     pub domain: DomainName,
@@ -39,7 +39,7 @@
 /// A daemon's lease, written at each renewal.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct LeaseRow {
-    /// Identifies this start of the daemon.
+    /// Identifies the incarnation of the daemon that renewed the lease.
     pub member: MemberId,
     /// The configuration revision in force at the daemon.
     pub revision: Revision,
@@ -69,7 +69,7 @@
     pub claims: IndexMap<ClaimKey, (ClaimRow, u64)>,
     /// Backend servers on the platform's list.
     pub servers: IndexMap<ServerName, Server>,
-    /// Daemons that announced that they are leaving before their rows show it.
+    /// Daemons that have announced that they are leaving; their rows may not show it yet.
     pub leaving: IndexSet<MemberId>,
     /// When each member was first observed by this daemon.
     first_seen: IndexMap<MemberId, Instant>,
@@ -93,7 +93,7 @@
     }
 
     /// The row of this daemon and its version; `None` if it was removed or written by
-    /// another start.
+    /// another incarnation.
     pub fn own_row(&self, vm: &VmName, me: MemberId) -> Option<(&MemberRow, u64)> {
         let (row, version) = self.members.get(vm)?;
         (row.member == me).then_some((row, *version))
--- a/crates/member/src/suspension.rs
+++ b/crates/member/src/suspension.rs
@@ -2,9 +2,9 @@
 //!
 //! A hypervisor suspends a VM for seconds, a process is stopped, or a VM loses its
 //! connections to the store and the other daemons but not to its runners. Meanwhile other
-//! daemons take over its claims. After it resumes, heartbeats that waited in the socket
-//! look new. While a VM is suspended even the monotonic clock stands still, so that
-//! cached state does not look old either.
+//! daemons take over its claims. After it resumes, heartbeats buffered in the socket
+//! appear to be recent. While a VM is suspended even the monotonic clock does not
+//! advance, so cached state does not appear to be old either.
 //!
 //! The daemon compares its clocks several times per second. If they show a gap, state
 //! received from others counts as stale for [`SETTLING_TIME`], and the claims are read
@@ -14,7 +14,7 @@
 
 use std::time::{Duration, Instant};
 
-/// The longest time between two checks in a daemon that was not stopped.
+/// The longest time between two checks in a daemon that was not suspended.
 ///
 /// It checks four times per second; on a VM that gets a seventh of its CPU, a check is
 /// late by half a second.
@@ -27,7 +27,7 @@
 
 /// How long after a gap received messages may have been sent before it.
 ///
-/// Messages that waited in the socket are read within some milliseconds; a busy VM takes
+/// Messages buffered in the socket are read within some milliseconds; a busy VM takes
 /// longer.
 pub const SETTLING_TIME: Duration = Duration::from_millis(500);
 
@@ -35,7 +35,7 @@
 /// that does not check fences.
 ///
 /// A claim is taken over 1.5 s after the last heartbeat at the earliest, and the new
-/// holder then waits some seconds for admission.
+/// holder then waits some seconds before its first order.
 pub const MAX_CONFIRMATION_AGE: Duration = Duration::from_millis(2000);
 
 /// Detects from the clocks that the VM or the process was suspended.
@@ -72,7 +72,7 @@
 
 /// Whether an order may be sent to a runner that this daemon holds.
 ///
-/// `fenced` tells whether the runner checks fences. `confirmation_age` is the age of
+/// `fenced` is whether the runner checks fences. `confirmation_age` is the age of
 /// the store's confirmation of the claims; `None` if there is none since the last
 /// suspension.
 pub fn may_send_order(fenced: bool, confirmation_age: Option<Duration>) -> bool {
--- a/crates/member/tests/claims.rs
+++ b/crates/member/tests/claims.rs
@@ -233,7 +233,7 @@
     }
 
     /// Lets all live daemons poll often enough for the claims to become stable.
-    fn settle(&mut self) {
+    fn poll_until_stable(&mut self) {
         for _ in 0..16 {
             self.table.now += RENEWAL_INTERVAL;
             for n in 0..DAEMONS {
@@ -254,7 +254,7 @@
         for event in &events {
             world.run(event);
         }
-        world.settle();
+        world.poll_until_stable();
         let eligible: Vec<MemberId> = world
             .daemons
             .iter()
@@ -278,11 +278,11 @@
 fn a_departure_moves_only_its_own_claims() {
     for leaving in 0..DAEMONS {
         let mut world = World::new();
-        world.settle();
+        world.poll_until_stable();
         let before = world.table.claims.clone();
         let departed = world.daemons[leaving].me;
         world.run(&Event::Leave(leaving));
-        world.settle();
+        world.poll_until_stable();
         for (key, (row, _)) in &world.table.claims {
             let old = before[key].0;
             assert!(
--- a/crates/member/tests/suspension.rs
+++ b/crates/member/tests/suspension.rs
@@ -56,7 +56,7 @@
 /// A holder loses its connections to the store and the other daemons, but not to its
 /// runner. If the runner checks fences, the holder continues to send orders, so that an
 /// outage of the store stops nothing. Otherwise it stops before another daemon that took
-/// over can have waited for admission.
+/// over may send its first order.
 #[test]
 fn an_unfenced_order_needs_a_recent_confirmation() {
     assert!(may_send_order(true, Some(60 * SECOND)));
