--- a/crates/place/src/balance.rs
+++ b/crates/place/src/balance.rs
@@ -4,11 +4,11 @@
 //! the load of runners that share models. The planner needs only the resulting loads,
 //! so they are computed directly instead of simulating requests.
 
-/// Rounds of even distribution; further rounds change the loads by less than a percent
-/// for the pools in the experiments.
+/// Rounds of even distribution; further rounds change the loads by less than a percent.
 const ROUNDS: usize = 12;
 
-/// Part of the way to the even distribution that a round covers, to avoid oscillation.
+/// The fraction of the difference to the even distribution that each round removes; below
+/// 1 to avoid oscillation.
 const DAMPING: f64 = 0.5;
 
 /// The load of runners and the demand at each replica, in tokens per second.
--- a/crates/place/src/demand.rs
+++ b/crates/place/src/demand.rs
@@ -10,8 +10,8 @@
 
 /// Half-life of the fast average.
 ///
-/// Half of a cold start of about a minute: a burst that ends before a load could
-/// complete has decayed by half when the load would have helped.
+/// Half of a cold start, which takes about a minute: a burst that ends halfway through a
+/// load has decayed by half when the load completes.
 pub const FAST_HALF_LIFE: Duration = Duration::from_secs(30);
 
 /// Half-life of the slow average.
--- a/crates/place/src/ledger.rs
+++ b/crates/place/src/ledger.rs
@@ -4,7 +4,7 @@
 //! Models are loaded, swapped and moved while orders to engines are lost, delayed or
 //! duplicated, engines restart and holders change. Without the ledger, a holder would
 //! free the memory of an order that timed out; when a late copy of it arrives, the engine
-//! overcommits its accelerator and every request on it dies.
+//! overcommits its accelerator and every request on it fails.
 //!
 //! Every asset that may hold memory, now or once a late copy of an order arrives, has one
 //! [`Reservation`], and together the reservations never exceed the capacity. A
@@ -14,8 +14,8 @@
 //! The ledger relies on three properties of engines: an order that a report lists is not
 //! executed again in that incarnation; a restarted engine holds nothing, remembers no
 //! orders and has another incarnation; loading an asset that is already loaded takes no
-//! further memory. Fence numbers are sent, but the ledger does not rely on them, so that
-//! engines that ignore them are as safe.
+//! further memory. Fence numbers are sent, but the ledger does not rely on them, so it is
+//! equally safe with engines that ignore them.
 
 use std::fmt::{self, Display, Formatter};
 
@@ -379,7 +379,7 @@
             );
             let last = reservation.loads.last().map(|load| load.order);
             reservation.loads.retain(|load| {
-                !is_settled(load, time) || (is_needed && Some(load.order) == last)
+                !is_obsolete(load, time) || (is_needed && Some(load.order) == last)
             });
             for load in &mut reservation.loads {
                 load.listed = false;
@@ -409,7 +409,7 @@
         }
     }
 
-    /// Updates the state of one reservation by what the report says of its asset.
+    /// Updates the state of one reservation from the reported state of its asset.
     fn update_state(&mut self, index: usize, report: &Report, time: TimeRange) {
         let reservation = &self.reservations[index];
         let reported = report.asset_state(&reservation.asset);
@@ -495,7 +495,7 @@
             let is_active = reservation.state != ReservationState::Expiring;
             let last = reservation.loads.last().map(|load| load.order);
             reservation.loads.retain(|load| {
-                !is_settled(load, time) || (is_active && Some(load.order) == last)
+                !is_obsolete(load, time) || (is_active && Some(load.order) == last)
             });
         }
         self.reservations.retain(|reservation| {
@@ -505,8 +505,9 @@
     }
 }
 
-/// Whether no copy of a load order can arrive any more except as a duplicate.
-fn is_settled(load: &LoadOrder, time: TimeRange) -> bool {
+/// Whether no copy of a load order can take effect any more: none can arrive, or only as
+/// a duplicate.
+fn is_obsolete(load: &LoadOrder, time: TimeRange) -> bool {
     (load.listed && load.answered)
         || load.expires_at.is_some_and(|expires_at| expires_at <= time.earliest)
 }
--- a/crates/place/src/planner.rs
+++ b/crates/place/src/planner.rs
@@ -3,7 +3,7 @@
 //! Hundreds of models share runners that can't hold all of them, and demand changes
 //! tenfold within an hour. A fixed placement leaves some runners idle and others
 //! overloaded; one that follows demand greedily moves models all the time, and each move
-//! loads the weight store and stalls a runner.
+//! reads from the weight store and stalls a runner.
 //!
 //! Stages of a plan:
 //!
@@ -18,10 +18,10 @@
 //! many concurrent loads as the weight store serves at full speed, and drops replicas
 //! only to make room.
 //!
-//! The benefit of a move is the attainment that it gains, in percent of one runner's
-//! throughput, times the pool's attainment weight. Its cost is the number of loads times
-//! the pool's move weight. The benefit is relative to a runner and not to the pool, so
-//! that the same weights mean the same in small and large pools.
+//! The benefit of a move is the attainment (demand served in time) that it gains, in
+//! percent of one runner's throughput, times the pool's attainment weight. Its cost is
+//! the number of loads times the pool's move weight. The benefit is relative to a runner
+//! and not to the pool, so that the same weights mean the same in small and large pools.
 
 use std::cmp::Reverse;
 use std::time::Duration;
@@ -388,8 +388,9 @@
     /// Whether a model has more replicas than needed, not counting those still loading.
     fn has_spare_replica(&self, model: usize) -> bool {
         let state = &self.pool.models[model];
-        let kept = if self.placing_first_replicas { 1 } else { state.replicas.max(1) };
-        self.placed[model].len() > kept + state.loading
+        let required =
+            if self.placing_first_replicas { 1 } else { state.replicas.max(1) };
+        self.placed[model].len() > required + state.loading
     }
 
     /// The demand that a model can't serve elsewhere without its replica on `runner`, in
--- a/crates/place/src/pool.rs
+++ b/crates/place/src/pool.rs
@@ -15,7 +15,7 @@
     pub parallel_loads: usize,
     /// Whether existing replicas stay where they are, so that only free memory is used.
     pub frozen: bool,
-    /// The value of one percent of a runner's throughput.
+    /// The value of serving one more percent of a runner's throughput in time.
     pub attainment_weight: f64,
     /// The cost of one move.
     pub move_weight: f64,
--- a/crates/place/src/reconcile.rs
+++ b/crates/place/src/reconcile.rs
@@ -64,7 +64,7 @@
     }
     let all_ready = desired.iter().all(|item| ledger.is_ready(&item.asset));
     // Unloading comes before draining: an asset that is drained in this call is unloaded
-    // in a later one at the earliest, since nobody has been told yet not to use it.
+    // in a later one at the earliest, since entries may still route requests to it.
     unload_idle(ledger, checks);
     if all_ready || !result.insufficient_memory.is_empty() {
         let undesired = undesired_assets(ledger, desired);
--- a/crates/place/src/witness.rs
+++ b/crates/place/src/witness.rs
@@ -1,10 +1,10 @@
 //! Proof that dropping an asset leaves another usable replica.
 //!
 //! Holders of different runners may drop replicas at the same time, each counting on the
-//! other's replica. Without a check both would go and callers would find no runner. Each
-//! drop therefore names other runners that hold a replacement, its witnesses. The
-//! transaction checks that their ledger rows are unchanged, so that the second of two
-//! such drops fails.
+//! other's replica. Without a check both would be dropped and callers would find no
+//! runner. Each drop therefore names other runners that hold a replacement, its
+//! witnesses. The transaction checks that their ledger rows are unchanged, so that the
+//! second of two such drops fails.
 
 use chestnut_base::ServerName;
 use chestnut_config::Catalog;
--- a/crates/place/tests/last_replica.rs
+++ b/crates/place/tests/last_replica.rs
@@ -83,7 +83,7 @@
     }
 
     /// One poll of the holder of a runner.
-    fn holder_step(&mut self, index: usize) {
+    fn poll_holder(&mut self, index: usize) {
         let name = runner(index);
         let (current, _) = self.rows[&name].clone();
         let mut next = current.clone();
@@ -146,11 +146,11 @@
 }
 
 impl World {
-    /// Executes one step that random bytes choose.
+    /// Executes one step; the three random bytes choose its kind and parameters.
     fn step(&mut self, kind: u8, first: u8, second: u8) {
         let index = usize::from(first) % RUNNERS;
         match kind {
-            0..=159 => self.holder_step(index),
+            0..=159 => self.poll_holder(index),
             160..=209 => self.cached_rows[index] = self.rows.clone(),
             210..=249 => {
                 let mut desired: Vec<_> = (0..MODELS)
--- a/crates/place/tests/ledger/main.rs
+++ b/crates/place/tests/ledger/main.rs
@@ -54,7 +54,7 @@
         for (kind, first, second) in steps {
             world.step(kind, first, second);
         }
-        world.settle();
+        world.run_without_faults();
         prop_assert_eq!(world.violation(), None);
         prop_assert_eq!(world.difference(), None);
     }
--- a/crates/place/tests/ledger/world.rs
+++ b/crates/place/tests/ledger/world.rs
@@ -97,11 +97,11 @@
         world
     }
 
-    /// Executes one step that random bytes choose.
+    /// Executes one step; the three random bytes choose its kind and parameters.
     pub fn step(&mut self, kind: u8, first: u8, second: u8) {
         match kind {
-            0..=79 => self.holder_step(usize::MAX, second),
-            80..=94 => self.holder_step(usize::from(first), second),
+            0..=79 => self.poll_holder(usize::MAX, second),
+            80..=94 => self.poll_holder(usize::from(first), second),
             95..=149 => self.deliver(first, second.is_multiple_of(4)),
             150..=164 => self.lose(first),
             165..=174 => self.duplicate(first),
@@ -137,9 +137,9 @@
     }
 
     /// Ends all faults and runs long enough for the state to become stable.
-    pub fn settle(&mut self) {
+    pub fn run_without_faults(&mut self) {
         for _ in 0..60 {
-            self.holder_step(usize::MAX, 255);
+            self.poll_holder(usize::MAX, 255);
             while !self.network.is_empty() {
                 self.deliver(0, false);
             }
@@ -229,7 +229,10 @@
     }
 
     /// One poll of the holder at `index`, or of the last holder if there is none.
-    fn holder_step(&mut self, index: usize, luck: u8) {
+    ///
+    /// `fault` chooses whether it is suspended, its commit fails or the response is lost;
+    /// 255 chooses no fault.
+    fn poll_holder(&mut self, index: usize, fault: u8) {
         let index = index.min(self.holders.len() - 1);
         let mut holder = self.holders.remove(index);
         let (current, version) = match holder.row.clone() {
@@ -246,7 +249,7 @@
             .pending_report
             .take()
             .unwrap_or_else(|| (self.engine.report(), self.now));
-        if luck % 4 == 2 {
+        if fault % 4 == 2 {
             // The holder is suspended between reading the report and evaluating it.
             holder.pending_report = Some(report);
             self.holders.insert(index, holder);
@@ -256,7 +259,7 @@
         if self.setup.safeguards == Safeguards::NoCommitFirst {
             self.send(&mut holder, &next, None);
         }
-        self.commit(&mut holder, &current, next.clone(), version, luck);
+        self.commit(&mut holder, &current, next.clone(), version, fault);
         if let Some((row, _)) = holder.row.clone() {
             self.send(&mut holder, &next, Some(&row));
         }
@@ -304,21 +307,21 @@
         next
     }
 
-    /// Commits a change of the row. The transaction checks the claim and the row; it may
-    /// fail, and its response may be lost.
+    /// Commits a change of the row. The transaction checks the claim and the row; `fault`
+    /// chooses whether it fails or its response is lost.
     fn commit(
         &mut self,
         holder: &mut Holder,
         current: &Ledger,
         next: Ledger,
         version: u64,
-        luck: u8,
+        fault: u8,
     ) {
         if next == *current {
             return;
         }
         let is_allowed = holder.fence == self.claim_fence && version == self.row.1;
-        let fails = luck.is_multiple_of(16);
+        let fails = fault.is_multiple_of(16);
         if is_allowed && !fails {
             let count_ready = |ledger: &Ledger| {
                 ledger
@@ -331,7 +334,7 @@
                 count_ready(&next).saturating_sub(count_ready(current)) as u64;
             self.row = (next.clone(), version + 1);
         }
-        let response_lost = luck % 16 == 1;
+        let response_lost = fault % 16 == 1;
         if !fails {
             // A report that was read before the row must not be applied to it.
             holder.pending_report = None;
--- a/crates/place/tests/planner.rs
+++ b/crates/place/tests/planner.rs
@@ -15,17 +15,9 @@
 }
 
 fn model(bytes: u64, replicas: usize, demand: f64) -> ModelState {
-    let cold = Duration::from_secs(30);
-    let (placed, copies) = (Vec::new(), Vec::new());
-    ModelState {
-        bytes,
-        replicas,
-        load_time: cold,
-        demand,
-        placed,
-        loading: 0,
-        cached_on: copies,
-    }
+    let load_time = Duration::from_secs(30);
+    let (placed, cached_on) = (Vec::new(), Vec::new());
+    ModelState { bytes, replicas, load_time, demand, placed, loading: 0, cached_on }
 }
 
 fn pool(runners: Vec<RunnerState>, models: Vec<ModelState>) -> PoolState {
@@ -41,8 +33,9 @@
     }
 }
 
-/// Executes successive plans at once; returns the last one and the number of all moves.
-fn settle(pool: &mut PoolState) -> (Placement, usize) {
+/// Executes [`ROUNDS`] successive plans; returns the last one and the number of all
+/// moves.
+fn execute_plans(pool: &mut PoolState) -> (Placement, usize) {
     let mut moves = 0;
     let mut last = Placement::default();
     for _ in 0..ROUNDS {
@@ -83,11 +76,11 @@
             .map(|(bytes, replicas, demand)| model(*bytes, *replicas, *demand))
             .collect();
         let mut pool = pool(runners.collect(), models);
-        settle(&mut pool);
+        execute_plans(&mut pool);
         for (model, factor) in pool.models.iter_mut().zip(demand_factors) {
             model.demand *= factor;
         }
-        let (last, _) = settle(&mut pool);
+        let (last, _) = execute_plans(&mut pool);
         for (index, model) in pool.models.iter().enumerate() {
             let missing = model.replicas.saturating_sub(model.placed.len());
             let reported = last.unplaced.iter().any(|(model, _)| *model == index);
@@ -109,7 +102,7 @@
             (0..4).map(|index| runner(index % 2, 80)).collect(),
             models.collect(),
         );
-        settle(&mut pool);
+        execute_plans(&mut pool);
         let placement = plan_placement(&pool);
         prop_assert_eq!(placement.added.len(), 0);
     }
@@ -118,9 +111,9 @@
 #[test]
 fn models_do_not_replace_each_other_endlessly_within_a_plan() {
     // Demand shifts from one model to another and is equal for a moment. Both have copies
-    // of their weights on most runners, where loads are not limited. The planner replaced
-    // one by the other there endlessly, so that the daemon became unresponsive, as did
-    // the next daemon that took over.
+    // of their weights on most runners, where loads are not limited. A planner that
+    // replaced one by the other there endlessly would make its daemon unresponsive, and
+    // then each daemon that takes over.
     let gigabytes: [u64; 13] = [73, 73, 73, 65, 73, 34, 65, 73, 34, 66, 65, 73, 34];
     let demands = [
         0.0, 33_917.0, 0.0, 1_057.0, 33_917.0, 19_076.0, 657.0, 473.0, 231.0, 971.0,
@@ -212,7 +205,7 @@
     // unavailable.
     let runners = vec![runner(0, 90), runner(0, 90), runner(1, 30)];
     let mut pool = pool(runners, vec![model(20, 2, 10.0)]);
-    let (last, _) = settle(&mut pool);
+    let (last, _) = execute_plans(&mut pool);
     let mut domains: Vec<_> =
         last.placed[0].iter().map(|runner| pool.runners[*runner].domain).collect();
     domains.sort();
@@ -225,7 +218,7 @@
         let runners = (0..3).map(|index| runner(index, 40)).collect();
         let mut pool = pool(runners, vec![model(10, 1, 1_900.0), model(10, 1, 10.0)]);
         pool.move_weight = move_weight;
-        settle(&mut pool);
+        execute_plans(&mut pool);
         pool.models[0].placed.len()
     };
     assert_eq!(replicas(1.0), 3);
@@ -243,7 +236,7 @@
     );
     pool.models[0].placed = vec![0];
     pool.models[1].placed = vec![1];
-    let (last, moves) = settle(&mut pool);
+    let (last, moves) = execute_plans(&mut pool);
     assert_eq!(last.unplaced, []);
     assert_eq!(moves, 2);
 }
@@ -251,7 +244,7 @@
 #[test]
 fn replicas_that_do_not_fit_are_reported() {
     let mut pool = pool(vec![runner(0, 50)], vec![model(40, 1, 1.0), model(30, 2, 1.0)]);
-    let (last, _) = settle(&mut pool);
+    let (last, _) = execute_plans(&mut pool);
     assert_eq!(last.unplaced, [(1, 2)]);
 }
 
@@ -267,7 +260,7 @@
     let mut third = model(50, 1, 0.0);
     third.placed = vec![2, 3];
     let mut pool = pool(runners, vec![second, busy, third, model(50, 1, 0.0)]);
-    let (last, _) = settle(&mut pool);
+    let (last, _) = execute_plans(&mut pool);
     let replicas: Vec<usize> = last.placed.iter().map(Vec::len).collect();
     assert_eq!(replicas, [2, 3, 2, 1]);
 }
