--- a/crates/once/src/batch.rs
+++ b/crates/once/src/batch.rs
@@ -31,8 +31,8 @@
     },
     /// The id has no row.
     ///
-    /// Rejects ids that were evicted from memory. If the batch is sent again after
-    /// an unknown result, it also reveals rows that the batch itself wrote.
+    /// Detects ids that were started and then evicted from memory. If the batch is sent
+    /// again after an unknown result, it also detects rows that the batch itself wrote.
     Absent {
         /// The slot of the id.
         slot: SlotId,
--- a/crates/once/src/index.rs
+++ b/crates/once/src/index.rs
@@ -68,7 +68,7 @@
     }
 
     /// Whether no run, write or recovery is in progress for the id.
-    pub fn is_settled(&self) -> bool {
+    pub fn is_idle(&self) -> bool {
         matches!(
             self.state,
             RequestState::Done(..) | RequestState::InDoubt(_) | RequestState::NotRun
@@ -168,7 +168,7 @@
             let is_evictable = |entry: &Entry| {
                 entry.expires_at == Some(expires_at)
                     && entry.waiters.is_empty()
-                    && entry.is_settled()
+                    && entry.is_idle()
                     && !entry.log_only
             };
             if self.entries.get(&id).is_some_and(is_evictable)
--- a/crates/once/src/journal.rs
+++ b/crates/once/src/journal.rs
@@ -20,7 +20,7 @@
 mod log;
 mod requests;
 
-/// How long recovery of an id is not repeated after it found nothing.
+/// The minimum time between an unsuccessful recovery of an id and the next one.
 const RECOVERY_RETRY_INTERVAL: Duration = Duration::from_secs(2);
 
 /// Spread of the retry delays that callers get during an outage.
@@ -179,7 +179,8 @@
         self.send_due(now);
     }
 
-    /// Does what is due at `now`: timeouts, retries, expiry and the next batch.
+    /// Handles what is due at `now`: timeouts, retries, expiry, the next batch and log
+    /// trimming.
     pub fn tick(&mut self, now: Instant) {
         self.time_out_starts(now);
         self.retry_loads(now);
@@ -397,12 +398,13 @@
         }
     }
 
-    /// Forgets ids whose retention has ended, and queues the deletion of their rows.
+    /// Removes ids whose retention has ended; those with a row are removed once its
+    /// queued deletion is committed.
     fn expire_ids(&mut self, now: Instant) {
         while self.write_queue.len() < self.limits.max_batch_rows {
             let Some(id) = self.index.pop_expired(now) else { break };
             let Some(entry) = self.index.entries.get(&id) else { continue };
-            if !entry.is_settled() || !entry.waiters.is_empty() {
+            if !entry.is_idle() || !entry.waiters.is_empty() {
                 continue;
             }
             match entry.row_version {
@@ -508,8 +510,9 @@
             true => Outcome::NotRun,
             false => Outcome::InDoubt,
         };
-        let why = "the journal can't be used now, so the request was not started here; \
-                   send it again with the same key after the time given";
-        Refusal::new(outcome, RefusalCode::JournalDown, why).with_retry_after(retry_after)
+        let message = "the journal can't be used now, so the request was not started \
+                       here; send it again with the same key after the retry delay";
+        Refusal::new(outcome, RefusalCode::JournalDown, message)
+            .with_retry_after(retry_after)
     }
 }
--- a/crates/once/src/journal/claims.rs
+++ b/crates/once/src/journal/claims.rs
@@ -123,7 +123,7 @@
             if never_ran {
                 existing.row_version = version.or(existing.row_version);
             }
-            if never_ran || !existing.is_settled() {
+            if never_ran || !existing.is_idle() {
                 return;
             }
         }
--- a/crates/once/src/journal/commit.rs
+++ b/crates/once/src/journal/commit.rs
@@ -14,8 +14,8 @@
 use crate::record::{BodyLocation, JournalRow};
 use crate::refusals::{in_doubt, key_reused, slot_moving};
 
-/// How often a batch is sent while its result is unknown, including the first time.
-const MAX_SENDS: u32 = 2;
+/// The most times that a batch is sent while its result is unknown, including the first.
+const MAX_BATCH_SENDS: u32 = 2;
 
 impl Journal {
     /// Sends the next batch if one is due, or appends starts to a log while the table
@@ -198,7 +198,8 @@
             matches!(write, PendingWrite::Start { .. })
                 && self.can_append(write.slot(), now)
         };
-        in_flight.resends + 1 < MAX_SENDS && !in_flight.writes.iter().any(can_use_log)
+        in_flight.resends + 1 < MAX_BATCH_SENDS
+            && !in_flight.writes.iter().any(can_use_log)
     }
 
     /// Sends the identical batch again; its conditions show whether it took effect.
@@ -278,7 +279,7 @@
             },
             _ => None,
         };
-        if entry.is_settled() && entry.waiters.is_empty() {
+        if entry.is_idle() && entry.waiters.is_empty() {
             self.index.entries.swap_remove(id);
         }
         self.effects.extend(key.map(Effect::DeleteBody));
@@ -345,7 +346,7 @@
         }
     }
 
-    /// Handles a start that failed on the row it found, or on a missing one.
+    /// Handles a start whose condition failed, with the current row if there is one.
     fn start_conflict(
         &mut self,
         slot: SlotId,
@@ -444,6 +445,6 @@
     Ready,
     /// Stays in the queue.
     Deferred,
-    /// Is dropped.
+    /// Is removed from the queue.
     Obsolete,
 }
--- a/crates/once/src/journal/log.rs
+++ b/crates/once/src/journal/log.rs
@@ -19,8 +19,9 @@
 use crate::limits::jitter;
 use crate::record::JournalRow;
 
-/// How often an append is sent while its result is unknown, including the first time.
-const MAX_SENDS: u32 = 2;
+/// The most times that an append is sent while its result is unknown, including the
+/// first.
+const MAX_APPEND_SENDS: u32 = 2;
 
 impl Journal {
     /// Whether a slot's starts can go into its log now.
@@ -123,7 +124,7 @@
                 }
             }
             AppendResult::Conflict => self.claim_superseded(slot, version),
-            AppendResult::Unknown if append.resends + 1 < MAX_SENDS => {
+            AppendResult::Unknown if append.resends + 1 < MAX_APPEND_SENDS => {
                 self.send_append(
                     slot,
                     append.position,
@@ -171,7 +172,7 @@
         }
     }
 
-    /// Handles a copy that failed on the row it found, or on a missing one.
+    /// Handles a copy whose condition failed, with the current row if there is one.
     pub(super) fn copy_conflict(
         &mut self,
         slot: SlotId,
@@ -202,7 +203,7 @@
             if matches!(entry.state, RequestState::NotRun) {
                 let id = id.clone();
                 self.write_queue.push_back(PendingWrite::DeleteRow { slot, id, version });
-            } else if entry.is_settled()
+            } else if entry.is_idle()
                 && let Some(expires_at) = entry.expires_at
             {
                 self.index.schedule_expiry(id, expires_at);
--- a/crates/once/src/lib.rs
+++ b/crates/once/src/lib.rs
@@ -9,8 +9,8 @@
 //! 2. [`Effect::Commit`]: a [`batch`] of many ids is written to the table service
 //!    in one transaction that checks the claims of their slots,
 //! 3. [`Effect::Run`]: only then the request is dispatched, once,
-//! 4. [`Event::RunFinished`]: the response is stored, then the callers get its end
-//!    mark.
+//! 4. [`Event::RunFinished`]: the response is stored, then its end is sent to the
+//!    callers.
 //!
 //! [`record`] defines how the journal is stored, and [`suspect`] finds the requests
 //! that crash backend servers.
--- a/crates/once/src/record.rs
+++ b/crates/once/src/record.rs
@@ -68,7 +68,7 @@
     pub body: BodyLocation,
 }
 
-/// Where the body of a stored response is.
+/// Where the body of a response is stored.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum BodyLocation {
@@ -76,7 +76,7 @@
     Inline(String),
     /// In the object store under this key.
     Object(String),
-    /// Not stored: the body is too large, or the object store did not take it.
+    /// Not stored: the body is too large, or the object store failed to store it.
     #[serde(rename = "nowhere")]
     NotStored,
 }
--- a/crates/once/src/refusals.rs
+++ b/crates/once/src/refusals.rs
@@ -15,25 +15,26 @@
 ///
 /// Another daemon may have run the id, so the outcome is in doubt.
 pub(crate) fn slot_moving() -> Refusal {
-    let why = "another daemon takes over the request's slot; send it again with the \
-               same key";
-    Refusal::in_doubt(RefusalCode::Unavailable, why)
+    let message = "another daemon is taking over the request's slot; send it again with \
+                   the same key";
+    Refusal::in_doubt(RefusalCode::Unavailable, message)
         .with_retry_after(SLOT_MOVE_RETRY_DELAY)
 }
 
 pub(crate) fn key_reused() -> Refusal {
-    let why = "the idempotency key was used with another body; use a new key";
-    Refusal::not_run(RefusalCode::IdReused, why)
+    let message = "the idempotency key was used with another body; use a new key";
+    Refusal::not_run(RefusalCode::IdReused, message)
 }
 
 pub(crate) fn in_doubt() -> Refusal {
-    let why = "the request was started and its response is not known; it will not be \
-               run again; query its outcome with GET /v1/requests/KEY";
-    Refusal::in_doubt(RefusalCode::Started, why).with_retry_after(IN_DOUBT_RETRY_DELAY)
+    let message = "the request was started and its response is not known; it will not be \
+                   run again; query its outcome with GET /v1/requests/KEY";
+    Refusal::in_doubt(RefusalCode::Started, message)
+        .with_retry_after(IN_DOUBT_RETRY_DELAY)
 }
 
 pub(crate) fn response_unreadable() -> Refusal {
-    let why = "the request ran and its response can't be read now; query it with \
-               GET /v1/requests/KEY";
-    Refusal::new(Outcome::Ran, RefusalCode::Started, why)
+    let message = "the request ran and its response can't be read now; query it with \
+                   GET /v1/requests/KEY";
+    Refusal::new(Outcome::Ran, RefusalCode::Started, message)
 }
--- a/crates/once/src/suspect.rs
+++ b/crates/once/src/suspect.rs
@@ -219,8 +219,9 @@
         self.crashes.entry(server.clone()).or_insert(now);
         let culprit = match suspects.as_slice() {
             [only] if !same_crash && dispatched_as_suspect.contains(only) => Some(*only),
-            // Nothing was suspect before, or the suspects became so while they ran: any
-            // of them may be the cause, or whatever killed the other server.
+            // The cause is uncertain: there was no suspect or more than one, the suspect
+            // became one only while it ran, or the cut streams belong to an earlier
+            // crash.
             _ => None,
         };
         let change = |digest: Digest| {
--- a/crates/once/tests/at_most_once.rs
+++ b/crates/once/tests/at_most_once.rs
@@ -59,7 +59,7 @@
         for op in &ops {
             simulation.apply(op);
         }
-        simulation.settle(IDS);
+        simulation.run_without_faults(IDS);
         Ok(())
     });
     outcome.map_err(|error| error.to_string())
@@ -209,7 +209,7 @@
 
 #[test]
 fn delayed_start_does_not_confirm_other_starts() {
-    simulate(Disabled::Nothing, &delayed_start()).settle(IDS);
+    simulate(Disabled::Nothing, &delayed_start()).run_without_faults(IDS);
 }
 
 #[test]
@@ -220,7 +220,7 @@
 
 #[test]
 fn delayed_delete_does_not_permit_a_second_run() {
-    simulate(Disabled::Nothing, &delayed_delete()).settle(IDS);
+    simulate(Disabled::Nothing, &delayed_delete()).run_without_faults(IDS);
 }
 
 #[test]
@@ -231,7 +231,7 @@
 
 #[test]
 fn resumed_daemon_does_not_report_not_run() {
-    simulate(Disabled::Nothing, &resumed_during_outage()).settle(IDS);
+    simulate(Disabled::Nothing, &resumed_during_outage()).run_without_faults(IDS);
 }
 
 #[test]
--- a/crates/once/tests/model/mod.rs
+++ b/crates/once/tests/model/mod.rs
@@ -19,7 +19,7 @@
 
 pub use op::{Delivery, Disabled, Op};
 
-const LEASE: Duration = Duration::from_secs(6);
+const LEASE_TERM: Duration = Duration::from_secs(6);
 
 const SLOT: SlotId = SlotId(0);
 const DAEMONS: usize = 3;
@@ -142,9 +142,10 @@
     }
 
     fn refresh_view(&mut self, daemon: usize) {
-        let forever = self.disabled == Disabled::LeaseExpiry;
-        let expiry = self.now + if forever { LEASE * 1_000_000 } else { LEASE };
-        self.daemons[daemon].lease = self.now + LEASE;
+        let never_expires = self.disabled == Disabled::LeaseExpiry;
+        let expiry =
+            self.now + if never_expires { LEASE_TERM * 1_000_000 } else { LEASE_TERM };
+        self.daemons[daemon].lease = self.now + LEASE_TERM;
         self.handle(daemon, Event::LeaseExpiry(expiry));
         if self.holder == Some(daemon) {
             let version = self.claim_version;
@@ -427,7 +428,7 @@
     }
 
     /// Ends all faults, submits each id again and checks that every call gets a reply.
-    pub fn settle(&mut self, ids: u8) {
+    pub fn run_without_faults(&mut self, ids: u8) {
         while let Some(write) = self.delayed.pop_front() {
             self.apply_delayed(write);
         }
