--- a/crates/admit/src/controller.rs
+++ b/crates/admit/src/controller.rs
@@ -1,6 +1,6 @@
 //! The admission controller of one backend server; [`overload`] handles lateness.
 //!
-//! Load pattern: a burst of urgent requests finds all streams taken by slow requests
+//! Load pattern: a burst of urgent requests arrives while all streams run slow requests
 //! whose deadlines are minutes away. Waiting for a stream to end costs an urgent request
 //! its deadline, and streams reserved for urgent requests are idle the rest of the day.
 //! So a slow stream is preempted if its remainder can still be in time. By the figures in
--- a/crates/admit/src/forecast.rs
+++ b/crates/admit/src/forecast.rs
@@ -4,9 +4,9 @@
 //! waiting requests start in order, each as soon as a stream and enough cache are free.
 //! One pass costs `(running + waiting) · log(streams)` and shows whether a new request
 //! would be in time, whether it would push an admitted one past its deadline, and how
-//! long the wait is. A formula over the mean backlog would not do: it can't tell one long
-//! stream that ends late from many short ones, which matters when long requests are mixed
-//! with short ones.
+//! long the wait is. A formula over the mean backlog is not enough: it can't tell one
+//! long stream that ends late from many short ones, which matters when long requests are
+//! mixed with short ones.
 
 use std::cmp::Reverse;
 use std::collections::BinaryHeap;
@@ -63,7 +63,7 @@
     }
 }
 
-/// Estimates when each request starts if they start in the given order.
+/// Estimates the start time of each waiting request if they start in the given order.
 pub fn estimate_starts(
     capacity: Capacity,
     now: Instant,
--- a/crates/admit/src/job.rs
+++ b/crates/admit/src/job.rs
@@ -31,7 +31,7 @@
     pub max_output_tokens: u32,
     /// Whether the request can be cancelled and resumed after the tokens already sent.
     pub resumable: bool,
-    /// Whether the caller already holds the first part of the response.
+    /// Whether the caller has already received the first part of the response.
     ///
     /// An open controller never refuses such a request, since the caller would be left
     /// with an incomplete response; a closed one refuses it like any other.
--- a/crates/admit/src/limits.rs
+++ b/crates/admit/src/limits.rs
@@ -34,7 +34,7 @@
 /// Which requests are refused under overload.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum SheddingPolicy {
-    /// Only those that find the queue full.
+    /// Only those that arrive while the queue is full.
     QueueFull,
     /// The newest.
     Newest,
--- a/crates/admit/src/shedding.rs
+++ b/crates/admit/src/shedding.rs
@@ -1,7 +1,7 @@
 //! Which request is refused under overload.
 //!
 //! Load pattern: overload, and a caller that sends far more than its share. Refusing the
-//! newest request keeps whatever came first, however long it is and whoever sent it.
+//! newest request keeps the oldest ones, regardless of their length and caller.
 //! Instead, the least urgent is refused first, then the request of the caller most over
 //! its share, then the longest. With equal urgency and fair callers this is the
 //! Moore-Hodgson rule (in deadline order, drop the longest of those up to the first late
--- a/crates/admit/src/usage.rs
+++ b/crates/admit/src/usage.rs
@@ -4,7 +4,7 @@
 //! its requests fill the queue, and everyone else's miss their deadlines. Usage is
 //! measured in stream time, not in requests, so that a caller can't hide long jobs among
 //! short ones. It halves every [`HALF_LIFE`], a few times the length of a job, so that a
-//! caller that stops soon regains its full share.
+//! caller that stops sending regains its full share soon.
 
 use std::hash::Hash;
 use std::time::{Duration, Instant};
