--- a/crates/route/src/health.rs
+++ b/crates/route/src/health.rs
@@ -1,7 +1,7 @@
 //! Ejection of failing backend servers (a circuit breaker per server).
 //!
 //! Load pattern: a backend server responds with errors at once, so it looks idle and
-//! every entry sends it everything. After [`FAILURE_THRESHOLD`] consecutive failures it
+//! every entry sends it all requests. After [`FAILURE_THRESHOLD`] consecutive failures it
 //! gets no requests for a time that doubles from [`MIN_EJECTION`] to [`MAX_EJECTION`],
 //! then a share of the requests that grows over [`RAMP_UP`], so that a server that lost
 //! its cache is not flooded. A slow server does not fail: its measured step time makes
--- a/crates/route/src/load.rs
+++ b/crates/route/src/load.rs
@@ -1,7 +1,7 @@
 //! An entry's estimate of a backend server's load.
 //!
 //! Load pattern: six entries share the backend servers, and each learns of the others'
-//! requests only through the leads. Taken at face value, an old report sends all
+//! requests only through the leads. Used as it is, an old report sends all
 //! entries to the server that was idle a moment ago. So a report is corrected by the
 //! attempts that this entry started since, is averaged with a projection from this
 //! entry's own attempts in flight, and expires after [`REPORT_MAX_AGE`]. The waits that
--- a/crates/route/src/retry.rs
+++ b/crates/route/src/retry.rs
@@ -17,7 +17,7 @@
 
 /// Offers refused for lack of capacity after which the caller gets the refusal.
 ///
-/// Under load, 6 offers, one to each candidate, found capacity no more often.
+/// Under load, 6 offers, one to each candidate, would find capacity no more often.
 pub const MAX_REJECTED_OFFERS: usize = 3;
 
 /// Retries that one request earns.
