--- a/crates/member/src/lease.rs
+++ b/crates/member/src/lease.rs
@@ -16,10 +16,11 @@
 
 /// The number of other daemons that a daemon watches.
 ///
-/// An expired lease is found late only if all watchers failed together with the daemon.
-/// With eight watchers among 2,100 daemons, the loss of a rack of 40 takes all of them
-/// with a probability below 1 in 10^13, and the loss of a failure domain (1 in 20) leaves
-/// one of 10^10 daemons unwatched. Up to nine daemons, each watches all others.
+/// An expired lease is detected late only if all watchers failed together with the
+/// daemon. With eight watchers among 2,100 daemons, the loss of a rack of 40 includes all
+/// of them with a probability below 1 in 10^13, and the loss of a failure domain (1 in
+/// 20) leaves one of 10^10 daemons unwatched. Up to nine daemons, each watches all
+/// others.
 pub const WATCHED_VMS: usize = 8;
 
 /// Added to the term of a lease before other daemons consider it expired.
@@ -54,7 +55,7 @@
             Some(self.expires_at.map_or(expires_at, |old| old.max(expires_at)));
     }
 
-    /// Ends the lease, after its row was found removed.
+    /// Ends the lease, after the daemon found its member row removed.
     pub fn revoke(&mut self) {
         self.expires_at = None;
     }
