--- a/crates/place/src/demand.rs
+++ b/crates/place/src/demand.rs
@@ -2,7 +2,7 @@
 //!
 //! A model's demand changes tenfold within an hour, in bursts of unknown length. With a
 //! single moving average the planner either follows every burst and moves models back and
-//! forth, or misses the start of a long one. Two exponential moving averages are kept:
+//! forth, or misses the start of a long one. Two exponential moving averages are used:
 //! the fast one raises the estimate soon, the slow one keeps a model whose requests have
 //! just stopped from being dropped at once.
 
--- a/crates/place/src/ledger.rs
+++ b/crates/place/src/ledger.rs
@@ -37,7 +37,7 @@
 ///
 /// A range, since daemons know that time only from responses. An order must not arrive
 /// unnoticed between a report and the time at which it is evaluated, and a time cached
-/// from before an outage must not make copies in transit look expired.
+/// from before an outage must not make copies in transit appear expired.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct TimeRange {
     /// Lower bound of the time at which the report was requested.
--- a/crates/place/src/lib.rs
+++ b/crates/place/src/lib.rs
@@ -5,7 +5,7 @@
 //! 1. [`planner`] decides which models each runner of a [`pool`] should hold, by their
 //!    [`demand`] and the resulting [load](balance),
 //! 2. [`reconcile`](mod@reconcile) decides the next steps of one runner towards that,
-//! 3. [`witness`] protects the last replica of everything declared,
+//! 3. [`witness`] protects the last replica of each declared model and adapter,
 //! 4. [`ledger`] reserves memory before an order is sent and frees it only when the
 //!    engine's [`report`] proves that nothing can hold it any more,
 //! 5. [`residency`] gives entries an index of the result.
--- a/crates/place/src/planner.rs
+++ b/crates/place/src/planner.rs
@@ -34,7 +34,7 @@
 /// Above it, waiting times grow steeply with the variation of the load.
 pub const MAX_UTILIZATION: f64 = 0.85;
 
-/// How long a change of demand is expected to last where loads take a minute.
+/// How long a change of demand is expected to last, for pools whose loads take a minute.
 ///
 /// A load that takes this long gains nothing. Demand that changes tenfold within an hour
 /// stays at one level for about ten minutes.
--- a/crates/place/src/pool.rs
+++ b/crates/place/src/pool.rs
@@ -71,7 +71,7 @@
 }
 
 impl PoolState {
-    /// The memory of a runner that no model takes, in bytes.
+    /// The memory of a runner that no model occupies, in bytes.
     pub fn free_bytes(&self, runner: usize) -> u64 {
         let state = &self.runners[runner];
         let held = self.models.iter().filter(|model| model.placed.contains(&runner));
--- a/crates/place/src/reconcile.rs
+++ b/crates/place/src/reconcile.rs
@@ -6,7 +6,7 @@
 //!
 //! Desired assets are loaded first if they fit. An asset is dropped only to make room
 //! for one that does not fit, or once all desired assets are usable; and only if the
-//! caller of [`reconcile`] names other runners that hold the same, whose ledger rows
+//! caller of [`reconcile`] names other runners that hold a replacement, whose ledger rows
 //! the transaction then checks. One asset is drained at a time, so that two versions of
 //! a model can't each be dropped because of the other.
 
@@ -29,7 +29,8 @@
 /// Checks that decide whether an asset may be dropped.
 pub struct DropChecks<'a> {
     /// Returns the runners whose ledgers prove that the asset is not the last of its
-    /// kind; `None` if it is the last one, an empty list if nobody needs it.
+    /// kind; `None` if it is the last one, an empty list if no other runner has to hold
+    /// it.
     pub witnesses: &'a dyn Fn(&Ledger, &Asset) -> Option<Vec<ServerName>>,
     /// Returns whether no request uses the asset any more.
     pub is_idle: &'a dyn Fn(&Asset) -> bool,
