--- a/crates/once/src/event.rs
+++ b/crates/once/src/event.rs
@@ -131,8 +131,8 @@
 
 /// The log of a slot in the object store.
 ///
-/// It takes the starts of requests while the table can't be written, so that they
-/// need not wait for it. Starts go into objects with numbered names, each of which is
+/// It records the starts of requests while the table can't be written, so that they need
+/// not wait for the table. Starts go into objects with numbered names, each of which is
 /// written only if it doesn't exist. A new holder writes the next number itself, as a
 /// seal, so that an append by a former holder finds its position taken.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
@@ -265,7 +265,7 @@
 /// The result for one waiter.
 #[derive(Debug, Clone)]
 pub enum Reply {
-    /// The complete response; a waiter that already streamed it takes this as the
+    /// The complete response; a waiter that already streamed it treats this as the
     /// end of the stream.
     Response(Arc<Response>),
     /// Why there is no response.
--- a/crates/once/src/record.rs
+++ b/crates/once/src/record.rs
@@ -9,7 +9,7 @@
 use serde::{Deserialize, Serialize};
 use serde_json::Value;
 
-/// Pages in which a slot's rows are read.
+/// The number of pages in which a slot's rows are read.
 ///
 /// The journal retains ids for a day, which may be tens of thousands per slot. A
 /// row takes about 5 KB while it is read, as text and as parsed values, so ten
--- a/crates/once/src/suspect.rs
+++ b/crates/once/src/suspect.rs
@@ -16,14 +16,14 @@
 //! backend servers, if its copies come one after another. Suspects that complete are
 //! cleared, as are those that cause no crash for [`SUSPECT_DURATION`].
 //!
-//! Servers that fail together, for example with their rack, die within a second. A
+//! Servers that fail together, for example with their rack, do so within a second. A
 //! request that is retried at once could be in flight on two of them and would be
 //! blocked for a failure that it did not cause. So a suspect is dispatched again only
 //! [`CRASH_WINDOW`] after the crash, and only a crash during such a dispatch blocks it.
 //!
 //! # False positives
 //!
-//! A server may die for another reason while a suspect runs on it, which blocks an
+//! A server may fail for another reason while a suspect runs on it, which blocks an
 //! innocent request. With 110 of 12,000 VMs failing a day, the chance is about 1 in
 //! 10⁷ for each second that a suspect runs. Requiring a third crash would lower it,
 //! at the cost of one more server for each harmful request.
@@ -44,7 +44,7 @@
 /// A dying process still accepts connections for some milliseconds. A request that is
 /// sent to it then is cut as well, which must not block an innocent suspect. Engines
 /// need many seconds to start and load a model, so a second crash can't happen within
-/// this time. Servers that lose a common power supply die within it too.
+/// this time. Servers that lose a common power supply fail within it too.
 pub const CRASH_WINDOW: Duration = Duration::from_secs(1);
 
 /// How long a digest stays blocked.
@@ -70,7 +70,7 @@
     /// Another suspect runs on the backend server; wait until it has finished.
     Wait,
     /// It became a suspect recently; wait until this time, by which every server that
-    /// failed together with the first is known to be dead.
+    /// fails together with the first has failed.
     WaitUntil(Instant),
     /// The digest is blocked.
     Refuse,
@@ -147,7 +147,7 @@
                 if now < window_end {
                     return DispatchDecision::WaitUntil(window_end);
                 }
-                // With two suspects in flight a crash would not tell which one caused it.
+                // With two suspects in flight a crash would not show which one caused it.
                 if self.runs_suspect(server, now) {
                     return DispatchDecision::Wait;
                 }
