--- a/crates/once/src/record.rs
+++ b/crates/once/src/record.rs
@@ -9,7 +9,7 @@
 use serde::{Deserialize, Serialize};
 use serde_json::Value;
 
-/// Pages in which a slot's rows are read.
+/// The number of pages in which a slot's rows are read.
 ///
 /// The journal retains ids for a day, which may be tens of thousands per slot. A
 /// row takes about 5 KB while it is read, as text and as parsed values, so ten
@@ -68,7 +68,7 @@
     pub body: BodyLocation,
 }
 
-/// Where the body of a stored response is.
+/// Where the body of a response is stored.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum BodyLocation {
@@ -76,7 +76,7 @@
     Inline(String),
     /// In the object store under this key.
     Object(String),
-    /// Not stored: the body is too large, or the object store did not take it.
+    /// Not stored: the body is too large, or the object store failed to store it.
     #[serde(rename = "nowhere")]
     NotStored,
 }
--- a/crates/place/src/demand.rs
+++ b/crates/place/src/demand.rs
@@ -2,7 +2,7 @@
 //!
 //! A model's demand changes tenfold within an hour, in bursts of unknown length. With a
 //! single moving average the planner either follows every burst and moves models back and
-//! forth, or misses the start of a long one. Two exponential moving averages are kept:
+//! forth, or misses the start of a long one. Two exponential moving averages are used:
 //! the fast one raises the estimate soon, the slow one keeps a model whose requests have
 //! just stopped from being dropped at once.
 
@@ -10,8 +10,8 @@
 
 /// Half-life of the fast average.
 ///
-/// Half of a cold start of about a minute: a burst that ends before a load could
-/// complete has decayed by half when the load would have helped.
+/// Half of a cold start, which takes about a minute: a burst that ends halfway through a
+/// load has decayed by half when the load completes.
 pub const FAST_HALF_LIFE: Duration = Duration::from_secs(30);
 
 /// Half-life of the slow average.
--- a/crates/route/src/health.rs
+++ b/crates/route/src/health.rs
@@ -1,7 +1,7 @@
 //! Ejection of failing backend servers (a circuit breaker per server).
 //!
 //! Load pattern: a backend server responds with errors at once, so it looks idle and
-//! every entry sends it everything. After [`FAILURE_THRESHOLD`] consecutive failures it
+//! every entry sends it all requests. After [`FAILURE_THRESHOLD`] consecutive failures it
 //! gets no requests for a time that doubles from [`MIN_EJECTION`] to [`MAX_EJECTION`],
 //! then a share of the requests that grows over [`RAMP_UP`], so that a server that lost
 //! its cache is not flooded. A slow server does not fail: its measured step time makes
@@ -54,7 +54,10 @@
         }
     }
 
-    /// The fraction of its normal requests that the server may get, from 0 to 1.
+    /// The fraction of its normal requests that the server may get.
+    ///
+    /// It is 0 during an ejection, grows from 0.05 to 1 over [`RAMP_UP`] after it, and is
+    /// 1 otherwise.
     pub fn traffic_share(&self, now: Instant) -> f64 {
         let Some(until) = self.ejected_until else { return 1.0 };
         let Some(elapsed) = now.checked_duration_since(until) else { return 0.0 };
