--- a/crates/once/tests/at_most_once.rs
+++ b/crates/once/tests/at_most_once.rs
@@ -239,3 +239,18 @@
 fn fails_if_a_suspended_daemon_ignores_its_lease_expiry() {
     simulate(Disabled::LeaseExpiry, &resumed_during_outage());
 }
+
+/// A slot load that fails after the claim was lost must not open the slot again.
+#[test]
+fn load_failure_after_claim_loss_does_not_reopen_the_slot() {
+    let unavailable = |daemon| Op::Step { daemon, delivery: Delivery::Unavailable };
+    let advance = |millis| Op::Advance { millis };
+    let mut ops = vec![Op::Release { daemon: 1 }, step(1), unavailable(0)];
+    ops.extend([advance(700), step(0)]);
+    ops.extend([submit(1), step(1), step(1), step(1), Op::Dispatch { run: 0 }]);
+    ops.extend([advance(10), submit(0), unavailable(0), unavailable(0), advance(10)]);
+    ops.extend([step(0), step(0), step(0), Op::Dispatch { run: 0 }]);
+    ops.extend([advance(10), submit(0), advance(10)]);
+    ops.extend([step(0), step(0), Op::Dispatch { run: 0 }]);
+    simulate(Disabled::Nothing, &ops);
+}
