--- a/crates/node/src/config_api.rs
+++ b/crates/node/src/config_api.rs
@@ -112,8 +112,8 @@
 ) -> Result<Response, ApiError> {
     let shared = &node.shared;
     let team = authenticate(shared, &headers)?;
-    match config_sync::ruling(shared, &team, &id).await? {
-        Some(ruling) => Ok(verdict_response(ruling.verdict)),
+    match config_sync::stored_verdict(shared, &team, &id).await? {
+        Some(stored) => Ok(verdict_response(stored.verdict)),
         None => Err(ApiError::new(
             StatusCode::NOT_FOUND,
             "this change is not decided yet; apply it again with the same id",
--- a/crates/node/src/config_sync.rs
+++ b/crates/node/src/config_sync.rs
@@ -93,7 +93,7 @@
 ///
 /// Otherwise its declarations may have been replaced at other daemons.
 pub fn is_fresh(shared: &Shared, now: Instant) -> bool {
-    shared.conf.lock().replica.is_fresh(now, shared.settings.times.max_staleness)
+    shared.config_state.lock().replica.is_fresh(now, shared.settings.times.max_staleness)
 }
 
 /// Keeps the declarations up to date until the daemon stops.
@@ -106,7 +106,7 @@
         let poll_interval =
             ChangeFeed::poll_interval(shared.settings.times.poll_interval, members);
         if sync_from_feed(shared).await.is_err() {
-            shared.conf.failures.inc();
+            shared.config_state.failures.inc();
             if needs_peers(shared) && shared.clock.now() >= next_peer_query {
                 query_peers(&node).await;
                 // The jitter keeps daemons from querying all at the same time.
@@ -126,7 +126,7 @@
 /// Whether the last confirmation is so old that peers should be queried.
 fn needs_peers(shared: &Shared) -> bool {
     let limit = shared.settings.times.max_staleness.div_f64(PEER_QUERY_DIVISOR);
-    !shared.conf.lock().replica.is_fresh(shared.clock.now(), limit)
+    !shared.config_state.lock().replica.is_fresh(shared.clock.now(), limit)
 }
 
 /// Queries some peers for declarations newer than this daemon's.
@@ -140,8 +140,8 @@
         calls.spawn(async move { node.peers.request(addr, &request).await });
     }
     while let Some(response) = calls.join_next().await {
-        if let Ok(Ok(PeerResponse::Config(Some(handover)))) = response {
-            apply_handover(shared, &handover, requested_at);
+        if let Ok(Ok(PeerResponse::Config(Some(update)))) = response {
+            apply_peer_update(shared, &update, requested_at);
         }
     }
 }
@@ -153,7 +153,7 @@
 async fn select_peers(node: &Arc<Node>) -> Vec<SocketAddr> {
     let shared = &node.shared;
     let mut peers: Vec<SocketAddr> =
-        members::others(shared).into_iter().map(|(_, addr)| addr).collect();
+        members::other_members(shared).into_iter().map(|(_, addr)| addr).collect();
     if peers.is_empty()
         && let Ok(list) = shared.vms.read().await
     {
@@ -168,7 +168,7 @@
 
 /// Applies the changes in the feed and publishes the newest declarations.
 async fn sync_from_feed(shared: &Shared) -> Result<(), PlatformError> {
-    let since = shared.conf.lock().replica.table_version();
+    let since = shared.config_state.lock().replica.table_version();
     let (delta, requested_at) =
         shared.changes(rows::CONFIG_TABLE, rows::FILE_PREFIX, since).await?;
     apply_delta(shared, delta, requested_at).map(drop)
@@ -178,8 +178,8 @@
 /// newest declarations.
 pub async fn refresh(shared: &Shared) -> Result<Files, PlatformError> {
     let requested_at = shared.clock.now();
-    let since = shared.conf.lock().replica.table_version();
-    shared.conf.reads.inc();
+    let since = shared.config_state.lock().replica.table_version();
+    shared.config_state.reads.inc();
     let delta = shared.table.scan(rows::CONFIG_TABLE, rows::FILE_PREFIX, since).await?;
     apply_delta(shared, delta, requested_at)
 }
@@ -190,7 +190,7 @@
     requested_at: Instant,
 ) -> Result<Files, PlatformError> {
     let rows: Result<Vec<FileRow>, _> = delta.rows.into_iter().map(decode_row).collect();
-    let mut state = shared.conf.lock();
+    let mut state = shared.config_state.lock();
     state.replica.apply_changes(rows?, delta.version, requested_at);
     publish(shared, &mut state);
     Ok(state.replica.files().clone())
@@ -198,33 +198,33 @@
 
 /// All files in this daemon's replica, which may be out of date.
 pub fn files(shared: &Shared) -> Files {
-    shared.conf.lock().replica.files().clone()
+    shared.config_state.lock().replica.files().clone()
 }
 
 /// Encodes the files that a peer at revision `have` lacks, as JSON.
 ///
 /// Sent to peers that can't read the table.
-pub fn handover(shared: &Shared, have: Revision) -> Bytes {
+pub fn encode_update(shared: &Shared, have: Revision) -> Bytes {
     let now = shared.clock.now();
-    let handover = shared.conf.lock().replica.update_for(
+    let update = shared.config_state.lock().replica.update_for(
         have,
         now,
         shared.settings.times.max_staleness,
     );
-    let json = serde_json::to_vec(&handover);
+    let json = serde_json::to_vec(&update);
     json.expect("all map keys serialize as strings").into()
 }
 
 /// Applies a peer's response to a query that was sent at `requested_at`.
 ///
 /// A malformed response is counted as a failure and changes nothing else.
-pub fn apply_handover(shared: &Shared, response: &[u8], requested_at: Instant) {
-    let Ok(handover) = serde_json::from_slice::<ReplicaUpdate>(response) else {
-        shared.conf.failures.inc();
+pub fn apply_peer_update(shared: &Shared, response: &[u8], requested_at: Instant) {
+    let Ok(update) = serde_json::from_slice::<ReplicaUpdate>(response) else {
+        shared.config_state.failures.inc();
         return;
     };
-    let mut state = shared.conf.lock();
-    state.replica.apply_update(handover, requested_at);
+    let mut state = shared.config_state.lock();
+    state.replica.apply_update(update, requested_at);
     publish(shared, &mut state);
 }
 
@@ -267,11 +267,11 @@
         Some(oldest) => get_row(shared, &rows::revision_key(Revision(oldest))).await?,
         None => None,
     };
-    let ruling = ruling(shared, &change.team, &change.id).await?;
+    let stored_verdict = stored_verdict(shared, &change.team, &change.id).await?;
     Ok(Snapshot {
         head,
         files,
-        stored_verdict: ruling,
+        stored_verdict,
         expired_entry: oldest,
         runners: runner_counts(shared),
     })
@@ -301,7 +301,7 @@
 }
 
 /// The recorded decision on a change; absent while it is undecided.
-pub async fn ruling(
+pub async fn stored_verdict(
     shared: &Shared,
     team: &TeamName,
     id: &str,
@@ -347,7 +347,7 @@
     match Catalog::merge(revision, &state.replica.files().by_team()) {
         Ok(catalog) => {
             shared.catalog.send_replace(Arc::new(catalog));
-            shared.conf.revision.set(revision.0 as i64);
+            shared.config_state.revision.set(revision.0 as i64);
             slog::info!(shared.log, "declarations in force"; "revision" => revision.0);
         }
         Err(problems) => {
--- a/crates/node/src/demand.rs
+++ b/crates/node/src/demand.rs
@@ -50,7 +50,7 @@
         }
     }
 
-    fn take(&self) -> IndexMap<ModelName, u64> {
+    fn take_counts(&self) -> IndexMap<ModelName, u64> {
         std::mem::take(&mut *self.tokens.lock().expect("no holder of the counts panics"))
     }
 }
@@ -74,13 +74,13 @@
         let elapsed = now.saturating_duration_since(last_report);
         last_report = now;
         // A failed report is not repeated: rates lag anyway.
-        if write(&shared, elapsed, &mut reported_pools).await.is_err() {
+        if write_reports(&shared, elapsed, &mut reported_pools).await.is_err() {
             slog::debug!(shared.log, "failed to write the demand report");
         }
     }
 }
 
-async fn write(
+async fn write_reports(
     shared: &Shared,
     elapsed: Duration,
     reported_pools: &mut IndexSet<PoolName>,
@@ -88,7 +88,7 @@
     let catalog = shared.catalog();
     let view = shared.view();
     let mut reports: IndexMap<PoolName, DemandReport> = IndexMap::new();
-    for (model, tokens) in shared.demand.take() {
+    for (model, tokens) in shared.demand.take_counts() {
         if let Some(declared) = catalog.models.get(&model) {
             let rate = tokens as f64 / elapsed.as_secs_f64().max(0.001);
             let report = reports.entry(declared.pool.clone()).or_default();
--- a/crates/node/src/entry.rs
+++ b/crates/node/src/entry.rs
@@ -112,12 +112,12 @@
 
 /// Returns the addresses that callers may use, and how long they may cache them.
 async fn entries(State(node): State<Arc<Node>>) -> Response {
-    let keep = node.shared.settings.times.address_ttl.as_millis() as u64;
+    let ttl_ms = node.shared.settings.times.address_ttl.as_millis() as u64;
     let entries: Vec<Value> = node
         .shared
         .caller_addresses()
         .into_iter()
-        .map(|addr| json!({ "address": addr.to_string(), "keep_ms": keep }))
+        .map(|addr| json!({ "address": addr.to_string(), "keep_ms": ttl_ms }))
         .collect();
     let vm = node.shared.settings.vm.as_str();
     response::json(200, &json!({ "vm": vm, "entries": entries }))
@@ -188,7 +188,7 @@
     let caller = parse::authenticate(&shared.catalog(), &parts.headers)?;
     let limit = shared.settings.limits.max_body_bytes;
     let size = parse::body_size(&parts.headers, limit)?;
-    let permit = node.intake.try_acquire(size).ok_or_else(entry_full)?;
+    let permit = node.request_limiter.try_acquire(size).ok_or_else(entry_full)?;
     let body = to_bytes(body, size).await.map_err(|_| parse::body_too_large(limit))?;
     let call = HttpCall {
         method: parts.method.to_string(),
--- a/crates/node/src/explain.rs
+++ b/crates/node/src/explain.rs
@@ -60,7 +60,7 @@
     let view = node.shared.view();
     let mut loads = IndexMap::new();
     let mut by_lead: IndexMap<SocketAddr, Vec<String>> = IndexMap::new();
-    let own_loads = node.leads.loads();
+    let own_loads = node.led_servers.loads();
     for name in servers {
         let Ok(server) = ServerName::try_from(name.as_str()) else { continue };
         let holder = view.holder(&ClaimKey::Server(server.clone()));
@@ -190,8 +190,8 @@
     model: &ModelName,
     version: &VersionName,
 ) -> Vec<String> {
-    let residence = shared.residency();
-    let runners = residence.serving(model, version, route.adapter.as_ref());
+    let residency = shared.residency();
+    let runners = residency.serving(model, version, route.adapter.as_ref());
     runners.map(ToString::to_string).collect()
 }
 
--- a/crates/node/src/feed.rs
+++ b/crates/node/src/feed.rs
@@ -122,7 +122,7 @@
         since: u64,
     ) -> Result<(Delta, Instant), PlatformError> {
         debug_assert!(self.tables.iter().any(|table| table == name));
-        if let Some(buffered) = self.lock().find(name, prefix, since)? {
+        if let Some(buffered) = self.lock().changes_after(name, prefix, since)? {
             return Ok(buffered);
         }
         let requested_at = clock.now();
@@ -165,7 +165,7 @@
     }
 
     /// The changes after `since`, or nothing if the log does not reach back so far.
-    fn find(
+    fn changes_after(
         &self,
         table: &str,
         prefix: &str,
--- a/crates/node/src/journal.rs
+++ b/crates/node/src/journal.rs
@@ -277,8 +277,8 @@
     let (out, mut frames) = mpsc::channel(64);
     let http = node.http.clone();
     let read = tokio::spawn(async move {
-        let pulse = LivenessProbe { http: &http, address };
-        engine::read_tokens(response.bytes_stream(), 0, &out, &pulse, |_| {}).await
+        let probe = LivenessProbe { http: &http, address };
+        engine::read_tokens(response.bytes_stream(), 0, &out, &probe, |_| {}).await
     });
     let mut builder = ResponseBuilder::new();
     while let Some(frame) = frames.recv().await {
--- a/crates/node/src/lead.rs
+++ b/crates/node/src/lead.rs
@@ -228,10 +228,10 @@
     }
 
     fn is_resident(&self, attempt: &AttemptRequest) -> bool {
-        let residence = self.shared.residency();
+        let residency = self.shared.residency();
         match &attempt.request.target {
             Target::Model { model, version, adapter } => {
-                residence.serves(&attempt.server, model, version, adapter.as_ref())
+                residency.serves(&attempt.server, model, version, adapter.as_ref())
             }
             Target::Service { .. } => true,
         }
@@ -418,7 +418,7 @@
     let _model_in_use =
         node.shared.usage.acquire_target(&attempt.server, &attempt.request.target);
     let admitted = tokio::select! {
-        admitted = node.leads.admit(&attempt) => admitted,
+        admitted = node.led_servers.admit(&attempt) => admitted,
         () = out.closed() => return,
     };
     let mut grant = match admitted {
--- a/crates/node/src/members.rs
+++ b/crates/node/src/members.rs
@@ -100,7 +100,7 @@
     /// The version up to which each table was read.
     read_versions: IndexMap<&'static str, u64>,
     /// The table's clock at the last read, in milliseconds.
-    store_time_ms: u64,
+    table_time_ms: u64,
     /// Whether this daemon is a member, by its last renewal.
     joined: bool,
     /// Whether another daemon has responded to this one, or there is no other.
@@ -132,7 +132,7 @@
             rows: MembershipRows::default(),
             leases: IndexMap::new(),
             read_versions: IndexMap::new(),
-            store_time_ms: 0,
+            table_time_ms: 0,
             joined: false,
             trusted: false,
             trust_check_failed: false,
@@ -161,7 +161,7 @@
         if !self.joined || !self.shared.has_read_residency() {
             return false;
         }
-        let mut others = others(&self.shared);
+        let mut others = other_members(&self.shared);
         if others.is_empty() {
             return true;
         }
@@ -199,8 +199,8 @@
     }
 
     async fn poll_table(&mut self) -> Result<(), PlatformError> {
-        self.renew().await?;
-        self.read_all().await?;
+        self.renew_lease().await?;
+        self.read_tables().await?;
         self.publish();
         self.remove_expired().await?;
         self.sync_vms().await?;
@@ -211,7 +211,7 @@
 
     /// Renews the lease when it is due, and writes this daemon's row if it is missing or
     /// outdated.
-    async fn renew(&mut self) -> Result<(), PlatformError> {
+    async fn renew_lease(&mut self) -> Result<(), PlatformError> {
         let now = self.shared.clock.now();
         let leaving = self.shared.is_shutting_down() || !self.trusted;
         let own = self.rows.own_row(&self.shared.settings.vm, self.shared.me);
@@ -264,7 +264,7 @@
     /// Removes the rows of watched daemons whose lease expired.
     async fn remove_expired(&mut self) -> Result<(), PlatformError> {
         let term = self.shared.settings.times.lease_duration;
-        for vm in expired(&self.rows, &self.leases, self.store_time_ms, term) {
+        for vm in expired(&self.rows, &self.leases, self.table_time_ms, term) {
             let Some((_, version)) = self.rows.members.get(&vm) else {
                 continue;
             };
@@ -326,7 +326,7 @@
 }
 
 /// The other members and their addresses for daemons.
-pub fn others(shared: &Shared) -> Vec<(MemberId, SocketAddr)> {
+pub fn other_members(shared: &Shared) -> Vec<(MemberId, SocketAddr)> {
     let view = shared.view();
     let others = view.members.iter().filter(|(id, _)| **id != shared.me);
     others.map(|(id, member)| (*id, member.peer_addr)).collect()
--- a/crates/node/src/members/list.rs
+++ b/crates/node/src/members/list.rs
@@ -24,9 +24,9 @@
 
 /// The entry VMs that the platform drains, each once.
 pub fn draining_entries(list: &[VmRow]) -> impl Iterator<Item = VmName> + '_ {
-    let mut seen = IndexSet::new();
+    let mut returned = IndexSet::new();
     list.iter()
         .filter(|row| row.role == VmRole::Entry && row.state == VmState::Draining)
-        .filter(move |row| seen.insert(row.vm.clone()))
+        .filter(move |row| returned.insert(row.vm.clone()))
         .map(|row| row.vm.clone())
 }
--- a/crates/node/src/members/tables.rs
+++ b/crates/node/src/members/tables.rs
@@ -10,14 +10,15 @@
 use super::{CLAIMS, DRAINS, DrainRow, LEASES, MEMBERS, Membership, SERVERS};
 
 impl Membership {
-    pub(super) async fn read_all(&mut self) -> Result<(), PlatformError> {
+    pub(super) async fn read_tables(&mut self) -> Result<(), PlatformError> {
         let watched = watched_vms(&self.rows, &self.shared.settings.vm);
-        let wanted = watched
+        let lease_keys = watched
             .into_iter()
             .map(|vm| RowKey { table: LEASES.into(), key: vm.into() })
             .collect();
         let shared = self.shared.clone();
-        let leases = shared.feed.refresh(&shared.table, &*shared.clock, wanted).await?;
+        let leases =
+            shared.feed.refresh(&shared.table, &*shared.clock, lease_keys).await?;
         while self.read_members().await? {}
         while self.read_claims().await? {}
         while self.read_servers().await? {}
@@ -95,7 +96,7 @@
         let since = self.read_versions.get(table).copied().unwrap_or(0);
         let (delta, _) = self.shared.changes(table, "", since).await?;
         self.read_versions.insert(table, delta.version);
-        self.store_time_ms = delta.now;
+        self.table_time_ms = delta.now;
         self.changed |= !delta.is_empty();
         Ok(delta)
     }
--- a/crates/node/src/node.rs
+++ b/crates/node/src/node.rs
@@ -23,7 +23,7 @@
     /// Connections to other daemons.
     pub peers: Peers,
     /// Admission and queues of the backend servers that this daemon leads.
-    pub leads: LedServers,
+    pub led_servers: LedServers,
     /// Chooses backend servers for requests.
     pub picker: Picker,
     /// The journal slots that this daemon leads.
@@ -31,7 +31,7 @@
     /// Isolates requests that crash backend servers.
     pub poison: Arc<PoisonGuard>,
     /// Admission of callers' requests at this entry.
-    pub intake: RequestLimiter,
+    pub request_limiter: RequestLimiter,
     /// The HTTP client for calls to backend servers.
     pub http: Client,
     /// The number of jobs that have to finish before the daemon stops: requests of other
@@ -54,9 +54,9 @@
             PeerRequest::Lookup(id) => {
                 PeerResponse::Once(JournalSlots::lookup(&self, &id).await)
             }
-            PeerRequest::Config(held) => {
-                PeerResponse::Config(Some(config_sync::handover(&self.shared, held)))
-            }
+            PeerRequest::Config(revision) => PeerResponse::Config(Some(
+                config_sync::encode_update(&self.shared, revision),
+            )),
             PeerRequest::Status => PeerResponse::Status(self.status()),
             PeerRequest::ReportSuspects(suspects) => {
                 self.poison.apply_reports(&suspects, self.shared.clock.now());
@@ -96,7 +96,7 @@
 
     /// Whether no request of a caller and no job is active.
     pub fn is_idle(&self) -> bool {
-        self.intake.in_flight() == 0
+        self.request_limiter.in_flight() == 0
             && self.active_jobs.load(Ordering::SeqCst) == 0
             && self.slots.is_idle()
     }
@@ -108,7 +108,7 @@
             member: self.shared.me,
             revision: self.shared.catalog().revision,
             shutting_down: self.shared.is_shutting_down(),
-            requests: self.intake.in_flight() as u32,
+            requests: self.request_limiter.in_flight() as u32,
         }
     }
 }
--- a/crates/node/src/ops.rs
+++ b/crates/node/src/ops.rs
@@ -43,7 +43,7 @@
         "fresh": shared.is_config_fresh(),
         "lease_holds": shared.is_lease_valid(now),
         "revision": shared.catalog().revision,
-        "requests": node.intake.in_flight(),
+        "requests": node.request_limiter.in_flight(),
         "serving": node.active_jobs.load(std::sync::atomic::Ordering::SeqCst),
         "limits": {
             "body": settings.limits.max_body_bytes,
@@ -56,7 +56,7 @@
         "journal": node.slots.status(),
         "poison": poison(node),
         "view": view(node),
-        "residence": residence(node),
+        "residence": residency(node),
         "ledgers": ledgers(node),
         "unplaced": shared.rows.borrow().unplaced,
     })
@@ -64,7 +64,7 @@
 
 /// The load of each backend server that this daemon leads, by the server's name.
 fn leads(node: &Node) -> Value {
-    let loads = node.leads.loads();
+    let loads = node.led_servers.loads();
     let to_json = |load: chestnut_wire::ServerLoad| {
         json!({
             "running": load.running,
@@ -100,9 +100,9 @@
 }
 
 /// The resident models and adapters of each runner.
-fn residence(node: &Node) -> Value {
-    let residence = node.shared.residency();
-    let runners: serde_json::Map<String, Value> = residence
+fn residency(node: &Node) -> Value {
+    let residency = node.shared.residency();
+    let runners: serde_json::Map<String, Value> = residency
         .runners()
         .iter()
         .map(|(name, assets)| {
--- a/crates/node/src/orders/rows.rs
+++ b/crates/node/src/orders/rows.rs
@@ -152,11 +152,11 @@
             let unchanged = previous.runners().get(name).filter(|old| ***old == assets);
             (name.clone(), unchanged.cloned().unwrap_or_else(|| Arc::new(assets)))
         });
-    let residence = Residency::new(runners.collect());
+    let residency = Residency::new(runners.collect());
     shared.residency.send_if_modified(|old| {
-        let changed = **old != residence;
+        let changed = **old != residency;
         if changed {
-            *old = Arc::new(residence);
+            *old = Arc::new(residency);
         }
         changed
     });
--- a/crates/node/src/orders/runner.rs
+++ b/crates/node/src/orders/runner.rs
@@ -58,12 +58,12 @@
 struct CopyCount {
     sent: u32,
     /// Copies that can't arrive any more: the engine responded or nothing was sent.
-    settled: u32,
+    resolved: u32,
 }
 
 #[derive(Debug, Clone, Copy)]
 struct ResendBackoff {
-    next: Instant,
+    next_send_at: Instant,
     delay: Duration,
 }
 
@@ -261,7 +261,7 @@
             })
             .filter(|load| {
                 let count = self.copies.get(&load.order).copied().unwrap_or_default();
-                count.sent == count.settled
+                count.sent == count.resolved
             })
             .map(|load| load.order)
             .collect()
@@ -351,23 +351,25 @@
         let now = self.shared.clock.now();
         let backoff = self.backoffs.get(&order.asset).copied();
         let delay = match backoff {
-            Some(backoff) if now < backoff.next => return false,
+            Some(backoff) if now < backoff.next_send_at => return false,
             Some(backoff) => (backoff.delay * 2).min(MAX_RESEND_DELAY),
             None => INITIAL_RESEND_DELAY,
         };
-        self.backoffs
-            .insert(order.asset.clone(), ResendBackoff { next: now + delay, delay });
+        self.backoffs.insert(
+            order.asset.clone(),
+            ResendBackoff { next_send_at: now + delay, delay },
+        );
         true
     }
 
     async fn send(&mut self, server: &Server, order: &Order) {
         // Counted before it is sent: if this task is aborted meanwhile, the copy must
-        // not count as settled.
+        // not count as resolved.
         self.copies.entry(order.id).or_default().sent += 1;
         let outcome =
             self.engines.send_order(server.address, order, self.claim.fence).await;
         if outcome != SendOutcome::Unknown {
-            self.copies.entry(order.id).or_default().settled += 1;
+            self.copies.entry(order.id).or_default().resolved += 1;
         }
         let answer = match outcome {
             SendOutcome::Responded(status) if status.is_success() => "taken",
--- a/crates/node/src/peer.rs
+++ b/crates/node/src/peer.rs
@@ -171,22 +171,23 @@
         if let Some(conn) = existing.filter(|conn| conn.close_reason().is_none()) {
             return Ok(conn);
         }
-        let fail = |reason: String| PeerError::NotSent(reason);
+        let not_sent = |reason: String| PeerError::NotSent(reason);
         let connecting = self
             .endpoint
             .connect(addr, PEER_NAME)
-            .map_err(|error| fail(error.to_string()))?;
+            .map_err(|error| not_sent(error.to_string()))?;
         let conn = timeout(CONNECT_TIMEOUT, connecting)
             .await
-            .map_err(|_| fail("the handshake timed out".into()))?
-            .map_err(|error| fail(error.to_string()))?;
+            .map_err(|_| not_sent("the handshake timed out".into()))?
+            .map_err(|error| not_sent(error.to_string()))?;
         self.lock().insert(addr, conn.clone());
         Ok(conn)
     }
 
     fn drop_connection(&self, addr: SocketAddr, conn: &Connection) {
         let mut open = self.lock();
-        if open.get(&addr).is_some_and(|now| now.stable_id() == conn.stable_id()) {
+        if open.get(&addr).is_some_and(|current| current.stable_id() == conn.stable_id())
+        {
             open.swap_remove(&addr);
         }
     }
--- a/crates/node/src/planner.rs
+++ b/crates/node/src/planner.rs
@@ -125,9 +125,9 @@
     demand: IndexMap<ModelName, DemandEstimate>,
     demand_updated_at: Instant,
     /// The demand rows of entries by key.
-    digests: IndexMap<String, DemandReport>,
+    reports: IndexMap<String, DemandReport>,
     /// The version up to which demand rows were read.
-    digest_version: u64,
+    reports_version: u64,
     /// Since when each replica has been planned without being loaded.
     pending_since: IndexMap<(ServerName, ModelName), Instant>,
     /// Since when each runner has been missing from the platform's list.
@@ -140,8 +140,8 @@
             claim,
             demand: IndexMap::new(),
             demand_updated_at: now,
-            digests: IndexMap::new(),
-            digest_version: 0,
+            reports: IndexMap::new(),
+            reports_version: 0,
             pending_since: IndexMap::new(),
             missing_since: IndexMap::new(),
         }
@@ -203,26 +203,27 @@
         pool: &PoolName,
     ) -> Result<Vec<String>, PlatformError> {
         let prefix = format!("{pool}/");
-        let delta = shared.table.scan(DEMAND_TABLE, &prefix, self.digest_version).await?;
-        self.digest_version = delta.version;
+        let delta =
+            shared.table.scan(DEMAND_TABLE, &prefix, self.reports_version).await?;
+        self.reports_version = delta.version;
         for key in delta.deleted {
-            self.digests.swap_remove(&key);
+            self.reports.swap_remove(&key);
         }
         for row in delta.rows {
-            if let Ok(digest) = serde_json::from_value::<DemandReport>(row.value) {
-                self.digests.insert(row.key, digest);
+            if let Ok(report) = serde_json::from_value::<DemandReport>(row.value) {
+                self.reports.insert(row.key, report);
             }
         }
         let view = shared.view();
         let member_keys: IndexSet<String> =
             view.members.keys().map(|id| demand::report_key(pool, *id)).collect();
-        let digests = std::mem::take(&mut self.digests);
+        let reports = std::mem::take(&mut self.reports);
         let (current, stale): (IndexMap<_, _>, IndexMap<_, _>) =
-            digests.into_iter().partition(|(key, _)| member_keys.contains(key));
-        self.digests = current;
+            reports.into_iter().partition(|(key, _)| member_keys.contains(key));
+        self.reports = current;
         let scale = demand::sampling_factor(&view);
         let mut rates: IndexMap<ModelName, f64> = IndexMap::new();
-        for (model, rate) in self.digests.values().flat_map(|digest| &digest.rates) {
+        for (model, rate) in self.reports.values().flat_map(|report| &report.rates) {
             *rates.entry(model.clone()).or_default() += rate * scale;
         }
         let now = shared.clock.now();
--- a/crates/node/src/poison.rs
+++ b/crates/node/src/poison.rs
@@ -312,7 +312,7 @@
 
 /// Notifies the other daemons of suspects, before the crash is reported to callers.
 async fn notify_daemons(node: &Node, changes: &[StatusChange]) {
-    let others = members::others(&node.shared);
+    let others = members::other_members(&node.shared);
     if others.len() > MAX_NOTIFIED_DAEMONS {
         return;
     }
@@ -356,7 +356,7 @@
     let now = shared.clock.now();
     let mut removals = Txn::new();
     for row in &delta.rows {
-        let Some((digest, status)) = parse(&row.key) else { continue };
+        let Some((digest, status)) = parse_key(&row.key) else { continue };
         let duration = match status {
             DigestStatus::Suspect => SUSPECT_DURATION,
             DigestStatus::Blocked => BLOCK_DURATION,
@@ -369,7 +369,7 @@
         }
     }
     for key in &delta.deleted {
-        if let Some((digest, status)) = parse(key) {
+        if let Some((digest, status)) = parse_key(key) {
             let mut tracker = node.poison.lock();
             if tracker.status(digest, now) == Some(status) {
                 tracker.apply(StatusChange { digest, status: None }, now);
@@ -408,7 +408,7 @@
     Ok(())
 }
 
-fn parse(key: &str) -> Option<(Digest, DigestStatus)> {
+fn parse_key(key: &str) -> Option<(Digest, DigestStatus)> {
     let (text, status) = match key.strip_prefix(SUSPECT_PREFIX) {
         Some(text) => (text, DigestStatus::Suspect),
         None => (key, DigestStatus::Blocked),
--- a/crates/node/src/relay.rs
+++ b/crates/node/src/relay.rs
@@ -221,9 +221,9 @@
         let catalog = self.node.shared.catalog();
         let Some(declared) = catalog.models.get(model) else { return };
         if self.received.tokens == 0 {
-            let residence = self.node.shared.residency();
+            let residency = self.node.shared.residency();
             *version =
-                residence.servable_version(model, &declared.version, adapter.as_ref());
+                residency.servable_version(model, &declared.version, adapter.as_ref());
         }
     }
 
--- a/crates/node/src/response.rs
+++ b/crates/node/src/response.rs
@@ -159,7 +159,7 @@
                 frames.node.shared.metrics.record_refused(&error);
                 return refusal(&error);
             }
-            _ => return refusal(&lost_internally()),
+            _ => return refusal(&response_lost_refusal()),
         }
     }
 }
@@ -189,7 +189,10 @@
                 frames.node.shared.metrics.record_refused(&refusal);
                 (format!("data: {}\n\n", json!({ "error": refusal })), false)
             }
-            _ => (format!("data: {}\n\n", json!({ "error": lost_internally() })), false),
+            _ => (
+                format!("data: {}\n\n", json!({ "error": response_lost_refusal() })),
+                false,
+            ),
         };
         let state = continues.then_some((frames, format));
         Some((Ok::<_, Infallible>(Bytes::from(text)), state))
@@ -200,7 +203,7 @@
 /// the caller doesn't take it for complete.
 async fn stream_passthrough(mut frames: Frames) -> Response {
     let PeerResponse::Head { status, content_type } = frames.next().await else {
-        return refusal(&lost_internally());
+        return refusal(&response_lost_refusal());
     };
     let content_type = HeaderValue::from_str(&content_type)
         .unwrap_or(HeaderValue::from_static("application/octet-stream"));
@@ -216,7 +219,7 @@
                 frames.node.shared.metrics.record_refused(&refusal);
                 Some((Err(refusal), None))
             }
-            _ => Some((Err(lost_internally()), None)),
+            _ => Some((Err(response_lost_refusal()), None)),
         }
     }));
     with_content_type(status, content_type, body)
@@ -259,10 +262,10 @@
 }
 
 fn response_lost() -> PeerResponse {
-    PeerResponse::Refused { refusal: lost_internally(), hint: Default::default() }
+    PeerResponse::Refused { refusal: response_lost_refusal(), hint: Default::default() }
 }
 
-fn lost_internally() -> Refusal {
+fn response_lost_refusal() -> Refusal {
     let text = "the request was lost inside the system; look up its outcome by its id";
     Refusal::in_doubt(RefusalCode::Internal, text)
 }
--- a/crates/node/src/run.rs
+++ b/crates/node/src/run.rs
@@ -149,7 +149,7 @@
     async fn announce_shutdown(&self) {
         let request = PeerRequest::ShuttingDown(self.node.shared.me);
         let mut calls = JoinSet::new();
-        for (_, addr) in members::others(&self.node.shared) {
+        for (_, addr) in members::other_members(&self.node.shared) {
             let node = self.node.clone();
             let request = request.clone();
             // A daemon that is not reached reads it from the table.
@@ -174,22 +174,26 @@
     log: Logger,
     peers: Peers,
 ) -> Result<Node, Report<StartError>> {
-    let wait = settings.times.platform_timeout;
+    let timeout = settings.times.platform_timeout;
     let error = StartError::Client;
-    let table = TableClient::new(&settings.table_url, wait).change_context(error)?;
-    let objects = ObjectStore::new(&settings.object_url, wait)
+    let table = TableClient::new(&settings.table_url, timeout).change_context(error)?;
+    let objects = ObjectStore::new(&settings.object_url, timeout)
         .change_context(StartError::Client)?;
-    let vms = VmList::new(&settings.vms_url, wait).change_context(StartError::Client)?;
+    let vms =
+        VmList::new(&settings.vms_url, timeout).change_context(StartError::Client)?;
     let http = engine::client().change_context(StartError::Client)?;
     let me = MemberId(rand::random());
     let limits = settings.limits;
     let shared = Arc::new(Shared::new(settings, clock, me, log, table, objects, vms));
     Ok(Node {
-        leads: LedServers::new(shared.clone()),
+        led_servers: LedServers::new(shared.clone()),
         picker: Picker::new(shared.clock.clone(), shared.me.0),
         slots: JournalSlots::new(),
         poison: Arc::new(PoisonGuard::new(&shared)),
-        intake: RequestLimiter::new(limits.max_requests, limits.max_buffered_bytes),
+        request_limiter: RequestLimiter::new(
+            limits.max_requests,
+            limits.max_buffered_bytes,
+        ),
         peers,
         http,
         shared,
--- a/crates/node/src/shared.rs
+++ b/crates/node/src/shared.rs
@@ -61,7 +61,7 @@
     /// The declarations in force, written by [`crate::config_sync`].
     pub catalog: watch::Sender<Arc<Catalog>>,
     /// The replica of the configuration's rows, and how fresh it is.
-    pub conf: ConfigState,
+    pub config_state: ConfigState,
     /// Members, servers and claims, written by [`crate::members`].
     pub view: watch::Sender<Arc<View>>,
     /// The models and adapters resident at each runner, written by [`crate::orders`].
@@ -104,7 +104,7 @@
     ) -> Self {
         let term = settings.times.lease_duration;
         let metrics = Metrics::new();
-        let conf = ConfigState::new(&metrics);
+        let config_state = ConfigState::new(&metrics);
         Self {
             settings,
             clock,
@@ -116,7 +116,7 @@
             objects,
             vms,
             catalog: watch::Sender::new(Arc::default()),
-            conf,
+            config_state,
             view: watch::Sender::new(Arc::default()),
             residency: watch::Sender::new(Arc::default()),
             rows: watch::Sender::new(Arc::default()),
--- a/crates/node/src/show_rows.rs
+++ b/crates/node/src/show_rows.rs
@@ -104,7 +104,7 @@
 /// Queries the other daemons for their revisions; empty if there are too many daemons.
 async fn query_revisions(node: &Arc<Node>) -> IndexMap<MemberId, Revision> {
     let mut revisions = IndexMap::new();
-    let others = members::others(&node.shared);
+    let others = members::other_members(&node.shared);
     if others.len() > MAX_QUERIED_DAEMONS {
         return revisions;
     }
@@ -138,9 +138,9 @@
 }
 
 fn resident_rows(shared: &Shared) -> Vec<Row> {
-    let residence = shared.residency();
+    let residency = shared.residency();
     let mut rows = Vec::new();
-    for (server, assets) in residence.runners() {
+    for (server, assets) in residency.runners() {
         for (model, version) in &assets.models {
             rows.push(to_row(json!({
                 "name": model, "kind": "model", "version": version, "server": server,
--- a/crates/node/src/single.rs
+++ b/crates/node/src/single.rs
@@ -199,11 +199,11 @@
         return out;
     }
     let (sender, frames) = mpsc::channel(FRAME_BUFFER);
-    tokio::spawn(forward(node.clone(), run.attempt, frames, out));
+    tokio::spawn(forward_detached(node.clone(), run.attempt, frames, out));
     sender
 }
 
-async fn forward(
+async fn forward_detached(
     node: Arc<Node>,
     attempt: AttemptId,
     mut frames: mpsc::Receiver<PeerResponse>,
--- a/crates/node/src/slots.rs
+++ b/crates/node/src/slots.rs
@@ -99,16 +99,16 @@
         out: mpsc::Sender<PeerResponse>,
     ) {
         let Some(_body) = node.slots.reserve_body(once.call.body.len()) else {
-            return drop(out.send(refused(full())).await);
+            return drop(out.send(refused(too_many_bodies())).await);
         };
         let (frame_sender, mut frames) = mpsc::unbounded_channel();
         let message = Message::Submit { once: Box::new(once), out: frame_sender };
         if node.slots.sender.send(message).is_err() {
-            return drop(out.send(refused(stopped())).await);
+            return drop(out.send(refused(shutting_down())).await);
         }
         loop {
             let response = tokio::select! {
-                frame = frames.recv() => frame.unwrap_or_else(|| refused(stopped())),
+                frame = frames.recv() => frame.unwrap_or_else(|| refused(shutting_down())),
                 () = out.closed() => return,
             };
             let last = response.is_final();
@@ -124,10 +124,10 @@
         let message = Message::Lookup { id: id.clone(), reply };
         // If the driver has stopped, `reply` is dropped and awaiting the state fails.
         drop(node.slots.sender.send(message));
-        let stopped = || {
+        let unreadable = || {
             OnceState::Unreadable("the daemon is shutting down; use another one".into())
         };
-        state.await.unwrap_or_else(|_| stopped())
+        state.await.unwrap_or_else(|_| unreadable())
     }
 
     /// The journal's state after the driver's last step.
@@ -177,13 +177,13 @@
     PeerResponse::Refused { refusal, hint: Default::default() }
 }
 
-fn full() -> Refusal {
+fn too_many_bodies() -> Refusal {
     let text = "too many request bodies wait for the journal; send the request again \
                 with the same key";
     Refusal::in_doubt(RefusalCode::EntryFull, text).with_retry_after(TICK_INTERVAL)
 }
 
-fn stopped() -> Refusal {
+fn shutting_down() -> Refusal {
     let text = "the journal's daemon is shutting down; send the request again with the \
                 same key";
     Refusal::in_doubt(RefusalCode::Unavailable, text).with_retry_after(TICK_INTERVAL)
--- a/crates/node/src/slots/driver.rs
+++ b/crates/node/src/slots/driver.rs
@@ -15,7 +15,7 @@
 use tokio::sync::mpsc::{UnboundedReceiver, UnboundedSender};
 use tokio::sync::oneshot;
 
-use super::{JournalStatus, Message, TICK_INTERVAL, refused, stopped};
+use super::{JournalStatus, Message, TICK_INTERVAL, refused, shutting_down};
 use crate::journal::{self, RecoveryRequest};
 use crate::node::Node;
 use crate::shared::Shared;
@@ -47,7 +47,7 @@
     /// The slots that this daemon holds by the current view, with the versions of
     /// their claims.
     led_slots: IndexMap<SlotId, u64>,
-    last_waiter: u64,
+    last_waiter_id: u64,
     metrics: Metrics,
 }
 
@@ -57,7 +57,7 @@
         let journal = Journal::new(Limits::default(), shared.me.0, shared.clock.now());
         let metrics = Metrics::register(shared);
         let (waiters, led_slots) = (IndexMap::new(), IndexMap::new());
-        Self { node, journal, waiters, led_slots, last_waiter: 0, metrics }
+        Self { node, journal, waiters, led_slots, last_waiter_id: 0, metrics }
     }
 
     pub(super) async fn run(mut self, mut receiver: UnboundedReceiver<Message>) {
@@ -165,8 +165,8 @@
     }
 
     fn add_waiter(&mut self, waiter: Waiter) -> WaiterId {
-        self.last_waiter += 1;
-        let id = WaiterId(self.last_waiter);
+        self.last_waiter_id += 1;
+        let id = WaiterId(self.last_waiter_id);
         self.waiters.insert(id, waiter);
         id
     }
@@ -176,7 +176,9 @@
         while let Some(effect) = self.journal.next_effect() {
             match effect {
                 Effect::Reply { waiter, reply } => self.reply(waiter, reply),
-                Effect::Run { waiter, id, attempt } => self.start(waiter, id, attempt),
+                Effect::Run { waiter, id, attempt } => {
+                    self.start_run(waiter, id, attempt)
+                }
                 Effect::LoadSlot { slot, version } => {
                     self.spawn(move |node| async move {
                         let _permit = node.slots.load_permits.acquire().await;
@@ -257,7 +259,7 @@
         });
     }
 
-    fn start(
+    fn start_run(
         &mut self,
         waiter: WaiterId,
         id: RequestId,
@@ -354,7 +356,7 @@
         Reply::Response(response) if streamed => vec![single::end_frame(&response)],
         Reply::Response(response) => single::response_frames(&response),
         Reply::Refused(refusal) => vec![refused(refusal)],
-        Reply::Running => vec![refused(stopped())],
+        Reply::Running => vec![refused(shutting_down())],
     }
 }
 
