--- a/crates/node/src/command.rs
+++ b/crates/node/src/command.rs
@@ -48,7 +48,7 @@
     match options().run() {
         Options::Check { file } => match read_settings(&file) {
             Ok(settings) => {
-                println!("{}: fine, for {}", file.display(), settings.vm);
+                println!("{}: valid settings for VM {}", file.display(), settings.vm);
                 ExitCode::SUCCESS
             }
             Err(code) => code,
@@ -117,8 +117,8 @@
 
 fn shut_down_on_signal(daemon: &Daemon) {
     let node = daemon.node().clone();
-    // Installed before the addresses are printed: without handlers a signal would kill
-    // the process and all requests in flight.
+    // Installed before the addresses are printed: the parent process may send a signal
+    // once it has read them, and without handlers that would end all requests in flight.
     let mut sigterm =
         signal(SignalKind::terminate()).expect("signal handlers can be installed");
     let mut sigint =
--- a/crates/node/src/config_sync.rs
+++ b/crates/node/src/config_sync.rs
@@ -34,15 +34,16 @@
 
 /// Number of peers that a daemon queries while it can't read the table.
 ///
-/// With several, one is likely to be fresh even if most peers lost the table
-/// together with this daemon. Each is queried at most once per poll.
+/// With several, one is likely to be fresh even if most peers lost access to the
+/// table together with this daemon. Each is queried at most once per poll.
 const PEERS_PER_QUERY: usize = 5;
 
 /// Number of scans of the change feed per read of the table.
 ///
-/// A scan is local and costs no call. Scanning only once per read delays changes
-/// by up to a second poll interval: with reads every 500 ms, the median time until
-/// a change was in force at six daemons was 775 ms instead of 480 ms.
+/// A scan is local and costs no call. Scanning only once per read would delay changes
+/// by up to a second poll interval: with six daemons that read every 500 ms, the median
+/// time until a change is in force at all of them is 480 ms, and 775 ms with one scan
+/// per read.
 const SCANS_PER_READ: u32 = 5;
 
 /// Divisor of the staleness limit: peers are queried once a quarter of the limit
@@ -230,7 +231,8 @@
 
 /// Applies a change.
 ///
-/// The answer is undecided if the table fails or other changes keep preceding this one.
+/// The outcome is undecided if the table fails or other changes are committed first
+/// each time.
 pub async fn apply_change(shared: &Shared, change: Change) -> ApplyOutcome {
     let wall_time = shared.clock.wall_time().duration_since(UNIX_EPOCH);
     let mut applier =
@@ -243,7 +245,7 @@
                 Err(error) => Event::Unavailable(error.to_string()),
             },
             Step::Commit(commit) => send_commit(shared, commit).await,
-            Step::Done(answer) => return answer,
+            Step::Done(outcome) => return outcome,
         };
         step = applier.handle(event);
     }
@@ -300,7 +302,7 @@
     }
 }
 
-/// The recorded decision on a change; absent while it is undecided.
+/// The stored verdict on a change; absent while the change is undecided.
 pub async fn stored_verdict(
     shared: &Shared,
     team: &TeamName,
--- a/crates/node/src/demand.rs
+++ b/crates/node/src/demand.rs
@@ -73,7 +73,7 @@
         let now = shared.clock.now();
         let elapsed = now.saturating_duration_since(last_report);
         last_report = now;
-        // A failed report is not repeated: rates lag anyway.
+        // A failed report is not repeated: the rates lag behind the demand anyway.
         if write_reports(&shared, elapsed, &mut reported_pools).await.is_err() {
             slog::debug!(shared.log, "failed to write the demand report");
         }
--- a/crates/node/src/engine.rs
+++ b/crates/node/src/engine.rs
@@ -17,13 +17,13 @@
 use serde_json::Value;
 use tokio::sync::mpsc;
 
-/// The timeout of connecting to a backend server, and of a cancellation.
+/// The timeout for connecting to a backend server, and for the call that cancels a request.
 const CONNECT_TIMEOUT: Duration = Duration::from_secs(1);
 
 /// How long an engine may send nothing before its liveness is probed.
 ///
-/// Steps take some 10 ms, and 95 % of tokens come within 58 ms; only a long prompt in the
-/// batch delays all streams by about a second.
+/// A decoding step takes some 10 ms, and 95 % of tokens arrive within 58 ms; only a long
+/// prompt in the batch delays all streams, by about a second.
 const STALL_TIMEOUT: Duration = Duration::from_secs(1);
 
 /// The timeout of a liveness probe.
@@ -348,7 +348,9 @@
             let total = event.tokens.unwrap_or(next_token + 1);
             let Some(count) = total.checked_sub(next_token).filter(|&count| count > 0)
             else {
-                let reason = format!("token {total} came after {next_token}");
+                let reason = format!(
+                    "the token count {total} does not exceed the previous {next_token}"
+                );
                 return CallOutcome::Interrupted { reason, connection_lost: false };
             };
             on_tokens(count);
--- a/crates/node/src/entry.rs
+++ b/crates/node/src/entry.rs
@@ -143,7 +143,8 @@
 }
 
 async fn unknown_path(request: Request) -> Response {
-    let text = format!("no such path: {}; see the API's page", request.uri().path());
+    let text =
+        format!("no such path: {}; see the API documentation", request.uri().path());
     response::refusal(&Refusal::not_run(RefusalCode::UnknownService, text))
 }
 
@@ -161,7 +162,7 @@
     response::once_state(&lookup_state(&node, id).await)
 }
 
-/// Accepts a request and runs it: an idempotent one from here, any other one through the
+/// Accepts a request and runs it: an idempotent one directly, any other one through the
 /// lead of its journal slot.
 async fn handle_request(
     node: Arc<Node>,
--- a/crates/node/src/explain.rs
+++ b/crates/node/src/explain.rs
@@ -23,13 +23,13 @@
 /// Timeout of a query to another daemon.
 const QUERY_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// The request to explain; a plain request names a service, others a model.
+/// The request to explain; it names a plain service or a model's route.
 #[derive(Debug, Default, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct ExplainQuery {
     /// The route that the caller names in `model`.
     model: Option<String>,
-    /// The service of a plain request.
+    /// The plain service that the caller calls.
     service: Option<String>,
     /// The kind that the caller names; the route's default if absent.
     kind: Option<String>,
@@ -170,7 +170,7 @@
     });
     let ready = servers.iter().filter(|server| server["resident"] == true).count();
     if query.model.is_some() || query.service.is_some() {
-        steps.push(format!("{ready} of {} backend servers can take it", servers.len()));
+        steps.push(format!("{ready} of {} backend servers can serve it", servers.len()));
     }
     json!({ "revision": catalog.revision, "steps": steps, "servers": servers })
 }
--- a/crates/node/src/feed.rs
+++ b/crates/node/src/feed.rs
@@ -3,7 +3,8 @@
 //! Every daemon watches the rows of membership, declarations, ledgers, plans and
 //! blocked request digests. If each component read its own tables, each of 2,100
 //! daemons would make about 8 reads per poll, and within [`MAX_READS_PER_SECOND`] a
-//! change would take 17 s to reach all of them. One read of all tables takes 2.1 s.
+//! change would take 17 s to reach all of them. With one read of all tables per poll it
+//! takes 2.1 s.
 //! The feed buffers recent changes; each component scans those it has not applied.
 
 use std::collections::VecDeque;
@@ -22,7 +23,7 @@
 /// starts, journals and orders.
 pub const MAX_READS_PER_SECOND: f64 = 1000.0;
 
-/// Number of changes in the buffer.
+/// Maximum number of changes in the buffer.
 ///
 /// A component that falls further behind reads its whole table again. At full size
 /// about three changes arrive per second, so the buffer covers over half an hour.
--- a/crates/node/src/journal.rs
+++ b/crates/node/src/journal.rs
@@ -27,8 +27,8 @@
 
 /// The largest body that is stored in its row, in bytes.
 ///
-/// Most letters and all bookings are smaller; a batch of 128 such rows stays
-/// below 1 MB.
+/// Most generated letters and all responses to bookings are smaller; a batch of 128
+/// rows of this size is about 1 MB.
 const MAX_INLINE_BYTES: usize = 8 * 1024;
 
 /// The largest body that is stored in its row if the object store is unavailable.
@@ -40,15 +40,17 @@
 /// its retry starts another recovery.
 const RECOVERY_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// How long to try while the daemon that made the run is still a member.
+/// How long to try while the daemon that started the run is still a member.
 ///
 /// After a planned handover the former lead finishes the run and stores its
 /// response. The caller gets no response meanwhile, so this stays below the few
 /// seconds after which callers time out; each retry starts another recovery. With
-/// 10 s, callers that timed out after 4 s never learned that a letter was in doubt.
+/// 10 s, a caller that times out after 4 s would never get the response that its
+/// request is in doubt.
 const MEMBER_RECOVERY_TIMEOUT: Duration = Duration::from_secs(3);
 
-/// The mean interval between two attempts; each costs the platform two reads.
+/// The mean interval between two attempts to recover a response; each costs the
+/// platform two reads.
 const RECOVERY_INTERVAL: Duration = Duration::from_millis(400);
 
 /// The timeout for an engine's response head when it is queried for an attempt.
@@ -192,13 +194,13 @@
     }
 }
 
-/// A run that another daemon may have made, whose response is to be recovered.
+/// A run, usually started by another daemon, whose response is to be recovered.
 pub struct RecoveryRequest {
     /// The slot of the request.
     pub slot: SlotId,
     /// The id that the caller gave the request.
     pub id: RequestId,
-    /// The attempt, which names the daemon that made the run.
+    /// The attempt, which names the daemon that started the run.
     pub attempt: AttemptId,
     /// The model or service that the request is for.
     pub target: Target,
@@ -206,9 +208,9 @@
     pub server: Option<ServerName>,
 }
 
-/// Tries to recover the response of another daemon's run until a timeout.
+/// Tries to recover the response of a run until a timeout.
 ///
-/// That daemon may be alive and still store the response, the lead of the backend
+/// The daemon that started the run may be alive and still store the response, the lead of the backend
 /// server may have stored it, and an engine may still hold it under the attempt's id.
 pub async fn recover(node: &Arc<Node>, request: &RecoveryRequest) -> Recovered {
     let start = node.shared.clock.now();
@@ -216,8 +218,8 @@
         if let Some(recovered) = try_recover(node, request).await {
             return recovered;
         }
-        // This daemon knows its own runs. If it waited for itself, each retry of the
-        // caller would take the longer timeout without a response.
+        // A run of this daemon that is to be recovered is no longer running here. With the
+        // longer timeout each retry of the caller would only wait longer for a response.
         let foreign = request.attempt.member != node.shared.me;
         let is_member =
             foreign && node.shared.view().members.contains_key(&request.attempt.member);
--- a/crates/node/src/lead.rs
+++ b/crates/node/src/lead.rs
@@ -296,7 +296,7 @@
 
 impl RequestGuard {
     fn notify(&self, event: AdmissionEvent) {
-        // The actor stops only with the daemon, which then needs no counts any more.
+        // The actor stops only with the daemon, which then no longer needs the counts.
         drop(self.actor.tell(event).try_send());
     }
 }
--- a/crates/node/src/members.rs
+++ b/crates/node/src/members.rs
@@ -33,20 +33,20 @@
 use crate::node::Node;
 use crate::shared::Shared;
 
-/// The table of daemons, current when one joins, shuts down or is removed.
+/// The table of daemons; a row changes when its daemon joins, shuts down or is removed.
 pub const MEMBERS: &str = "members";
 /// The table of leases, rewritten at each renewal; a daemon reads only those it watches.
 pub const LEASES: &str = "leases";
 /// The table of claims, which name the holder of a slot, server, pool or the VM list.
 pub const CLAIMS: &str = "claims";
-/// The table of backend servers, current by the holder of the claim on the VM list.
+/// The table of backend servers, written by the holder of the claim on the VM list.
 pub const SERVERS: &str = "servers";
 /// The table of requests to drain a VM.
 pub const DRAINS: &str = "drain";
 
-/// The number of polls without changes after which claims are planned all the same.
+/// The number of polls after which claims are planned even if no row has changed.
 ///
-/// Planning reads all claims, which takes milliseconds at thousands of runners.
+/// Planning iterates over all claims, which takes milliseconds with thousands of runners.
 const IDLE_POLL_LIMIT: u32 = 4;
 
 /// The number of other daemons that are contacted to check that they trust this one.
@@ -117,7 +117,9 @@
     needs_planning: bool,
     /// Polls since the claims were planned last.
     idle_polls: u32,
+    /// When the lease is due for renewal.
     renew_at: std::time::Instant,
+    /// Whether the last poll succeeded.
     table_reachable: bool,
     counters: Counters,
 }
@@ -147,16 +149,16 @@
 
     /// The time to the next poll, jittered so that daemons don't poll in step.
     ///
-    /// After an outage of the table all daemons return within one such interval, at
-    /// their usual poll rate, so that recovery causes no thundering herd.
+    /// Daemons poll at this interval during an outage of the table too: all of them
+    /// resume within one interval, and the recovery causes no thundering herd.
     fn poll_interval(&self) -> Duration {
         let poll = self.shared.settings.times.poll_interval;
         let interval = ChangeFeed::poll_interval(poll, self.rows.members.len());
         interval.mul_f64(rand::random_range(0.75..1.25))
     }
 
-    /// Whether this daemon has read members and residency, and another daemon, if there
-    /// is one, responds to it.
+    /// Whether another daemon, if there is one, responds to this one; false until this
+    /// daemon has read members and residency.
     async fn check_trust(&mut self, node: &Node) -> bool {
         if !self.joined || !self.shared.has_read_residency() {
             return false;
@@ -325,7 +327,7 @@
     shared.table.commit(&txn).await.map(drop)
 }
 
-/// The other members and their addresses for daemons.
+/// The other members and the addresses at which they accept other daemons.
 pub fn other_members(shared: &Shared) -> Vec<(MemberId, SocketAddr)> {
     let view = shared.view();
     let others = view.members.iter().filter(|(id, _)| **id != shared.me);
--- a/crates/node/src/metrics.rs
+++ b/crates/node/src/metrics.rs
@@ -33,7 +33,7 @@
         let mut registry = Registry::with_prefix("chestnut");
         let served = Counter::default();
         let refused = Family::default();
-        registry.register("served", "Requests answered whole", served.clone());
+        registry.register("served", "Requests with a complete response", served.clone());
         let help = "Requests refused or failed, by code and outcome";
         registry.register("refused", help, refused.clone());
         Self { registry: Mutex::new(registry), served, refused }
--- a/crates/node/src/orders/counters.rs
+++ b/crates/node/src/orders/counters.rs
@@ -44,7 +44,7 @@
             );
             registry.register(
                 "order_copies",
-                "Copies of orders sent, by the engine's answer",
+                "Copies of orders sent, by the engine's response",
                 counters.copies_sent.clone(),
             );
             registry.register(
--- a/crates/node/src/orders/runner.rs
+++ b/crates/node/src/orders/runner.rs
@@ -27,7 +27,8 @@
 /// Number of failed reports in a row after which the engine is marked as down.
 const MAX_FAILED_REPORTS: u32 = 3;
 
-/// How long to wait for streams that an earlier lead may have started.
+/// How long streams that an earlier lead started may still run; until then an asset on a
+/// busy engine is not unloaded.
 const MAX_STREAM_TIME: Duration = Duration::from_secs(120);
 
 /// Drives one runner towards its plan while this daemon leads it.
@@ -42,7 +43,7 @@
     /// The committed row with its version, 0 if the table has none; absent while it
     /// has to be read again.
     row: Option<(Ledger, u64)>,
-    /// Whether there was no lead before, so that this daemon counts all streams.
+    /// Whether the runner had no lead before, so that all its streams are counted here.
     is_first_lead: bool,
     /// The number of the last order that earlier leads may have sent.
     last_earlier_order: u64,
--- a/crates/node/src/parse.rs
+++ b/crates/node/src/parse.rs
@@ -26,7 +26,7 @@
 /// Bytes of English prompt text per token, roughly; used only for estimates.
 const BYTES_PER_TOKEN: usize = 4;
 
-/// The deadline of requests of no declared kind.
+/// The deadline of a request without a declared kind.
 const DEFAULT_DEADLINE: Duration = Duration::from_secs(60);
 
 /// The upper bound of `x-deadline-ms`; longer values are capped.
@@ -116,7 +116,7 @@
     let model = catalog.models.get(&route.model).ok_or_else(|| {
         Refusal::not_run(
             RefusalCode::UnknownModel,
-            "the route's model is no longer declared",
+            "the route's model is no longer declared; use another route",
         )
     })?;
     let target = Target::Model {
--- a/crates/node/src/peer.rs
+++ b/crates/node/src/peer.rs
@@ -22,7 +22,7 @@
 
 /// How long a responding daemon may send nothing before its response counts as lost.
 ///
-/// Three heartbeats; a shorter timeout would take a busy VM for a crashed one.
+/// Three heartbeat intervals; with a shorter timeout a busy VM would count as crashed.
 pub const FAILURE_DETECTION_TIMEOUT: Duration = Duration::from_millis(1500);
 
 /// The longest time between two frames of a daemon that is responding.
@@ -33,7 +33,9 @@
 /// Daemons are a few milliseconds apart; two lost packets delay a handshake by under 1 s.
 const CONNECT_TIMEOUT: Duration = Duration::from_secs(1);
 
+/// The maximum number of bytes that are read from a stream at a time.
 const READ_CHUNK_BYTES: usize = 16 * 1024;
+
 /// Frames of a response that may be buffered ahead of the connection.
 const FRAME_BUFFER: usize = 64;
 
@@ -155,7 +157,7 @@
         }
     }
 
-    /// Closes the connection to a daemon that counts as lost.
+    /// Closes the connection to a daemon whose response was lost.
     ///
     /// A daemon that was restarted under the same address can't be reached on the old
     /// connection; the next request opens a new one.
--- a/crates/node/src/pick.rs
+++ b/crates/node/src/pick.rs
@@ -1,9 +1,10 @@
 //! Picks the backend server for one attempt.
 //!
 //! The `route` crate ranks the servers; this module looks up the eligible ones and counts
-//! attempts in flight with a guard, so that each way out of an attempt decrements the count.
-//! A leaked count makes a server look busy forever: "Two-Level AI Inference Gateway" reports
-//! one that got no more requests until a restart, and proposes the guard.
+//! attempts in flight with a guard, so that the count is decremented however an attempt
+//! ends. A leaked count would make a server appear busy until the daemon restarts, so that
+//! it gets no more requests; "Two-Level AI Inference Gateway" reports such a case and
+//! proposes the guard.
 
 use std::net::SocketAddr;
 use std::sync::{Arc, Mutex, MutexGuard};
@@ -25,13 +26,13 @@
 use crate::engine::engine_model_name;
 use crate::shared::Shared;
 
-/// The extra latency of another failure domain; they are 0.5 to 1 ms apart.
+/// The extra latency of a server in another failure domain; domains are 0.5 to 1 ms apart.
 const CROSS_DOMAIN_LATENCY: Duration = Duration::from_millis(1);
 
-/// How long a daemon that was unreachable is skipped.
+/// How long the backend servers of a daemon are skipped after it was unreachable.
 ///
 /// Until its lease expires, every backend server that it leads would cost each request a
-/// failed attempt; after this time it is tried again.
+/// failed attempt.
 const UNREACHABLE_HOLDOFF: Duration = Duration::from_secs(1);
 
 /// The expected time of a plain service's call, which its lead measures as one step.
@@ -56,7 +57,7 @@
     _in_flight: InFlightGuard,
 }
 
-/// What an attempt showed about a backend server.
+/// An observation about a backend server that an attempt made.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub enum AttemptFeedback {
     /// The lead responded and reported the load.
@@ -167,7 +168,7 @@
         })
     }
 
-    /// Records what an attempt showed.
+    /// Records an observation about a backend server.
     pub fn record(&self, server: &ServerName, feedback: AttemptFeedback) {
         let now = self.clock.now();
         let mut state = self.lock();
--- a/crates/node/src/planner.rs
+++ b/crates/node/src/planner.rs
@@ -101,7 +101,7 @@
             registry.register("plans", "Rounds of planners", counters.rounds.clone());
             registry.register(
                 "plan_failures",
-                "Rounds of planners that the platform failed",
+                "Rounds of planners that failed since the platform was unavailable",
                 counters.failures.clone(),
             );
             registry.register(
@@ -124,7 +124,7 @@
     claim: Claim,
     demand: IndexMap<ModelName, DemandEstimate>,
     demand_updated_at: Instant,
-    /// The demand rows of entries by key.
+    /// The entries' demand reports by row key.
     reports: IndexMap<String, DemandReport>,
     /// The version up to which demand rows were read.
     reports_version: u64,
--- a/crates/node/src/planner/placement_input.rs
+++ b/crates/node/src/planner/placement_input.rs
@@ -14,8 +14,8 @@
 
 use crate::orders::rows::{PlacementRows, UnplacedAsset};
 
-/// Multiple of its declared time that a load may take; after that the runner no
-/// longer counts as holding the model.
+/// Multiple of a model's declared load time. A load that takes longer than this plus
+/// [`LOAD_TIME_SLACK`] no longer counts as a placed replica.
 const LOAD_TIME_FACTOR: u32 = 3;
 
 /// Additional time for a load, as its orders may have to be resent.
@@ -63,7 +63,8 @@
     /// Computes the state from which `chestnut-place` plans the pool.
     ///
     /// `pending_since` records since when each replica has been planned without being
-    /// loaded. A replica whose load takes far too long does not count as placed.
+    /// loaded. A replica whose load exceeds the limit of [`LOAD_TIME_FACTOR`] does not
+    /// count as placed.
     pub fn pool_state(
         &self,
         demand: &IndexMap<ModelName, DemandEstimate>,
--- a/crates/node/src/poison.rs
+++ b/crates/node/src/poison.rs
@@ -48,13 +48,13 @@
 
 /// How long a new connection must stay open to show that the server is alive.
 ///
-/// Some hundred times what a dying process takes to close its port, and short compared
-/// to the retry that waits for it. No server closes an idle connection so soon.
+/// Some hundred times as long as a dying process takes to close its port, and short
+/// compared to the retry that it delays. No server closes an idle connection so soon.
 const LIVENESS_WINDOW: Duration = Duration::from_millis(200);
 
 /// The timeout for notifying the other daemons of a crash.
 ///
-/// They are a few milliseconds apart; a frozen daemon must not delay the retries of
+/// Daemons are a few milliseconds apart; a frozen one must not delay the retries of
 /// requests that were in flight at the crash.
 const NOTIFY_TIMEOUT: Duration = Duration::from_millis(250);
 
--- a/crates/node/src/relay.rs
+++ b/crates/node/src/relay.rs
@@ -1,9 +1,9 @@
-//! Runs one request in as many attempts as it takes to get one response.
+//! Runs a request in one or more attempts until the caller has one complete response.
 //!
 //! Each attempt has its own stream of frames, so that a late response of an abandoned
 //! attempt can't reach the caller. Tokens carry their index in the response: a later
-//! attempt must continue exactly where the caller's copy ends, otherwise it counts as
-//! interrupted.
+//! attempt must continue exactly after the last token that the caller received, otherwise
+//! it counts as interrupted.
 
 use std::time::{Duration, Instant};
 
@@ -22,15 +22,15 @@
 use crate::peer::{PeerError, ResponseStream};
 use crate::pick::{AttemptFeedback, SelectedServer};
 
-/// The number of backend servers that are tried in a row for one request, and of its
-/// interrupted attempts.
+/// The maximum number of backend servers that are tried for a request without a delay in
+/// between, and the number of interrupted attempts after which it is not retried.
 ///
 /// Each refusal costs a network hop; after this many the pool is most likely full.
 const MAX_ATTEMPTS: usize = 6;
 
 /// How long a request waits for a backend server with a lead before it is refused.
 ///
-/// While a claim changes hands, the backend server has no lead for a moment: the new holder
+/// During a handover of its claim the backend server briefly has no lead: the new holder
 /// learns of a planned handover within some milliseconds, the other daemons at their next
 /// poll. Without the wait, each rolling restart refuses requests for models with one
 /// replica. After a crash the claim is free only once the lease has expired, which takes
@@ -57,7 +57,7 @@
     /// Not again once an attempt may have reached one.
     ///
     /// All attempts carry this id, so that a daemon that takes over the request's journal
-    /// slot can ask the engine for the response.
+    /// slot can query the engine for the response.
     AtMostOnce(AttemptId),
 }
 
@@ -115,7 +115,7 @@
 enum AttemptOutcome {
     /// The caller got its response or disconnected.
     Finished,
-    /// The backend server did not take it; another one may.
+    /// The attempt did not run; another backend server may accept it.
     Declined(Refusal),
     /// The attempt may have run, and its response was interrupted.
     Interrupted(String),
@@ -153,7 +153,8 @@
         self.send_refusal(refusal).await;
     }
 
-    /// Tries one backend server after the other; `None` if the caller got its response.
+    /// Tries one backend server after the other; `None` if the caller got its response or
+    /// disconnected.
     async fn try_servers(&mut self, interruptions: &mut usize) -> Option<Refusal> {
         self.resolve_version();
         let mut last_refusal = None;
@@ -227,8 +228,8 @@
         }
     }
 
-    /// Whether another attempt may follow an interrupted one; withdraws it from the retry
-    /// budget.
+    /// Whether another attempt may follow an interrupted one; if so, withdraws it from the
+    /// retry budget.
     fn may_retry_now(&self, interruptions: usize) -> bool {
         self.dispatch_mode == DispatchMode::Repeatable
             && !self.raw_output_sent
@@ -311,8 +312,10 @@
                 PeerResponse::Dispatched => self.may_have_run = true,
                 PeerResponse::Tokens { first, count, text } => {
                     if first != self.received.tokens {
-                        let reason =
-                            format!("token {first} came after {}", self.received.tokens);
+                        let reason = format!(
+                            "token {first} arrived instead of {}",
+                            self.received.tokens
+                        );
                         return AttemptOutcome::Interrupted(reason);
                     }
                     self.received.tokens += count;
--- a/crates/node/src/response.rs
+++ b/crates/node/src/response.rs
@@ -266,6 +266,6 @@
 }
 
 fn response_lost_refusal() -> Refusal {
-    let text = "the request was lost inside the system; look up its outcome by its id";
+    let text = "an internal error interrupted the request; look up its outcome by its id";
     Refusal::in_doubt(RefusalCode::Internal, text)
 }
--- a/crates/node/src/run.rs
+++ b/crates/node/src/run.rs
@@ -114,11 +114,11 @@
         &self.node
     }
 
-    /// Runs until the daemon was told to shut down and has finished all its work.
+    /// Runs until a shutdown is requested and all work is finished.
     ///
-    /// For a while it still accepts requests from callers that use its address, and
-    /// forwards them. Then it closes its listener and finishes all requests in flight;
-    /// none is cancelled.
+    /// During the drain time it still accepts requests, since callers may have cached its
+    /// address. Then it closes its listener and finishes all requests in flight; none is
+    /// cancelled.
     pub async fn run(mut self) {
         let shared = self.node.shared.clone();
         let mut shutting_down = shared.shutting_down.subscribe();
--- a/crates/node/src/shared.rs
+++ b/crates/node/src/shared.rs
@@ -80,7 +80,7 @@
     pub intake_closed: watch::Sender<bool>,
     /// This daemon's lease, written by [`crate::members`].
     pub lease: Mutex<Lease>,
-    /// Members that announced their shutdown, before their rows in the table say so.
+    /// Members that announced their shutdown; their rows in the table may not say so yet.
     pub announced_shutdowns: Mutex<IndexSet<MemberId>>,
     /// Makes [`crate::members`] poll the table before its next poll is due.
     pub poll_now: Notify,
@@ -189,7 +189,7 @@
         }
         // An operator's change waits for the daemons whose rows say that they accept
         // work. If a daemon served before its row says so, its callers could get old
-        // declarations after the operator was told that the new ones are in force.
+        // declarations after the change was reported to the operator as in force.
         if !self.listed_as_serving.load(Ordering::Acquire) {
             return Err(refusal("this daemon is joining")
                 .with_retry_after(self.settings.times.renewal_interval));
--- a/crates/node/src/show_rows.rs
+++ b/crates/node/src/show_rows.rs
@@ -1,4 +1,4 @@
-//! The state that operators can show, as rows of named fields.
+//! The state that operators can query, as rows of named fields.
 
 use std::sync::Arc;
 
@@ -16,7 +16,8 @@
 use crate::shared::Shared;
 use crate::{config_sync, members};
 
-/// Up to this many other daemons are queried for their current revision.
+/// Maximum number of other daemons at which all are queried for their current revision;
+/// with more, none is.
 const MAX_QUERIED_DAEMONS: usize = 64;
 
 /// A row: its values by field name.
--- a/crates/node/src/single.rs
+++ b/crates/node/src/single.rs
@@ -19,11 +19,13 @@
 use crate::node::Node;
 use crate::relay::{self, DispatchMode};
 
+/// Frames of a run that may be buffered ahead of their receiver.
 const FRAME_BUFFER: usize = 64;
 
 /// The largest response body that is stored for retries, in bytes.
 ///
-/// Two frames between daemons; a larger body is streamed to the first caller only.
+/// Twice the largest frame between daemons; a larger body is only streamed to the caller
+/// whose request started the run.
 const MAX_RESPONSE_BYTES: usize = 8 * 1024 * 1024;
 
 /// Builds a response from its frames.
@@ -187,9 +189,9 @@
 /// Lets a non-idempotent run at a backend server outlive the daemon that requested it.
 ///
 /// If the lead of the slot dies, the frames that the lead of the server sends can't be
-/// delivered. If the call were cancelled then, a booking could be made and its response
-/// lost. Instead all frames that are sent to the returned sender are read, and the whole
-/// response is stored under the attempt.
+/// delivered. If the call were cancelled then, it could take effect, such as a booking,
+/// and its response be lost. Instead all frames that are sent to the returned sender are
+/// read, and the whole response is stored under the attempt.
 pub fn detach_run(
     node: &Arc<Node>,
     run: &AttemptRequest,
--- a/crates/node/src/slotlog.rs
+++ b/crates/node/src/slotlog.rs
@@ -1,8 +1,8 @@
 //! A slot's log in the object store, used while the table can't be written.
 //!
 //! Each position of the log is an object, written only if it does not exist. The
-//! last position is never removed, so that a former lead of the slot finds either
-//! the position that it writes to taken or a later one present.
+//! last position is never removed. A former lead that still appends therefore finds
+//! that its position or a later one exists, and knows that the append is void.
 
 use bytes::Bytes;
 use chestnut_base::{RequestId, SlotId};
@@ -15,7 +15,7 @@
 
 /// Reads the log and writes a seal to its next position.
 ///
-/// `seal_id` tells this lead's seal from those of other leads.
+/// `seal_id` distinguishes this lead's seal from those of other leads.
 pub async fn seal(
     objects: &ObjectStore,
     slot: SlotId,
@@ -94,8 +94,9 @@
     Ok((records, positions.last().map_or(0, |position| position + 1)))
 }
 
-/// Writes a position that does not exist. Also true if it already has this content,
-/// so that a write whose acknowledgement was lost can be retried.
+/// Writes a position if it does not exist; returns whether it now has this content.
+///
+/// That is also the case if an earlier write succeeded whose acknowledgement was lost.
 async fn put(
     objects: &ObjectStore,
     slot: SlotId,
@@ -126,7 +127,8 @@
     Bytes::from(json!({ "seal": seal_id, "records": records }).to_string())
 }
 
-/// Parses a position. Malformed content is an error, as it may hold started runs.
+/// Parses the records of a position. Malformed content is an error, since skipping it could
+/// lose the record of a started run.
 fn parse(bytes: &[u8]) -> Result<Vec<Record>, PlatformError> {
     let malformed = || PlatformError::Protocol("a slot's log is malformed".into());
     let value: Value = serde_json::from_slice(bytes).map_err(|_| malformed())?;
--- a/crates/node/src/slots.rs
+++ b/crates/node/src/slots.rs
@@ -130,7 +130,7 @@
         state.await.unwrap_or_else(|_| unreadable())
     }
 
-    /// The journal's state after the driver's last step.
+    /// The journal's state after the last message or tick that the driver processed.
     pub fn status(&self) -> JournalStatus {
         self.status.lock().expect("no holder of the status panics").clone()
     }
--- a/crates/node/src/tls.rs
+++ b/crates/node/src/tls.rs
@@ -27,8 +27,8 @@
 
 /// How long an idle connection between daemons stays open.
 ///
-/// Idle connections send no keep-alives, so that thousands of them cost no traffic;
-/// unresponsive peers are detected by their responses to requests.
+/// Idle connections send no keep-alives, so that thousands of them cost no traffic; an
+/// unresponsive peer is detected when the heartbeats of a response stop.
 const IDLE_TIMEOUT: Duration = Duration::from_secs(60);
 
 /// The number of streams that a peer may have open on a connection at the same time.
@@ -40,7 +40,11 @@
 
 impl Display for TlsError {
     fn fmt(&self, f: &mut Formatter<'_>) -> fmt::Result {
-        write!(f, "{}; write PEM files and name them under `tls` in the settings", self.0)
+        write!(
+            f,
+            "{}; provide PEM files and name them under `tls` in the settings",
+            self.0
+        )
     }
 }
 
@@ -60,19 +64,24 @@
     let mut roots = RootCertStore::empty();
     for cert in certs(&tls.trusted_cas)? {
         roots.add(cert).change_context_lazy(|| {
-            tls_error("holds a certificate that is no authority", &tls.trusted_cas)
+            tls_error(
+                "contains a certificate that can't be used as a CA",
+                &tls.trusted_cas,
+            )
         })?;
     }
     let roots = Arc::new(roots);
     let key = PrivateKeyDer::from_pem_file(&tls.key)
-        .change_context_lazy(|| tls_error("holds no private key", &tls.key))?;
+        .change_context_lazy(|| tls_error("contains no private key", &tls.key))?;
     let mismatch = || tls_error("does not match its key", &tls.cert);
 
     let provider = Arc::new(rustls::crypto::ring::default_provider());
     let verifier =
         WebPkiClientVerifier::builder_with_provider(roots.clone(), provider.clone())
             .build()
-            .change_context_lazy(|| tls_error("holds no authority", &tls.trusted_cas))?;
+            .change_context_lazy(|| {
+                tls_error("contains no CA certificate", &tls.trusted_cas)
+            })?;
     let mut server = rustls::ServerConfig::builder_with_provider(provider.clone())
         .with_protocol_versions(&[&rustls::version::TLS13])
         .change_context_lazy(mismatch)?
@@ -112,9 +121,9 @@
         .change_context_lazy(|| tls_error("can't be read", path))?;
     let certs: Vec<_> = items
         .collect::<Result<_, _>>()
-        .change_context_lazy(|| tls_error("holds a malformed certificate", path))?;
+        .change_context_lazy(|| tls_error("contains a malformed certificate", path))?;
     if certs.is_empty() {
-        return Err(Report::new(tls_error("holds no certificate", path)));
+        return Err(Report::new(tls_error("contains no certificate", path)));
     }
     Ok(certs)
 }
--- a/crates/node/tests/feed.rs
+++ b/crates/node/tests/feed.rs
@@ -1,4 +1,4 @@
-//! Checks that rows followed through the change feed match the table.
+//! Checks that a copy of a table built from the change feed matches the table.
 
 use std::net::SocketAddr;
 use std::time::Duration;
