--- a/crates/node/src/engine.rs
+++ b/crates/node/src/engine.rs
@@ -177,7 +177,7 @@
 ///
 /// A frozen engine keeps its connections open, so that only a probe detects it; otherwise
 /// callers would wait for their whole deadline while another runner has capacity. A busy
-/// engine responds to the probe and is waited for.
+/// engine responds to the probe, and the call continues.
 pub struct LivenessProbe<'a> {
     /// The client for backend servers.
     pub http: &'a Client,
--- a/crates/node/src/feed.rs
+++ b/crates/node/src/feed.rs
@@ -19,8 +19,8 @@
 
 /// Limit on the table reads per second by the polls of all daemons together.
 ///
-/// Half of the two thousand that the platform serves; the rest is left for daemon
-/// starts, journals and orders.
+/// Half of the 2,000 reads per second that the platform serves; the rest is left for
+/// daemon starts, journals and orders.
 pub const MAX_READS_PER_SECOND: f64 = 1000.0;
 
 /// Maximum number of changes in the buffer.
--- a/crates/node/src/lead.rs
+++ b/crates/node/src/lead.rs
@@ -424,7 +424,7 @@
     let mut grant = match admitted {
         Ok(grant) => grant,
         Err((refusal, hint)) => {
-            // Fails only if the requesting daemon is gone.
+            // Fails only if the requesting daemon has disconnected.
             drop(out.send(PeerResponse::Refused { refusal, hint }).await);
             return;
         }
--- a/crates/node/src/members/vms.rs
+++ b/crates/node/src/members/vms.rs
@@ -23,7 +23,7 @@
             return Ok(());
         }
         let list = self.shared.vms.read().await?;
-        self.check_own_vm(&list);
+        self.shut_down_if_drained(&list);
         let servers: IndexMap<ServerName, Server> =
             list.iter().filter_map(backend_server).collect();
         let mut txn = Txn::new().version(CLAIMS, ClaimKey::Vms.to_string(), version);
@@ -58,7 +58,7 @@
     }
 
     /// Starts the shutdown if the platform drains this VM.
-    fn check_own_vm(&self, list: &[VmRow]) {
+    fn shut_down_if_drained(&self, list: &[VmRow]) {
         let vm = &self.shared.settings.vm;
         if draining_entries(list).any(|draining| draining == *vm) {
             self.shared.shutting_down.send_replace(true);
--- a/crates/node/src/orders/runner.rs
+++ b/crates/node/src/orders/runner.rs
@@ -153,8 +153,8 @@
 
     /// Records a failed report; after [`MAX_FAILED_REPORTS`] the engine is marked as down.
     ///
-    /// Otherwise entries would keep sending requests to it, and other leads would drop
-    /// their replicas on account of those that this runner once held.
+    /// Otherwise entries would keep sending requests to it, and other leads would unload
+    /// their replicas, since this runner would still count as holding another one.
     async fn record_failed_report(&mut self, current: &Ledger, version: u64) {
         self.failed_reports += 1;
         if self.failed_reports >= MAX_FAILED_REPORTS && !current.down {
--- a/crates/node/src/peer.rs
+++ b/crates/node/src/peer.rs
@@ -280,7 +280,7 @@
     let (out, frames) = mpsc::channel(FRAME_BUFFER);
     let task = tokio::spawn(handler.handle(request, out));
     if write_response(&mut send, frames).await.is_none() {
-        // The requesting daemon is gone. The task is not aborted: it finds its channel
+        // The requesting daemon has disconnected. The task is not aborted: it finds its channel
         // closed and cancels the work at the backend server itself.
         drop(task);
     }
--- a/crates/node/src/pick.rs
+++ b/crates/node/src/pick.rs
@@ -38,8 +38,8 @@
 /// The expected time of a plain service's call, which its lead measures as one step.
 pub const SERVICE_STEP_TIME: Duration = Duration::from_millis(20);
 
-/// The number of picks between two removals of state about servers and daemons that are
-/// gone.
+/// The number of picks between two removals of state about servers and daemons that no
+/// longer exist.
 const PRUNE_INTERVAL: u64 = 4096;
 
 /// The backend server for an attempt, and the daemon that leads it.
@@ -209,7 +209,8 @@
 }
 
 impl PickerState {
-    /// Counts a pick and at times removes state about servers and daemons that are gone.
+    /// Counts a pick; every [`PRUNE_INTERVAL`] picks, removes state about servers and
+    /// daemons that no longer exist.
     fn record_pick(&mut self, view: &View, first_attempt: bool) {
         self.picks += 1;
         self.router.set_entry_count(view.members.len());
@@ -250,7 +251,7 @@
     }
 }
 
-/// The backend servers that can serve the request and have a known lead.
+/// The backend servers that can serve the request and have a lead.
 fn eligible_servers(
     shared: &Shared,
     view: &View,
--- a/crates/node/src/poison.rs
+++ b/crates/node/src/poison.rs
@@ -96,7 +96,7 @@
 }
 
 impl PoisonGuard {
-    /// Creates the state of a daemon that knows of no crashes.
+    /// Creates the state of a daemon that has recorded no crash yet.
     pub fn new(shared: &Shared) -> Self {
         Self {
             tracker: Mutex::default(),
@@ -110,7 +110,7 @@
 
     /// Refuses a request that is blocked because it crashed backend servers.
     ///
-    /// Entries check idempotent requests only: for the others the journal knows whether
+    /// Entries check idempotent requests only: for the others the journal records whether
     /// they ran, and [`Self::begin_dispatch`] refuses those that did not.
     pub fn check(&self, digest: Digest, now: Instant) -> Result<(), Refusal> {
         if self.lock().status(digest, now) != Some(DigestStatus::Blocked) {
--- a/crates/node/src/shared.rs
+++ b/crates/node/src/shared.rs
@@ -60,7 +60,7 @@
     pub vms: VmList,
     /// The declarations in force, written by [`crate::config_sync`].
     pub catalog: watch::Sender<Arc<Catalog>>,
-    /// The replica of the configuration's rows, and how fresh it is.
+    /// The replica of the configuration's rows, updated by [`crate::config_sync`].
     pub config_state: ConfigState,
     /// Members, servers and claims, written by [`crate::members`].
     pub view: watch::Sender<Arc<View>>,
--- a/crates/node/src/slots/driver.rs
+++ b/crates/node/src/slots/driver.rs
@@ -44,7 +44,7 @@
     node: Arc<Node>,
     journal: Journal,
     waiters: IndexMap<WaiterId, Waiter>,
-    /// The slots that this daemon holds by the current view, with the versions of
+    /// The slots that this daemon leads in the current view, with the versions of
     /// their claims.
     led_slots: IndexMap<SlotId, u64>,
     last_waiter_id: u64,
@@ -171,7 +171,7 @@
         id
     }
 
-    /// Carries out the effects that the journal asks for.
+    /// Carries out the effects that the journal requests.
     fn run_effects(&mut self) {
         while let Some(effect) = self.journal.next_effect() {
             match effect {
