--- a/crates/node/src/lead.rs
+++ b/crates/node/src/lead.rs
@@ -1,6 +1,6 @@
 //! Admission and dispatch at the backend servers that this daemon leads.
 //!
-//! The `admit` crate decides on admission; one actor, in [`actor`], owns its state. Token
+//! The `admit` crate decides on admission; one actor, in `actor`, owns its state. Token
 //! streams bypass the actor and only report their progress to it a few times a second.
 
 mod actor;
--- a/crates/node/src/members.rs
+++ b/crates/node/src/members.rs
@@ -3,9 +3,9 @@
 //! One task polls the platform's table: it renews the lease, reads changes and publishes
 //! them as a view, removes daemons whose lease expired, and updates claims.
 //!
-//! - [`tables`] reads changed rows,
-//! - [`vms`] writes the platform's [`list`] of VMs into the table,
-//! - [`claims`] takes claims and hands them over.
+//! - `tables` reads changed rows,
+//! - `vms` writes the platform's list of VMs (`list`) into the table,
+//! - `claims` takes claims and hands them over.
 
 mod claims;
 mod counters;
--- a/crates/node/src/orders.rs
+++ b/crates/node/src/orders.rs
@@ -33,7 +33,7 @@
     let engines = match EngineClient::new(shared.settings.times.platform_timeout) {
         Ok(engines) => engines,
         Err(error) => {
-            slog::error!(shared.log, "cannot create the engine client; no orders will be sent"; "error" => %error);
+            slog::error!(shared.log, "the engine client can't be created; no orders are sent until the daemon is restarted"; "error" => %error);
             return;
         }
     };
--- a/crates/node/src/planner/placement_input.rs
+++ b/crates/node/src/planner/placement_input.rs
@@ -63,8 +63,7 @@
     /// Computes the state from which `chestnut-place` plans the pool.
     ///
     /// `pending_since` records since when each replica has been planned without being
-    /// loaded. A replica whose load exceeds the limit of [`LOAD_TIME_FACTOR`] does not
-    /// count as placed.
+    /// loaded. A replica whose load takes much longer than declared does not count as placed.
     pub fn pool_state(
         &self,
         demand: &IndexMap<ModelName, DemandEstimate>,
