--- a/crates/node/src/explain.rs
+++ b/crates/node/src/explain.rs
@@ -23,13 +23,13 @@
 /// Timeout of a query to another daemon.
 const QUERY_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// The request to explain; a plain request names a service, others a model.
+/// The request to explain; it names a plain service or a model's route.
 #[derive(Debug, Default, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct ExplainQuery {
     /// The route that the caller names in `model`.
     model: Option<String>,
-    /// The service of a plain request.
+    /// The plain service that the caller calls.
     service: Option<String>,
     /// The kind that the caller names; the route's default if absent.
     kind: Option<String>,
@@ -60,7 +60,7 @@
     let view = node.shared.view();
     let mut loads = IndexMap::new();
     let mut by_lead: IndexMap<SocketAddr, Vec<String>> = IndexMap::new();
-    let own_loads = node.leads.loads();
+    let own_loads = node.led_servers.loads();
     for name in servers {
         let Ok(server) = ServerName::try_from(name.as_str()) else { continue };
         let holder = view.holder(&ClaimKey::Server(server.clone()));
@@ -170,7 +170,7 @@
     });
     let ready = servers.iter().filter(|server| server["resident"] == true).count();
     if query.model.is_some() || query.service.is_some() {
-        steps.push(format!("{ready} of {} backend servers can take it", servers.len()));
+        steps.push(format!("{ready} of {} backend servers can serve it", servers.len()));
     }
     json!({ "revision": catalog.revision, "steps": steps, "servers": servers })
 }
@@ -190,8 +190,8 @@
     model: &ModelName,
     version: &VersionName,
 ) -> Vec<String> {
-    let residence = shared.residency();
-    let runners = residence.serving(model, version, route.adapter.as_ref());
+    let residency = shared.residency();
+    let runners = residency.serving(model, version, route.adapter.as_ref());
     runners.map(ToString::to_string).collect()
 }
 
--- a/crates/node/src/feed.rs
+++ b/crates/node/src/feed.rs
@@ -3,7 +3,8 @@
 //! Every daemon watches the rows of membership, declarations, ledgers, plans and
 //! blocked request digests. If each component read its own tables, each of 2,100
 //! daemons would make about 8 reads per poll, and within [`MAX_READS_PER_SECOND`] a
-//! change would take 17 s to reach all of them. One read of all tables takes 2.1 s.
+//! change would take 17 s to reach all of them. With one read of all tables per poll it
+//! takes 2.1 s.
 //! The feed buffers recent changes; each component scans those it has not applied.
 
 use std::collections::VecDeque;
@@ -18,11 +19,11 @@
 
 /// Limit on the table reads per second by the polls of all daemons together.
 ///
-/// Half of the two thousand that the platform serves; the rest is left for daemon
-/// starts, journals and orders.
+/// Half of the 2,000 reads per second that the platform serves; the rest is left for
+/// daemon starts, journals and orders.
 pub const MAX_READS_PER_SECOND: f64 = 1000.0;
 
-/// Number of changes in the buffer.
+/// Maximum number of changes in the buffer.
 ///
 /// A component that falls further behind reads its whole table again. At full size
 /// about three changes arrive per second, so the buffer covers over half an hour.
@@ -122,7 +123,7 @@
         since: u64,
     ) -> Result<(Delta, Instant), PlatformError> {
         debug_assert!(self.tables.iter().any(|table| table == name));
-        if let Some(buffered) = self.lock().find(name, prefix, since)? {
+        if let Some(buffered) = self.lock().changes_after(name, prefix, since)? {
             return Ok(buffered);
         }
         let requested_at = clock.now();
@@ -165,7 +166,7 @@
     }
 
     /// The changes after `since`, or nothing if the log does not reach back so far.
-    fn find(
+    fn changes_after(
         &self,
         table: &str,
         prefix: &str,
--- a/crates/node/src/lead.rs
+++ b/crates/node/src/lead.rs
@@ -1,6 +1,6 @@
 //! Admission and dispatch at the backend servers that this daemon leads.
 //!
-//! The `admit` crate decides on admission; one actor, in [`actor`], owns its state. Token
+//! The `admit` crate decides on admission; one actor, in `actor`, owns its state. Token
 //! streams bypass the actor and only report their progress to it a few times a second.
 
 mod actor;
@@ -228,10 +228,10 @@
     }
 
     fn is_resident(&self, attempt: &AttemptRequest) -> bool {
-        let residence = self.shared.residency();
+        let residency = self.shared.residency();
         match &attempt.request.target {
             Target::Model { model, version, adapter } => {
-                residence.serves(&attempt.server, model, version, adapter.as_ref())
+                residency.serves(&attempt.server, model, version, adapter.as_ref())
             }
             Target::Service { .. } => true,
         }
@@ -296,7 +296,7 @@
 
 impl RequestGuard {
     fn notify(&self, event: AdmissionEvent) {
-        // The actor stops only with the daemon, which then needs no counts any more.
+        // The actor stops only with the daemon, which then no longer needs the counts.
         drop(self.actor.tell(event).try_send());
     }
 }
@@ -418,13 +418,13 @@
     let _model_in_use =
         node.shared.usage.acquire_target(&attempt.server, &attempt.request.target);
     let admitted = tokio::select! {
-        admitted = node.leads.admit(&attempt) => admitted,
+        admitted = node.led_servers.admit(&attempt) => admitted,
         () = out.closed() => return,
     };
     let mut grant = match admitted {
         Ok(grant) => grant,
         Err((refusal, hint)) => {
-            // Fails only if the requesting daemon is gone.
+            // Fails only if the requesting daemon has disconnected.
             drop(out.send(PeerResponse::Refused { refusal, hint }).await);
             return;
         }
--- a/crates/node/src/members.rs
+++ b/crates/node/src/members.rs
@@ -3,9 +3,9 @@
 //! One task polls the platform's table: it renews the lease, reads changes and publishes
 //! them as a view, removes daemons whose lease expired, and updates claims.
 //!
-//! - [`tables`] reads changed rows,
-//! - [`vms`] writes the platform's [`list`] of VMs into the table,
-//! - [`claims`] takes claims and hands them over.
+//! - `tables` reads changed rows,
+//! - `vms` writes the platform's list of VMs (`list`) into the table,
+//! - `claims` takes claims and hands them over.
 
 mod claims;
 mod counters;
@@ -33,20 +33,20 @@
 use crate::node::Node;
 use crate::shared::Shared;
 
-/// The table of daemons, current when one joins, shuts down or is removed.
+/// The table of daemons; a row changes when its daemon joins, shuts down or is removed.
 pub const MEMBERS: &str = "members";
 /// The table of leases, rewritten at each renewal; a daemon reads only those it watches.
 pub const LEASES: &str = "leases";
 /// The table of claims, which name the holder of a slot, server, pool or the VM list.
 pub const CLAIMS: &str = "claims";
-/// The table of backend servers, current by the holder of the claim on the VM list.
+/// The table of backend servers, written by the holder of the claim on the VM list.
 pub const SERVERS: &str = "servers";
 /// The table of requests to drain a VM.
 pub const DRAINS: &str = "drain";
 
-/// The number of polls without changes after which claims are planned all the same.
+/// The number of polls after which claims are planned even if no row has changed.
 ///
-/// Planning reads all claims, which takes milliseconds at thousands of runners.
+/// Planning iterates over all claims, which takes milliseconds with thousands of runners.
 const IDLE_POLL_LIMIT: u32 = 4;
 
 /// The number of other daemons that are contacted to check that they trust this one.
@@ -100,7 +100,7 @@
     /// The version up to which each table was read.
     read_versions: IndexMap<&'static str, u64>,
     /// The table's clock at the last read, in milliseconds.
-    store_time_ms: u64,
+    table_time_ms: u64,
     /// Whether this daemon is a member, by its last renewal.
     joined: bool,
     /// Whether another daemon has responded to this one, or there is no other.
@@ -117,7 +117,9 @@
     needs_planning: bool,
     /// Polls since the claims were planned last.
     idle_polls: u32,
+    /// When the lease is due for renewal.
     renew_at: std::time::Instant,
+    /// Whether the last poll succeeded.
     table_reachable: bool,
     counters: Counters,
 }
@@ -132,7 +134,7 @@
             rows: MembershipRows::default(),
             leases: IndexMap::new(),
             read_versions: IndexMap::new(),
-            store_time_ms: 0,
+            table_time_ms: 0,
             joined: false,
             trusted: false,
             trust_check_failed: false,
@@ -147,21 +149,21 @@
 
     /// The time to the next poll, jittered so that daemons don't poll in step.
     ///
-    /// After an outage of the table all daemons return within one such interval, at
-    /// their usual poll rate, so that recovery causes no thundering herd.
+    /// Daemons poll at this interval during an outage of the table too: all of them
+    /// resume within one interval, and the recovery causes no thundering herd.
     fn poll_interval(&self) -> Duration {
         let poll = self.shared.settings.times.poll_interval;
         let interval = ChangeFeed::poll_interval(poll, self.rows.members.len());
         interval.mul_f64(rand::random_range(0.75..1.25))
     }
 
-    /// Whether this daemon has read members and residency, and another daemon, if there
-    /// is one, responds to it.
+    /// Whether another daemon, if there is one, responds to this one; false until this
+    /// daemon has read members and residency.
     async fn check_trust(&mut self, node: &Node) -> bool {
         if !self.joined || !self.shared.has_read_residency() {
             return false;
         }
-        let mut others = others(&self.shared);
+        let mut others = other_members(&self.shared);
         if others.is_empty() {
             return true;
         }
@@ -199,8 +201,8 @@
     }
 
     async fn poll_table(&mut self) -> Result<(), PlatformError> {
-        self.renew().await?;
-        self.read_all().await?;
+        self.renew_lease().await?;
+        self.read_tables().await?;
         self.publish();
         self.remove_expired().await?;
         self.sync_vms().await?;
@@ -211,7 +213,7 @@
 
     /// Renews the lease when it is due, and writes this daemon's row if it is missing or
     /// outdated.
-    async fn renew(&mut self) -> Result<(), PlatformError> {
+    async fn renew_lease(&mut self) -> Result<(), PlatformError> {
         let now = self.shared.clock.now();
         let leaving = self.shared.is_shutting_down() || !self.trusted;
         let own = self.rows.own_row(&self.shared.settings.vm, self.shared.me);
@@ -264,7 +266,7 @@
     /// Removes the rows of watched daemons whose lease expired.
     async fn remove_expired(&mut self) -> Result<(), PlatformError> {
         let term = self.shared.settings.times.lease_duration;
-        for vm in expired(&self.rows, &self.leases, self.store_time_ms, term) {
+        for vm in expired(&self.rows, &self.leases, self.table_time_ms, term) {
             let Some((_, version)) = self.rows.members.get(&vm) else {
                 continue;
             };
@@ -325,8 +327,8 @@
     shared.table.commit(&txn).await.map(drop)
 }
 
-/// The other members and their addresses for daemons.
-pub fn others(shared: &Shared) -> Vec<(MemberId, SocketAddr)> {
+/// The other members and the addresses at which they accept other daemons.
+pub fn other_members(shared: &Shared) -> Vec<(MemberId, SocketAddr)> {
     let view = shared.view();
     let others = view.members.iter().filter(|(id, _)| **id != shared.me);
     others.map(|(id, member)| (*id, member.peer_addr)).collect()
--- a/crates/node/src/orders/runner.rs
+++ b/crates/node/src/orders/runner.rs
@@ -27,7 +27,8 @@
 /// Number of failed reports in a row after which the engine is marked as down.
 const MAX_FAILED_REPORTS: u32 = 3;
 
-/// How long to wait for streams that an earlier lead may have started.
+/// How long streams that an earlier lead started may still run; until then an asset on a
+/// busy engine is not unloaded.
 const MAX_STREAM_TIME: Duration = Duration::from_secs(120);
 
 /// Drives one runner towards its plan while this daemon leads it.
@@ -42,7 +43,7 @@
     /// The committed row with its version, 0 if the table has none; absent while it
     /// has to be read again.
     row: Option<(Ledger, u64)>,
-    /// Whether there was no lead before, so that this daemon counts all streams.
+    /// Whether the runner had no lead before, so that all its streams are counted here.
     is_first_lead: bool,
     /// The number of the last order that earlier leads may have sent.
     last_earlier_order: u64,
@@ -58,12 +59,12 @@
 struct CopyCount {
     sent: u32,
     /// Copies that can't arrive any more: the engine responded or nothing was sent.
-    settled: u32,
+    resolved: u32,
 }
 
 #[derive(Debug, Clone, Copy)]
 struct ResendBackoff {
-    next: Instant,
+    next_send_at: Instant,
     delay: Duration,
 }
 
@@ -152,8 +153,8 @@
 
     /// Records a failed report; after [`MAX_FAILED_REPORTS`] the engine is marked as down.
     ///
-    /// Otherwise entries would keep sending requests to it, and other leads would drop
-    /// their replicas on account of those that this runner once held.
+    /// Otherwise entries would keep sending requests to it, and other leads would unload
+    /// their replicas, since this runner would still count as holding another one.
     async fn record_failed_report(&mut self, current: &Ledger, version: u64) {
         self.failed_reports += 1;
         if self.failed_reports >= MAX_FAILED_REPORTS && !current.down {
@@ -261,7 +262,7 @@
             })
             .filter(|load| {
                 let count = self.copies.get(&load.order).copied().unwrap_or_default();
-                count.sent == count.settled
+                count.sent == count.resolved
             })
             .map(|load| load.order)
             .collect()
@@ -351,23 +352,25 @@
         let now = self.shared.clock.now();
         let backoff = self.backoffs.get(&order.asset).copied();
         let delay = match backoff {
-            Some(backoff) if now < backoff.next => return false,
+            Some(backoff) if now < backoff.next_send_at => return false,
             Some(backoff) => (backoff.delay * 2).min(MAX_RESEND_DELAY),
             None => INITIAL_RESEND_DELAY,
         };
-        self.backoffs
-            .insert(order.asset.clone(), ResendBackoff { next: now + delay, delay });
+        self.backoffs.insert(
+            order.asset.clone(),
+            ResendBackoff { next_send_at: now + delay, delay },
+        );
         true
     }
 
     async fn send(&mut self, server: &Server, order: &Order) {
         // Counted before it is sent: if this task is aborted meanwhile, the copy must
-        // not count as settled.
+        // not count as resolved.
         self.copies.entry(order.id).or_default().sent += 1;
         let outcome =
             self.engines.send_order(server.address, order, self.claim.fence).await;
         if outcome != SendOutcome::Unknown {
-            self.copies.entry(order.id).or_default().settled += 1;
+            self.copies.entry(order.id).or_default().resolved += 1;
         }
         let answer = match outcome {
             SendOutcome::Responded(status) if status.is_success() => "taken",
--- a/crates/node/src/peer.rs
+++ b/crates/node/src/peer.rs
@@ -22,7 +22,7 @@
 
 /// How long a responding daemon may send nothing before its response counts as lost.
 ///
-/// Three heartbeats; a shorter timeout would take a busy VM for a crashed one.
+/// Three heartbeat intervals; with a shorter timeout a busy VM would count as crashed.
 pub const FAILURE_DETECTION_TIMEOUT: Duration = Duration::from_millis(1500);
 
 /// The longest time between two frames of a daemon that is responding.
@@ -33,7 +33,9 @@
 /// Daemons are a few milliseconds apart; two lost packets delay a handshake by under 1 s.
 const CONNECT_TIMEOUT: Duration = Duration::from_secs(1);
 
+/// The maximum number of bytes that are read from a stream at a time.
 const READ_CHUNK_BYTES: usize = 16 * 1024;
+
 /// Frames of a response that may be buffered ahead of the connection.
 const FRAME_BUFFER: usize = 64;
 
@@ -155,7 +157,7 @@
         }
     }
 
-    /// Closes the connection to a daemon that counts as lost.
+    /// Closes the connection to a daemon whose response was lost.
     ///
     /// A daemon that was restarted under the same address can't be reached on the old
     /// connection; the next request opens a new one.
@@ -171,22 +173,23 @@
         if let Some(conn) = existing.filter(|conn| conn.close_reason().is_none()) {
             return Ok(conn);
         }
-        let fail = |reason: String| PeerError::NotSent(reason);
+        let not_sent = |reason: String| PeerError::NotSent(reason);
         let connecting = self
             .endpoint
             .connect(addr, PEER_NAME)
-            .map_err(|error| fail(error.to_string()))?;
+            .map_err(|error| not_sent(error.to_string()))?;
         let conn = timeout(CONNECT_TIMEOUT, connecting)
             .await
-            .map_err(|_| fail("the handshake timed out".into()))?
-            .map_err(|error| fail(error.to_string()))?;
+            .map_err(|_| not_sent("the handshake timed out".into()))?
+            .map_err(|error| not_sent(error.to_string()))?;
         self.lock().insert(addr, conn.clone());
         Ok(conn)
     }
 
     fn drop_connection(&self, addr: SocketAddr, conn: &Connection) {
         let mut open = self.lock();
-        if open.get(&addr).is_some_and(|now| now.stable_id() == conn.stable_id()) {
+        if open.get(&addr).is_some_and(|current| current.stable_id() == conn.stable_id())
+        {
             open.swap_remove(&addr);
         }
     }
@@ -277,7 +280,7 @@
     let (out, frames) = mpsc::channel(FRAME_BUFFER);
     let task = tokio::spawn(handler.handle(request, out));
     if write_response(&mut send, frames).await.is_none() {
-        // The requesting daemon is gone. The task is not aborted: it finds its channel
+        // The requesting daemon has disconnected. The task is not aborted: it finds its channel
         // closed and cancels the work at the backend server itself.
         drop(task);
     }
--- a/crates/node/src/poison.rs
+++ b/crates/node/src/poison.rs
@@ -48,13 +48,13 @@
 
 /// How long a new connection must stay open to show that the server is alive.
 ///
-/// Some hundred times what a dying process takes to close its port, and short compared
-/// to the retry that waits for it. No server closes an idle connection so soon.
+/// Some hundred times as long as a dying process takes to close its port, and short
+/// compared to the retry that it delays. No server closes an idle connection so soon.
 const LIVENESS_WINDOW: Duration = Duration::from_millis(200);
 
 /// The timeout for notifying the other daemons of a crash.
 ///
-/// They are a few milliseconds apart; a frozen daemon must not delay the retries of
+/// Daemons are a few milliseconds apart; a frozen one must not delay the retries of
 /// requests that were in flight at the crash.
 const NOTIFY_TIMEOUT: Duration = Duration::from_millis(250);
 
@@ -96,7 +96,7 @@
 }
 
 impl PoisonGuard {
-    /// Creates the state of a daemon that knows of no crashes.
+    /// Creates the state of a daemon that has recorded no crash yet.
     pub fn new(shared: &Shared) -> Self {
         Self {
             tracker: Mutex::default(),
@@ -110,7 +110,7 @@
 
     /// Refuses a request that is blocked because it crashed backend servers.
     ///
-    /// Entries check idempotent requests only: for the others the journal knows whether
+    /// Entries check idempotent requests only: for the others the journal records whether
     /// they ran, and [`Self::begin_dispatch`] refuses those that did not.
     pub fn check(&self, digest: Digest, now: Instant) -> Result<(), Refusal> {
         if self.lock().status(digest, now) != Some(DigestStatus::Blocked) {
@@ -312,7 +312,7 @@
 
 /// Notifies the other daemons of suspects, before the crash is reported to callers.
 async fn notify_daemons(node: &Node, changes: &[StatusChange]) {
-    let others = members::others(&node.shared);
+    let others = members::other_members(&node.shared);
     if others.len() > MAX_NOTIFIED_DAEMONS {
         return;
     }
@@ -356,7 +356,7 @@
     let now = shared.clock.now();
     let mut removals = Txn::new();
     for row in &delta.rows {
-        let Some((digest, status)) = parse(&row.key) else { continue };
+        let Some((digest, status)) = parse_key(&row.key) else { continue };
         let duration = match status {
             DigestStatus::Suspect => SUSPECT_DURATION,
             DigestStatus::Blocked => BLOCK_DURATION,
@@ -369,7 +369,7 @@
         }
     }
     for key in &delta.deleted {
-        if let Some((digest, status)) = parse(key) {
+        if let Some((digest, status)) = parse_key(key) {
             let mut tracker = node.poison.lock();
             if tracker.status(digest, now) == Some(status) {
                 tracker.apply(StatusChange { digest, status: None }, now);
@@ -408,7 +408,7 @@
     Ok(())
 }
 
-fn parse(key: &str) -> Option<(Digest, DigestStatus)> {
+fn parse_key(key: &str) -> Option<(Digest, DigestStatus)> {
     let (text, status) = match key.strip_prefix(SUSPECT_PREFIX) {
         Some(text) => (text, DigestStatus::Suspect),
         None => (key, DigestStatus::Blocked),
--- a/crates/node/src/shared.rs
+++ b/crates/node/src/shared.rs
@@ -60,8 +60,8 @@
     pub vms: VmList,
     /// The declarations in force, written by [`crate::config_sync`].
     pub catalog: watch::Sender<Arc<Catalog>>,
-    /// The replica of the configuration's rows, and how fresh it is.
-    pub conf: ConfigState,
+    /// The replica of the configuration's rows, updated by [`crate::config_sync`].
+    pub config_state: ConfigState,
     /// Members, servers and claims, written by [`crate::members`].
     pub view: watch::Sender<Arc<View>>,
     /// The models and adapters resident at each runner, written by [`crate::orders`].
@@ -80,7 +80,7 @@
     pub intake_closed: watch::Sender<bool>,
     /// This daemon's lease, written by [`crate::members`].
     pub lease: Mutex<Lease>,
-    /// Members that announced their shutdown, before their rows in the table say so.
+    /// Members that announced their shutdown; their rows in the table may not say so yet.
     pub announced_shutdowns: Mutex<IndexSet<MemberId>>,
     /// Makes [`crate::members`] poll the table before its next poll is due.
     pub poll_now: Notify,
@@ -104,7 +104,7 @@
     ) -> Self {
         let term = settings.times.lease_duration;
         let metrics = Metrics::new();
-        let conf = ConfigState::new(&metrics);
+        let config_state = ConfigState::new(&metrics);
         Self {
             settings,
             clock,
@@ -116,7 +116,7 @@
             objects,
             vms,
             catalog: watch::Sender::new(Arc::default()),
-            conf,
+            config_state,
             view: watch::Sender::new(Arc::default()),
             residency: watch::Sender::new(Arc::default()),
             rows: watch::Sender::new(Arc::default()),
@@ -189,7 +189,7 @@
         }
         // An operator's change waits for the daemons whose rows say that they accept
         // work. If a daemon served before its row says so, its callers could get old
-        // declarations after the operator was told that the new ones are in force.
+        // declarations after the change was reported to the operator as in force.
         if !self.listed_as_serving.load(Ordering::Acquire) {
             return Err(refusal("this daemon is joining")
                 .with_retry_after(self.settings.times.renewal_interval));
