--- a/crates/config/src/apply.rs
+++ b/crates/config/src/apply.rs
@@ -3,8 +3,8 @@
 //! Operators of independent teams send up to 19,000 changes a day, at any time and
 //! through any daemon, and retry a change if the response was lost. Without the
 //! rules below a retry would be applied twice, a slower operator would undo the
-//! work of a faster one, or an operator would be told "refused" of a change that
-//! takes effect later.
+//! work of a faster one, or a change that was reported as refused would take effect
+//! later.
 //!
 //! - A change edits files relative to the revision that its author saw. If another
 //!   change has edited one of them since, it is refused and the other author is
@@ -28,7 +28,7 @@
 
 /// Attempts before a change is left undecided.
 ///
-/// An attempt fails only if another change was accepted during it, so 24 attempts
+/// An attempt conflicts only if another change was accepted during it, so 24 attempts
 /// let 24 operators send changes at the same moment and all succeed. At 19,000
 /// changes a day and 50 ms per attempt the mean number of concurrent changes is
 /// 0.01.
@@ -127,7 +127,7 @@
         Step::Read
     }
 
-    /// The next step after the result of the last one.
+    /// Handles the result of the last step and returns the next one.
     pub fn handle(&mut self, event: Event) -> Step {
         match event {
             Event::Read(snapshot) => self.decide(*snapshot),
--- a/crates/config/src/catalog.rs
+++ b/crates/config/src/catalog.rs
@@ -47,7 +47,7 @@
     pub memory_bytes: u64,
     /// Accelerators of one runner.
     pub accelerators: u32,
-    /// Requests that one runner runs in a batch.
+    /// The maximum number of requests that one runner runs in a batch.
     #[serde(rename = "streams")]
     pub max_streams: u32,
     /// Capacity of one runner's KV cache, in tokens.
@@ -59,11 +59,11 @@
     pub step_time: Duration,
     /// Whether the engines refuse orders with an outdated fence.
     pub fenced: bool,
-    /// Concurrent loads that the weight store serves at full speed.
+    /// The maximum number of concurrent loads that the weight store serves at full speed.
     pub parallel_loads: u32,
-    /// Loads that the weight store can start per second.
+    /// The maximum number of loads that the weight store can start per second.
     pub load_rate: f64,
-    /// The planner's weight of one percent of attainment.
+    /// The planner's weight of serving one more percent of a runner's throughput in time.
     pub attainment_weight: f64,
     /// The planner's weight of the cost of a move.
     pub move_weight: f64,
@@ -108,7 +108,7 @@
 pub struct Service {
     /// The team that declared it.
     pub team: TeamName,
-    /// Requests that one server runs at the same time.
+    /// The maximum number of requests that one server runs at the same time.
     #[serde(rename = "parallel")]
     pub max_parallel: u32,
     /// The kind of requests that name none.
@@ -144,7 +144,7 @@
     pub share: u32,
 }
 
-/// The target of a name in a request's `model`.
+/// The target of a name that callers send in a request's `model` field.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct Route {
     /// The team that declared it.
--- a/crates/config/src/change.rs
+++ b/crates/config/src/change.rs
@@ -67,13 +67,13 @@
     Conflict {
         /// The author of the refused change.
         author: String,
-        /// The changes of those files.
+        /// The accepted changes of those files since the author's revision.
         others: Vec<RelatedChange>,
     },
     /// The author's revision does not exist yet.
     ///
-    /// No change of others would be newer than it, so none would conflict and all
-    /// would be overwritten.
+    /// No accepted change is newer than it, so the conflict check would find none and
+    /// the change would overwrite them all.
     #[serde(rename = "ahead")]
     UnknownBase {
         /// The author's revision.
@@ -88,7 +88,7 @@
     },
 }
 
-/// An accepted change that another change conflicts with.
+/// An accepted change that is named in the refusal of another one.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct RelatedChange {
     /// The file that it wrote, with its team.
@@ -103,6 +103,8 @@
 
 impl Change {
     /// Checks the sizes and names in the change, without the current files.
+    ///
+    /// Fails with a message for the operator.
     pub fn validate(&self) -> Result<(), String> {
         let is_allowed = |c: char| c.is_ascii_alphanumeric() || "-_.".contains(c);
         if self.id.is_empty()
@@ -115,7 +117,9 @@
             ));
         }
         if self.author.is_empty() || self.author.len() > MAX_NOTE_BYTES {
-            return Err("the author is missing or too long; name yourself".into());
+            return Err(format!(
+                "the author is missing or too long; use 1 to {MAX_NOTE_BYTES} bytes"
+            ));
         }
         if self.note.len() > MAX_NOTE_BYTES {
             return Err(format!(
@@ -131,7 +135,8 @@
                 || !file.chars().all(is_allowed)
             {
                 return Err(format!(
-                    "the file name {file:?} is invalid; use letters, digits, `-`, `_`, `.`"
+                    "the file name {file:?} is invalid; use 1 to {MAX_ID_BYTES} letters, \
+                     digits, `-`, `_` and `.`"
                 ));
             }
             if text.as_ref().is_some_and(|text| text.len() > MAX_FILE_BYTES) {
@@ -159,8 +164,10 @@
 
     /// Applies the change to the current files and returns the new declarations.
     ///
-    /// The changing team is read last, so that conflicts between two teams are
-    /// located in its files.
+    /// `runners` holds the number of runners of each pool for which it is known, and
+    /// `next` is the revision that the change would create. The team that requests
+    /// the change is parsed last, so that conflicts between two teams are located in
+    /// its files.
     pub fn evaluate(
         &self,
         files: &Files,
@@ -186,7 +193,7 @@
         match merged {
             Ok(merged) => Ok(merged.catalog),
             Err(problems) => {
-                let others = self.changes_behind(&problems, files);
+                let others = self.changes_of_affected_files(&problems, files);
                 Err(RefusalReason::Invalid { problems, others })
             }
         }
@@ -203,7 +210,11 @@
     }
 
     /// The changes that last wrote the files with problems, except the edited ones.
-    fn changes_behind(&self, problems: &Problems, files: &Files) -> Vec<RelatedChange> {
+    fn changes_of_affected_files(
+        &self,
+        problems: &Problems,
+        files: &Files,
+    ) -> Vec<RelatedChange> {
         let locations =
             problems.0.iter().flat_map(|it| [Some(&it.location), it.related.as_ref()]);
         let affected_files: IndexSet<&str> =
--- a/crates/config/src/declarations.rs
+++ b/crates/config/src/declarations.rs
@@ -58,15 +58,16 @@
     pub routes: Vec<(String, Located<Route>)>,
     /// The types and names of invalid declarations.
     ///
-    /// References to them are not reported as undeclared in addition.
+    /// References to them are not reported as undeclared, since the declarations
+    /// themselves already are reported.
     pub invalid: IndexSet<(&'static str, String)>,
 }
 
 impl TeamDeclarations {
     /// Reads and checks all files of a team.
-    pub fn parse(team: &TeamName, text: &TeamFiles, problems: &mut Problems) -> Self {
+    pub fn parse(team: &TeamName, files: &TeamFiles, problems: &mut Problems) -> Self {
         let mut declarations = Self::default();
-        for (file, text) in &text.files {
+        for (file, text) in &files.files {
             let file = format!("{team}/{file}");
             read_object(&file, text, problems, |fields| {
                 declarations.read(team, fields);
--- a/crates/config/src/history.rs
+++ b/crates/config/src/history.rs
@@ -5,14 +5,14 @@
 use crate::declarations::TeamFiles;
 use crate::rows::HistoryEntry;
 
-/// The greatest number of revisions that a rollback goes back.
+/// The maximum number of revisions between the newest one and a rollback's target.
 ///
 /// They are read in blocks of 100, so a rollback costs at most 100 reads.
 pub const MAX_ROLLBACK_REVISIONS: u64 = 10_000;
 
-/// Restores a team's files as they were at revision `to`.
+/// Restores a team's files as they were at revision `to` from its current `files`.
 ///
-/// `entries` are the revisions of all teams after `to`, newest first.
+/// `entries` holds at least the revisions of all teams after `to`, newest first.
 pub fn roll_back<'a>(
     team: &TeamName,
     mut files: TeamFiles,
--- a/crates/config/src/lib.rs
+++ b/crates/config/src/lib.rs
@@ -9,7 +9,7 @@
 //! - [`change`] is an operator's request for a change, [`plan`] its expected
 //!   effect. [`apply`] carries it out as a transaction on the [`rows`] of the
 //!   platform's table; [`history`] restores earlier files.
-//! - [`replica`] is a daemon's copy of the files and whether it is fresh.
+//! - [`replica`] is a daemon's copy of the files and tracks whether it is fresh.
 
 pub mod apply;
 pub mod catalog;
--- a/crates/config/src/merge.rs
+++ b/crates/config/src/merge.rs
@@ -40,8 +40,8 @@
     ) -> Result<Self, Problems> {
         let mut problems = Problems::default();
         let mut all = TeamDeclarations::default();
-        for (name, text) in teams {
-            let team = TeamDeclarations::parse(name, text, &mut problems);
+        for (name, files) in teams {
+            let team = TeamDeclarations::parse(name, files, &mut problems);
             all.pools.extend(team.pools);
             all.models.extend(team.models);
             all.adapters.extend(team.adapters);
@@ -60,36 +60,43 @@
         let callers = index_by_name("caller", all.callers, &mut problems);
         let routes = index_by_name("route", all.routes, &mut problems);
 
-        for it in models.values() {
-            check_reference(it, "pool", &it.value.pool, &pools, invalid, &mut problems);
-            if let Some(pool) = pools.get(&it.value.pool)
-                && it.value.memory_bytes > pool.value.memory_bytes
+        for model in models.values() {
+            check_reference(
+                model,
+                "pool",
+                &model.value.pool,
+                &pools,
+                invalid,
+                &mut problems,
+            );
+            if let Some(pool) = pools.get(&model.value.pool)
+                && model.value.memory_bytes > pool.value.memory_bytes
             {
                 let message = format!(
                     "the model needs {} bytes and a runner of pool `{}` has {}",
-                    it.value.memory_bytes, it.value.pool, pool.value.memory_bytes
+                    model.value.memory_bytes, model.value.pool, pool.value.memory_bytes
                 );
                 let remedy = "choose a pool of larger runners";
                 problems.add_conflict(
-                    it.location.clone(),
+                    model.location.clone(),
                     pool.location.clone(),
                     message,
                     remedy,
                 );
             }
         }
-        for it in adapters.values() {
+        for adapter in adapters.values() {
             check_reference(
-                it,
+                adapter,
                 "model",
-                &it.value.model,
+                &adapter.value.model,
                 &models,
                 invalid,
                 &mut problems,
             );
-            if let Some(model) = models.get(&it.value.model)
+            if let Some(model) = models.get(&adapter.value.model)
                 && let Some(pool) = pools.get(&model.value.pool)
-                && it.value.memory_bytes.saturating_add(model.value.memory_bytes)
+                && adapter.value.memory_bytes.saturating_add(model.value.memory_bytes)
                     > pool.value.memory_bytes
             {
                 let message = format!(
@@ -98,24 +105,25 @@
                 );
                 let remedy = "choose a smaller adapter";
                 problems.add_conflict(
-                    it.location.clone(),
+                    adapter.location.clone(),
                     model.location.clone(),
                     message,
                     remedy,
                 );
             }
         }
-        for it in services.values() {
-            if let Some(kind) = &it.value.default_kind {
-                check_reference(it, "kind", kind, &kinds, invalid, &mut problems);
+        for service in services.values() {
+            if let Some(kind) = &service.value.default_kind {
+                check_reference(service, "kind", kind, &kinds, invalid, &mut problems);
             }
         }
         let mut key_locations: IndexMap<&str, &Location> = IndexMap::new();
-        for it in callers.values() {
-            if let Some(first) = key_locations.insert(&it.value.key_sha256, &it.location)
+        for caller in callers.values() {
+            if let Some(first) =
+                key_locations.insert(&caller.value.key_sha256, &caller.location)
             {
                 let message = format!("the key is that of another caller ({first})");
-                let location = it.references["key_sha256"].clone();
+                let location = caller.references["key_sha256"].clone();
                 problems.add_conflict(
                     location,
                     first.clone(),
@@ -124,25 +132,25 @@
                 );
             }
         }
-        for it in routes.values() {
+        for route in routes.values() {
             check_reference(
-                it,
+                route,
                 "model",
-                &it.value.model,
+                &route.value.model,
                 &models,
                 invalid,
                 &mut problems,
             );
-            if let Some(kind) = &it.value.default_kind {
-                check_reference(it, "kind", kind, &kinds, invalid, &mut problems);
+            if let Some(kind) = &route.value.default_kind {
+                check_reference(route, "kind", kind, &kinds, invalid, &mut problems);
             }
-            let Some(name) = &it.value.adapter else { continue };
-            check_reference(it, "adapter", name, &adapters, invalid, &mut problems);
+            let Some(name) = &route.value.adapter else { continue };
+            check_reference(route, "adapter", name, &adapters, invalid, &mut problems);
             if let Some(adapter) = adapters.get(name)
-                && adapter.value.model != it.value.model
+                && adapter.value.model != route.value.model
             {
                 let message = format!("the adapter belongs to `{}`", adapter.value.model);
-                let location = it.references["adapter"].clone();
+                let location = route.references["adapter"].clone();
                 problems.add_conflict(
                     location,
                     adapter.location.clone(),
@@ -241,16 +249,22 @@
         if unplaced.is_empty() { Ok(()) } else { Err(unplaced) }
     }
 
-    /// The sizes of the replicas of a model that are needed to hold its adapters.
-    fn replica_sizes(&self, name: &ModelName, bytes: u64, memory: u64) -> Vec<u64> {
-        let mut sizes = vec![bytes];
+    /// The sizes, in bytes, of the replicas that a model needs to hold all its adapters
+    /// on runners with `runner_bytes` of memory.
+    fn replica_sizes(
+        &self,
+        name: &ModelName,
+        model_bytes: u64,
+        runner_bytes: u64,
+    ) -> Vec<u64> {
+        let mut sizes = vec![model_bytes];
         for adapter in self.adapters.values().filter(|it| it.model == *name) {
             let replica = sizes
                 .iter_mut()
-                .find(|it| it.saturating_add(adapter.memory_bytes) <= memory);
+                .find(|size| size.saturating_add(adapter.memory_bytes) <= runner_bytes);
             match replica {
                 Some(size) => *size += adapter.memory_bytes,
-                None => sizes.push(bytes.saturating_add(adapter.memory_bytes)),
+                None => sizes.push(model_bytes.saturating_add(adapter.memory_bytes)),
             }
         }
         sizes
--- a/crates/config/src/plan.rs
+++ b/crates/config/src/plan.rs
@@ -153,7 +153,7 @@
 }
 
 fn changed_fields<T: Serialize>(old: &T, new: &T) -> IndexMap<String, (Value, Value)> {
-    let (old, new) = (object(old), object(new));
+    let (old, new) = (to_object(old), to_object(new));
     let mut differences = IndexMap::new();
     for (field, value) in new {
         let old_value = old.get(&field).cloned().unwrap_or_default();
@@ -164,7 +164,7 @@
     differences
 }
 
-fn object<T: Serialize>(item: &T) -> serde_json::Map<String, Value> {
+fn to_object<T: Serialize>(item: &T) -> serde_json::Map<String, Value> {
     match serde_json::to_value(item) {
         Ok(Value::Object(map)) => map,
         _ => serde_json::Map::new(),
--- a/crates/config/src/problem.rs
+++ b/crates/config/src/problem.rs
@@ -1,4 +1,4 @@
-//! Problems in the text of settings and declarations: where, what and the remedy.
+//! Problems in the text of settings and declarations, with locations and remedies.
 
 use std::fmt::{self, Display, Formatter};
 use std::sync::Arc;
@@ -9,7 +9,7 @@
 /// A position in a file.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Location {
-    /// The file's name, for declarations preceded by the team's.
+    /// The file's name, for declarations with the team, as `TEAM/FILE`.
     pub file: Arc<str>,
     /// The line, counted from 1.
     pub line: usize,
@@ -19,8 +19,8 @@
     pub field: String,
 }
 
-/// The offsets of the lines of a text, which make finding a location a binary
-/// search.
+/// The byte offsets at which the lines of a text start, for finding the line of an
+/// offset by binary search.
 #[derive(Debug, Clone)]
 pub struct LineIndex<'a> {
     text: &'a str,
@@ -136,26 +136,27 @@
 
 impl std::error::Error for Problems {}
 
-/// The longest word that is compared with others.
+/// The maximum length of a word that is compared with others, in characters.
 const MAX_WORD_CHARS: usize = 100;
 
-/// The known word with the least edit distance to `word`, if one is close enough.
+/// The candidate with the least edit distance to `word`, if one is close enough.
 pub fn closest_match<'a>(
     word: &str,
-    known: impl IntoIterator<Item = &'a str>,
+    candidates: impl IntoIterator<Item = &'a str>,
 ) -> Option<&'a str> {
     let length = word.chars().count();
-    // The cost is the product of the two lengths, and no name is this long.
+    // The time to compare two words grows with the product of their lengths, and no
+    // valid name is this long.
     if length > MAX_WORD_CHARS {
         return None;
     }
     let limit = if length < 2 { 0 } else { (length / 3).clamp(1, 4) };
-    known
+    candidates
         .into_iter()
-        .map(|other| (edit_distance(word, other), other))
+        .map(|candidate| (edit_distance(word, candidate), candidate))
         .filter(|(distance, _)| *distance <= limit)
         .min_by_key(|(distance, _)| *distance)
-        .map(|(_, other)| other)
+        .map(|(_, candidate)| candidate)
 }
 
 /// The edit distance between two words, in inserted, removed, replaced and
--- a/crates/config/src/reader.rs
+++ b/crates/config/src/reader.rs
@@ -29,7 +29,7 @@
 
 /// Reads a file that consists of one object.
 ///
-/// Fields that `read` does not ask for are reported as unknown.
+/// Fields that `read` leaves unread are reported as unknown.
 pub fn read_object<T>(
     file: &str,
     text: &str,
@@ -38,7 +38,7 @@
 ) -> Option<T> {
     let file: Arc<str> = file.into();
     let lines = LineIndex::new(text);
-    let source = SourceText { file: &file, lines: &lines };
+    let source = SourceFile { file: &file, lines: &lines };
     let value = match parse_to_ast(text, &CollectOptions::default(), &OPTIONS) {
         Ok(result) => result.value,
         Err(error) => {
@@ -59,14 +59,14 @@
     result
 }
 
-/// The file in which locations are given.
+/// The file that is read, for computing locations.
 #[derive(Clone, Copy)]
-struct SourceText<'a> {
+struct SourceFile<'a> {
     file: &'a Arc<str>,
     lines: &'a LineIndex<'a>,
 }
 
-impl SourceText<'_> {
+impl SourceFile<'_> {
     fn location(self, byte: usize, field: String) -> Location {
         self.lines.location(self.file, byte, field)
     }
@@ -74,18 +74,20 @@
 
 /// The fields of one object, each of which is read at most once.
 pub struct Fields<'a> {
-    source: SourceText<'a>,
+    source: SourceFile<'a>,
     path: String,
+    /// The byte offset of the object.
     start: usize,
     unread: IndexMap<&'a str, &'a ObjectProp<'a>>,
-    /// The byte offsets of the fields that were read; of absent ones the object's.
+    /// The byte offsets of the fields that were requested; for an absent field, that
+    /// of the object.
     offsets: IndexMap<&'static str, usize>,
     problems: &'a mut Problems,
 }
 
 impl<'a> Fields<'a> {
     fn from_value(
-        source: SourceText<'a>,
+        source: SourceFile<'a>,
         path: String,
         value: &'a Value<'a>,
         problems: &'a mut Problems,
@@ -154,8 +156,8 @@
     where
         U: for<'de> DeserializeAs<'de, T>,
     {
-        match self.take(name) {
-            Some(prop) => self.value::<T, U>(name, prop, expected),
+        match self.take_field(name) {
+            Some(prop) => self.deserialize_value::<T, U>(name, prop, expected),
             None => {
                 self.add_problem(
                     name,
@@ -182,8 +184,10 @@
     where
         U: for<'de> DeserializeAs<'de, T>,
     {
-        match self.take(name) {
-            Some(prop) => self.value::<T, U>(name, prop, expected).unwrap_or(default),
+        match self.take_field(name) {
+            Some(prop) => {
+                self.deserialize_value::<T, U>(name, prop, expected).unwrap_or(default)
+            }
             None => default,
         }
     }
@@ -194,7 +198,7 @@
         name: &'static str,
         read: impl FnOnce(&mut Fields<'_>) -> Option<T>,
     ) -> Option<T> {
-        let prop = self.take(name)?;
+        let prop = self.take_field(name)?;
         let path = join(&self.path, name);
         let mut fields =
             Fields::from_value(self.source, path, &prop.value, self.problems)?;
@@ -211,7 +215,7 @@
         name: &'static str,
         mut read: impl FnMut(&str, Location, &mut Fields<'_>),
     ) {
-        let Some(prop) = self.take(name) else { return };
+        let Some(prop) = self.take_field(name) else { return };
         let path = join(&self.path, name);
         let map = Fields::from_value(self.source, path, &prop.value, self.problems);
         let Some(map) = map else { return };
@@ -229,7 +233,7 @@
 
     /// Reads an optional map from names to strings.
     pub fn strings(&mut self, name: &'static str) -> Vec<(String, String, Location)> {
-        let Some(prop) = self.take(name) else { return Vec::new() };
+        let Some(prop) = self.take_field(name) else { return Vec::new() };
         let path = join(&self.path, name);
         let map = Fields::from_value(self.source, path, &prop.value, self.problems);
         let Some(map) = map else { return Vec::new() };
@@ -249,13 +253,13 @@
         strings
     }
 
-    fn take(&mut self, name: &'static str) -> Option<&'a ObjectProp<'a>> {
+    fn take_field(&mut self, name: &'static str) -> Option<&'a ObjectProp<'a>> {
         let prop = self.unread.shift_remove(name);
         self.offsets.insert(name, prop.map_or(self.start, |prop| prop.range.start));
         prop
     }
 
-    fn value<T, U>(
+    fn deserialize_value<T, U>(
         &mut self,
         name: &str,
         prop: &ObjectProp<'_>,
--- a/crates/config/src/replica.rs
+++ b/crates/config/src/replica.rs
@@ -1,10 +1,10 @@
 //! A daemon's replica of the declarations, and whether it is fresh.
 //!
 //! A daemon that was suspended, partitioned or just started holds old
-//! declarations. It would serve replaced routes or deadlines although their operators
-//! were told that the new ones are in force. Two rules prevent this: the revision of
-//! a replica never falls, and a daemon whose replica has not been confirmed for a
-//! while ([`ConfigReplica::is_fresh`]) accepts no new requests.
+//! declarations. It would serve replaced routes or deadlines after their operators
+//! got the confirmation that the new ones are in force. Two rules prevent this: the
+//! revision of a replica never decreases, and a daemon whose replica was not confirmed
+//! within the staleness limit ([`ConfigReplica::is_fresh`]) accepts no new requests.
 //!
 //! A replica is confirmed by the table, or by a peer that is itself fresh and
 //! has no older revision; peers that are not fresh confirm nothing. While the
@@ -43,7 +43,7 @@
 }
 
 impl ConfigReplica {
-    /// The files, of which none ever goes back to an older revision.
+    /// The files; none is ever replaced by an older revision of it.
     pub fn files(&self) -> &Files {
         &self.files
     }
--- a/crates/config/src/rows.rs
+++ b/crates/config/src/rows.rs
@@ -9,8 +9,8 @@
 //!
 //! The first two are in [`CONFIG_TABLE`], which daemons watch, so that a change
 //! costs each daemon only the files that it edits; the others are in [`LOG_TABLE`].
-//! The row of a removed file stays without a text, so that the greatest revision of
-//! all rows never falls.
+//! The row of a removed file remains, without a text, so that the greatest revision of
+//! all rows never decreases.
 
 use chestnut_base::{Revision, TeamName};
 use indexmap::IndexMap;
@@ -22,7 +22,8 @@
 /// The table of the head and the files, which every daemon watches.
 pub const CONFIG_TABLE: &str = "config";
 
-/// The table of the history and the verdicts, read only for operators.
+/// The table of the history and the verdicts, which daemons read only on behalf of
+/// operators.
 ///
 /// It is separate so that daemons don't receive its rows with each change.
 pub const LOG_TABLE: &str = "config-log";
--- a/crates/config/src/settings.rs
+++ b/crates/config/src/settings.rs
@@ -54,9 +54,9 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum LogLevel {
-    /// Needs an operator.
+    /// Failures that need an operator.
     Error,
-    /// May need an operator soon.
+    /// Conditions that may need an operator soon.
     Warning,
     /// Changes of state.
     Info,
@@ -84,9 +84,9 @@
     ///
     /// After that it accepts no new requests, so this also bounds how long any
     /// daemon serves replaced declarations. Changes must be in force within 20 s;
-    /// the default leaves a quarter of that for accepting them.
+    /// the default of 15 s leaves a quarter of that for accepting them.
     pub max_staleness: Duration,
-    /// How long a caller may use an address before it asks for a new list.
+    /// How long a caller may use an address before it requests a new list.
     pub address_ttl: Duration,
 }
 
@@ -95,9 +95,10 @@
 pub struct Limits {
     /// The largest body of a request, in bytes.
     pub max_body_bytes: usize,
-    /// Requests that the entry holds at the same time.
+    /// The maximum number of requests that the entry holds at the same time.
     pub max_requests: usize,
-    /// Bytes of request and response bodies that the entry holds at the same time.
+    /// The maximum size of all request and response bodies that the entry holds at the
+    /// same time, in bytes.
     pub max_buffered_bytes: usize,
     /// The number of journal slots; must be the same on all daemons.
     pub journal_slots: u16,
--- a/crates/config/tests/examples.rs
+++ b/crates/config/tests/examples.rs
@@ -15,13 +15,13 @@
     for dir in fs::read_dir(Path::new(EXAMPLES).join("declarations")).unwrap() {
         let dir = dir.unwrap();
         let name = dir.file_name().into_string().unwrap();
-        let mut text = TeamFiles::default();
+        let mut files = TeamFiles::default();
         for file in fs::read_dir(dir.path()).unwrap() {
             let file = file.unwrap();
             let name = file.file_name().into_string().unwrap();
-            text.files.insert(name, fs::read_to_string(file.path()).unwrap());
+            files.files.insert(name, fs::read_to_string(file.path()).unwrap());
         }
-        teams.insert(TeamName::try_from(name).unwrap(), text);
+        teams.insert(TeamName::try_from(name).unwrap(), files);
     }
     teams
 }
--- a/crates/config/tests/simulation/mod.rs
+++ b/crates/config/tests/simulation/mod.rs
@@ -13,6 +13,7 @@
 use serde::de::DeserializeOwned;
 use serde_json::Value;
 
+/// How long the simulated daemons may go without confirmation of their declarations.
 pub const MAX_STALENESS: Duration = Duration::from_secs(30);
 
 /// A table in memory: rows with versions, and transactions.
@@ -29,6 +30,7 @@
         Some(serde_json::from_value(value.clone()).unwrap())
     }
 
+    /// The rows of files that were written after version `since`.
     pub fn changed(&self, since: u64) -> Vec<FileRow> {
         let rows = self.rows.iter().filter(|(key, _)| key.starts_with(rows::FILE_PREFIX));
         let rows = rows.filter(|(_, (_, version))| *version > since);
@@ -63,11 +65,11 @@
     change: usize,
     applier: Applier,
     step: Step,
-    /// The head if it has been read and the files have not.
+    /// The result of reading the head; `None` unless the files are to be read next.
     head: Option<Option<(Head, u64)>>,
 }
 
-/// An event of the simulation.
+/// One action of an operator, a daemon or the table.
 #[derive(Debug, Clone)]
 pub enum Action {
     /// An operator sends a change, perhaps again.
@@ -439,7 +441,7 @@
         }
     }
 
-    /// Checks that neither the revision nor a file goes back.
+    /// Checks that neither the revision of the replica nor that of a file decreases.
     fn check_monotonic(&mut self) {
         let files = self.replica.files();
         assert!(files.revision() >= self.revision, "the revision went back");
