--- a/crates/ctl/src/apply.rs
+++ b/crates/ctl/src/apply.rs
@@ -16,7 +16,7 @@
 use crate::query::Row;
 use crate::run::{CommandError, author, confirm, fetch_files, print, print_json};
 
-/// How often a change is sent while its verdict is unknown.
+/// The maximum number of times that a change is sent while its verdict is unknown.
 const MAX_SENDS: u32 = 4;
 
 /// The delay before the first retry; later ones are multiples of it.
@@ -160,7 +160,8 @@
     client.post("plan", &json!(change)).await.map_err(to_command_error)
 }
 
-/// Sends a change, with the same id, until its verdict is known.
+/// Sends a change, with the same id, until its verdict is known, at most [`MAX_SENDS`]
+/// times.
 async fn send(client: &Client, change: &Change) -> Result<Verdict, CommandError> {
     let mut last_error = String::new();
     for attempt in 0..MAX_SENDS {
--- a/crates/ctl/src/client.rs
+++ b/crates/ctl/src/client.rs
@@ -9,13 +9,14 @@
 
 /// The timeout of a request.
 ///
-/// A change takes up to 24 attempts at the platform; a daemon that needs longer hangs.
-const TIMEOUT: Duration = Duration::from_secs(20);
+/// Long enough for the up to 24 attempts of a change at the platform; a daemon that
+/// takes longer is treated as unresponsive.
+const REQUEST_TIMEOUT: Duration = Duration::from_secs(20);
 
 /// The timeout for connecting to a daemon.
 const CONNECT_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// A request without a usable response.
+/// Why a request got no usable response.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum ClientError {
     /// No daemon was named in the options.
@@ -79,8 +80,9 @@
 
     /// Sends a `POST` request to a path under `/v1/config`.
     ///
-    /// Other daemons may get it too if the first ones don't respond. That is safe for
-    /// changes, since they are identified by their id.
+    /// If a daemon does not respond, the request is sent to the next one, so that several
+    /// daemons may handle it. A change is still applied only once, since daemons
+    /// recognise it by its id.
     pub async fn post<T: DeserializeOwned>(
         &self,
         path: &str,
@@ -167,8 +169,10 @@
 
 /// Creates an HTTP client for daemons.
 pub(crate) fn http_client() -> Result<Http, ClientError> {
-    let http =
-        Http::builder().timeout(TIMEOUT).connect_timeout(CONNECT_TIMEOUT).no_proxy();
+    let http = Http::builder()
+        .timeout(REQUEST_TIMEOUT)
+        .connect_timeout(CONNECT_TIMEOUT)
+        .no_proxy();
     http.build().map_err(|error| ClientError::NoResponse(error.to_string()))
 }
 
--- a/crates/ctl/src/gates.rs
+++ b/crates/ctl/src/gates.rs
@@ -2,7 +2,7 @@
 //!
 //! Each daemon reports its own view; where views differ, a daemon lags behind or is
 //! partitioned. So all daemons named in the options are queried, and each row names the
-//! VM whose view it is.
+//! VM of the daemon that reported it.
 
 use futures::future::join_all;
 use reqwest::Client as Http;
@@ -74,6 +74,8 @@
 }
 
 /// A row of a map, with its name and, if it has a holder, the holder's VM.
+///
+/// In the map of queues, the value is the number of waiting requests.
 fn named_row(state: &Value, name: &str, value: &Value) -> Row {
     let mut row = match value {
         Value::Object(row) => row.clone(),
--- a/crates/ctl/src/language.rs
+++ b/crates/ctl/src/language.rs
@@ -222,12 +222,14 @@
     comparison(input, subject)
 }
 
+/// The condition after a `not`.
 fn negated(
     input: &mut Input<'_>,
     subject: &'static Subject,
     depth: usize,
 ) -> Parsed<Condition> {
     if depth > MAX_DEPTH {
+        // Returns the error of conditions that are nested too deeply.
         return disjunction(input, subject, depth);
     }
     operand(input, subject, depth + 1)
@@ -260,7 +262,7 @@
 
 fn operator(input: &mut Input<'_>) -> Parsed<(Operator, Range<usize>)> {
     let remedy = "use =, !=, <, <=, >, >= or ~";
-    let token = next(input, "a comparison", || remedy.into())?;
+    let token = next_token(input, "a comparison", || remedy.into())?;
     let operator = match token.kind {
         TokenKind::Symbol("=") => Operator::Equal,
         TokenKind::Symbol("!=") => Operator::NotEqual,
@@ -282,9 +284,9 @@
         FieldKind::Millis => "a time, such as 500ms, 30s or 2m",
         FieldKind::Bool => "true or false",
     };
-    let token = next(input, "a value", || format!("write {expected}"))?;
+    let token = next_token(input, "a value", || format!("write {expected}"))?;
     let invalid =
-        |what: String| error(token.span.clone(), what, format!("write {expected}"));
+        |message: String| error(token.span.clone(), message, format!("write {expected}"));
     let text = match &token.kind {
         TokenKind::Word(word) if word == "none" => return Ok(Value::Null),
         TokenKind::Word(word) => word,
@@ -298,19 +300,21 @@
         FieldKind::Text => Some(json!(text)),
         FieldKind::Bool => text.parse::<bool>().ok().map(|flag| json!(flag)),
         FieldKind::Number => scaled(text, |unit| unit.is_empty().then_some(1.0)),
-        FieldKind::Bytes => scaled(text, bytes),
-        FieldKind::Millis => scaled(text, millis),
+        FieldKind::Bytes => scaled(text, bytes_per_unit),
+        FieldKind::Millis => scaled(text, millis_per_unit),
     };
     value.ok_or_else(|| invalid(format!("`{text}` does not fit `{}`", field.name)))
 }
 
-fn scaled(text: &str, unit: impl FnOnce(&str) -> Option<f64>) -> Option<Value> {
-    let (number, name) = split_number(text)?;
-    let value = number * unit(name)?;
+/// Parses a number with a unit; `factor` returns the factor of a unit, `None` if it is
+/// unknown.
+fn scaled(text: &str, factor: impl FnOnce(&str) -> Option<f64>) -> Option<Value> {
+    let (number, unit) = split_number(text)?;
+    let value = number * factor(unit)?;
     value.is_finite().then(|| json!(value))
 }
 
-fn bytes(unit: &str) -> Option<f64> {
+fn bytes_per_unit(unit: &str) -> Option<f64> {
     Some(match unit {
         "" | "B" => 1.0,
         "kB" => 1e3,
@@ -325,7 +329,7 @@
     })
 }
 
-fn millis(unit: &str) -> Option<f64> {
+fn millis_per_unit(unit: &str) -> Option<f64> {
     Some(match unit {
         "" | "ms" => 1.0,
         "s" => 1e3,
@@ -344,46 +348,52 @@
     match subject.field(&name) {
         Some(field) => Ok((field, span)),
         None => {
-            let what = format!("field of {}", subject.name);
-            Err(unknown_name(&what, &name, span, &names))
+            let item_type = format!("field of {}", subject.name);
+            Err(unknown_name(&item_type, &name, span, &names))
         }
     }
 }
 
 /// Parses a word or a quoted string.
-fn text(input: &mut Input<'_>, what: &str) -> Parsed<String> {
-    let token = next(input, what, || format!("write {what}"))?;
+fn text(input: &mut Input<'_>, expected: &str) -> Parsed<String> {
+    let token = next_token(input, expected, || format!("write {expected}"))?;
     match token.kind {
         TokenKind::Word(text) | TokenKind::Quoted(text) if !text.is_empty() => Ok(text),
-        _ => Err(error(token.span, format!("this is not {what}"), "put it into quotes")),
+        _ => Err(error(
+            token.span,
+            format!("this is not {expected}"),
+            "put it into quotes",
+        )),
     }
 }
 
 fn word(
     input: &mut Input<'_>,
-    what: &str,
+    expected: &str,
     remedy: impl FnOnce() -> String,
 ) -> Parsed<(String, Range<usize>)> {
-    let token = next(input, what, remedy)?;
+    let token = next_token(input, expected, remedy)?;
     match token.kind {
         TokenKind::Word(word) => Ok((word, token.span)),
         TokenKind::Quoted(_) => {
-            Err(error(token.span, format!("{what} is expected"), "remove the quotes"))
-        }
-        TokenKind::Symbol(_) => {
-            Err(error(token.span, format!("{what} is expected"), "write it before this"))
+            Err(error(token.span, format!("{expected} is expected"), "remove the quotes"))
         }
+        TokenKind::Symbol(_) => Err(error(
+            token.span,
+            format!("{expected} is expected"),
+            "write it before this",
+        )),
     }
 }
 
-fn next(
+fn next_token(
     input: &mut Input<'_>,
-    what: &str,
+    expected: &str,
     remedy: impl FnOnce() -> String,
 ) -> Parsed<Token> {
     if input.is_empty() {
         return Err(ErrMode::Cut(SyntaxError::end(
-            format!("{what} is missing"),
+            format!("{expected} is missing"),
             remedy(),
         )));
     }
@@ -395,7 +405,7 @@
     symbol: &'static str,
     remedy: &str,
 ) -> Parsed<()> {
-    let token = next(input, &format!("`{symbol}`"), || remedy.into())?;
+    let token = next_token(input, &format!("`{symbol}`"), || remedy.into())?;
     if token.kind == TokenKind::Symbol(symbol) {
         return Ok(());
     }
@@ -428,20 +438,20 @@
 }
 
 fn unknown_name(
-    what: &str,
+    item_type: &str,
     word: &str,
     span: Range<usize>,
-    known: &[&str],
+    candidates: &[&str],
 ) -> ErrMode<SyntaxError> {
-    let remedy = match closest_match(word, known.iter().copied()) {
+    let remedy = match closest_match(word, candidates.iter().copied()) {
         Some(closest) => format!("did you mean `{closest}`?"),
-        None => one_of(known),
+        None => one_of(candidates),
     };
-    error(span, format!("there is no {what} `{word}`"), remedy)
+    error(span, format!("there is no {item_type} `{word}`"), remedy)
 }
 
-fn one_of(known: &[&str]) -> String {
-    format!("write one of {}", known.join(", "))
+fn one_of(candidates: &[&str]) -> String {
+    format!("write one of {}", candidates.join(", "))
 }
 
 fn error(
--- a/crates/ctl/src/output.rs
+++ b/crates/ctl/src/output.rs
@@ -40,7 +40,7 @@
         Some(Value::String(text)) if text.is_empty() => "-".into(),
         Some(Value::String(text)) => text.clone(),
         Some(Value::Array(list)) => {
-            let cells: Vec<String> = list.iter().map(|one| cell(Some(one))).collect();
+            let cells: Vec<String> = list.iter().map(|item| cell(Some(item))).collect();
             cells.join(",")
         }
         Some(other) => other.to_string(),
@@ -62,16 +62,19 @@
             text.push_str(&format!("    {field}: {old} -> {new}\n"));
         }
     }
-    for it in &plan.moves {
-        let gigabytes = it.bytes as f64 / 1e9;
-        let seconds = it.load_ms as f64 / 1e3;
-        let line = if it.replicas > 0 {
+    for planned_move in &plan.moves {
+        let gigabytes = planned_move.bytes as f64 / 1e9;
+        let seconds = planned_move.load_ms as f64 / 1e3;
+        let line = if planned_move.replicas > 0 {
             format!(
                 "load {} of {} in {}: {gigabytes:.1} GB, {seconds:.1} s each at least\n",
-                it.replicas, it.model, it.pool
+                planned_move.replicas, planned_move.model, planned_move.pool
             )
         } else {
-            format!("unload {} of {} in {}\n", -it.replicas, it.model, it.pool)
+            format!(
+                "unload {} of {} in {}\n",
+                -planned_move.replicas, planned_move.model, planned_move.pool
+            )
         };
         text.push_str(&line);
     }
--- a/crates/ctl/src/run.rs
+++ b/crates/ctl/src/run.rs
@@ -46,7 +46,7 @@
     }
 }
 
-/// Why a command was not executed.
+/// Why a command did not succeed.
 #[derive(Debug)]
 pub struct CommandError {
     /// The result that determines the exit code.
@@ -139,13 +139,13 @@
 
 /// A daemon's response with a team's files.
 #[derive(Debug, Clone, Deserialize)]
-pub struct FilesAtRevision {
+pub struct FilesResponse {
     /// The newest revision, also if the files are of an earlier one.
     pub revision: u64,
     files: indexmap::IndexMap<String, String>,
 }
 
-impl FilesAtRevision {
+impl FilesResponse {
     /// The files without the revision.
     pub fn into_team_files(self) -> TeamFiles {
         TeamFiles { files: self.files }
@@ -156,7 +156,7 @@
 pub async fn fetch_files(
     client: &Client,
     at: Option<u64>,
-) -> Result<FilesAtRevision, CommandError> {
+) -> Result<FilesResponse, CommandError> {
     let query: Vec<_> = at.map(|at| ("at", at.to_string())).into_iter().collect();
     client.get("files", &query).await.map_err(|error| match error {
         ClientError::Refused(_, reason) => CommandError::new(Exit::Refused, reason),
@@ -326,7 +326,7 @@
     }
     eprint!("{question} [y/N] ");
     let mut line = String::new();
-    // No response counts as no.
+    // Any input but `y` or `yes`, also a closed standard input, counts as no.
     let read = io::stderr().flush().and_then(|()| io::stdin().read_line(&mut line));
     read.is_ok() && matches!(line.trim(), "y" | "yes")
 }
--- a/crates/ctl/src/syntax_error.rs
+++ b/crates/ctl/src/syntax_error.rs
@@ -10,7 +10,8 @@
 /// A command that can't be parsed.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct SyntaxError {
-    /// The position in the command, in bytes; beyond its end if a word is missing.
+    /// The position in the command, in bytes; [`usize::MAX`] if a word is missing at its
+    /// end.
     pub span: Range<usize>,
     /// What is wrong.
     pub message: String,
--- a/crates/ctl/src/token.rs
+++ b/crates/ctl/src/token.rs
@@ -68,19 +68,20 @@
 }
 
 fn symbol(input: &mut Input<'_>) -> Result<&'static str, ContextError> {
-    // The longer symbols go first, since they start with shorter ones.
-    let equal = alt(("<=".value("<="), ">=".value(">="), "!=".value("!=")));
-    let order = alt(("=".value("="), "<".value("<"), ">".value(">"), "~".value("~")));
-    let list = alt(("(".value("("), ")".value(")"), ",".value(",")));
-    alt((equal, order, list)).parse_next(input)
+    // The longer symbols are tried first, since they start with shorter ones.
+    let two_characters = alt(("<=".value("<="), ">=".value(">="), "!=".value("!=")));
+    let one_character =
+        alt(("=".value("="), "<".value("<"), ">".value(">"), "~".value("~")));
+    let punctuation = alt(("(".value("("), ")".value(")"), ",".value(",")));
+    alt((two_characters, one_character, punctuation)).parse_next(input)
 }
 
-fn quoted(mark: char) -> impl FnMut(&mut Input<'_>) -> Result<TokenKind, ContextError> {
+fn quoted(quote: char) -> impl FnMut(&mut Input<'_>) -> Result<TokenKind, ContextError> {
     move |input| {
         let escaped = preceded('\\', one_of(['\\', '"', '\'']));
-        let plain = none_of([mark, '\\']);
+        let plain = none_of([quote, '\\']);
         let text = repeat(0.., alt((escaped, plain)));
-        delimited(mark, text, mark).map(TokenKind::Quoted).parse_next(input)
+        delimited(quote, text, quote).map(TokenKind::Quoted).parse_next(input)
     }
 }
 
@@ -94,17 +95,17 @@
 fn invalid_token(text: &str, start: usize) -> SyntaxError {
     let rest = &text[start..];
     if rest.starts_with(['"', '\'']) {
-        let mark = &rest[..1];
+        let quote = &rest[..1];
         let message = "the text in quotes does not end";
         return SyntaxError::new(
             start..text.len(),
             message,
-            format!("add {mark} at its end"),
+            format!("add {quote} at its end"),
         );
     }
-    let symbol = rest.chars().next().unwrap_or(' ');
-    let end = start + symbol.len_utf8();
-    let message = format!("the character {symbol:?} is unknown");
+    let character = rest.chars().next().unwrap_or(' ');
+    let end = start + character.len_utf8();
+    let message = format!("the character {character:?} is unknown");
     SyntaxError::new(
         start..end,
         message,
@@ -113,6 +114,8 @@
 }
 
 /// Splits a number with a unit, such as `20GB`; the unit may be empty.
+///
+/// `None` if the text is not a number with a unit.
 pub fn split_number(text: &str) -> Option<(f64, &str)> {
     let digits =
         take_while::<_, _, ContextError>(1.., |c: char| c.is_ascii_digit() || c == '.');
--- a/crates/ctl/src/trace.rs
+++ b/crates/ctl/src/trace.rs
@@ -115,7 +115,7 @@
         }
     }
 
-    /// The attempts that got no response.
+    /// The failed attempts, each with its server and the reason.
     fn failed_attempts(&self) -> Vec<String> {
         let failed = self.lines.iter().filter(|line| line.message == "attempt missed");
         failed
