--- a/crates/config/src/apply.rs
+++ b/crates/config/src/apply.rs
@@ -35,6 +35,9 @@
 pub const MAX_ATTEMPTS: u32 = 24;
 
 /// The number of revisions that the history keeps; five days at 19,000 a day.
+///
+/// Each accepted change deletes the entry that exceeds this number, and the verdict on
+/// its change.
 pub const MAX_HISTORY_REVISIONS: u64 = 100_000;
 
 /// The next action that an applier needs.
--- a/crates/config/src/change.rs
+++ b/crates/config/src/change.rs
@@ -117,9 +117,7 @@
             ));
         }
         if self.author.is_empty() || self.author.len() > MAX_NOTE_BYTES {
-            return Err(format!(
-                "the author is missing or too long; use 1 to {MAX_NOTE_BYTES} bytes"
-            ));
+            return Err("the author is missing or too long; give a short name".into());
         }
         if self.note.len() > MAX_NOTE_BYTES {
             return Err(format!(
--- a/crates/config/src/declarations.rs
+++ b/crates/config/src/declarations.rs
@@ -142,7 +142,7 @@
     let accelerators = count(fields, "accelerators", EXPECTED_COUNT);
     let streams = count(fields, "streams", EXPECTED_COUNT);
     let tokens = count(fields, "tokens", EXPECTED_COUNT);
-    let step = millis(fields, "step_ms");
+    let step_time = millis(fields, "step_ms");
     let fenced = fields.required("fenced", "true if the engines refuse outdated fences");
     let parallel_loads = count(fields, "parallel_loads", EXPECTED_COUNT);
     let load_rate = fields.required("load_rate", EXPECTED_NUMBER);
@@ -156,7 +156,7 @@
         accelerators: accelerators?,
         max_streams: streams?,
         kv_tokens: tokens?,
-        step_time: step?,
+        step_time: step_time?,
         fenced: fenced?,
         parallel_loads: parallel_loads?,
         load_rate: load_rate?,
@@ -170,7 +170,7 @@
     let version =
         fields.required("version", "the version that requests get, such as \"v3\"");
     let bytes = count(fields, "bytes", EXPECTED_BYTES);
-    let cold = millis(fields, "cold_ms");
+    let load_time = millis(fields, "cold_ms");
     let replicas = fields.get_or("replicas", 1, EXPECTED_COUNT);
     fields.check(
         "replicas",
@@ -183,7 +183,7 @@
         pool: pool?,
         version: version?,
         memory_bytes: bytes?,
-        load_time: cold?,
+        load_time: load_time?,
         min_replicas: replicas,
     })
 }
--- a/crates/config/src/history.rs
+++ b/crates/config/src/history.rs
@@ -7,7 +7,8 @@
 
 /// The maximum number of revisions between the newest one and a rollback's target.
 ///
-/// They are read in blocks of 100, so a rollback costs at most 100 reads.
+/// They are read in blocks of 100, so a rollback costs at most 101 reads: the first and
+/// the last block may be read for a part of their revisions.
 pub const MAX_ROLLBACK_REVISIONS: u64 = 10_000;
 
 /// Restores a team's files as they were at revision `to` from its current `files`.
--- a/crates/config/src/reader.rs
+++ b/crates/config/src/reader.rs
@@ -288,11 +288,11 @@
     fn report_unknown(self) {
         for (name, prop) in &self.unread {
             let location = self.source.location(prop.range.start, join(&self.path, name));
-            let known = self.offsets.keys().copied();
-            let remedy = match closest_match(name, known.clone()) {
+            let expected_names = self.offsets.keys().copied();
+            let remedy = match closest_match(name, expected_names.clone()) {
                 Some(closest) => format!("did you mean `{closest}`?"),
                 None => {
-                    let names: Vec<_> = known.collect();
+                    let names: Vec<_> = expected_names.collect();
                     format!("remove it or use one of {}", names.join(", "))
                 }
             };
--- a/crates/config/tests/history.rs
+++ b/crates/config/tests/history.rs
@@ -105,9 +105,9 @@
     Catalog::merge(Revision(1), &teams).unwrap()
 }
 
-fn model(name: &str, version: &str, cold: u64, replicas: u32) -> String {
+fn model(name: &str, version: &str, cold_ms: u64, replicas: u32) -> String {
     format!(
-        r#""{name}": {{ "pool": "p", "version": "{version}", "bytes": 10, "cold_ms": {cold},
+        r#""{name}": {{ "pool": "p", "version": "{version}", "bytes": 10, "cold_ms": {cold_ms},
            "replicas": {replicas} }}"#
     )
 }
--- a/crates/ctl/tests/language.rs
+++ b/crates/ctl/tests/language.rs
@@ -18,10 +18,10 @@
 }
 
 fn models() -> Vec<Row> {
-    let model = |name: &str, team: &str, bytes: u64, cold: u64, replicas: u64| {
+    let model = |name: &str, team: &str, bytes: u64, cold_ms: u64, replicas: u64| {
         let row = json!({
             "name": name, "team": team, "pool": "p", "version": "v1", "bytes": bytes,
-            "cold_ms": cold, "replicas": replicas,
+            "cold_ms": cold_ms, "replicas": replicas,
         });
         match row {
             Value::Object(row) => row,
