--- a/crates/lab/src/causes.rs
+++ b/crates/lab/src/causes.rs
@@ -29,23 +29,23 @@
     /// It was served in time.
     InTime,
     /// It waited for its turn at a runner.
-    Turn,
+    AdmissionWait,
     /// Its first event came late after it had been sent.
-    Engine,
+    SlowFirstEvent,
     /// Its events paused for too long.
-    Paused,
+    EventGap,
     /// All runners with its model were full.
-    Full,
+    RunnersFull,
     /// No runner could take its adapter.
-    Adapter,
+    NoAdapterSlot,
     /// No server held its model, or took requests.
     NoServer,
     /// Its answer broke off.
-    Broken,
+    Interrupted,
     /// The time ran out.
-    Expired,
+    DeadlineExceeded,
     /// Its caller left.
-    CallerLeft,
+    CallerDisconnected,
     /// Anything else.
     Other,
 }
@@ -54,15 +54,15 @@
     fn fmt(&self, f: &mut Formatter<'_>) -> fmt::Result {
         f.write_str(match self {
             Self::InTime => "in time",
-            Self::Turn => "late: waited for its turn",
-            Self::Engine => "late: first event after sending",
-            Self::Paused => "late: paused between events",
-            Self::Full => "refused: all runners full",
-            Self::Adapter => "refused: no place for its adapter",
+            Self::AdmissionWait => "late: waited for its turn",
+            Self::SlowFirstEvent => "late: first event after sending",
+            Self::EventGap => "late: paused between events",
+            Self::RunnersFull => "refused: all runners full",
+            Self::NoAdapterSlot => "refused: no place for its adapter",
             Self::NoServer => "refused: no server",
-            Self::Broken => "failed: broke off",
-            Self::Expired => "failed: time ran out",
-            Self::CallerLeft => "caller left",
+            Self::Interrupted => "failed: broke off",
+            Self::DeadlineExceeded => "failed: time ran out",
+            Self::CallerDisconnected => "caller left",
             Self::Other => "other",
         })
     }
@@ -86,7 +86,7 @@
 }
 
 /// Counts of requests by route and cause.
-pub type Table = IndexMap<String, IndexMap<Cause, u64>>;
+pub type CauseCounts = IndexMap<String, IndexMap<Cause, u64>>;
 
 /// Reads logs and prints where requests were lost.
 pub fn run(options: &Options) -> ExitCode {
@@ -99,7 +99,7 @@
     };
     match text {
         Ok(bytes) => {
-            print(&table(&String::from_utf8_lossy(&bytes)));
+            print(&count_causes(&String::from_utf8_lossy(&bytes)));
             ExitCode::SUCCESS
         }
         Err(error) => {
@@ -112,9 +112,9 @@
 }
 
 /// Counts the requests of logs by route and cause.
-pub fn table(text: &str) -> Table {
+pub fn count_causes(text: &str) -> CauseCounts {
     let mut turns: IndexMap<String, String> = IndexMap::new();
-    let mut table = Table::new();
+    let mut table = CauseCounts::new();
     for line in text.lines().filter_map(read) {
         match line.msg.as_str() {
             "turn" => drop(turns.insert(line.id, line.turn)),
@@ -139,12 +139,12 @@
 fn cause(line: &Line, turn: &str) -> Cause {
     match line.end.as_str() {
         "answered" => lateness(line),
-        "Overloaded" | "Unavailable" if turn == "Denied" => Cause::Adapter,
-        "Overloaded" => Cause::Full,
+        "Overloaded" | "Unavailable" if turn == "Denied" => Cause::NoAdapterSlot,
+        "Overloaded" => Cause::RunnersFull,
         "Unavailable" => Cause::NoServer,
-        "Broken" | "broken" => Cause::Broken,
-        "Late" | "late" | "Deadline" => Cause::Expired,
-        "caller left" => Cause::CallerLeft,
+        "Broken" | "broken" => Cause::Interrupted,
+        "Late" | "late" | "Deadline" => Cause::DeadlineExceeded,
+        "caller left" => Cause::CallerDisconnected,
         _ => Cause::Other,
     }
 }
@@ -154,13 +154,13 @@
     if line.begun_ms.unwrap_or(line.ms) > line.objective_ms {
         // Longer at the runner than before it.
         let sent = line.begun_ms.unwrap_or_default().saturating_sub(first);
-        return if first > sent { Cause::Engine } else { Cause::Turn };
+        return if first > sent { Cause::SlowFirstEvent } else { Cause::AdmissionWait };
     }
     let gap = line.gap_ms.unwrap_or(u64::MAX);
-    if line.pause_ms.unwrap_or_default() > gap { Cause::Paused } else { Cause::InTime }
+    if line.pause_ms.unwrap_or_default() > gap { Cause::EventGap } else { Cause::InTime }
 }
 
-fn print(table: &Table) {
+fn print(table: &CauseCounts) {
     for (route, causes) in table {
         let all: u64 = causes.values().sum();
         println!("{route}: {all} requests");
--- a/crates/lab/src/moves/shifts.rs
+++ b/crates/lab/src/moves/demand.rs
@@ -1,12 +1,12 @@
-//! Demand that shifts without warning.
+//! Demand that trace without warning.
 
 use rand::rngs::SmallRng;
 use rand::{RngExt, SeedableRng};
 
-use super::site::Site;
+use super::deployment::DeploymentSpec;
 
 /// Seconds of a step of a run.
-pub const STEP: f64 = 5.0;
+pub const STEP_SECONDS: f64 = 5.0;
 
 /// Steps of a run: two and a half hours.
 pub const STEPS: usize = 1800;
@@ -25,18 +25,18 @@
 
 /// The demand on each model at each step, in tokens a second.
 #[derive(Debug, Clone)]
-pub struct Shifts {
+pub struct DemandTrace {
     /// By step, then by model.
-    pub demands: Vec<Vec<f64>>,
+    pub actual: Vec<Vec<f64>>,
     /// What an observer sees of it, with the noise of single requests.
     pub observed: Vec<Vec<f64>>,
 }
 
-impl Shifts {
+impl DemandTrace {
     /// Draws the demand of a run.
-    pub fn draw(site: &Site, seed: u64) -> Self {
+    pub fn generate(spec: &DeploymentSpec, seed: u64) -> Self {
         let mut rng = SmallRng::seed_from_u64(seed);
-        let count = site.models.len();
+        let count = spec.models.len();
         let mut order: Vec<usize> = (0..count).collect();
         for index in (1..count).rev() {
             order.swap(index, rng.random_range(0..=index));
@@ -47,18 +47,18 @@
         let mut demands = Vec::with_capacity(STEPS);
         for _ in 0..STEPS {
             for held in &mut levels {
-                if rng.random_bool(STEP / DWELL) {
+                if rng.random_bool(STEP_SECONDS / DWELL) {
                     *held = level(&mut rng);
                 }
             }
             demands.push(bases.iter().zip(&levels).map(|(b, l)| b * l).collect());
         }
-        scale(&mut demands, LOAD * site.throughput * site.runners as f64);
+        scale(&mut demands, LOAD * spec.throughput * spec.runners as f64);
         let observed = demands
             .iter()
             .map(|row| row.iter().map(|rate| noisy(*rate, &mut rng)).collect())
             .collect();
-        Self { demands, observed }
+        Self { actual: demands, observed }
     }
 }
 
@@ -76,9 +76,9 @@
 /// A rate as it is seen over a step; requests have some 200 tokens.
 fn noisy(rate: f64, rng: &mut SmallRng) -> f64 {
     const TOKENS: f64 = 200.0;
-    let requests = rate * STEP / TOKENS;
+    let requests = rate * STEP_SECONDS / TOKENS;
     let spread = requests.max(0.0).sqrt();
     // The sum of some uniform numbers is close to normal.
     let normal: f64 = (0..6).map(|_| rng.random_range(-0.5..0.5)).sum::<f64>() * 1.41;
-    (requests + spread * normal).max(0.0) * TOKENS / STEP
+    (requests + spread * normal).max(0.0) * TOKENS / STEP_SECONDS
 }
--- a/crates/lab/src/moves/site.rs
+++ b/crates/lab/src/moves/deployment.rs
@@ -25,7 +25,7 @@
 
 /// The sizes of a deployment.
 #[derive(Debug, Clone, PartialEq)]
-pub struct Site {
+pub struct DeploymentSpec {
     /// Runners.
     pub runners: usize,
     /// Failure domains.
@@ -33,15 +33,15 @@
     /// Accelerators of a runner; an assumption.
     pub accelerators: usize,
     /// Memory of a runner, in gigabytes; an assumption.
-    pub memory: u64,
+    pub memory_gb: u64,
     /// Tokens a second that a runner generates.
     pub throughput: f64,
     /// Models.
-    pub models: Vec<SiteModel>,
+    pub models: Vec<ModelSpec>,
     /// Loads that the weight store serves at full speed at the same time.
-    pub parallel: usize,
+    pub max_parallel_loads: usize,
     /// Loads a second that the weight store starts.
-    pub rate: f64,
+    pub loads_per_s: f64,
     /// What one percent of attainment is worth.
     pub attainment_weight: f64,
     /// What one move costs.
@@ -50,11 +50,11 @@
 
 /// A model of a deployment.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub struct SiteModel {
+pub struct ModelSpec {
     /// Memory with the adapters on top, in gigabytes.
-    pub bytes: u64,
+    pub memory_gb: u64,
     /// How long a load takes at full speed.
-    pub cold: Duration,
+    pub load_time: Duration,
 }
 
 impl Deployment {
@@ -91,7 +91,7 @@
     }
 }
 
-impl Site {
+impl DeploymentSpec {
     /// The sizes of a deployment under a weighting.
     ///
     /// Numbers of runners, domains, models and adapters, cold starts, engine
@@ -107,20 +107,20 @@
             // Sizes from 12 to 34 gigabytes; the larger load longer.
             let part = index as f64 / (models - 1) as f64;
             let cold = cold.0 as f64 + (cold.1 - cold.0) as f64 * part;
-            SiteModel {
-                bytes: 12 + (22.0 * part) as u64,
-                cold: Duration::from_secs_f64(cold),
+            ModelSpec {
+                memory_gb: 12 + (22.0 * part) as u64,
+                load_time: Duration::from_secs_f64(cold),
             }
         };
         Self {
             runners,
             domains: 3,
             accelerators: 4,
-            memory: MEMORY,
+            memory_gb: MEMORY,
             throughput: 32.0 / step,
             models: (0..models).map(model).collect(),
-            parallel,
-            rate,
+            max_parallel_loads: parallel,
+            loads_per_s: rate,
             attainment_weight,
             move_weight,
         }
--- a/crates/lab/src/moves/mod.rs
+++ b/crates/lab/src/moves/mod.rs
@@ -2,7 +2,7 @@
 //!
 //! A run passes through these stages:
 //!
-//! 1. [`site`] describes a deployment, [`shifts`] draws the demand on its models,
+//! 1. [`deployment`] describes a deployment, [`demand`] draws the demand on its models,
 //! 2. [`policy`] decides every few seconds which runner is to hold what,
 //! 3. [`pool`] plays the decisions: loads through the weight store, evictions,
 //!    and what callers get.
@@ -10,10 +10,10 @@
 //! Demand and service are flows of tokens, not single requests; the experiment
 //! is about where models are, `policies` is about requests.
 
+pub mod demand;
+pub mod deployment;
 pub mod policy;
 pub mod pool;
-pub mod shifts;
-pub mod site;
 
 use std::time::{Duration, Instant};
 
@@ -23,10 +23,10 @@
 use rand::{RngExt, SeedableRng};
 use serde::Serialize;
 
+use demand::DemandTrace;
+use deployment::{Deployment, DeploymentSpec, Weighting};
 use policy::Policy;
 use pool::{Outcome, Pool};
-use shifts::Shifts;
-use site::{Deployment, Site, Weighting};
 
 /// What to compare.
 #[derive(Debug, Clone, Bpaf)]
@@ -41,7 +41,7 @@
 
 /// The figures of a policy, as means over the seeds.
 #[derive(Debug, Clone, PartialEq, Serialize)]
-pub struct Figures {
+pub struct Summary {
     /// The deployment.
     pub deployment: &'static str,
     /// How attainment and moves are weighed.
@@ -96,7 +96,7 @@
     }
 }
 
-fn print(figures: &Figures, json: bool) {
+fn print(figures: &Summary, json: bool) {
     match serde_json::to_string(figures) {
         Ok(line) if json => println!("{line}"),
         _ => println!(
@@ -122,10 +122,10 @@
     weighting: Weighting,
     policy: Policy,
     seeds: u64,
-) -> Figures {
-    let site = Site::of(deployment, weighting);
+) -> Summary {
+    let spec = DeploymentSpec::of(deployment, weighting);
     let outcomes: Vec<Outcome> = (0..seeds.max(1))
-        .map(|seed| Pool::new(&site, &Shifts::draw(&site, seed), policy).play())
+        .map(|seed| Pool::new(&spec, &DemandTrace::generate(&spec, seed), policy).run())
         .collect();
     let mean = |value: fn(&Outcome) -> f64| {
         outcomes.iter().map(value).sum::<f64>() / outcomes.len() as f64
@@ -133,7 +133,7 @@
     let attainment = mean(Outcome::attainment);
     let moves = mean(|outcome| outcome.moves);
     let worst = outcomes.iter().map(Outcome::attainment).fold(1.0, f64::min);
-    Figures {
+    Summary {
         deployment: deployment.name(),
         weighting: weighting.name(),
         policy: policy.name(),
@@ -141,11 +141,11 @@
         worst,
         of_bound: mean(Outcome::of_bound),
         per_accelerator: mean(|outcome| outcome.rate)
-            / (site.runners * site.accelerators) as f64,
+            / (spec.runners * spec.accelerators) as f64,
         moves,
         unreachable: mean(|outcome| outcome.unreachable),
-        score: site.attainment_weight * 100.0 * attainment
-            - site.move_weight * moves / site.runners as f64,
+        score: spec.attainment_weight * 100.0 * attainment
+            - spec.move_weight * moves / spec.runners as f64,
     }
 }
 
--- a/crates/lab/src/moves/policy.rs
+++ b/crates/lab/src/moves/policy.rs
@@ -8,8 +8,8 @@
     DemandEstimate, ModelState, PoolState, RunnerState, plan_placement,
 };
 
-use super::shifts::STEP;
-use super::site::Site;
+use super::demand::STEP_SECONDS;
+use super::deployment::DeploymentSpec;
 
 /// Who decides.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -22,13 +22,13 @@
     Greedy,
     /// A model that lacks throughput gets a replica in place of the one that
     /// was least recently needed; nothing is kept back.
-    LeastRecent,
+    LeastRecentlyUsed,
 }
 
 impl Policy {
     /// All policies.
     pub const ALL: [Self; 4] =
-        [Self::Planner, Self::Static, Self::Greedy, Self::LeastRecent];
+        [Self::Planner, Self::Static, Self::Greedy, Self::LeastRecentlyUsed];
 
     /// The name in the output.
     pub fn name(self) -> &'static str {
@@ -36,13 +36,13 @@
             Self::Planner => "planner",
             Self::Static => "static",
             Self::Greedy => "greedy",
-            Self::LeastRecent => "lru",
+            Self::LeastRecentlyUsed => "lru",
         }
     }
 }
 
 /// The state of a policy between its decisions.
-pub struct Decider {
+pub struct PolicyState {
     policy: Policy,
     averages: Vec<DemandEstimate>,
     /// For each model and runner, the step at which the replica was last needed.
@@ -50,13 +50,13 @@
     step: u64,
 }
 
-impl Decider {
+impl PolicyState {
     /// Creates a decider that knows nothing yet.
-    pub fn new(policy: Policy, site: &Site) -> Self {
+    pub fn new(policy: Policy, spec: &DeploymentSpec) -> Self {
         Self {
             policy,
-            averages: vec![DemandEstimate::default(); site.models.len()],
-            needed: vec![vec![0; site.runners]; site.models.len()],
+            averages: vec![DemandEstimate::default(); spec.models.len()],
+            needed: vec![vec![0; spec.runners]; spec.models.len()],
             step: 0,
         }
     }
@@ -64,80 +64,85 @@
     /// The placement that is wanted next.
     pub fn decide(
         &mut self,
-        site: &Site,
+        spec: &DeploymentSpec,
         observed: &[f64],
         placed: &[Vec<usize>],
         loading: &[usize],
     ) -> Vec<Vec<usize>> {
         self.step += 1;
-        let time = Duration::from_secs_f64(STEP);
+        let time = Duration::from_secs_f64(STEP_SECONDS);
         for (average, rate) in self.averages.iter_mut().zip(observed) {
-            average.record(rate * STEP, time);
+            average.record(rate * STEP_SECONDS, time);
         }
         match self.policy {
-            Policy::Planner => self.planned(site, placed, loading),
-            Policy::Static if self.step == 1 => filled(site),
+            Policy::Planner => self.planned(spec, placed, loading),
+            Policy::Static if self.step == 1 => filled(spec),
             Policy::Static => placed.to_vec(),
             Policy::Greedy => {
-                first_then(site, placed, |held| greedy(site, observed, held))
+                first_then(spec, placed, |held| greedy(spec, observed, held))
             }
-            Policy::LeastRecent => {
-                first_then(site, placed, |held| self.least_recent(site, observed, held))
+            Policy::LeastRecentlyUsed => {
+                first_then(spec, placed, |held| self.least_recent(spec, observed, held))
             }
         }
     }
 
     fn planned(
         &self,
-        site: &Site,
+        spec: &DeploymentSpec,
         placed: &[Vec<usize>],
         loading: &[usize],
     ) -> Vec<Vec<usize>> {
         let model = |index: usize| ModelState {
-            bytes: site.models[index].bytes,
+            bytes: spec.models[index].memory_gb,
             replicas: 1,
-            load_time: site.models[index].cold,
+            load_time: spec.models[index].load_time,
             demand: self.averages[index].estimate(),
             placed: placed[index].clone(),
             loading: loading[index],
             cached_on: Vec::new(),
         };
         let runner = |index| RunnerState {
-            domain: index % site.domains,
-            capacity: site.memory,
+            domain: index % spec.domains,
+            capacity: spec.memory_gb,
             other_bytes: 0,
             accepts_models: true,
             locked: false,
         };
         let pool = PoolState {
-            runners: (0..site.runners).map(runner).collect(),
-            models: (0..site.models.len()).map(model).collect(),
-            runner_throughput: site.throughput,
-            parallel_loads: site.parallel,
+            runners: (0..spec.runners).map(runner).collect(),
+            models: (0..spec.models.len()).map(model).collect(),
+            runner_throughput: spec.throughput,
+            parallel_loads: spec.max_parallel_loads,
             frozen: false,
-            attainment_weight: site.attainment_weight,
-            move_weight: site.move_weight,
+            attainment_weight: spec.attainment_weight,
+            move_weight: spec.move_weight,
             demand_horizon: chestnut_place::planner::DEMAND_HORIZON,
         };
         plan_placement(&pool).placed
     }
 
     /// Replaces the least recently needed replicas by one of the neediest model.
-    fn least_recent(&mut self, site: &Site, observed: &[f64], held: &mut [Vec<usize>]) {
-        let spread = distribute_load(observed, held, site.runners);
+    fn least_recent(
+        &mut self,
+        spec: &DeploymentSpec,
+        observed: &[f64],
+        held: &mut [Vec<usize>],
+    ) {
+        let spread = distribute_load(observed, held, spec.runners);
         for (model, at) in held.iter().enumerate() {
             for (share, runner) in spread.shares[model].iter().zip(at) {
-                if *share > 0.02 * site.throughput {
+                if *share > 0.02 * spec.throughput {
                     self.needed[model][*runner] = self.step;
                 }
             }
         }
-        let Some(model) = neediest(site, observed, held) else { return };
-        let runner = (0..site.runners)
+        let Some(model) = neediest(spec, observed, held) else { return };
+        let runner = (0..spec.runners)
             .filter(|runner| !held[model].contains(runner))
             .min_by(|a, b| spread.loads[*a].total_cmp(&spread.loads[*b]));
         let Some(runner) = runner else { return };
-        while room(site, held, runner) < site.models[model].bytes {
+        while room(spec, held, runner) < spec.models[model].memory_gb {
             let victim = (0..held.len())
                 .filter(|other| held[*other].contains(&runner))
                 .min_by_key(|other| self.needed[*other][runner]);
@@ -150,12 +155,12 @@
 
 /// Starts as the static placement does, so that all start with full memory.
 fn first_then(
-    site: &Site,
+    spec: &DeploymentSpec,
     placed: &[Vec<usize>],
     step: impl FnOnce(&mut [Vec<usize>]),
 ) -> Vec<Vec<usize>> {
     if placed.iter().all(Vec::is_empty) {
-        return filled(site);
+        return filled(spec);
     }
     let mut held = placed.to_vec();
     step(&mut held);
@@ -163,17 +168,19 @@
 }
 
 /// One replica of each model after the other until nothing fits any more.
-fn filled(site: &Site) -> Vec<Vec<usize>> {
-    let mut held = vec![Vec::new(); site.models.len()];
-    let mut order: Vec<usize> = (0..site.models.len()).collect();
-    order.sort_by_key(|model| std::cmp::Reverse(site.models[*model].bytes));
+fn filled(spec: &DeploymentSpec) -> Vec<Vec<usize>> {
+    let mut held = vec![Vec::new(); spec.models.len()];
+    let mut order: Vec<usize> = (0..spec.models.len()).collect();
+    order.sort_by_key(|model| std::cmp::Reverse(spec.models[*model].memory_gb));
     loop {
         let mut placed = false;
         for model in &order {
-            let runner = (0..site.runners)
+            let runner = (0..spec.runners)
                 .filter(|runner| !held[*model].contains(runner))
-                .filter(|runner| room(site, &held, *runner) >= site.models[*model].bytes)
-                .max_by_key(|runner| room(site, &held, *runner));
+                .filter(|runner| {
+                    room(spec, &held, *runner) >= spec.models[*model].memory_gb
+                })
+                .max_by_key(|runner| room(spec, &held, *runner));
             if let Some(runner) = runner {
                 held[*model].push(runner);
                 placed = true;
@@ -186,15 +193,15 @@
 }
 
 /// Gives the neediest model a replica, dropping whatever has least demand there.
-fn greedy(site: &Site, observed: &[f64], held: &mut [Vec<usize>]) {
-    let Some(model) = neediest(site, observed, held) else { return };
-    let spread = distribute_load(observed, held, site.runners);
-    let runner = (0..site.runners)
+fn greedy(spec: &DeploymentSpec, observed: &[f64], held: &mut [Vec<usize>]) {
+    let Some(model) = neediest(spec, observed, held) else { return };
+    let spread = distribute_load(observed, held, spec.runners);
+    let runner = (0..spec.runners)
         .filter(|runner| !held[model].contains(runner))
         .min_by(|a, b| spread.loads[*a].total_cmp(&spread.loads[*b]));
     let Some(runner) = runner else { return };
     let mut next = held.to_vec();
-    while room(site, &next, runner) < site.models[model].bytes {
+    while room(spec, &next, runner) < spec.models[model].memory_gb {
         let victim = (0..next.len())
             .filter(|other| next[*other].contains(&runner) && next[*other].len() > 1)
             .min_by(|a, b| observed[*a].total_cmp(&observed[*b]));
@@ -207,9 +214,13 @@
 
 /// The model whose runners are overloaded most, if any is; one that is nowhere
 /// goes first.
-fn neediest(site: &Site, observed: &[f64], held: &[Vec<usize>]) -> Option<usize> {
-    let spread = distribute_load(observed, held, site.runners);
-    let limit = MAX_UTILIZATION * site.throughput;
+fn neediest(
+    spec: &DeploymentSpec,
+    observed: &[f64],
+    held: &[Vec<usize>],
+) -> Option<usize> {
+    let spread = distribute_load(observed, held, spec.runners);
+    let limit = MAX_UTILIZATION * spec.throughput;
     let lack = |model: usize| {
         if held[model].is_empty() {
             return f64::MAX;
@@ -224,8 +235,8 @@
         .map(|(_, model)| model)
 }
 
-fn room(site: &Site, held: &[Vec<usize>], runner: usize) -> u64 {
+fn room(spec: &DeploymentSpec, held: &[Vec<usize>], runner: usize) -> u64 {
     let models = held.iter().enumerate().filter(|(_, at)| at.contains(&runner));
-    let used: u64 = models.map(|(model, _)| site.models[model].bytes).sum();
-    site.memory - used
+    let used: u64 = models.map(|(model, _)| spec.models[model].memory_gb).sum();
+    spec.memory_gb - used
 }
--- a/crates/lab/src/moves/pool.rs
+++ b/crates/lab/src/moves/pool.rs
@@ -3,9 +3,9 @@
 use chestnut_place::balance::distribute_load;
 use chestnut_place::planner::MAX_UTILIZATION;
 
-use super::policy::{Decider, Policy};
-use super::shifts::{STEP, STEPS, Shifts};
-use super::site::Site;
+use super::demand::{DemandTrace, STEP_SECONDS, STEPS};
+use super::deployment::DeploymentSpec;
+use super::policy::{Policy, PolicyState};
 
 /// What the weight store still serves beyond its limit, as a part of full speed.
 const SLOWED: f64 = 0.8;
@@ -18,9 +18,9 @@
 
 /// A pool in a run.
 pub struct Pool<'a> {
-    site: &'a Site,
-    shifts: &'a Shifts,
-    decider: Decider,
+    spec: &'a DeploymentSpec,
+    trace: &'a DemandTrace,
+    policy_state: PolicyState,
     /// For each model, the runners that hold or load it.
     placed: Vec<Vec<usize>>,
     loads: Vec<LoadJob>,
@@ -67,41 +67,41 @@
 
 impl<'a> Pool<'a> {
     /// Creates a pool whose runners are empty.
-    pub fn new(site: &'a Site, shifts: &'a Shifts, policy: Policy) -> Self {
+    pub fn new(spec: &'a DeploymentSpec, trace: &'a DemandTrace, policy: Policy) -> Self {
         Self {
-            site,
-            shifts,
-            decider: Decider::new(policy, site),
-            placed: vec![Vec::new(); site.models.len()],
+            spec,
+            trace,
+            policy_state: PolicyState::new(policy, spec),
+            placed: vec![Vec::new(); spec.models.len()],
             loads: Vec::new(),
             outcome: Outcome::default(),
         }
     }
 
     /// Plays the run.
-    pub fn play(mut self) -> Outcome {
+    pub fn run(mut self) -> Outcome {
         for step in 0..STEPS {
             self.decide(step);
             self.load();
             self.serve(step);
         }
         let steps = (STEPS - WARM_UP) as f64;
-        let hours = steps * STEP / 3600.0;
+        let hours = steps * STEP_SECONDS / 3600.0;
         self.outcome.rate = self.outcome.served / steps;
         self.outcome.moves /= hours;
-        self.outcome.unreachable /= steps * self.site.models.len() as f64;
+        self.outcome.unreachable /= steps * self.spec.models.len() as f64;
         self.outcome
     }
 
     fn decide(&mut self, step: usize) {
         let mut loading = vec![0; self.placed.len()];
         self.loads.iter().for_each(|job| loading[job.model] += 1);
-        let observed = &self.shifts.observed[step];
-        let next = self.decider.decide(self.site, observed, &self.placed, &loading);
+        let observed = &self.trace.observed[step];
+        let next = self.policy_state.decide(self.spec, observed, &self.placed, &loading);
         self.loads.retain(|job| next[job.model].contains(&job.runner));
         for (model, at) in next.iter().enumerate() {
             for runner in at.iter().filter(|at| !self.placed[model].contains(at)) {
-                let rest = self.site.models[model].cold.as_secs_f64();
+                let rest = self.spec.models[model].load_time.as_secs_f64();
                 self.loads.push(LoadJob { model, runner: *runner, rest, begun: false });
                 if step >= WARM_UP {
                     self.outcome.moves += 1.0;
@@ -113,16 +113,17 @@
     }
 
     fn check_memory(&self) {
-        let mut used = vec![0; self.site.runners];
+        let mut used = vec![0; self.spec.runners];
         for (model, at) in self.placed.iter().enumerate() {
-            at.iter().for_each(|runner| used[*runner] += self.site.models[model].bytes);
+            at.iter()
+                .for_each(|runner| used[*runner] += self.spec.models[model].memory_gb);
         }
-        assert!(used.iter().all(|used| *used <= self.site.memory), "overcommitted");
+        assert!(used.iter().all(|used| *used <= self.spec.memory_gb), "overcommitted");
     }
 
     /// The weight store shares its speed among all loads that have begun.
     fn load(&mut self) {
-        let mut starts = (self.site.rate * STEP).max(1.0) as usize;
+        let mut starts = (self.spec.loads_per_s * STEP_SECONDS).max(1.0) as usize;
         for job in self.loads.iter_mut().filter(|job| !job.begun) {
             if starts == 0 {
                 break;
@@ -131,11 +132,11 @@
             starts -= 1;
         }
         let begun = self.loads.iter().filter(|job| job.begun).count();
-        let limit = self.site.parallel;
+        let limit = self.spec.max_parallel_loads;
         let speed =
             if begun <= limit { 1.0 } else { SLOWED * limit as f64 / begun as f64 };
         for job in self.loads.iter_mut().filter(|job| job.begun) {
-            job.rest -= speed * STEP;
+            job.rest -= speed * STEP_SECONDS;
         }
         self.loads.retain(|job| job.rest > 0.0);
     }
@@ -155,16 +156,16 @@
                 at.iter().copied().filter(|runner| !loading(model, *runner)).collect()
             })
             .collect();
-        let demands = &self.shifts.demands[step];
-        let spread = distribute_load(demands, &ready, self.site.runners);
+        let demands = &self.trace.actual[step];
+        let spread = distribute_load(demands, &ready, self.spec.runners);
         for (runner, load) in spread.loads.iter().enumerate() {
             let busy = self.loads.iter().any(|job| job.runner == runner && job.begun);
             let part = if busy { 1.0 - STALL } else { 1.0 };
             self.outcome.served +=
-                load.min(MAX_UTILIZATION * part * self.site.throughput);
+                load.min(MAX_UTILIZATION * part * self.spec.throughput);
         }
         let sum: f64 = demands.iter().sum();
-        let limit = MAX_UTILIZATION * self.site.throughput * self.site.runners as f64;
+        let limit = MAX_UTILIZATION * self.spec.throughput * self.spec.runners as f64;
         self.outcome.demand += sum;
         self.outcome.possible += sum.min(limit);
         let lacking = ready.iter().filter(|at| at.is_empty()).count();
--- a/crates/lab/src/policies/bound.rs
+++ b/crates/lab/src/policies/bound.rs
@@ -10,25 +10,25 @@
 
 use std::time::Duration;
 
-use super::shape::Shape;
+use super::scenario::DeploymentSpec;
 use super::traffic::Traffic;
 
 /// Intervals into which the time is cut; windows are rounded outwards.
 const CELLS: usize = 150;
 
 /// The most requests that any schedule could serve in time.
-pub fn most(shape: &Shape, traffic: &Traffic) -> f64 {
+pub fn max_served(spec: &DeploymentSpec, traffic: &Traffic) -> f64 {
     let end = traffic.requests.iter().map(|request| request.deadline).max();
     let cell = end.unwrap_or_default() / CELLS as u32 + Duration::from_nanos(1);
-    let mut room = room(shape, traffic, cell);
+    let mut room = room(spec, traffic, cell);
     let mut order: Vec<_> = traffic.requests.iter().collect();
-    order.sort_by_key(|request| request.least(shape));
+    order.sort_by_key(|request| request.min_service_time(spec));
     order
         .iter()
         .map(|request| {
-            let first = (request.at.as_nanos() / cell.as_nanos()) as usize;
+            let first = (request.arrival.as_nanos() / cell.as_nanos()) as usize;
             let last = (request.deadline.as_nanos() / cell.as_nanos()) as usize;
-            let cost = request.least(shape).as_secs_f64();
+            let cost = request.min_service_time(spec).as_secs_f64();
             let given = take(&mut room, first, last.min(CELLS - 1), cost);
             given / cost
         })
@@ -36,10 +36,9 @@
 }
 
 /// The free engine seconds from the start of each cell to the end of each other.
-fn room(shape: &Shape, traffic: &Traffic, cell: Duration) -> Vec<Vec<f64>> {
-    let speeds: Vec<f64> = (0..CELLS)
-        .map(|index| speed(shape, traffic, cell * index as u32, cell))
-        .collect();
+fn room(spec: &DeploymentSpec, traffic: &Traffic, cell: Duration) -> Vec<Vec<f64>> {
+    let speeds: Vec<f64> =
+        (0..CELLS).map(|index| speed(spec, traffic, cell * index as u32, cell)).collect();
     (0..CELLS)
         .map(|first| {
             let mut sum = 0.0;
@@ -55,12 +54,17 @@
 }
 
 /// The engine seconds that all servers give in one cell.
-fn speed(shape: &Shape, traffic: &Traffic, from: Duration, length: Duration) -> f64 {
-    let mut sum = shape.servers as f64 * length.as_secs_f64();
-    for trouble in &traffic.troubles {
-        let start = trouble.from.max(from);
-        let both = trouble.to.min(from + length).saturating_sub(start).as_secs_f64();
-        let left = trouble.factor.map_or(0.0, |factor| 1.0 / f64::from(factor));
+fn speed(
+    spec: &DeploymentSpec,
+    traffic: &Traffic,
+    from: Duration,
+    length: Duration,
+) -> f64 {
+    let mut sum = spec.servers as f64 * length.as_secs_f64();
+    for fault in &traffic.faults {
+        let start = fault.start.max(from);
+        let both = fault.end.min(from + length).saturating_sub(start).as_secs_f64();
+        let left = fault.slowdown.map_or(0.0, |factor| 1.0 / f64::from(factor));
         sum -= both * (1.0 - left);
     }
     sum
--- a/crates/lab/src/policies/engine.rs
+++ b/crates/lab/src/policies/engine.rs
@@ -5,7 +5,7 @@
 
 use std::time::Duration;
 
-use super::shape::Shape;
+use super::scenario::DeploymentSpec;
 use super::traffic::Request;
 
 /// Tokens of prompts that one step computes at most.
@@ -22,20 +22,20 @@
     /// Tokens of the prompt that are still to be computed.
     pub prompt: u32,
     /// Tokens of the answer so far, over all attempts.
-    pub got: u32,
+    pub generated: u32,
     /// Tokens since the lead was told.
     pub fresh: u32,
 }
 
 /// What came of a step.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Given {
+pub enum StepOutput {
     /// The first token of the attempt.
-    First(usize),
+    FirstToken(usize),
     /// Further tokens, told in batches.
-    More(usize, u32),
+    Tokens(usize, u32),
     /// The answer is whole; the tokens that were not told yet.
-    Whole(usize, u32),
+    Finished(usize, u32),
 }
 
 /// Tokens after which the lead is told.
@@ -49,38 +49,39 @@
     /// Cached shared starts; the one used last stands last.
     cache: Vec<(usize, u64, u32)>,
     /// Whether a step is under way.
-    pub busy: bool,
+    pub is_stepping: bool,
 }
 
 impl Engine {
     /// Takes a request up that has `got` tokens already.
-    pub fn add(&mut self, index: usize, request: &Request, got: u32) {
-        let cached = self.touch(request).min(request.blocks) * super::traffic::BLOCK;
-        let prompt = (request.prompt - cached + got).max(1);
-        self.streams.push(Stream { request: index, prompt, got, fresh: 0 });
+    pub fn start(&mut self, index: usize, request: &Request, got: u32) {
+        let cached =
+            self.touch(request).min(request.prefix_blocks) * super::traffic::BLOCK_TOKENS;
+        let prompt = (request.prompt_tokens - cached + got).max(1);
+        self.streams.push(Stream { request: index, prompt, generated: got, fresh: 0 });
     }
 
     /// Drops a request; tells how many tokens it had.
     pub fn cancel(&mut self, index: usize) -> Option<u32> {
         let place = self.streams.iter().position(|s| s.request == index)?;
-        Some(self.streams.swap_remove(place).got)
+        Some(self.streams.swap_remove(place).generated)
     }
 
     /// Loses everything, as on a restart.
-    pub fn crash(&mut self) -> Vec<Stream> {
+    pub fn reset(&mut self) -> Vec<Stream> {
         self.cache.clear();
         std::mem::take(&mut self.streams)
     }
 
     /// The time of the next step.
-    pub fn step_time(&self, shape: &Shape) -> Duration {
+    pub fn step_time(&self, spec: &DeploymentSpec) -> Duration {
         let decoding = self.streams.iter().filter(|s| s.prompt == 0).count();
         let waiting: u32 = self.streams.iter().map(|s| s.prompt).sum();
-        shape.step(decoding) + shape.prefill * waiting.min(CHUNK)
+        spec.step_time(decoding) + spec.prefill_time_per_token * waiting.min(CHUNK)
     }
 
     /// Ends a step.
-    pub fn step(&mut self, requests: &[Request]) -> Vec<Given> {
+    pub fn step(&mut self, requests: &[Request]) -> Vec<StepOutput> {
         let mut chunk = CHUNK;
         let mut given = Vec::new();
         for stream in &mut self.streams {
@@ -91,29 +92,29 @@
                 if stream.prompt > 0 {
                     continue;
                 }
-                stream.got += 1;
-                given.push(Given::First(stream.request));
+                stream.generated += 1;
+                given.push(StepOutput::FirstToken(stream.request));
             } else {
-                stream.got += 1;
+                stream.generated += 1;
                 stream.fresh += 1;
             }
-            if stream.got >= requests[stream.request].actual {
-                given.push(Given::Whole(stream.request, stream.fresh));
+            if stream.generated >= requests[stream.request].output_tokens {
+                given.push(StepOutput::Finished(stream.request, stream.fresh));
             } else if stream.fresh == BATCH {
-                given.push(Given::More(stream.request, BATCH));
+                given.push(StepOutput::Tokens(stream.request, BATCH));
                 stream.fresh = 0;
             }
         }
-        self.streams.retain(|s| s.got < requests[s.request].actual);
+        self.streams.retain(|s| s.generated < requests[s.request].output_tokens);
         given
     }
 
     /// The cached blocks of a request's shared start, which is cached from now on.
     fn touch(&mut self, request: &Request) -> u32 {
-        let (model, prefix) = (request.model, request.prefix);
+        let (model, prefix) = (request.model, request.prefix_id);
         let place = self.cache.iter().position(|&(m, p, _)| (m, p) == (model, prefix));
         let had = place.map_or(0, |place| self.cache.remove(place).2);
-        self.cache.push((model, prefix, had.max(request.blocks)));
+        self.cache.push((model, prefix, had.max(request.prefix_blocks)));
         if self.cache.len() > CACHED {
             self.cache.remove(0);
         }
--- a/crates/lab/src/policies/mod.rs
+++ b/crates/lab/src/policies/mod.rs
@@ -2,27 +2,27 @@
 //!
 //! A run passes through these stages:
 //!
-//! 1. [`shape`] describes a deployment and [`traffic`] draws its requests,
-//! 2. [`world`] plays them against [`engine`]s in virtual time, with the very
+//! 1. [`scenario`] describes a deployment and [`traffic`] draws its requests,
+//! 2. [`simulation`] plays them against [`engine`]s in virtual time, with the very
 //!    routers and leads that the daemon uses,
 //! 3. [`bound`] computes what no schedule could exceed,
-//! 4. [`tally`] turns what callers received into figures.
+//! 4. [`results`] turns what callers received into summary.
 
 pub mod bound;
 pub mod engine;
-pub mod shape;
-pub mod tally;
+pub mod results;
+pub mod scenario;
+pub mod simulation;
 pub mod traffic;
-pub mod world;
 
 use bpaf::Bpaf;
 use chestnut_admit::AdmissionPolicy;
 use chestnut_route::RoutingPolicy;
 
-use shape::{Deployment, Pattern, Shape};
-use tally::{Figures, Tally};
+use results::{Aggregator, Summary};
+use scenario::{Deployment, DeploymentSpec, Pattern};
+use simulation::Simulation;
 use traffic::Traffic;
-use world::World;
 
 /// What to compare.
 #[derive(Debug, Clone, Bpaf)]
@@ -46,66 +46,66 @@
 
 /// A policy under comparison: how entries choose and how leads decide.
 #[derive(Debug, Clone, Copy)]
-pub struct Contender {
+pub struct PolicyConfig {
     /// Its name in the output.
     pub name: &'static str,
     /// How entries choose.
-    pub policy: RoutingPolicy,
+    pub routing: RoutingPolicy,
     /// How leads decide.
-    pub rule: AdmissionPolicy,
+    pub admission: AdmissionPolicy,
     /// Whether it is what the daemon uses.
-    pub chosen: bool,
+    pub is_default: bool,
 }
 
 /// Runs the comparison and prints it.
 pub fn run(options: &Options) {
     if !options.json {
-        println!("{}", tally::header());
+        println!("{}", results::table_header());
     }
     for deployment in wanted(&Deployment::ALL, options.deployment) {
         for pattern in wanted(&Pattern::ALL, options.pattern) {
-            for contender in contenders() {
+            for config in policy_configs() {
                 let name = options.policy.as_deref();
-                if name.is_none_or(|name| name == contender.name) {
-                    let figures = compare(deployment, pattern, contender, options.seeds);
-                    println!("{}", tally::line(&figures, options.json));
+                if name.is_none_or(|name| name == config.name) {
+                    let summary = compare(deployment, pattern, config, options.seeds);
+                    println!("{}", results::format_summary(&summary, options.json));
                 }
             }
         }
     }
 }
 
-/// The mean figures of a policy over all seeds.
+/// The mean summary of a policy over all seeds.
 pub fn compare(
     deployment: Deployment,
     pattern: Pattern,
-    contender: Contender,
+    config: PolicyConfig,
     seeds: u64,
-) -> Figures {
-    let shape = Shape::of(deployment);
-    let mut tally = Tally::default();
+) -> Summary {
+    let spec = DeploymentSpec::of(deployment);
+    let mut tally = Aggregator::default();
     for seed in 0..seeds {
-        let traffic = Traffic::draw(&shape, pattern, seed);
-        let most = bound::most(&shape, &traffic);
-        let world = World::new(&shape, &traffic, contender, seed);
-        tally.add(&shape, &traffic, &world.play(), most);
+        let traffic = Traffic::generate(&spec, pattern, seed);
+        let most = bound::max_served(&spec, &traffic);
+        let world = Simulation::new(&spec, &traffic, config, seed);
+        tally.add(&spec, &traffic, &world.run(), most);
     }
-    tally.figures(deployment, pattern, contender)
+    tally.summary(deployment, pattern, config)
 }
 
 /// The policies that are compared.
-pub fn contenders() -> Vec<Contender> {
-    let naive = |name, policy| Contender {
+pub fn policy_configs() -> Vec<PolicyConfig> {
+    let naive = |name, policy| PolicyConfig {
         name,
-        policy,
-        rule: AdmissionPolicy::FIFO,
-        chosen: false,
+        routing: policy,
+        admission: AdmissionPolicy::FIFO,
+        is_default: false,
     };
-    let led = |name, policy| Contender {
+    let led = |name, policy| PolicyConfig {
         name,
-        policy,
-        rule: AdmissionPolicy::default(),
-        chosen: false,
+        routing: policy,
+        admission: AdmissionPolicy::default(),
+        is_default: false,
     };
     vec![
         naive("round-robin", RoutingPolicy::RoundRobin),
@@ -114,7 +114,7 @@
         naive("k-choice", RoutingPolicy::KChoice(2)),
         led("round-robin+lead", RoutingPolicy::RoundRobin),
         led("k-choice+lead", RoutingPolicy::KChoice(2)),
-        Contender { chosen: true, ..led("chosen", RoutingPolicy::Estimate) },
+        PolicyConfig { is_default: true, ..led("chosen", RoutingPolicy::Estimate) },
     ]
 }
 
--- a/crates/lab/src/policies/tally.rs
+++ b/crates/lab/src/policies/results.rs
@@ -1,4 +1,4 @@
-//! What callers received, in figures.
+//! What callers received, in summary.
 
 use std::time::Duration;
 
@@ -6,32 +6,32 @@
 use hdrhistogram::Histogram;
 use serde::Serialize;
 
-use super::Contender;
-use super::shape::{Deployment, Pattern, Shape};
-use super::traffic::{LENGTH, Traffic};
+use super::PolicyConfig;
+use super::scenario::{Deployment, DeploymentSpec, Pattern};
+use super::traffic::{ARRIVAL_DURATION, Traffic};
 
 /// What became of a request.
 #[derive(Debug, Clone, Copy, Default, PartialEq)]
-pub struct Fate {
+pub struct RequestResult {
     /// When the whole answer was at the caller, if it was.
-    pub whole: Option<Duration>,
+    pub completed_at: Option<Duration>,
     /// When the first token was at the caller, if one was.
-    pub first: Option<Duration>,
+    pub first_token_at: Option<Duration>,
     /// Refusals that the caller was told of.
     pub refusals: u32,
     /// How long the caller waited for each refusal, in total.
-    pub told: Duration,
+    pub refusal_wait: Duration,
     /// Tokens that engines gave for it, over all attempts.
     pub tokens: u64,
     /// Preemptions of its stream.
-    pub preempted: u32,
+    pub preemptions: u32,
     /// Whether its time was up while it ran.
-    pub cut: bool,
+    pub timed_out_running: bool,
 }
 
-/// The figures of a policy, as means over the seeds.
+/// The summary of a policy, as means over the seeds.
 #[derive(Debug, Clone, PartialEq, Serialize)]
-pub struct Figures {
+pub struct Summary {
     /// The load pattern.
     pub pattern: String,
     /// The deployment.
@@ -80,7 +80,7 @@
 
 /// Sums over the runs of a policy.
 #[derive(Debug, Clone)]
-pub struct Tally {
+pub struct Aggregator {
     runs: f64,
     requests: f64,
     met: f64,
@@ -99,7 +99,7 @@
     rate: f64,
 }
 
-impl Default for Tally {
+impl Default for Aggregator {
     fn default() -> Self {
         let mut histogram = Histogram::new(3).expect("three digits are supported");
         histogram.auto(true);
@@ -123,58 +123,66 @@
     }
 }
 
-impl Tally {
+impl Aggregator {
     /// Adds a run.
-    pub fn add(&mut self, shape: &Shape, traffic: &Traffic, fates: &[Fate], most: f64) {
-        let mut callers = vec![(0.0, 0.0); shape.callers];
+    pub fn add(
+        &mut self,
+        spec: &DeploymentSpec,
+        traffic: &Traffic,
+        results: &[RequestResult],
+        most: f64,
+    ) {
+        let mut callers = vec![(0.0, 0.0); spec.callers];
         let before = self.met;
-        for (request, fate) in traffic.requests.iter().zip(fates) {
-            let met = fate.whole.is_some_and(|whole| whole <= request.deadline);
+        for (request, result) in traffic.requests.iter().zip(results) {
+            let met = result
+                .completed_at
+                .is_some_and(|completed_at| completed_at <= request.deadline);
             let one = f64::from(u8::from(met));
             self.met += one;
             let class = &mut self.classes[request.urgency as usize];
             *class = (class.0 + 1.0, class.1 + one);
             let caller = &mut callers[request.caller];
             *caller = (caller.0 + 1.0, caller.1 + one);
-            if let Some(first) = fate.first {
-                let wait = (first - request.at).as_micros() as u64;
+            if let Some(first) = result.first_token_at {
+                let wait = (first - request.arrival).as_micros() as u64;
                 self.waits.record(wait).expect("the histogram grows");
                 if request.urgency == Urgency::Urgent {
                     self.urgent.record(wait).expect("the histogram grows");
                 }
             }
-            self.refusals += f64::from(fate.refusals);
-            self.told += fate.told;
-            self.tokens += fate.tokens as f64;
-            self.useful += one * f64::from(request.actual);
-            self.preempted += f64::from(fate.preempted);
-            self.cut += f64::from(u8::from(fate.cut));
+            self.refusals += f64::from(result.refusals);
+            self.told += result.refusal_wait;
+            self.tokens += result.tokens as f64;
+            self.useful += one * f64::from(request.output_tokens);
+            self.preempted += f64::from(result.preemptions);
+            self.cut += f64::from(u8::from(result.timed_out_running));
         }
         self.runs += 1.0;
         self.requests += traffic.requests.len() as f64;
         self.bound += most;
         self.jain += jain(&callers);
-        let accelerators = (shape.servers * shape.accelerators) as f64;
-        self.rate += (self.met - before) / accelerators / LENGTH.as_secs_f64();
+        let accelerators = (spec.servers * spec.accelerators) as f64;
+        self.rate += (self.met - before) / accelerators / ARRIVAL_DURATION.as_secs_f64();
     }
 
     /// The means over all runs.
-    pub fn figures(
+    pub fn summary(
         &self,
         deployment: Deployment,
         pattern: Pattern,
-        contender: Contender,
-    ) -> Figures {
+        config: PolicyConfig,
+    ) -> Summary {
         let class = |urgency: Urgency| {
             let (count, met) = self.classes[urgency as usize];
             part(met, count)
         };
         let millis = |waits: &Histogram<u64>, q| waits.value_at_quantile(q) as f64 / 1e3;
-        Figures {
+        Summary {
             pattern: pattern.to_string(),
             deployment: deployment.to_string(),
-            policy: contender.name,
-            chosen: contender.chosen,
+            policy: config.name,
+            chosen: config.is_default,
             attainment: part(self.met, self.requests),
             urgent: class(Urgency::Urgent),
             normal: class(Urgency::Normal),
@@ -197,8 +205,8 @@
     }
 }
 
-/// The heads of the columns of [`line`].
-pub fn header() -> String {
+/// The heads of the columns of [`format_summary`].
+pub fn table_header() -> String {
     format!(
         "{:<13}{:<17}{:<18}{:>7}{:>7}{:>7}{:>7}{:>7}{:>8}{:>8}{:>9}{:>9}{:>8}{:>7}{:>7}{:>7}{:>7}{:>7}",
         "deployment",
@@ -222,32 +230,32 @@
     )
 }
 
-/// The figures as a line, of a table or of JSON.
-pub fn line(figures: &Figures, json: bool) -> String {
+/// The summary as a line, of a table or of JSON.
+pub fn format_summary(summary: &Summary, json: bool) -> String {
     if json {
-        return serde_json::to_string(figures).expect("figures are plain numbers");
+        return serde_json::to_string(summary).expect("figures are plain numbers");
     }
-    let name = format!("{}{}", figures.policy, if figures.chosen { "*" } else { "" });
+    let name = format!("{}{}", summary.policy, if summary.chosen { "*" } else { "" });
     format!(
         "{:<13}{:<17}{:<18}{:>7.3}{:>7.3}{:>7.3}{:>7.3}{:>7.3}{:>8.3}{:>8.3}{:>9.0}{:>9.0}{:>8.1}{:>7.3}{:>7.1}{:>7.3}{:>7.2}{:>7.3}",
-        figures.deployment,
-        figures.pattern,
+        summary.deployment,
+        summary.pattern,
         name,
-        figures.attainment,
-        figures.urgent,
-        figures.normal,
-        figures.slow,
-        figures.bound,
-        figures.of_bound,
-        figures.per_accelerator,
-        figures.wait_p95,
-        figures.urgent_p95,
-        figures.told_ms,
-        figures.wasted,
-        figures.preempted,
-        figures.cut,
-        figures.refusals,
-        figures.jain,
+        summary.attainment,
+        summary.urgent,
+        summary.normal,
+        summary.slow,
+        summary.bound,
+        summary.of_bound,
+        summary.per_accelerator,
+        summary.wait_p95,
+        summary.urgent_p95,
+        summary.told_ms,
+        summary.wasted,
+        summary.preempted,
+        summary.cut,
+        summary.refusals,
+        summary.jain,
     )
 }
 
--- a/crates/lab/src/policies/shape.rs
+++ b/crates/lab/src/policies/scenario.rs
@@ -6,7 +6,7 @@
 
 use chestnut_base::Urgency;
 
-/// A deployment whose shape is used.
+/// A deployment whose spec is used.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Deployment {
     /// Letters: 9 runners.
@@ -134,36 +134,36 @@
 
 /// One class of a deployment's requests.
 #[derive(Debug, Clone, Copy)]
-pub struct Class {
+pub struct RequestClass {
     /// How urgent it is.
     pub urgency: Urgency,
     /// Its part of the requests.
-    pub part: f64,
+    pub fraction: f64,
     /// The time in which a caller needs the answer.
     pub deadline: Duration,
     /// The least and the greatest length of prompts, in tokens.
-    pub prompt: (u32, u32),
+    pub prompt_tokens: (u32, u32),
     /// The least and the greatest length that is asked for, in tokens.
-    pub output: (u32, u32),
+    pub output_tokens: (u32, u32),
 }
 
 /// A deployment in numbers.
 #[derive(Debug, Clone)]
-pub struct Shape {
+pub struct DeploymentSpec {
     /// Runners.
     pub servers: usize,
     /// Accelerators of a runner.
     pub accelerators: usize,
     /// Streams that a runner batches.
-    pub streams: usize,
+    pub max_streams: usize,
     /// Tokens that a runner's cache holds.
-    pub tokens: u64,
+    pub kv_tokens: u64,
     /// The time of a step with no stream.
-    pub base: Duration,
+    pub base_step_time: Duration,
     /// What each stream adds to a step.
-    pub each: Duration,
+    pub step_time_per_stream: Duration,
     /// The time of a token of a prompt that is not cached.
-    pub prefill: Duration,
+    pub prefill_time_per_token: Duration,
     /// Models; each is resident on `replicas` runners.
     pub models: usize,
     /// Runners that hold a model.
@@ -175,15 +175,15 @@
     /// Entries.
     pub entries: usize,
     /// The way from a caller to an entry.
-    pub near: Duration,
+    pub caller_latency: Duration,
     /// The way from an entry to a lead.
-    pub hop: Duration,
+    pub lead_latency: Duration,
     /// The classes of requests.
-    pub classes: [Class; 3],
+    pub classes: [RequestClass; 3],
 }
 
-impl Shape {
-    /// The shape of a deployment.
+impl DeploymentSpec {
+    /// The spec of a deployment.
     pub fn of(deployment: Deployment) -> Self {
         match deployment {
             Deployment::Adenta => Self {
@@ -192,8 +192,8 @@
                 replicas: 5,
                 callers: 24,
                 prefixes: 55,
-                near: Duration::from_millis(3),
-                hop: Duration::from_micros(500),
+                caller_latency: Duration::from_millis(3),
+                lead_latency: Duration::from_micros(500),
                 classes: [
                     class(Urgency::Urgent, 0.2, 3_000, (200, 600), (40, 120)),
                     class(Urgency::Normal, 0.5, 8_000, (300, 900), (150, 400)),
@@ -207,8 +207,8 @@
                 replicas: 6,
                 callers: 32,
                 prefixes: 100,
-                near: Duration::from_millis(1),
-                hop: Duration::from_millis(1),
+                caller_latency: Duration::from_millis(1),
+                lead_latency: Duration::from_millis(1),
                 classes: [
                     class(Urgency::Urgent, 0.5, 1_500, (100, 300), (12, 48)),
                     class(Urgency::Normal, 0.2, 8_000, (300, 900), (150, 400)),
@@ -223,34 +223,34 @@
         Self {
             servers: 0,
             accelerators: 4,
-            streams: 32,
-            tokens: 64_000,
-            base: Duration::from_millis(9),
-            each: Duration::from_micros(120),
-            prefill: Duration::from_micros(60),
+            max_streams: 32,
+            kv_tokens: 64_000,
+            base_step_time: Duration::from_millis(9),
+            step_time_per_stream: Duration::from_micros(120),
+            prefill_time_per_token: Duration::from_micros(60),
             models: 0,
             replicas: 0,
             callers: 0,
             prefixes: 0,
             entries: 6,
-            near: Duration::ZERO,
-            hop: Duration::ZERO,
+            caller_latency: Duration::ZERO,
+            lead_latency: Duration::ZERO,
             classes: [class(Urgency::Slow, 0.0, 0, (0, 0), (0, 0)); 3],
         }
     }
 
     /// The time of a step with `streams` streams.
-    pub fn step(&self, streams: usize) -> Duration {
-        self.base + self.each * streams as u32
+    pub fn step_time(&self, streams: usize) -> Duration {
+        self.base_step_time + self.step_time_per_stream * streams as u32
     }
 
     /// The time that a token costs at full batch.
-    pub fn token(&self) -> Duration {
-        self.step(self.streams) / self.streams as u32
+    pub fn time_per_token(&self) -> Duration {
+        self.step_time(self.max_streams) / self.max_streams as u32
     }
 
     /// Whether a runner holds a model.
-    pub fn holds(&self, server: usize, model: usize) -> bool {
+    pub fn hosts_model(&self, server: usize, model: usize) -> bool {
         (0..self.replicas).any(|copy| {
             // Strides without a factor in common with the number of servers.
             (model + copy * [7, 11, 13][model % 3]) % self.servers == server
@@ -260,11 +260,11 @@
 
 fn class(
     urgency: Urgency,
-    part: f64,
+    fraction: f64,
     deadline: u64,
-    prompt: (u32, u32),
-    output: (u32, u32),
-) -> Class {
+    prompt_tokens: (u32, u32),
+    output_tokens: (u32, u32),
+) -> RequestClass {
     let deadline = Duration::from_millis(deadline);
-    Class { urgency, part, deadline, prompt, output }
+    RequestClass { urgency, fraction, deadline, prompt_tokens, output_tokens }
 }
--- a/crates/lab/src/policies/world/entry.rs
+++ b/crates/lab/src/policies/simulation/entry.rs
@@ -6,9 +6,9 @@
 use chestnut_route::{Candidate, Feedback, LoadReport, RouteRequest, RoutingPolicy};
 use rand::RngExt;
 
-use super::{Event, KEEP, Place, UNTOLD, World, prefix};
+use super::{Event, KEEP, Place, Simulation, UNTOLD, prefix};
 
-impl World<'_> {
+impl Simulation<'_> {
     /// The caller sends its request to the entry that it keeps for now.
     pub(super) fn send(&mut self, index: usize) {
         if self.tracks[index].place == Place::Over {
@@ -26,7 +26,7 @@
         track.attempt += 1;
         let attempt = track.attempt;
         self.entries[entry].budget.deposit();
-        self.after(self.shape.near, Event::Try(index, attempt));
+        self.after(self.spec.caller_latency, Event::Try(index, attempt));
     }
 
     /// The entry picks a server and sends the request to its lead.
@@ -37,8 +37,8 @@
             if tries < MAX_REJECTED_OFFERS { self.candidates(index) } else { Vec::new() };
         let prefix = prefix(request);
         let ask = RouteRequest {
-            prompt_tokens: request.prompt,
-            output_tokens: request.output,
+            prompt_tokens: request.prompt_tokens,
+            output_tokens: request.max_output_tokens,
             prefix_blocks: &prefix,
         };
         let now = self.instant();
@@ -53,20 +53,20 @@
         track.counted = Some(key);
         track.tried.push(server);
         let attempt = track.attempt;
-        self.after(self.shape.hop, Event::Offer(index, attempt, server));
+        self.after(self.spec.lead_latency, Event::Offer(index, attempt, server));
     }
 
     fn candidates(&self, index: usize) -> Vec<Candidate> {
         let (request, track) = (self.request(index), &self.tracks[index]);
         (0..self.servers.len())
-            .filter(|&server| self.shape.holds(server, request.model))
+            .filter(|&server| self.spec.hosts_model(server, request.model))
             .filter(|&server| self.servers[server].listed)
             .filter(|server| !track.tried.contains(server))
             .map(|server| Candidate {
                 server: self.entries[track.entry].keys[server],
                 extra_latency: Duration::ZERO,
-                streams: self.shape.streams as u32,
-                step_time: self.shape.step(self.shape.streams / 2),
+                streams: self.spec.max_streams as u32,
+                step_time: self.spec.step_time(self.spec.max_streams / 2),
             })
             .collect()
     }
@@ -105,13 +105,13 @@
         self.entries[entry].router.record(key, Feedback::Responded, now);
         self.report(index, server);
         self.uncount(index);
-        self.fates[index].whole = Some(self.now + self.shape.near);
+        self.results[index].completed_at = Some(self.now + self.spec.caller_latency);
         self.close(index);
     }
 
     /// Takes the lead's load, which came with its answer.
     fn report(&mut self, index: usize, server: usize) {
-        if self.contender.policy != RoutingPolicy::Estimate {
+        if self.config.routing != RoutingPolicy::Estimate {
             return;
         }
         let (now, entry) = (self.instant(), self.tracks[index].entry);
@@ -131,15 +131,15 @@
         let track = &mut self.tracks[index];
         track.place = Place::Away;
         track.attempt += 1;
-        let fate = &mut self.fates[index];
-        fate.refusals += 1;
-        fate.told += self.now + self.shape.near - track.sent;
+        let result = &mut self.results[index];
+        result.refusals += 1;
+        result.refusal_wait += self.now + self.spec.caller_latency - track.sent;
         let pause = match track.retry {
             // Callers spread a little, so that they don't come back together.
             Some(retry) => retry.mul_f64(self.rng.random_range(1.0..1.2)),
             None => UNTOLD.mul_f64(self.rng.random_range(0.2..1.0)),
         };
-        self.after(self.shape.near + pause, Event::Send(index));
+        self.after(self.spec.caller_latency + pause, Event::Send(index));
     }
 
     /// Ends the count in flight of the present attempt, if it is counted.
--- a/crates/lab/src/policies/world/mod.rs
+++ b/crates/lab/src/policies/simulation/mod.rs
@@ -21,10 +21,10 @@
 use rand::SeedableRng;
 use rand::rngs::SmallRng;
 
-use super::Contender;
+use super::PolicyConfig;
 use super::engine::Engine;
-use super::shape::Shape;
-use super::tally::Fate;
+use super::results::RequestResult;
+use super::scenario::DeploymentSpec;
 use super::traffic::{Request, Traffic};
 
 /// Requests that wait at one lead or one engine.
@@ -113,15 +113,15 @@
 }
 
 /// Plays a run in virtual time.
-pub struct World<'a> {
-    shape: &'a Shape,
+pub struct Simulation<'a> {
+    spec: &'a DeploymentSpec,
     traffic: &'a Traffic,
-    contender: Contender,
+    config: PolicyConfig,
     names: Vec<(CallerName, TeamName)>,
     servers: Vec<Server>,
     entries: Vec<Entry>,
     tracks: Vec<Track>,
-    fates: Vec<Fate>,
+    results: Vec<RequestResult>,
     events: BinaryHeap<Reverse<(Duration, u64, Event)>>,
     number: u64,
     now: Duration,
@@ -130,18 +130,18 @@
     rng: SmallRng,
 }
 
-impl<'a> World<'a> {
+impl<'a> Simulation<'a> {
     /// Prepares a run.
     pub fn new(
-        shape: &'a Shape,
+        spec: &'a DeploymentSpec,
         traffic: &'a Traffic,
-        contender: Contender,
+        config: PolicyConfig,
         seed: u64,
     ) -> Self {
         let start = Instant::now();
-        let limits = limits(shape);
+        let limits = limits(spec);
         let server = |_| Server {
-            lead: AdmissionController::new(limits, contender.rule, start),
+            lead: AdmissionController::new(limits, config.admission, start),
             engine: Engine::default(),
             tickets: IndexMap::new(),
             dead: false,
@@ -149,8 +149,8 @@
             life: 0,
         };
         let entry = |index| {
-            let mut router = Router::new(contender.policy, seed * 64 + index as u64);
-            let keys = (0..shape.servers)
+            let mut router = Router::new(config.routing, seed * 64 + index as u64);
+            let keys = (0..spec.servers)
                 .map(|s| router.server_key(&name("server", s)))
                 .collect();
             Entry { router, keys, budget: RetryBudget::new() }
@@ -168,16 +168,16 @@
         };
         let count = traffic.requests.len();
         Self {
-            shape,
+            spec,
             traffic,
-            contender,
-            names: (0..shape.callers)
+            config,
+            names: (0..spec.callers)
                 .map(|c| (name("caller", c), name("team", c / 4)))
                 .collect(),
-            servers: (0..shape.servers).map(server).collect(),
-            entries: (0..shape.entries).map(entry).collect(),
+            servers: (0..spec.servers).map(server).collect(),
+            entries: (0..spec.entries).map(entry).collect(),
             tracks: vec![track; count],
-            fates: vec![Fate::default(); count],
+            results: vec![RequestResult::default(); count],
             events: BinaryHeap::new(),
             number: 0,
             now: Duration::ZERO,
@@ -188,15 +188,15 @@
     }
 
     /// Plays the run and tells what became of each request.
-    pub fn play(mut self) -> Vec<Fate> {
+    pub fn run(mut self) -> Vec<RequestResult> {
         for (index, request) in self.traffic.requests.iter().enumerate() {
-            self.at(request.at, Event::Send(index));
+            self.at(request.arrival, Event::Send(index));
             self.at(request.deadline, Event::Late(index));
         }
-        for trouble in &self.traffic.troubles {
-            if trouble.factor.is_none() {
-                self.at(trouble.from, Event::Death(trouble.server));
-                self.at(trouble.to, Event::Birth(trouble.server));
+        for fault in &self.traffic.faults {
+            if fault.slowdown.is_none() {
+                self.at(fault.start, Event::Death(fault.server));
+                self.at(fault.end, Event::Birth(fault.server));
             }
         }
         self.at(TICK, Event::Tick);
@@ -205,7 +205,7 @@
             self.now = time;
             self.handle(event);
         }
-        self.fates
+        self.results
     }
 
     fn handle(&mut self, event: Event) {
@@ -245,9 +245,10 @@
             Place::Away => {}
             Place::Led(server, ticket) => {
                 let now = self.instant();
-                let before = self.fates[index].tokens;
+                let before = self.results[index].tokens;
                 self.stop(server, index);
-                self.fates[index].cut = self.fates[index].tokens > before;
+                self.results[index].timed_out_running =
+                    self.results[index].tokens > before;
                 let state = &mut self.servers[server];
                 state.tickets.swap_remove(&ticket);
                 state.lead.finish(ticket, AttemptEnd::Cancelled, now);
@@ -264,10 +265,10 @@
             self.servers[server].lead.tick(now);
             self.carry_out(server);
         }
-        for trouble in &self.traffic.troubles {
-            let dead = trouble.factor.is_none();
-            if dead && self.now > trouble.from + LAG && self.now < trouble.to {
-                self.servers[trouble.server].listed = false;
+        for fault in &self.traffic.faults {
+            let dead = fault.slowdown.is_none();
+            if dead && self.now > fault.start + LAG && self.now < fault.end {
+                self.servers[fault.server].listed = false;
             }
         }
         self.after(TICK, Event::Tick);
@@ -302,19 +303,19 @@
 }
 
 /// What each lead and its engine can take.
-fn limits(shape: &Shape) -> Limits {
+fn limits(spec: &DeploymentSpec) -> Limits {
     Limits {
-        max_streams: shape.streams as u32,
-        max_cache_tokens: shape.tokens,
+        max_streams: spec.max_streams as u32,
+        max_cache_tokens: spec.kv_tokens,
         max_queued: QUEUE,
-        step_time: shape.step(shape.streams / 2),
+        step_time: spec.step_time(spec.max_streams / 2),
     }
 }
 
 /// Chained hashes of a request's shared start, as the entry sees them.
 fn prefix(request: &Request) -> Vec<u64> {
-    let start = (request.model as u64) << 48 | request.prefix << 16;
-    (0..request.blocks).map(|block| start | u64::from(block)).collect()
+    let start = (request.model as u64) << 48 | request.prefix_id << 16;
+    (0..request.prefix_blocks).map(|block| start | u64::from(block)).collect()
 }
 
 fn name<T: TryFrom<String>>(what: &str, number: usize) -> T
--- a/crates/lab/src/policies/world/server.rs
+++ b/crates/lab/src/policies/simulation/server.rs
@@ -3,16 +3,17 @@
 use chestnut_admit::{AdmissionController, AttemptEnd, Effect, Job, Rejection, Ticket};
 use chestnut_route::retry::MAX_REJECTED_OFFERS;
 
-use super::super::engine::Given;
-use super::{Event, Place, World, limits};
+use super::super::engine::StepOutput;
+use super::{Event, Place, Simulation, limits};
 
-impl World<'_> {
+impl Simulation<'_> {
     pub(super) fn offer(&mut self, index: usize, attempt: u32, server: usize) {
         if !self.is_live(index, attempt) {
             return;
         }
         if self.servers[server].dead {
-            return self.after(self.shape.hop, Event::Failed(index, attempt, server));
+            return self
+                .after(self.spec.lead_latency, Event::Failed(index, attempt, server));
         }
         let request = self.request(index);
         let (caller, team) = self.names[request.caller].clone();
@@ -22,9 +23,9 @@
             team,
             share: 1,
             urgency: request.urgency,
-            deadline: self.start + request.deadline - self.shape.near,
-            prompt_tokens: request.prompt + got,
-            max_output_tokens: request.output - got,
+            deadline: self.start + request.deadline - self.spec.caller_latency,
+            prompt_tokens: request.prompt_tokens + got,
+            max_output_tokens: request.max_output_tokens - got,
             resumable: true,
             resumed: got > 0,
         };
@@ -52,7 +53,7 @@
         let index = self.servers[server].tickets[&ticket];
         let got = self.tracks[index].got;
         let request = &self.traffic.requests[index];
-        self.servers[server].engine.add(index, request, got);
+        self.servers[server].engine.start(index, request, got);
         self.start_step(server);
     }
 
@@ -66,7 +67,7 @@
             self.tracks[index].tried.resize(MAX_REJECTED_OFFERS, server);
         }
         let attempt = self.tracks[index].attempt;
-        self.after(self.shape.hop, Event::Refused(index, attempt, server, retry));
+        self.after(self.spec.lead_latency, Event::Refused(index, attempt, server, retry));
     }
 
     /// Cancels a stream; its entry offers the rest again.
@@ -77,26 +78,26 @@
         };
         self.stop(server, index);
         self.servers[server].lead.finish(ticket, AttemptEnd::Cancelled, now);
-        self.fates[index].preempted += 1;
+        self.results[index].preemptions += 1;
         self.uncount(index);
         let track = &mut self.tracks[index];
         track.place = Place::Away;
         track.attempt += 1;
         track.tried.clear();
         let attempt = track.attempt;
-        self.after(self.shape.hop, Event::Try(index, attempt));
+        self.after(self.spec.lead_latency, Event::Try(index, attempt));
         self.carry_out(server);
     }
 
     fn start_step(&mut self, server: usize) {
         let (factor, now) = (self.slowness(server), self.now);
         let server_ = &mut self.servers[server];
-        if server_.engine.busy || server_.engine.streams.is_empty() {
+        if server_.engine.is_stepping || server_.engine.streams.is_empty() {
             return;
         }
-        server_.engine.busy = true;
+        server_.engine.is_stepping = true;
         let life = server_.life;
-        let time = server_.engine.step_time(self.shape) * factor;
+        let time = server_.engine.step_time(self.spec) * factor;
         self.at(now + time, Event::Step(server, life));
     }
 
@@ -104,7 +105,7 @@
         if self.servers[server].life != life {
             return;
         }
-        self.servers[server].engine.busy = false;
+        self.servers[server].engine.is_stepping = false;
         for given in self.servers[server].engine.step(&self.traffic.requests) {
             self.given(server, given);
         }
@@ -112,11 +113,13 @@
         self.start_step(server);
     }
 
-    fn given(&mut self, server: usize, given: Given) {
+    fn given(&mut self, server: usize, given: StepOutput) {
         let now = self.instant();
         let (index, count) = match given {
-            Given::First(index) => (index, 1),
-            Given::More(index, count) | Given::Whole(index, count) => (index, count),
+            StepOutput::FirstToken(index) => (index, 1),
+            StepOutput::Tokens(index, count) | StepOutput::Finished(index, count) => {
+                (index, count)
+            }
         };
         let Place::Led(_, ticket) = self.tracks[index].place else { return };
         let lead = &mut self.servers[server].lead;
@@ -124,38 +127,39 @@
             lead.record_tokens(ticket, count, now);
         }
         match given {
-            Given::First(_) => {
-                let first = self.now + self.shape.hop + self.shape.near;
-                self.fates[index].first.get_or_insert(first);
+            StepOutput::FirstToken(_) => {
+                let first = self.now + self.spec.lead_latency + self.spec.caller_latency;
+                self.results[index].first_token_at.get_or_insert(first);
             }
-            Given::More(..) => {}
-            Given::Whole(..) => {
+            StepOutput::Tokens(..) => {}
+            StepOutput::Finished(..) => {
                 lead.finish(ticket, AttemptEnd::Completed, now);
                 self.servers[server].tickets.swap_remove(&ticket);
-                let actual = u64::from(self.request(index).actual);
-                self.fates[index].tokens += actual - u64::from(self.tracks[index].got);
+                let actual = u64::from(self.request(index).output_tokens);
+                self.results[index].tokens += actual - u64::from(self.tracks[index].got);
                 self.tracks[index].place = Place::Away;
                 let attempt = self.tracks[index].attempt;
-                self.after(self.shape.hop, Event::Whole(index, attempt, server));
+                self.after(self.spec.lead_latency, Event::Whole(index, attempt, server));
             }
         }
     }
 
     pub(super) fn death(&mut self, server: usize) {
-        let limits = limits(self.shape);
-        let lead = AdmissionController::new(limits, self.contender.rule, self.instant());
+        let limits = limits(self.spec);
+        let lead =
+            AdmissionController::new(limits, self.config.admission, self.instant());
         let state = &mut self.servers[server];
         state.dead = true;
         state.life += 1;
         state.lead = lead;
-        state.engine.busy = false;
-        for stream in state.engine.crash() {
-            self.keep(stream.request, stream.got);
+        state.engine.is_stepping = false;
+        for stream in state.engine.reset() {
+            self.keep(stream.request, stream.generated);
         }
         for (_, index) in std::mem::take(&mut self.servers[server].tickets) {
             self.tracks[index].place = Place::Away;
             let attempt = self.tracks[index].attempt;
-            self.after(self.shape.hop, Event::Failed(index, attempt, server));
+            self.after(self.spec.lead_latency, Event::Failed(index, attempt, server));
         }
     }
 
@@ -173,15 +177,15 @@
 
     fn keep(&mut self, index: usize, got: u32) {
         let track = &mut self.tracks[index];
-        self.fates[index].tokens += u64::from(got - track.got);
+        self.results[index].tokens += u64::from(got - track.got);
         track.got = got;
     }
 
     fn slowness(&self, server: usize) -> u32 {
-        let troubles = self.traffic.troubles.iter();
-        troubles
-            .filter(|t| t.server == server && t.from <= self.now && self.now < t.to)
-            .find_map(|trouble| trouble.factor)
+        let faults = self.traffic.faults.iter();
+        faults
+            .filter(|t| t.server == server && t.start <= self.now && self.now < t.end)
+            .find_map(|fault| fault.slowdown)
             .unwrap_or(1)
     }
 }
--- a/crates/lab/tests/causes.rs
+++ b/crates/lab/tests/causes.rs
@@ -1,6 +1,6 @@
 //! Causes of late and lost requests, from daemons' logs.
 
-use chestnut_lab::causes::{Cause, table};
+use chestnut_lab::causes::{Cause, count_causes};
 
 #[test]
 fn causes_are_told_from_the_lines_of_a_request() {
@@ -18,9 +18,14 @@
 no JSON
 {"msg":"request ended","id":"h"
 "#;
-    let table = table(text);
+    let table = count_causes(text);
     let found: Vec<Cause> = table["r"].keys().copied().collect();
-    use Cause::{Adapter, Engine, Full, InTime, Paused, Turn};
-    assert_eq!(found, [Turn, Engine, Paused, InTime, Adapter, Full]);
+    use Cause::{
+        AdmissionWait, EventGap, InTime, NoAdapterSlot, RunnersFull, SlowFirstEvent,
+    };
+    assert_eq!(
+        found,
+        [AdmissionWait, SlowFirstEvent, EventGap, InTime, NoAdapterSlot, RunnersFull]
+    );
     assert_eq!(table["plain"][&InTime], 1);
 }
--- a/crates/lab/tests/moves.rs
+++ b/crates/lab/tests/moves.rs
@@ -1,10 +1,10 @@
 //! The planner against its baselines, on few seeds.
 
+use chestnut_lab::moves::deployment::{Deployment, Weighting};
 use chestnut_lab::moves::policy::Policy;
-use chestnut_lab::moves::site::{Deployment, Weighting};
-use chestnut_lab::moves::{Figures, compare};
+use chestnut_lab::moves::{Summary, compare};
 
-fn figures(policy: Policy) -> Figures {
+fn figures(policy: Policy) -> Summary {
     compare(Deployment::Adenta, Weighting::Moves, policy, 2)
 }
 
