--- a/crates/lab/src/policies/engine.rs
+++ b/crates/lab/src/policies/engine.rs
@@ -1,123 +1,130 @@
-//! A batching server in virtual time.
+//! Simulates an engine with continuous batching and chunked prefill.
 //!
-//! Every step gives each stream one token and takes longer the more streams run.
-//! Prompts are computed in chunks between the tokens; what is cached is skipped.
+//! Each step generates one token per decoding stream, takes longer the more streams run,
+//! and also prefills one chunk of the pending prompts. Cached prefixes are not prefilled.
 
 use std::time::Duration;
 
 use super::scenario::DeploymentSpec;
 use super::traffic::Request;
 
-/// Tokens of prompts that one step computes at most.
-const CHUNK: u32 = 512;
+/// Prompt tokens that one step prefills at most.
+const MAX_CHUNK_TOKENS: u32 = 512;
 
-/// Shared starts of prompts that the cache holds.
-const CACHED: usize = 16;
+/// Shared prefixes that the KV cache holds.
+const MAX_CACHED_PREFIXES: usize = 16;
 
-/// A stream that runs.
+/// A running stream.
 #[derive(Debug, Clone)]
 pub struct Stream {
-    /// The request's index.
+    /// Index of the request in the traffic.
     pub request: usize,
-    /// Tokens of the prompt that are still to be computed.
-    pub prompt: u32,
-    /// Tokens of the answer so far, over all attempts.
+    /// Prompt tokens that are not prefilled yet; 0 while decoding.
+    pub pending_prompt: u32,
+    /// Output tokens so far, over all attempts.
     pub generated: u32,
-    /// Tokens since the lead was told.
-    pub fresh: u32,
+    /// Tokens that were not reported to the lead yet.
+    pub unreported: u32,
 }
 
-/// What came of a step.
+/// Progress of one stream in a step, by the index of its request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum StepOutput {
     /// The first token of the attempt.
     FirstToken(usize),
-    /// Further tokens, told in batches.
+    /// Further tokens and their number, reported in batches.
     Tokens(usize, u32),
-    /// The answer is whole; the tokens that were not told yet.
+    /// The response is complete; carries the number of unreported tokens.
     Finished(usize, u32),
 }
 
-/// Tokens after which the lead is told.
-const BATCH: u32 = 8;
+/// Tokens per progress report to the lead.
+const REPORT_TOKENS: u32 = 8;
 
-/// A batching server.
+/// A simulated engine.
 #[derive(Debug, Clone, Default)]
 pub struct Engine {
     /// Running streams.
     pub streams: Vec<Stream>,
-    /// Cached shared starts; the one used last stands last.
-    cache: Vec<(usize, u64, u32)>,
-    /// Whether a step is under way.
+    /// LRU cache of shared prefixes: model, prefix and cached blocks, most recent last.
+    prefix_cache: Vec<(usize, u64, u32)>,
+    /// Whether a step is scheduled.
     pub is_stepping: bool,
 }
 
 impl Engine {
-    /// Takes a request up that has `got` tokens already.
-    pub fn start(&mut self, index: usize, request: &Request, got: u32) {
-        let cached =
-            self.touch(request).min(request.prefix_blocks) * super::traffic::BLOCK_TOKENS;
-        let prompt = (request.prompt_tokens - cached + got).max(1);
-        self.streams.push(Stream { request: index, prompt, generated: got, fresh: 0 });
+    /// Adds a stream for a request of which earlier attempts generated `generated` tokens.
+    pub fn start(&mut self, index: usize, request: &Request, generated: u32) {
+        let cached = self.cache_prefix(request).min(request.prefix_blocks)
+            * super::traffic::BLOCK_TOKENS;
+        let pending_prompt = (request.prompt_tokens - cached + generated).max(1);
+        self.streams.push(Stream {
+            request: index,
+            pending_prompt,
+            generated,
+            unreported: 0,
+        });
     }
 
-    /// Drops a request; tells how many tokens it had.
+    /// Removes a stream and returns its token count; `None` if the request is not running.
     pub fn cancel(&mut self, index: usize) -> Option<u32> {
-        let place = self.streams.iter().position(|s| s.request == index)?;
-        Some(self.streams.swap_remove(place).generated)
+        let position = self.streams.iter().position(|s| s.request == index)?;
+        Some(self.streams.swap_remove(position).generated)
     }
 
-    /// Loses everything, as on a restart.
+    /// Drops the cache and all streams, as a crash does; returns the streams.
     pub fn reset(&mut self) -> Vec<Stream> {
-        self.cache.clear();
+        self.prefix_cache.clear();
         std::mem::take(&mut self.streams)
     }
 
-    /// The time of the next step.
+    /// Duration of the next step.
     pub fn step_time(&self, spec: &DeploymentSpec) -> Duration {
-        let decoding = self.streams.iter().filter(|s| s.prompt == 0).count();
-        let waiting: u32 = self.streams.iter().map(|s| s.prompt).sum();
-        spec.step_time(decoding) + spec.prefill_time_per_token * waiting.min(CHUNK)
+        let decoding = self.streams.iter().filter(|s| s.pending_prompt == 0).count();
+        let pending: u32 = self.streams.iter().map(|s| s.pending_prompt).sum();
+        spec.step_time(decoding)
+            + spec.prefill_time_per_token * pending.min(MAX_CHUNK_TOKENS)
     }
 
-    /// Ends a step.
+    /// Completes a step and returns the progress of its streams.
     pub fn step(&mut self, requests: &[Request]) -> Vec<StepOutput> {
-        let mut chunk = CHUNK;
-        let mut given = Vec::new();
+        let mut budget = MAX_CHUNK_TOKENS;
+        let mut outputs = Vec::new();
         for stream in &mut self.streams {
-            if stream.prompt > 0 {
-                let part = stream.prompt.min(chunk);
-                stream.prompt -= part;
-                chunk -= part;
-                if stream.prompt > 0 {
+            if stream.pending_prompt > 0 {
+                let tokens = stream.pending_prompt.min(budget);
+                stream.pending_prompt -= tokens;
+                budget -= tokens;
+                if stream.pending_prompt > 0 {
                     continue;
                 }
                 stream.generated += 1;
-                given.push(StepOutput::FirstToken(stream.request));
+                outputs.push(StepOutput::FirstToken(stream.request));
             } else {
                 stream.generated += 1;
-                stream.fresh += 1;
+                stream.unreported += 1;
             }
             if stream.generated >= requests[stream.request].output_tokens {
-                given.push(StepOutput::Finished(stream.request, stream.fresh));
-            } else if stream.fresh == BATCH {
-                given.push(StepOutput::Tokens(stream.request, BATCH));
-                stream.fresh = 0;
+                outputs.push(StepOutput::Finished(stream.request, stream.unreported));
+            } else if stream.unreported == REPORT_TOKENS {
+                outputs.push(StepOutput::Tokens(stream.request, REPORT_TOKENS));
+                stream.unreported = 0;
             }
         }
         self.streams.retain(|s| s.generated < requests[s.request].output_tokens);
-        given
+        outputs
     }
 
-    /// The cached blocks of a request's shared start, which is cached from now on.
-    fn touch(&mut self, request: &Request) -> u32 {
+    /// Caches the shared prefix of a request; returns how many of its blocks were cached before.
+    fn cache_prefix(&mut self, request: &Request) -> u32 {
         let (model, prefix) = (request.model, request.prefix_id);
-        let place = self.cache.iter().position(|&(m, p, _)| (m, p) == (model, prefix));
-        let had = place.map_or(0, |place| self.cache.remove(place).2);
-        self.cache.push((model, prefix, had.max(request.prefix_blocks)));
-        if self.cache.len() > CACHED {
-            self.cache.remove(0);
+        let position =
+            self.prefix_cache.iter().position(|&(m, p, _)| (m, p) == (model, prefix));
+        let cached = position.map_or(0, |position| self.prefix_cache.remove(position).2);
+        self.prefix_cache.push((model, prefix, cached.max(request.prefix_blocks)));
+        if self.prefix_cache.len() > MAX_CACHED_PREFIXES {
+            self.prefix_cache.remove(0);
         }
-        had
+        cached
     }
 }
--- a/crates/lab/src/policies/mod.rs
+++ b/crates/lab/src/policies/mod.rs
@@ -1,12 +1,12 @@
-//! Admission and routing under load, against baselines and a bound.
+//! Compares admission and routing policies under load with baselines and an upper bound.
 //!
 //! A run passes through these stages:
 //!
-//! 1. [`scenario`] describes a deployment and [`traffic`] draws its requests,
-//! 2. [`simulation`] plays them against [`engine`]s in virtual time, with the very
-//!    routers and leads that the daemon uses,
-//! 3. [`bound`] computes what no schedule could exceed,
-//! 4. [`results`] turns what callers received into summary.
+//! 1. [`scenario`] describes a deployment and [`traffic`] generates its requests,
+//! 2. [`simulation`] runs them against [`engine`]s in virtual time, with the routers and
+//!    admission controllers of the daemon,
+//! 3. [`bound`] computes an upper bound that no schedule can exceed,
+//! 4. [`results`] aggregates the results of the requests.
 
 pub mod bound;
 pub mod engine;
@@ -24,46 +24,46 @@
 use simulation::Simulation;
 use traffic::Traffic;
 
-/// What to compare.
+/// Selects the runs of a comparison.
 #[derive(Debug, Clone, Bpaf)]
 #[bpaf(generate(options))]
 pub struct Options {
-    /// Print one JSON object a line.
+    /// Print one JSON object per line.
     pub json: bool,
-    /// Runs with different random numbers.
+    /// Number of runs, each with its own random seed.
     #[bpaf(argument("N"), fallback(20))]
     pub seeds: u64,
-    /// Only this pattern.
+    /// Run only this load pattern.
     #[bpaf(argument("P"))]
     pub pattern: Option<Pattern>,
-    /// Only this deployment.
+    /// Run only this deployment.
     #[bpaf(argument("D"))]
     pub deployment: Option<Deployment>,
-    /// Only this policy.
+    /// Run only the policy of this name.
     #[bpaf(argument("NAME"))]
     pub policy: Option<String>,
 }
 
-/// A policy under comparison: how entries choose and how leads decide.
+/// A policy under comparison: routing at the entries, admission at the leads.
 #[derive(Debug, Clone, Copy)]
 pub struct PolicyConfig {
-    /// Its name in the output.
+    /// Name in the output.
     pub name: &'static str,
-    /// How entries choose.
+    /// How entries select a server.
     pub routing: RoutingPolicy,
-    /// How leads decide.
+    /// How leads admit requests.
     pub admission: AdmissionPolicy,
-    /// Whether it is what the daemon uses.
+    /// Whether the daemon uses this policy.
     pub is_default: bool,
 }
 
-/// Runs the comparison and prints it.
+/// Runs the comparison and prints a line per deployment, pattern and policy.
 pub fn run(options: &Options) {
     if !options.json {
         println!("{}", results::table_header());
     }
-    for deployment in wanted(&Deployment::ALL, options.deployment) {
-        for pattern in wanted(&Pattern::ALL, options.pattern) {
+    for deployment in selected(&Deployment::ALL, options.deployment) {
+        for pattern in selected(&Pattern::ALL, options.pattern) {
             for config in policy_configs() {
                 let name = options.policy.as_deref();
                 if name.is_none_or(|name| name == config.name) {
@@ -75,7 +75,7 @@
     }
 }
 
-/// The mean summary of a policy over all seeds.
+/// Runs a policy with every seed below `seeds` and aggregates the results.
 pub fn compare(
     deployment: Deployment,
     pattern: Pattern,
@@ -83,42 +83,45 @@
     seeds: u64,
 ) -> Summary {
     let spec = DeploymentSpec::of(deployment);
-    let mut tally = Aggregator::default();
+    let mut aggregator = Aggregator::default();
     for seed in 0..seeds {
         let traffic = Traffic::generate(&spec, pattern, seed);
-        let most = bound::max_served(&spec, &traffic);
+        let upper_bound = bound::max_served(&spec, &traffic);
         let world = Simulation::new(&spec, &traffic, config, seed);
-        tally.add(&spec, &traffic, &world.run(), most);
+        aggregator.add(&spec, &traffic, &world.run(), upper_bound);
     }
-    tally.summary(deployment, pattern, config)
+    aggregator.summary(deployment, pattern, config)
 }
 
-/// The policies that are compared.
+/// All policies, baselines first.
 pub fn policy_configs() -> Vec<PolicyConfig> {
-    let naive = |name, policy| PolicyConfig {
+    let without_admission = |name, routing| PolicyConfig {
         name,
-        routing: policy,
+        routing,
         admission: AdmissionPolicy::FIFO,
         is_default: false,
     };
-    let led = |name, policy| PolicyConfig {
+    let with_admission = |name, routing| PolicyConfig {
         name,
-        routing: policy,
+        routing,
         admission: AdmissionPolicy::default(),
         is_default: false,
     };
     vec![
-        naive("round-robin", RoutingPolicy::RoundRobin),
-        naive("least-in-flight", RoutingPolicy::LeastInFlight),
-        naive("two-choices", RoutingPolicy::TwoChoices),
-        naive("k-choice", RoutingPolicy::KChoice(2)),
-        led("round-robin+lead", RoutingPolicy::RoundRobin),
-        led("k-choice+lead", RoutingPolicy::KChoice(2)),
-        PolicyConfig { is_default: true, ..led("chosen", RoutingPolicy::Estimate) },
+        without_admission("round-robin", RoutingPolicy::RoundRobin),
+        without_admission("least-in-flight", RoutingPolicy::LeastInFlight),
+        without_admission("two-choices", RoutingPolicy::TwoChoices),
+        without_admission("k-choice", RoutingPolicy::KChoice(2)),
+        with_admission("round-robin+lead", RoutingPolicy::RoundRobin),
+        with_admission("k-choice+lead", RoutingPolicy::KChoice(2)),
+        PolicyConfig {
+            is_default: true,
+            ..with_admission("chosen", RoutingPolicy::Estimate)
+        },
     ]
 }
 
-/// All variants, or the one that is named.
-fn wanted<T: Copy>(all: &[T], only: Option<T>) -> Vec<T> {
+/// All values, or only the selected one.
+fn selected<T: Copy>(all: &[T], only: Option<T>) -> Vec<T> {
     only.map_or_else(|| all.to_vec(), |only| vec![only])
 }
--- a/crates/lab/src/policies/scenario.rs
+++ b/crates/lab/src/policies/scenario.rs
@@ -1,4 +1,4 @@
-//! The deployments and load patterns that are compared.
+//! Deployments and load patterns of the comparison.
 
 use std::fmt::{self, Display, Formatter};
 use std::str::FromStr;
@@ -6,45 +6,45 @@
 
 use chestnut_base::Urgency;
 
-/// A deployment whose spec is used.
+/// A deployment to simulate.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Deployment {
-    /// Letters: 9 runners.
+    /// Serves letters with 9 runners.
     Adenta,
-    /// Seat checks beside drafting: 18 runners.
+    /// Serves seat checks and drafting with 18 runners.
     Gwiazdozbior,
 }
 
-/// A load pattern.
+/// A load pattern; loads are fractions of the capacity.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Pattern {
-    /// 0.7 of the capacity, with urgent bursts of three times that for 4 s.
+    /// Load 0.7; two bursts of urgent requests raise it to three times that for 4 s each.
     Burst,
-    /// One caller sends 1.3 times the capacity on top of 0.7 of all others.
+    /// Load 1.3 from a single caller on top of 0.7 from all callers.
     HotCaller,
-    /// Half of the requests share one prefix, at 0.85 of the capacity.
+    /// Load 0.85; half of the requests share one prefix.
     HotPrefix,
-    /// One server in nine takes five times as long for 12 s, at 0.8.
+    /// Load 0.8; steps of one server in nine take five times as long for 12 s.
     SlowServer,
-    /// One request in twenty is six times as long, at 1.0.
+    /// Load 1.0; one request in twenty is six times as long.
     LongShort,
-    /// 1.2 times the capacity.
+    /// Load 1.2.
     Overload12,
-    /// 2 times the capacity.
+    /// Load 2.
     Overload2,
-    /// 5 times the capacity.
+    /// Load 5.
     Overload5,
-    /// Half of the servers die for 10 s, at 0.8.
+    /// Load 0.8; half of the servers are down for 10 s.
     HalfLost,
 }
 
 impl Deployment {
-    /// All deployments.
+    /// All deployments, in output order.
     pub const ALL: [Self; 2] = [Self::Adenta, Self::Gwiazdozbior];
 }
 
 impl Pattern {
-    /// All patterns.
+    /// All patterns, in output order.
     pub const ALL: [Self; 9] = [
         Self::Burst,
         Self::HotCaller,
@@ -57,7 +57,7 @@
         Self::HalfLost,
     ];
 
-    /// The load of all callers but a hot one, as a part of the capacity.
+    /// Base load as a fraction of the capacity, without bursts and the hot caller.
     pub fn load(self) -> f64 {
         match self {
             Self::Burst | Self::HotCaller => 0.7,
@@ -96,16 +96,15 @@
     }
 }
 
-/// A name that is not in the list of variants.
+/// The name of no known variant.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct UnknownName {
-    /// The names that are.
-    known: Vec<String>,
+    valid: Vec<String>,
 }
 
 impl Display for UnknownName {
     fn fmt(&self, f: &mut Formatter<'_>) -> fmt::Result {
-        write!(f, "there is no such name; use one of {}", self.known.join(", "))
+        write!(f, "unknown name; expected one of {}", self.valid.join(", "))
     }
 }
 
@@ -115,7 +114,7 @@
     type Err = UnknownName;
 
     fn from_str(text: &str) -> Result<Self, UnknownName> {
-        find(&Self::ALL, text)
+        parse_name(&Self::ALL, text)
     }
 }
 
@@ -123,67 +122,67 @@
     type Err = UnknownName;
 
     fn from_str(text: &str) -> Result<Self, UnknownName> {
-        find(&Self::ALL, text)
+        parse_name(&Self::ALL, text)
     }
 }
 
-fn find<T: Copy + Display>(all: &[T], text: &str) -> Result<T, UnknownName> {
-    let found = all.iter().copied().find(|one| one.to_string() == text);
-    found.ok_or_else(|| UnknownName { known: all.iter().map(T::to_string).collect() })
+fn parse_name<T: Copy + Display>(all: &[T], text: &str) -> Result<T, UnknownName> {
+    let found = all.iter().copied().find(|value| value.to_string() == text);
+    found.ok_or_else(|| UnknownName { valid: all.iter().map(T::to_string).collect() })
 }
 
-/// One class of a deployment's requests.
+/// A class of requests with the same urgency.
 #[derive(Debug, Clone, Copy)]
 pub struct RequestClass {
-    /// How urgent it is.
+    /// Urgency of all requests of the class.
     pub urgency: Urgency,
-    /// Its part of the requests.
+    /// Fraction of all requests.
     pub fraction: f64,
-    /// The time in which a caller needs the answer.
+    /// Time from sending in which the response is due.
     pub deadline: Duration,
-    /// The least and the greatest length of prompts, in tokens.
+    /// Range of prompt lengths, both ends included.
     pub prompt_tokens: (u32, u32),
-    /// The least and the greatest length that is asked for, in tokens.
+    /// Range of requested output lengths, both ends included.
     pub output_tokens: (u32, u32),
 }
 
-/// A deployment in numbers.
+/// Sizes, speeds and request classes of a deployment.
 #[derive(Debug, Clone)]
 pub struct DeploymentSpec {
-    /// Runners.
+    /// Number of runners.
     pub servers: usize,
-    /// Accelerators of a runner.
+    /// Accelerators per runner.
     pub accelerators: usize,
-    /// Streams that a runner batches.
+    /// Streams in a full batch of a runner.
     pub max_streams: usize,
-    /// Tokens that a runner's cache holds.
+    /// KV cache capacity of a runner, in tokens.
     pub kv_tokens: u64,
-    /// The time of a step with no stream.
+    /// Duration of a step without streams.
     pub base_step_time: Duration,
-    /// What each stream adds to a step.
+    /// Time that each stream adds to a step.
     pub step_time_per_stream: Duration,
-    /// The time of a token of a prompt that is not cached.
+    /// Prefill time of a prompt token that is not cached.
     pub prefill_time_per_token: Duration,
-    /// Models; each is resident on `replicas` runners.
+    /// Number of models, each loaded on `replicas` runners.
     pub models: usize,
-    /// Runners that hold a model.
+    /// Replicas per model.
     pub replicas: usize,
-    /// Callers, in teams of four.
+    /// Number of callers; each team has four.
     pub callers: usize,
-    /// Shared starts of prompts.
+    /// Number of distinct shared prompt prefixes.
     pub prefixes: usize,
-    /// Entries.
+    /// Number of entries.
     pub entries: usize,
-    /// The way from a caller to an entry.
+    /// One-way latency between a caller and an entry.
     pub caller_latency: Duration,
-    /// The way from an entry to a lead.
+    /// One-way latency between an entry and a lead.
     pub lead_latency: Duration,
-    /// The classes of requests.
+    /// Request classes, from urgent to slow.
     pub classes: [RequestClass; 3],
 }
 
 impl DeploymentSpec {
-    /// The spec of a deployment.
+    /// The parameters of a deployment.
     pub fn of(deployment: Deployment) -> Self {
         match deployment {
             Deployment::Adenta => Self {
@@ -199,7 +198,7 @@
                     class(Urgency::Normal, 0.5, 8_000, (300, 900), (150, 400)),
                     class(Urgency::Slow, 0.3, 20_000, (300, 1_200), (300, 800)),
                 ],
-                ..Self::common()
+                ..Self::defaults()
             },
             Deployment::Gwiazdozbior => Self {
                 servers: 18,
@@ -214,12 +213,12 @@
                     class(Urgency::Normal, 0.2, 8_000, (300, 900), (150, 400)),
                     class(Urgency::Slow, 0.3, 30_000, (400, 1_500), (400, 1_200)),
                 ],
-                ..Self::common()
+                ..Self::defaults()
             },
         }
     }
 
-    fn common() -> Self {
+    fn defaults() -> Self {
         Self {
             servers: 0,
             accelerators: 4,
@@ -239,21 +238,21 @@
         }
     }
 
-    /// The time of a step with `streams` streams.
+    /// Duration of a decoding step of `streams` streams.
     pub fn step_time(&self, streams: usize) -> Duration {
         self.base_step_time + self.step_time_per_stream * streams as u32
     }
 
-    /// The time that a token costs at full batch.
+    /// Engine time per output token in a full batch.
     pub fn time_per_token(&self) -> Duration {
         self.step_time(self.max_streams) / self.max_streams as u32
     }
 
-    /// Whether a runner holds a model.
+    /// Whether the model has a replica on the server.
     pub fn hosts_model(&self, server: usize, model: usize) -> bool {
-        (0..self.replicas).any(|copy| {
-            // Strides without a factor in common with the number of servers.
-            (model + copy * [7, 11, 13][model % 3]) % self.servers == server
+        (0..self.replicas).any(|replica| {
+            // Strides that are coprime to the number of servers give distinct servers.
+            (model + replica * [7, 11, 13][model % 3]) % self.servers == server
         })
     }
 }
--- a/crates/lab/src/policies/simulation/mod.rs
+++ b/crates/lab/src/policies/simulation/mod.rs
@@ -1,11 +1,12 @@
-//! Plays a run in virtual time.
+//! Discrete-event simulation of a run in virtual time.
 //!
-//! Entries, leads and engines are those of the daemon or stand in for them at the
-//! interface; what takes time is an event. Callers who are told when to come back
-//! do so; those who are not come back soon and again, until their time is up.
+//! Routers, retry budgets and admission controllers are those of the daemon; engines and
+//! callers are simulated. Whatever takes time is an event. A refused caller retries after
+//! the retry delay that it received, or after a short random delay if it received none,
+//! until the deadline of its request.
 //!
-//! - [`entry`]: the entry's and the caller's side of a request,
-//! - [`server`]: what waits at a lead and runs at its engine.
+//! - [`entry`]: callers and entries,
+//! - [`server`]: leads and their engines.
 
 mod entry;
 mod server;
@@ -27,83 +28,89 @@
 use super::scenario::DeploymentSpec;
 use super::traffic::{Request, Traffic};
 
-/// Requests that wait at one lead or one engine.
-const QUEUE: usize = 256;
+/// Queue limit of each lead.
+const MAX_QUEUED: usize = 256;
 
-/// How often leads are ticked.
-const TICK: Duration = Duration::from_millis(100);
+/// Interval between ticks of the leads.
+const TICK_INTERVAL: Duration = Duration::from_millis(100);
 
-/// How long a dead server stays among the candidates.
-const LAG: Duration = Duration::from_secs(2);
+/// Time after a crash during which entries still route to the server.
+const DETECTION_DELAY: Duration = Duration::from_secs(2);
 
-/// How long a caller keeps an entry.
-const KEEP: Duration = Duration::from_secs(2);
+/// Time for which a caller uses the same entry.
+const ENTRY_AFFINITY: Duration = Duration::from_secs(2);
 
-/// The longest time after which a caller comes back that was not told when.
-const UNTOLD: Duration = Duration::from_millis(200);
+/// Longest retry delay of a caller that received none.
+const MAX_DEFAULT_BACKOFF: Duration = Duration::from_millis(200);
 
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 enum Event {
-    /// The caller sends its request.
+    /// The caller sends its request to an entry.
     Send(usize),
-    /// The entry tries, or tries again.
-    Try(usize, u32),
-    /// The offer is at the lead.
+    /// The entry selects a server: request, attempt.
+    SelectServer(usize, u32),
+    /// The offer reaches the lead: request, attempt, server.
     Offer(usize, u32, usize),
-    /// The lead's refusal is at the entry; milliseconds to come back, if told.
+    /// The lead's refusal reaches the entry: request, attempt, server, and the retry delay in
+    /// milliseconds, if there is one.
     Refused(usize, u32, usize, Option<u64>),
-    /// The attempt has failed; whether the server itself did.
+    /// The entry learns that the attempt failed: request, attempt, server.
     Failed(usize, u32, usize),
-    /// The whole answer is at the entry.
-    Whole(usize, u32, usize),
-    /// A step of an engine ends.
+    /// The complete response reaches the entry: request, attempt, server.
+    Completed(usize, u32, usize),
+    /// An engine completes a step: server, incarnation.
     Step(usize, u32),
-    /// A server dies or comes back.
-    Death(usize),
-    Birth(usize),
-    /// The caller's time is up.
-    Late(usize),
+    /// A server crashes.
+    Crash(usize),
+    /// A crashed server restarts.
+    Recovery(usize),
+    /// The deadline of a request passes.
+    Deadline(usize),
     Tick,
 }
 
-/// Where a request is.
+/// Where a request is at present.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-enum Place {
-    /// With the caller or on its way.
-    Away,
-    /// At a lead.
-    Led(usize, Ticket),
-    Over,
+enum RequestState {
+    /// With the caller, or on the way between caller, entry and lead.
+    InTransit,
+    /// Queued at a lead or running at its engine.
+    AtLead(usize, Ticket),
+    /// Completed or past its deadline.
+    Ended,
 }
 
-/// The entry's and the caller's side of a request.
+/// State of a request at its caller and its entry.
 #[derive(Debug, Clone)]
-struct Track {
-    place: Place,
-    /// The number of the attempt; events of earlier ones are stale.
+struct RequestProgress {
+    state: RequestState,
+    /// Number of the current attempt; events of earlier attempts are ignored.
     attempt: u32,
     entry: usize,
-    /// Where the present attempt is counted in flight.
-    counted: Option<ServerKey>,
+    /// Server at which the router counts the current attempt as in flight.
+    in_flight_at: Option<ServerKey>,
+    /// Servers tried so far; cleared when the request is sent again or preempted.
     tried: Vec<usize>,
     /// When the caller last sent it.
-    sent: Duration,
-    got: u32,
-    retry: Option<Duration>,
+    sent_at: Duration,
+    /// Output tokens that the caller has, over all attempts.
+    received_tokens: u32,
+    /// Shortest retry delay that leads gave since the request was sent.
+    retry_after: Option<Duration>,
     backoff: Backoff,
 }
 
-/// A server with its lead.
+/// A server with its lead; the lead crashes with it.
 struct Server {
     lead: AdmissionController,
     engine: Engine,
-    /// The requests of the lead's tickets.
+    /// Request of each ticket of the lead.
     tickets: IndexMap<Ticket, usize>,
-    dead: bool,
-    /// Whether entries still take it for alive, or no longer for dead.
+    is_down: bool,
+    /// Whether entries regard it as a candidate.
     listed: bool,
-    /// The number of its lives; events of earlier ones are stale.
-    life: u32,
+    /// Number of crashes so far; events of earlier incarnations are ignored.
+    incarnation: u32,
 }
 
 struct Entry {
@@ -112,7 +119,7 @@
     budget: RetryBudget,
 }
 
-/// Plays a run in virtual time.
+/// A simulated run.
 pub struct Simulation<'a> {
     spec: &'a DeploymentSpec,
     traffic: &'a Traffic,
@@ -120,18 +127,20 @@
     names: Vec<(CallerName, TeamName)>,
     servers: Vec<Server>,
     entries: Vec<Entry>,
-    tracks: Vec<Track>,
+    progress: Vec<RequestProgress>,
     results: Vec<RequestResult>,
     events: BinaryHeap<Reverse<(Duration, u64, Event)>>,
-    number: u64,
+    /// Sequence number of the last event, which orders events of the same time.
+    event_sequence: u64,
     now: Duration,
     start: Instant,
-    open: usize,
+    /// Requests that have not ended.
+    open_requests: usize,
     rng: SmallRng,
 }
 
 impl<'a> Simulation<'a> {
-    /// Prepares a run.
+    /// Creates a run in which no event has happened; the seed drives retry delays and routing.
     pub fn new(
         spec: &'a DeploymentSpec,
         traffic: &'a Traffic,
@@ -144,26 +153,26 @@
             lead: AdmissionController::new(limits, config.admission, start),
             engine: Engine::default(),
             tickets: IndexMap::new(),
-            dead: false,
+            is_down: false,
             listed: true,
-            life: 0,
+            incarnation: 0,
         };
         let entry = |index| {
             let mut router = Router::new(config.routing, seed * 64 + index as u64);
             let keys = (0..spec.servers)
-                .map(|s| router.server_key(&name("server", s)))
+                .map(|s| router.server_key(&numbered_name("server", s)))
                 .collect();
             Entry { router, keys, budget: RetryBudget::new() }
         };
-        let track = Track {
-            place: Place::Away,
+        let progress = RequestProgress {
+            state: RequestState::InTransit,
             attempt: 0,
             entry: 0,
-            counted: None,
+            in_flight_at: None,
             tried: Vec::new(),
-            sent: Duration::ZERO,
-            got: 0,
-            retry: None,
+            sent_at: Duration::ZERO,
+            received_tokens: 0,
+            retry_after: None,
             backoff: Backoff::default(),
         };
         let count = traffic.requests.len();
@@ -172,35 +181,35 @@
             traffic,
             config,
             names: (0..spec.callers)
-                .map(|c| (name("caller", c), name("team", c / 4)))
+                .map(|c| (numbered_name("caller", c), numbered_name("team", c / 4)))
                 .collect(),
             servers: (0..spec.servers).map(server).collect(),
             entries: (0..spec.entries).map(entry).collect(),
-            tracks: vec![track; count],
+            progress: vec![progress; count],
             results: vec![RequestResult::default(); count],
             events: BinaryHeap::new(),
-            number: 0,
+            event_sequence: 0,
             now: Duration::ZERO,
             start,
-            open: count,
+            open_requests: count,
             rng: SmallRng::seed_from_u64(seed),
         }
     }
 
-    /// Plays the run and tells what became of each request.
+    /// Runs until all requests have ended; returns their results in the order of the traffic.
     pub fn run(mut self) -> Vec<RequestResult> {
         for (index, request) in self.traffic.requests.iter().enumerate() {
-            self.at(request.arrival, Event::Send(index));
-            self.at(request.deadline, Event::Late(index));
+            self.schedule_at(request.arrival, Event::Send(index));
+            self.schedule_at(request.deadline, Event::Deadline(index));
         }
         for fault in &self.traffic.faults {
             if fault.slowdown.is_none() {
-                self.at(fault.start, Event::Death(fault.server));
-                self.at(fault.end, Event::Birth(fault.server));
+                self.schedule_at(fault.start, Event::Crash(fault.server));
+                self.schedule_at(fault.end, Event::Recovery(fault.server));
             }
         }
-        self.at(TICK, Event::Tick);
-        while self.open > 0 {
+        self.schedule_at(TICK_INTERVAL, Event::Tick);
+        while self.open_requests > 0 {
             let Some(Reverse((time, _, event))) = self.events.pop() else { break };
             self.now = time;
             self.handle(event);
@@ -211,77 +220,82 @@
     fn handle(&mut self, event: Event) {
         match event {
             Event::Send(index) => self.send(index),
-            Event::Try(index, attempt) if self.is_live(index, attempt) => {
-                self.try_at(index)
+            Event::SelectServer(index, attempt) if self.is_current(index, attempt) => {
+                self.select_server(index)
             }
             Event::Offer(index, attempt, server) => self.offer(index, attempt, server),
             Event::Refused(index, attempt, server, retry)
-                if self.is_live(index, attempt) =>
+                if self.is_current(index, attempt) =>
             {
                 self.refused(index, server, retry);
             }
-            Event::Failed(index, attempt, server) if self.is_live(index, attempt) => {
+            Event::Failed(index, attempt, server) if self.is_current(index, attempt) => {
                 self.failed(index, server);
             }
-            Event::Whole(index, attempt, server) if self.is_live(index, attempt) => {
-                self.whole(index, server);
+            Event::Completed(index, attempt, server)
+                if self.is_current(index, attempt) =>
+            {
+                self.completed(index, server);
             }
-            Event::Step(server, life) => self.step(server, life),
-            Event::Death(server) => self.death(server),
-            Event::Birth(server) => self.birth(server),
-            Event::Late(index) => self.late(index),
+            Event::Step(server, incarnation) => self.step(server, incarnation),
+            Event::Crash(server) => self.crash(server),
+            Event::Recovery(server) => self.recover(server),
+            Event::Deadline(index) => self.expire(index),
             Event::Tick => self.tick(),
-            Event::Try(..)
+            Event::SelectServer(..)
             | Event::Refused(..)
             | Event::Failed(..)
-            | Event::Whole(..) => {}
+            | Event::Completed(..) => {}
         }
     }
 
-    /// The caller's time is up.
-    fn late(&mut self, index: usize) {
-        match self.tracks[index].place {
-            Place::Over => return,
-            Place::Away => {}
-            Place::Led(server, ticket) => {
+    /// Ends a request whose deadline has passed.
+    fn expire(&mut self, index: usize) {
+        match self.progress[index].state {
+            RequestState::Ended => return,
+            RequestState::InTransit => {}
+            RequestState::AtLead(server, ticket) => {
                 let now = self.instant();
                 let before = self.results[index].tokens;
-                self.stop(server, index);
+                self.cancel_stream(server, index);
                 self.results[index].timed_out_running =
                     self.results[index].tokens > before;
                 let state = &mut self.servers[server];
                 state.tickets.swap_remove(&ticket);
                 state.lead.finish(ticket, AttemptEnd::Cancelled, now);
-                self.carry_out(server);
+                self.apply_effects(server);
             }
         }
-        self.uncount(index);
-        self.close(index);
+        self.end_attempt(index);
+        self.end_request(index);
     }
 
     fn tick(&mut self) {
         let now = self.instant();
         for server in 0..self.servers.len() {
             self.servers[server].lead.tick(now);
-            self.carry_out(server);
+            self.apply_effects(server);
         }
         for fault in &self.traffic.faults {
-            let dead = fault.slowdown.is_none();
-            if dead && self.now > fault.start + LAG && self.now < fault.end {
+            let is_crash = fault.slowdown.is_none();
+            if is_crash
+                && self.now > fault.start + DETECTION_DELAY
+                && self.now < fault.end
+            {
                 self.servers[fault.server].listed = false;
             }
         }
-        self.after(TICK, Event::Tick);
+        self.schedule_after(TICK_INTERVAL, Event::Tick);
     }
 
-    fn close(&mut self, index: usize) {
-        self.tracks[index].place = Place::Over;
-        self.open -= 1;
+    fn end_request(&mut self, index: usize) {
+        self.progress[index].state = RequestState::Ended;
+        self.open_requests -= 1;
     }
 
-    fn is_live(&self, index: usize, attempt: u32) -> bool {
-        let track = &self.tracks[index];
-        track.place != Place::Over && track.attempt == attempt
+    fn is_current(&self, index: usize, attempt: u32) -> bool {
+        let progress = &self.progress[index];
+        progress.state != RequestState::Ended && progress.attempt == attempt
     }
 
     fn request(&self, index: usize) -> &'a Request {
@@ -292,35 +306,35 @@
         self.start + self.now
     }
 
-    fn after(&mut self, pause: Duration, event: Event) {
-        self.at(self.now + pause, event);
+    fn schedule_after(&mut self, delay: Duration, event: Event) {
+        self.schedule_at(self.now + delay, event);
     }
 
-    fn at(&mut self, time: Duration, event: Event) {
-        self.number += 1;
-        self.events.push(Reverse((time, self.number, event)));
+    fn schedule_at(&mut self, time: Duration, event: Event) {
+        self.event_sequence += 1;
+        self.events.push(Reverse((time, self.event_sequence, event)));
     }
 }
 
-/// What each lead and its engine can take.
+/// Admission limits of each lead.
 fn limits(spec: &DeploymentSpec) -> Limits {
     Limits {
         max_streams: spec.max_streams as u32,
         max_cache_tokens: spec.kv_tokens,
-        max_queued: QUEUE,
+        max_queued: MAX_QUEUED,
         step_time: spec.step_time(spec.max_streams / 2),
     }
 }
 
-/// Chained hashes of a request's shared start, as the entry sees them.
-fn prefix(request: &Request) -> Vec<u64> {
-    let start = (request.model as u64) << 48 | request.prefix_id << 16;
-    (0..request.prefix_blocks).map(|block| start | u64::from(block)).collect()
+/// Block hashes of a request's shared prefix.
+fn prefix_hashes(request: &Request) -> Vec<u64> {
+    let base = (request.model as u64) << 48 | request.prefix_id << 16;
+    (0..request.prefix_blocks).map(|block| base | u64::from(block)).collect()
 }
 
-fn name<T: TryFrom<String>>(what: &str, number: usize) -> T
+fn numbered_name<T: TryFrom<String>>(prefix: &str, number: usize) -> T
 where
     T::Error: std::fmt::Debug,
 {
-    T::try_from(format!("{what}-{number}")).expect("the name is well formed")
+    T::try_from(format!("{prefix}-{number}")).expect("the name is well formed")
 }
--- a/crates/lab/src/policies/traffic.rs
+++ b/crates/lab/src/policies/traffic.rs
@@ -1,4 +1,4 @@
-//! The requests of one run and what happens to the servers.
+//! Generates the requests and server faults of a run.
 
 use std::time::Duration;
 
@@ -8,120 +8,122 @@
 
 use super::scenario::{DeploymentSpec, Pattern, RequestClass};
 
-/// The time in which requests arrive.
+/// Time span in which requests arrive.
 pub const ARRIVAL_DURATION: Duration = Duration::from_secs(30);
 
-/// The length of a block of a prompt, in tokens.
+/// Tokens per block of a prompt prefix.
 pub const BLOCK_TOKENS: u32 = 16;
 
-/// How many times as long a long request is, and how many times as patient.
-const LONG: (u32, u32) = (6, 3);
+/// Factors on the output length and on the deadline of a long request.
+const LONG_FACTORS: (u32, u32) = (6, 3);
 
-/// The part of long requests in the pattern of long among short ones.
-const LONG_PART: f64 = 0.05;
+/// Fraction of long requests in [`Pattern::LongShort`].
+const LONG_FRACTION: f64 = 0.05;
 
-/// A request of a run.
+/// A request; times count from the start of the run.
 #[derive(Debug, Clone)]
 pub struct Request {
-    /// When the caller sends it first.
+    /// When the caller first sends it.
     pub arrival: Duration,
-    /// When the caller needs the answer.
+    /// When the response is due.
     pub deadline: Duration,
-    /// Who sends it.
+    /// Index of the caller.
     pub caller: usize,
-    /// The model that it asks for.
+    /// Index of the requested model.
     pub model: usize,
-    /// How urgent it is.
+    /// Urgency, by the class of the request.
     pub urgency: Urgency,
-    /// The length of the prompt, in tokens.
+    /// Prompt length, including the shared prefix.
     pub prompt_tokens: u32,
-    /// The shared start of the prompt.
+    /// Identifies the shared prefix of the prompt.
     pub prefix_id: u64,
-    /// Blocks of the shared start.
+    /// Blocks of [`BLOCK_TOKENS`] in the shared prefix.
     pub prefix_blocks: u32,
-    /// The length that is asked for, in tokens.
+    /// Requested output length.
     pub max_output_tokens: u32,
-    /// The length that the model gives, in tokens.
+    /// Tokens that the model generates, at least 2.
     pub output_tokens: u32,
 }
 
 impl Request {
-    /// The tokens of the prompt that no other request shares.
+    /// Prompt tokens after the shared prefix.
     pub fn unshared_prompt_tokens(&self) -> u32 {
         self.prompt_tokens - self.prefix_blocks * BLOCK_TOKENS
     }
 
-    /// The least engine time in which it can be served.
+    /// Least engine time of the request: full batches and a cached prefix.
     pub fn min_service_time(&self, spec: &DeploymentSpec) -> Duration {
         spec.time_per_token() * (self.output_tokens - 1)
             + spec.prefill_time_per_token * self.unshared_prompt_tokens()
     }
 }
 
-/// A time in which a server is slow or dead.
+/// An interval in which a server is slow or down.
 #[derive(Debug, Clone, Copy)]
 pub struct ServerFault {
-    /// The server.
+    /// Index of the server.
     pub server: usize,
-    /// When it starts.
+    /// Start, from the start of the run.
     pub start: Duration,
-    /// When it ends.
+    /// End, from the start of the run.
     pub end: Duration,
-    /// How many times as long a step takes; nothing if the server is dead.
+    /// Factor on the step time; `None` if the server is down.
     pub slowdown: Option<u32>,
 }
 
 /// The requests of one run and what happens to the servers.
 #[derive(Debug, Clone)]
 pub struct Traffic {
-    /// In the order of their first sending.
+    /// Requests in the order of arrival.
     pub requests: Vec<Request>,
-    /// What happens to the servers.
+    /// Server faults; empty in most patterns.
     pub faults: Vec<ServerFault>,
 }
 
 impl Traffic {
-    /// Draws a run.
+    /// Generates the traffic of a run; the same seed gives the same traffic.
     pub fn generate(spec: &DeploymentSpec, pattern: Pattern, seed: u64) -> Self {
         let mut rng = SmallRng::seed_from_u64(seed * 31 + pattern as u64);
         let rate = spec.servers as f64 / mean_cost(spec, pattern);
         let mut requests = Vec::new();
-        let mut add = |rate: f64, from: f64, to: f64, source: Source| {
+        let mut add_arrivals = |rate: f64, from: f64, to: f64, source: Source| {
             let mut at = from;
             loop {
                 at -= (1.0 - rng.random::<f64>()).ln() / rate;
                 if at >= to {
                     break;
                 }
-                requests.push(draw(spec, pattern, source, at, &mut rng));
+                requests.push(generate_request(spec, pattern, source, at, &mut rng));
             }
         };
         let length = ARRIVAL_DURATION.as_secs_f64();
-        add(rate * pattern.load(), 0.0, length, Source::All);
+        add_arrivals(rate * pattern.load(), 0.0, length, Source::AllCallers);
         match pattern {
             Pattern::Burst => {
                 let cost = mean_class_cost(spec, &spec.classes[0]);
-                let burst = 1.4 * spec.servers as f64 / cost;
-                add(burst, 8.0, 12.0, Source::Urgent);
-                add(burst, 20.0, 24.0, Source::Urgent);
+                let burst_rate = 1.4 * spec.servers as f64 / cost;
+                add_arrivals(burst_rate, 8.0, 12.0, Source::UrgentClass);
+                add_arrivals(burst_rate, 20.0, 24.0, Source::UrgentClass);
+            }
+            Pattern::HotCaller => {
+                add_arrivals(rate * 1.3, 5.0, length, Source::HotCaller)
             }
-            Pattern::HotCaller => add(rate * 1.3, 5.0, length, Source::Hot),
             _ => {}
         }
         requests.sort_by_key(|request| request.arrival);
-        Self { requests, faults: faults(spec, pattern) }
+        Self { requests, faults: server_faults(spec, pattern) }
     }
 }
 
-/// Whose requests are drawn.
+/// The requests that an arrival process generates.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum Source {
-    All,
-    Urgent,
-    Hot,
+    AllCallers,
+    UrgentClass,
+    HotCaller,
 }
 
-fn draw(
+fn generate_request(
     spec: &DeploymentSpec,
     pattern: Pattern,
     source: Source,
@@ -129,24 +131,25 @@
     rng: &mut SmallRng,
 ) -> Request {
     let class = match source {
-        Source::Urgent => &spec.classes[0],
-        Source::All | Source::Hot => pick(&spec.classes, rng),
+        Source::UrgentClass => &spec.classes[0],
+        Source::AllCallers | Source::HotCaller => sample_class(&spec.classes, rng),
     };
     let caller = match source {
-        Source::Hot => 0,
-        Source::All | Source::Urgent => rng.random_range(0..spec.callers),
+        Source::HotCaller => 0,
+        Source::AllCallers | Source::UrgentClass => rng.random_range(0..spec.callers),
     };
-    let long = pattern == Pattern::LongShort && rng.random_bool(LONG_PART);
-    let (factor, patience) = if long { LONG } else { (1, 1) };
+    let long = pattern == Pattern::LongShort && rng.random_bool(LONG_FRACTION);
+    let (output_factor, deadline_factor) = if long { LONG_FACTORS } else { (1, 1) };
     let hot = pattern == Pattern::HotPrefix && rng.random_bool(0.5);
-    // A prompt starts with one of the texts that teams share.
-    let prefix = if hot { 0 } else { prefix(spec, rng) };
+    // Every prompt starts with one of the shared prefixes.
+    let prefix = if hot { 0 } else { sample_prefix(spec, rng) };
     let prompt = rng.random_range(class.prompt_tokens.0..=class.prompt_tokens.1);
-    let output = rng.random_range(class.output_tokens.0..=class.output_tokens.1) * factor;
+    let output =
+        rng.random_range(class.output_tokens.0..=class.output_tokens.1) * output_factor;
     let at = Duration::from_secs_f64(at);
     Request {
         arrival: at,
-        deadline: at + class.deadline * patience,
+        deadline: at + class.deadline * deadline_factor,
         caller,
         model: prefix as usize % spec.models,
         urgency: class.urgency,
@@ -158,33 +161,33 @@
     }
 }
 
-fn pick<'a>(classes: &'a [RequestClass], rng: &mut SmallRng) -> &'a RequestClass {
-    let mut left = rng.random::<f64>();
+fn sample_class<'a>(classes: &'a [RequestClass], rng: &mut SmallRng) -> &'a RequestClass {
+    let mut remaining = rng.random::<f64>();
     for class in classes {
-        left -= class.fraction;
-        if left < 0.0 {
+        remaining -= class.fraction;
+        if remaining < 0.0 {
             return class;
         }
     }
     &classes[0]
 }
 
-/// The first prefixes are asked for somewhat more often.
-fn prefix(spec: &DeploymentSpec, rng: &mut SmallRng) -> u64 {
+/// Samples a prefix; low ids are somewhat more frequent.
+fn sample_prefix(spec: &DeploymentSpec, rng: &mut SmallRng) -> u64 {
     let count = spec.prefixes as u64;
     let (a, b) = (rng.random_range(0..count), rng.random_range(0..count));
     if rng.random_bool(0.2) { a.min(b) } else { a }
 }
 
-/// The mean engine time of a request, in seconds.
+/// Mean engine time of a request, in seconds.
 fn mean_cost(spec: &DeploymentSpec, pattern: Pattern) -> f64 {
     let cost: f64 = spec
         .classes
         .iter()
         .map(|class| class.fraction * mean_class_cost(spec, class))
         .sum();
-    let longer = 1.0 + LONG_PART * f64::from(LONG.0 - 1);
-    if pattern == Pattern::LongShort { cost * longer } else { cost }
+    let length_factor = 1.0 + LONG_FRACTION * f64::from(LONG_FACTORS.0 - 1);
+    if pattern == Pattern::LongShort { cost * length_factor } else { cost }
 }
 
 fn mean_class_cost(spec: &DeploymentSpec, class: &RequestClass) -> f64 {
@@ -193,14 +196,14 @@
         + mean(class.prompt_tokens) * 0.4 * spec.prefill_time_per_token.as_secs_f64()
 }
 
-fn faults(spec: &DeploymentSpec, pattern: Pattern) -> Vec<ServerFault> {
+fn server_faults(spec: &DeploymentSpec, pattern: Pattern) -> Vec<ServerFault> {
     let seconds = Duration::from_secs;
     let (servers, from, to, factor) = match pattern {
         Pattern::SlowServer => (spec.servers / 9, seconds(8), seconds(20), Some(5)),
         Pattern::HalfLost => (spec.servers / 2, seconds(10), seconds(20), None),
         _ => (0, seconds(0), seconds(0), None),
     };
-    // Every second one, so that no model loses all its servers.
+    // Only every second server fails, so that no model loses all its replicas.
     let fault =
         |index| ServerFault { server: 2 * index, start: from, end: to, slowdown: factor };
     (0..servers).map(fault).collect()
