--- a/crates/lab/src/moves/demand.rs
+++ b/crates/lab/src/moves/demand.rs
@@ -1,84 +1,87 @@
-//! Demand that trace without warning.
+//! Generates demand on models that shifts abruptly.
 
 use rand::rngs::SmallRng;
 use rand::{RngExt, SeedableRng};
 
 use super::deployment::DeploymentSpec;
 
-/// Seconds of a step of a run.
+/// Duration of a simulation step.
 pub const STEP_SECONDS: f64 = 5.0;
 
-/// Steps of a run: two and a half hours.
-pub const STEPS: usize = 1800;
+/// Steps of a run, which is two and a half hours.
+pub const RUN_STEPS: usize = 1800;
 
-/// The mean time for which a model's demand stays on a level, in seconds.
-const DWELL: f64 = 600.0;
+/// Mean time between changes of the demand on a model.
+const MEAN_DWELL_SECONDS: f64 = 600.0;
 
-/// The greatest ratio of two levels of a model.
-const RATIO: f64 = 10.0;
+/// Largest ratio between two demand levels of a model.
+const MAX_LEVEL_RATIO: f64 = 10.0;
 
-/// The mean demand as a part of what all runners can serve.
-const LOAD: f64 = 0.55;
+/// Mean total demand as a fraction of the throughput of all runners.
+const MEAN_UTILIZATION: f64 = 0.55;
 
-/// How unlike models are: demand falls with this power of the rank.
-const SKEW: f64 = 0.8;
+/// Zipf exponent: mean demand falls with this power of the popularity rank.
+const ZIPF_EXPONENT: f64 = 0.8;
 
-/// The demand on each model at each step, in tokens a second.
+/// Demand on each model at each step, in tokens per second.
 #[derive(Debug, Clone)]
 pub struct DemandTrace {
-    /// By step, then by model.
+    /// Actual demand, by step, then by model.
     pub actual: Vec<Vec<f64>>,
-    /// What an observer sees of it, with the noise of single requests.
+    /// Observed demand, which adds the noise of discrete requests.
     pub observed: Vec<Vec<f64>>,
 }
 
 impl DemandTrace {
-    /// Draws the demand of a run.
+    /// Generates the demand of a run; the same seed gives the same demand.
     pub fn generate(spec: &DeploymentSpec, seed: u64) -> Self {
         let mut rng = SmallRng::seed_from_u64(seed);
         let count = spec.models.len();
-        let mut order: Vec<usize> = (0..count).collect();
+        let mut ranks: Vec<usize> = (0..count).collect();
         for index in (1..count).rev() {
-            order.swap(index, rng.random_range(0..=index));
+            ranks.swap(index, rng.random_range(0..=index));
         }
         let bases: Vec<f64> =
-            order.iter().map(|rank| (*rank as f64 + 1.0).powf(-SKEW)).collect();
-        let mut levels: Vec<f64> = (0..count).map(|_| level(&mut rng)).collect();
-        let mut demands = Vec::with_capacity(STEPS);
-        for _ in 0..STEPS {
-            for held in &mut levels {
-                if rng.random_bool(STEP_SECONDS / DWELL) {
-                    *held = level(&mut rng);
+            ranks.iter().map(|rank| (*rank as f64 + 1.0).powf(-ZIPF_EXPONENT)).collect();
+        let mut levels: Vec<f64> = (0..count).map(|_| sample_level(&mut rng)).collect();
+        let mut demands = Vec::with_capacity(RUN_STEPS);
+        for _ in 0..RUN_STEPS {
+            for current in &mut levels {
+                if rng.random_bool(STEP_SECONDS / MEAN_DWELL_SECONDS) {
+                    *current = sample_level(&mut rng);
                 }
             }
             demands.push(bases.iter().zip(&levels).map(|(b, l)| b * l).collect());
         }
-        scale(&mut demands, LOAD * spec.throughput * spec.runners as f64);
+        scale_to_mean(
+            &mut demands,
+            MEAN_UTILIZATION * spec.runner_throughput * spec.runners as f64,
+        );
         let observed = demands
             .iter()
-            .map(|row| row.iter().map(|rate| noisy(*rate, &mut rng)).collect())
+            .map(|row| row.iter().map(|rate| add_noise(*rate, &mut rng)).collect())
             .collect();
         Self { actual: demands, observed }
     }
 }
 
-fn level(rng: &mut SmallRng) -> f64 {
-    RATIO.powf(rng.random_range(0.0..1.0))
+fn sample_level(rng: &mut SmallRng) -> f64 {
+    MAX_LEVEL_RATIO.powf(rng.random_range(0.0..1.0))
 }
 
-/// Scales the demand so that the mean of the sum over the models is `mean`.
-fn scale(demands: &mut [Vec<f64>], mean: f64) {
+/// Scales the demand so that the total over all models is `mean` on average.
+fn scale_to_mean(demands: &mut [Vec<f64>], mean: f64) {
     let sum: f64 = demands.iter().flatten().sum();
     let factor = mean * demands.len() as f64 / sum;
     demands.iter_mut().flatten().for_each(|rate| *rate *= factor);
 }
 
-/// A rate as it is seen over a step; requests have some 200 tokens.
-fn noisy(rate: f64, rng: &mut SmallRng) -> f64 {
-    const TOKENS: f64 = 200.0;
-    let requests = rate * STEP_SECONDS / TOKENS;
-    let spread = requests.max(0.0).sqrt();
-    // The sum of some uniform numbers is close to normal.
+/// Rate observed over a step, with the noise of requests of 200 tokens each.
+fn add_noise(rate: f64, rng: &mut SmallRng) -> f64 {
+    const TOKENS_PER_REQUEST: f64 = 200.0;
+    let requests = rate * STEP_SECONDS / TOKENS_PER_REQUEST;
+    let std_dev = requests.max(0.0).sqrt();
+    // The sum of six uniform variables approximates a normal distribution.
     let normal: f64 = (0..6).map(|_| rng.random_range(-0.5..0.5)).sum::<f64>() * 1.41;
-    (requests + spread * normal).max(0.0) * TOKENS / STEP_SECONDS
+    (requests + std_dev * normal).max(0.0) * TOKENS_PER_REQUEST / STEP_SECONDS
 }
--- a/crates/lab/src/moves/deployment.rs
+++ b/crates/lab/src/moves/deployment.rs
@@ -1,67 +1,67 @@
-//! The deployments whose placements are compared.
+//! Deployments of the placement comparison.
 
 use std::time::Duration;
 
-/// Gigabytes of accelerator memory of a runner for models and adapters.
-const MEMORY: u64 = 80;
+/// Accelerator memory of a runner for models and adapters.
+const RUNNER_MEMORY_GB: u64 = 80;
 
-/// A deployment.
+/// A deployment to simulate.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Deployment {
-    /// Letters: 9 runners, 12 models, 55 adapters.
+    /// Serves letters with 9 runners, 12 models and 55 adapters.
     Adenta,
-    /// Cue sheets and seat checks: 18 runners, 25 models, 100 adapters.
+    /// Serves cue sheets and seat checks with 18 runners, 25 models and 100 adapters.
     Gwiazdozbior,
 }
 
-/// What counts more.
+/// What counts more in the score.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Weighting {
-    /// Attainment.
+    /// A percentage point of attainment weighs twice as much as a move per hour and runner.
     Attainment,
-    /// Moves.
+    /// A move per hour and runner weighs twice as much as a percentage point of attainment.
     Moves,
 }
 
-/// The sizes of a deployment.
+/// Sizes and limits of a deployment.
 #[derive(Debug, Clone, PartialEq)]
 pub struct DeploymentSpec {
-    /// Runners.
+    /// Number of runners.
     pub runners: usize,
-    /// Failure domains.
+    /// Number of failure domains.
     pub domains: usize,
-    /// Accelerators of a runner; an assumption.
+    /// Accelerators per runner; an assumption.
     pub accelerators: usize,
-    /// Memory of a runner, in gigabytes; an assumption.
+    /// Memory per runner, in gigabytes; an assumption.
     pub memory_gb: u64,
-    /// Tokens a second that a runner generates.
-    pub throughput: f64,
-    /// Models.
+    /// Tokens per second that a runner generates.
+    pub runner_throughput: f64,
+    /// Models, from the smallest to the largest.
     pub models: Vec<ModelSpec>,
-    /// Loads that the weight store serves at full speed at the same time.
+    /// Concurrent loads that the weight store serves at full speed.
     pub max_parallel_loads: usize,
-    /// Loads a second that the weight store starts.
+    /// Loads per second that the weight store starts.
     pub loads_per_s: f64,
-    /// What one percent of attainment is worth.
+    /// Score of one percentage point of attainment.
     pub attainment_weight: f64,
-    /// What one move costs.
+    /// Cost in score of one move per hour and runner.
     pub move_weight: f64,
 }
 
 /// A model of a deployment.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct ModelSpec {
-    /// Memory with the adapters on top, in gigabytes.
+    /// Memory including the adapters.
     pub memory_gb: u64,
-    /// How long a load takes at full speed.
+    /// Duration of a load at the full speed of the weight store.
     pub load_time: Duration,
 }
 
 impl Deployment {
-    /// All deployments.
+    /// All deployments, in output order.
     pub const ALL: [Self; 2] = [Self::Adenta, Self::Gwiazdozbior];
 
-    /// The name in the output.
+    /// Name in the output.
     pub fn name(self) -> &'static str {
         match self {
             Self::Adenta => "adenta",
@@ -71,10 +71,10 @@
 }
 
 impl Weighting {
-    /// All weightings.
+    /// All weightings, in output order.
     pub const ALL: [Self; 2] = [Self::Attainment, Self::Moves];
 
-    /// The name in the output.
+    /// Name in the output.
     pub fn name(self) -> &'static str {
         match self {
             Self::Attainment => "attainment",
@@ -82,7 +82,7 @@
         }
     }
 
-    /// The weights of attainment and moves.
+    /// Returns the weights of attainment and of moves.
     fn weights(self) -> (f64, f64) {
         match self {
             Self::Attainment => (1.0, 0.5),
@@ -92,35 +92,36 @@
 }
 
 impl DeploymentSpec {
-    /// The sizes of a deployment under a weighting.
+    /// Returns the parameters of a deployment under a weighting.
     ///
-    /// Numbers of runners, domains, models and adapters, cold starts, engine
-    /// steps and the weight store's limits are the deployments' own. Memory,
-    /// models' sizes, accelerators and streams are assumptions.
+    /// The numbers of runners, domains, models and adapters, the cold start times, the
+    /// engine's step time and the limits of the weight store are those of the real
+    /// deployments. Memory, model sizes, accelerators and streams are assumptions.
     pub fn of(deployment: Deployment, weighting: Weighting) -> Self {
         let (attainment_weight, move_weight) = weighting.weights();
-        let (runners, models, cold, parallel, rate, step) = match deployment {
-            Deployment::Adenta => (9, 12, (30, 75), 2, 1.0, 0.010),
-            Deployment::Gwiazdozbior => (18, 25, (15, 35), 3, 2.0, 0.010),
-        };
+        let (runners, models, load_s, max_parallel_loads, loads_per_s, step_s) =
+            match deployment {
+                Deployment::Adenta => (9, 12, (30, 75), 2, 1.0, 0.010),
+                Deployment::Gwiazdozbior => (18, 25, (15, 35), 3, 2.0, 0.010),
+            };
         let model = |index: usize| {
-            // Sizes from 12 to 34 gigabytes; the larger load longer.
-            let part = index as f64 / (models - 1) as f64;
-            let cold = cold.0 as f64 + (cold.1 - cold.0) as f64 * part;
+            // Sizes grow from 12 to 34 GB, and load times with them.
+            let position = index as f64 / (models - 1) as f64;
+            let load_s = load_s.0 as f64 + (load_s.1 - load_s.0) as f64 * position;
             ModelSpec {
-                memory_gb: 12 + (22.0 * part) as u64,
-                load_time: Duration::from_secs_f64(cold),
+                memory_gb: 12 + (22.0 * position) as u64,
+                load_time: Duration::from_secs_f64(load_s),
             }
         };
         Self {
             runners,
             domains: 3,
             accelerators: 4,
-            memory_gb: MEMORY,
-            throughput: 32.0 / step,
+            memory_gb: RUNNER_MEMORY_GB,
+            runner_throughput: 32.0 / step_s,
             models: (0..models).map(model).collect(),
-            max_parallel_loads: parallel,
-            loads_per_s: rate,
+            max_parallel_loads,
+            loads_per_s,
             attainment_weight,
             move_weight,
         }
--- a/crates/lab/src/moves/policy.rs
+++ b/crates/lab/src/moves/policy.rs
@@ -1,4 +1,4 @@
-//! Who decides where models are: the planner and its baselines.
+//! Placement policies: the planner and its baselines.
 
 use std::time::Duration;
 
@@ -11,26 +11,27 @@
 use super::demand::STEP_SECONDS;
 use super::deployment::DeploymentSpec;
 
-/// Who decides.
+/// A placement policy.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Policy {
-    /// The planner of the daemon.
+    /// The daemon's placement planner.
     Planner,
-    /// All memory is filled once, evenly, and nothing moves.
+    /// Fills all memory evenly at the start and never moves a model.
     Static,
-    /// The model that lacks most gets a replica on the emptiest runner, at once.
+    /// Adds a replica of the most overloaded model to the least loaded runner in each step
+    /// with an overload, and evicts the models with the least demand there.
     Greedy,
-    /// A model that lacks throughput gets a replica in place of the one that
-    /// was least recently needed; nothing is kept back.
+    /// Like `Greedy`, but evicts the least recently used replicas, also the last one of a
+    /// model.
     LeastRecentlyUsed,
 }
 
 impl Policy {
-    /// All policies.
+    /// All policies, in output order.
     pub const ALL: [Self; 4] =
         [Self::Planner, Self::Static, Self::Greedy, Self::LeastRecentlyUsed];
 
-    /// The name in the output.
+    /// Name in the output.
     pub fn name(self) -> &'static str {
         match self {
             Self::Planner => "planner",
@@ -41,27 +42,28 @@
     }
 }
 
-/// The state of a policy between its decisions.
+/// A policy with its state between decisions.
 pub struct PolicyState {
     policy: Policy,
-    averages: Vec<DemandEstimate>,
-    /// For each model and runner, the step at which the replica was last needed.
-    needed: Vec<Vec<u64>>,
+    estimates: Vec<DemandEstimate>,
+    /// Step in which each model was last used on each runner; 0 if it never was.
+    last_used: Vec<Vec<u64>>,
     step: u64,
 }
 
 impl PolicyState {
-    /// Creates a decider that knows nothing yet.
+    /// Creates the state before the first decision.
     pub fn new(policy: Policy, spec: &DeploymentSpec) -> Self {
         Self {
             policy,
-            averages: vec![DemandEstimate::default(); spec.models.len()],
-            needed: vec![vec![0; spec.runners]; spec.models.len()],
+            estimates: vec![DemandEstimate::default(); spec.models.len()],
+            last_used: vec![vec![0; spec.runners]; spec.models.len()],
             step: 0,
         }
     }
 
-    /// The placement that is wanted next.
+    /// Returns the next placement, as the runners of each model. `observed` is the demand of
+    /// this step, `placed` the present placement, `loading` the number of loads per model.
     pub fn decide(
         &mut self,
         spec: &DeploymentSpec,
@@ -71,23 +73,23 @@
     ) -> Vec<Vec<usize>> {
         self.step += 1;
         let time = Duration::from_secs_f64(STEP_SECONDS);
-        for (average, rate) in self.averages.iter_mut().zip(observed) {
-            average.record(rate * STEP_SECONDS, time);
+        for (estimate, rate) in self.estimates.iter_mut().zip(observed) {
+            estimate.record(rate * STEP_SECONDS, time);
         }
         match self.policy {
-            Policy::Planner => self.planned(spec, placed, loading),
-            Policy::Static if self.step == 1 => filled(spec),
+            Policy::Planner => self.run_planner(spec, placed, loading),
+            Policy::Static if self.step == 1 => fill_memory(spec),
             Policy::Static => placed.to_vec(),
-            Policy::Greedy => {
-                first_then(spec, placed, |held| greedy(spec, observed, held))
-            }
-            Policy::LeastRecentlyUsed => {
-                first_then(spec, placed, |held| self.least_recent(spec, observed, held))
-            }
+            Policy::Greedy => step_from_full(spec, placed, |placement| {
+                place_greedily(spec, observed, placement)
+            }),
+            Policy::LeastRecentlyUsed => step_from_full(spec, placed, |placement| {
+                self.place_by_recency(spec, observed, placement)
+            }),
         }
     }
 
-    fn planned(
+    fn run_planner(
         &self,
         spec: &DeploymentSpec,
         placed: &[Vec<usize>],
@@ -97,7 +99,7 @@
             bytes: spec.models[index].memory_gb,
             replicas: 1,
             load_time: spec.models[index].load_time,
-            demand: self.averages[index].estimate(),
+            demand: self.estimates[index].estimate(),
             placed: placed[index].clone(),
             loading: loading[index],
             cached_on: Vec::new(),
@@ -112,7 +114,7 @@
         let pool = PoolState {
             runners: (0..spec.runners).map(runner).collect(),
             models: (0..spec.models.len()).map(model).collect(),
-            runner_throughput: spec.throughput,
+            runner_throughput: spec.runner_throughput,
             parallel_loads: spec.max_parallel_loads,
             frozen: false,
             attainment_weight: spec.attainment_weight,
@@ -122,121 +124,130 @@
         plan_placement(&pool).placed
     }
 
-    /// Replaces the least recently needed replicas by one of the neediest model.
-    fn least_recent(
+    /// Replaces the least recently used replicas of a runner by one of the most overloaded
+    /// model.
+    fn place_by_recency(
         &mut self,
         spec: &DeploymentSpec,
         observed: &[f64],
-        held: &mut [Vec<usize>],
+        placement: &mut [Vec<usize>],
     ) {
-        let spread = distribute_load(observed, held, spec.runners);
-        for (model, at) in held.iter().enumerate() {
-            for (share, runner) in spread.shares[model].iter().zip(at) {
-                if *share > 0.02 * spec.throughput {
-                    self.needed[model][*runner] = self.step;
+        let distribution = distribute_load(observed, placement, spec.runners);
+        for (model, runners) in placement.iter().enumerate() {
+            for (share, runner) in distribution.shares[model].iter().zip(runners) {
+                if *share > 0.02 * spec.runner_throughput {
+                    self.last_used[model][*runner] = self.step;
                 }
             }
         }
-        let Some(model) = neediest(spec, observed, held) else { return };
+        let Some(model) = most_overloaded_model(spec, observed, placement) else {
+            return;
+        };
         let runner = (0..spec.runners)
-            .filter(|runner| !held[model].contains(runner))
-            .min_by(|a, b| spread.loads[*a].total_cmp(&spread.loads[*b]));
+            .filter(|runner| !placement[model].contains(runner))
+            .min_by(|a, b| distribution.loads[*a].total_cmp(&distribution.loads[*b]));
         let Some(runner) = runner else { return };
-        while room(spec, held, runner) < spec.models[model].memory_gb {
-            let victim = (0..held.len())
-                .filter(|other| held[*other].contains(&runner))
-                .min_by_key(|other| self.needed[*other][runner]);
+        while free_memory_gb(spec, placement, runner) < spec.models[model].memory_gb {
+            let victim = (0..placement.len())
+                .filter(|other| placement[*other].contains(&runner))
+                .min_by_key(|other| self.last_used[*other][runner]);
             let Some(victim) = victim else { return };
-            held[victim].retain(|at| *at != runner);
+            placement[victim].retain(|other| *other != runner);
         }
-        held[model].push(runner);
+        placement[model].push(runner);
     }
 }
 
-/// Starts as the static placement does, so that all start with full memory.
-fn first_then(
+/// Applies `step` to the placement. An empty pool gets the static placement instead, so
+/// that all baselines start with full memory.
+fn step_from_full(
     spec: &DeploymentSpec,
     placed: &[Vec<usize>],
     step: impl FnOnce(&mut [Vec<usize>]),
 ) -> Vec<Vec<usize>> {
     if placed.iter().all(Vec::is_empty) {
-        return filled(spec);
+        return fill_memory(spec);
     }
-    let mut held = placed.to_vec();
-    step(&mut held);
-    held
+    let mut placement = placed.to_vec();
+    step(&mut placement);
+    placement
 }
 
-/// One replica of each model after the other until nothing fits any more.
-fn filled(spec: &DeploymentSpec) -> Vec<Vec<usize>> {
-    let mut held = vec![Vec::new(); spec.models.len()];
+/// Places one replica of each model in turn, largest first, until none fits.
+fn fill_memory(spec: &DeploymentSpec) -> Vec<Vec<usize>> {
+    let mut placement = vec![Vec::new(); spec.models.len()];
     let mut order: Vec<usize> = (0..spec.models.len()).collect();
     order.sort_by_key(|model| std::cmp::Reverse(spec.models[*model].memory_gb));
     loop {
-        let mut placed = false;
+        let mut added = false;
         for model in &order {
             let runner = (0..spec.runners)
-                .filter(|runner| !held[*model].contains(runner))
+                .filter(|runner| !placement[*model].contains(runner))
                 .filter(|runner| {
-                    room(spec, &held, *runner) >= spec.models[*model].memory_gb
+                    free_memory_gb(spec, &placement, *runner)
+                        >= spec.models[*model].memory_gb
                 })
-                .max_by_key(|runner| room(spec, &held, *runner));
+                .max_by_key(|runner| free_memory_gb(spec, &placement, *runner));
             if let Some(runner) = runner {
-                held[*model].push(runner);
-                placed = true;
+                placement[*model].push(runner);
+                added = true;
             }
         }
-        if !placed {
-            return held;
+        if !added {
+            return placement;
         }
     }
 }
 
-/// Gives the neediest model a replica, dropping whatever has least demand there.
-fn greedy(spec: &DeploymentSpec, observed: &[f64], held: &mut [Vec<usize>]) {
-    let Some(model) = neediest(spec, observed, held) else { return };
-    let spread = distribute_load(observed, held, spec.runners);
+/// Adds a replica of the most overloaded model; evicts the models with the least demand on
+/// its runner, but no last replica. Changes nothing if there is no room.
+fn place_greedily(spec: &DeploymentSpec, observed: &[f64], placement: &mut [Vec<usize>]) {
+    let Some(model) = most_overloaded_model(spec, observed, placement) else { return };
+    let distribution = distribute_load(observed, placement, spec.runners);
     let runner = (0..spec.runners)
-        .filter(|runner| !held[model].contains(runner))
-        .min_by(|a, b| spread.loads[*a].total_cmp(&spread.loads[*b]));
+        .filter(|runner| !placement[model].contains(runner))
+        .min_by(|a, b| distribution.loads[*a].total_cmp(&distribution.loads[*b]));
     let Some(runner) = runner else { return };
-    let mut next = held.to_vec();
-    while room(spec, &next, runner) < spec.models[model].memory_gb {
+    let mut next = placement.to_vec();
+    while free_memory_gb(spec, &next, runner) < spec.models[model].memory_gb {
         let victim = (0..next.len())
             .filter(|other| next[*other].contains(&runner) && next[*other].len() > 1)
             .min_by(|a, b| observed[*a].total_cmp(&observed[*b]));
         let Some(victim) = victim else { return };
-        next[victim].retain(|at| *at != runner);
+        next[victim].retain(|other| *other != runner);
     }
     next[model].push(runner);
-    held.clone_from_slice(&next);
+    placement.clone_from_slice(&next);
 }
 
-/// The model whose runners are overloaded most, if any is; one that is nowhere
-/// goes first.
-fn neediest(
+/// The model with the most excess load on its runners; a model without a replica comes
+/// first. `None` if no runner is overloaded.
+fn most_overloaded_model(
     spec: &DeploymentSpec,
     observed: &[f64],
-    held: &[Vec<usize>],
+    placement: &[Vec<usize>],
 ) -> Option<usize> {
-    let spread = distribute_load(observed, held, spec.runners);
-    let limit = MAX_UTILIZATION * spec.throughput;
-    let lack = |model: usize| {
-        if held[model].is_empty() {
+    let distribution = distribute_load(observed, placement, spec.runners);
+    let limit = MAX_UTILIZATION * spec.runner_throughput;
+    let excess = |model: usize| {
+        if placement[model].is_empty() {
             return f64::MAX;
         }
-        let over = held[model].iter().map(|at| (spread.loads[*at] - limit).max(0.0));
-        over.sum::<f64>().min(observed[model])
+        let excess_loads = placement[model]
+            .iter()
+            .map(|runner| (distribution.loads[*runner] - limit).max(0.0));
+        excess_loads.sum::<f64>().min(observed[model])
     };
-    (0..held.len())
-        .map(|model| (lack(model), model))
-        .filter(|(lack, _)| *lack > 0.0)
+    (0..placement.len())
+        .map(|model| (excess(model), model))
+        .filter(|(excess, _)| *excess > 0.0)
         .max_by(|a, b| a.0.total_cmp(&b.0))
         .map(|(_, model)| model)
 }
 
-fn room(spec: &DeploymentSpec, held: &[Vec<usize>], runner: usize) -> u64 {
-    let models = held.iter().enumerate().filter(|(_, at)| at.contains(&runner));
+fn free_memory_gb(spec: &DeploymentSpec, placement: &[Vec<usize>], runner: usize) -> u64 {
+    let models =
+        placement.iter().enumerate().filter(|(_, runners)| runners.contains(&runner));
     let used: u64 = models.map(|(model, _)| spec.models[model].memory_gb).sum();
     spec.memory_gb - used
 }
