--- a/crates/lab/src/causes.rs
+++ b/crates/lab/src/causes.rs
@@ -1,8 +1,8 @@
-//! Where requests were lost, by the logs of the daemons.
+//! Counts why requests were late or not served, from the logs of daemons.
 //!
-//! Reads the structured lines of any number of daemons, joins those of a request, and
-//! counts for each route why answers were late or requests were not served. Lines may have
-//! a prefix, such as a time and the name of a VM, before their JSON.
+//! Reads the JSON log lines of any number of daemons, joins the lines of each request and
+//! counts the causes per route. A line may have a prefix before its JSON, such as a time
+//! and the name of a VM.
 
 use std::fmt::{self, Display, Formatter};
 use std::fs;
@@ -14,39 +14,39 @@
 use indexmap::IndexMap;
 use serde::Deserialize;
 
-/// Which logs to read.
+/// Selects the logs.
 #[derive(Debug, Clone, Bpaf)]
 #[bpaf(generate(options))]
 pub struct Options {
-    /// The daemons' logs in one file; standard input if none is named.
+    /// File with the logs of the daemons; standard input by default.
     #[bpaf(positional("FILE"), optional)]
     pub file: Option<PathBuf>,
 }
 
-/// Why a request was not served in time.
+/// Outcome of a request: served in time, or why not.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub enum Cause {
-    /// It was served in time.
+    /// Served in time.
     InTime,
-    /// It waited for its turn at a runner.
+    /// The first event was late, mainly because of the wait for admission.
     AdmissionWait,
-    /// Its first event came late after it had been sent.
+    /// The first event was late, mainly because of the time at the runner.
     SlowFirstEvent,
-    /// Its events paused for too long.
+    /// A gap between two events was too long.
     EventGap,
-    /// All runners with its model were full.
+    /// Refused because all runners with the model were full.
     RunnersFull,
-    /// No runner could take its adapter.
+    /// Refused because no runner could load the adapter.
     NoAdapterSlot,
-    /// No server held its model, or took requests.
+    /// Refused because no server had the model or accepted requests.
     NoServer,
-    /// Its answer broke off.
+    /// The response was cut short.
     Interrupted,
-    /// The time ran out.
+    /// The deadline passed.
     DeadlineExceeded,
-    /// Its caller left.
+    /// The caller disconnected.
     CallerDisconnected,
-    /// Anything else.
+    /// Any other end.
     Other,
 }
 
@@ -68,78 +68,89 @@
     }
 }
 
-/// A line that tells of a request, as far as it is needed here.
+/// The fields that are read from a log line about a request.
 #[derive(Debug, Default, Deserialize)]
 #[serde(default)]
-struct Line {
+struct LogLine {
     msg: String,
     id: String,
-    turn: String,
+    #[serde(rename = "turn")]
+    admission: String,
     end: String,
     route: String,
-    ms: u64,
+    #[serde(rename = "ms")]
+    total_ms: u64,
     objective_ms: u64,
-    begun_ms: Option<u64>,
-    first_ms: Option<u64>,
-    pause_ms: Option<u64>,
-    gap_ms: Option<u64>,
+    /// Time from the arrival of the request to its first event.
+    #[serde(rename = "begun_ms")]
+    first_after_arrival_ms: Option<u64>,
+    /// Time from the dispatch to the runner to the first event.
+    #[serde(rename = "first_ms")]
+    first_after_send_ms: Option<u64>,
+    /// Longest gap between two events.
+    #[serde(rename = "pause_ms")]
+    longest_gap_ms: Option<u64>,
+    /// Permitted gap between two events.
+    #[serde(rename = "gap_ms")]
+    max_gap_ms: Option<u64>,
 }
 
-/// Counts of requests by route and cause.
+/// Number of requests by route and cause.
 pub type CauseCounts = IndexMap<String, IndexMap<Cause, u64>>;
 
-/// Reads logs and prints where requests were lost.
+/// Reads logs and prints the causes per route; fails if the logs are not readable.
 pub fn run(options: &Options) -> ExitCode {
-    let text = match &options.file {
+    let bytes = match &options.file {
         Some(path) => fs::read(path),
         None => {
             let mut bytes = Vec::new();
             io::stdin().read_to_end(&mut bytes).map(|_| bytes)
         }
     };
-    match text {
+    match bytes {
         Ok(bytes) => {
             print(&count_causes(&String::from_utf8_lossy(&bytes)));
             ExitCode::SUCCESS
         }
         Err(error) => {
             eprintln!(
-                "the logs can't be read ({error}); name a file with daemons' lines"
+                "the logs are not readable ({error}); pass a file with logs of daemons"
             );
             ExitCode::FAILURE
         }
     }
 }
 
-/// Counts the requests of logs by route and cause.
+/// Counts the ended requests in the logs; ignores lines that are not valid JSON.
 pub fn count_causes(text: &str) -> CauseCounts {
-    let mut turns: IndexMap<String, String> = IndexMap::new();
-    let mut table = CauseCounts::new();
-    for line in text.lines().filter_map(read) {
+    let mut admissions: IndexMap<String, String> = IndexMap::new();
+    let mut counts = CauseCounts::new();
+    for line in text.lines().filter_map(parse_line) {
         match line.msg.as_str() {
-            "turn" => drop(turns.insert(line.id, line.turn)),
+            "turn" => drop(admissions.insert(line.id, line.admission)),
             "request ended" => {
-                let turn = turns.swap_remove(&line.id).unwrap_or_default();
-                let causes = table.entry(line.route.clone()).or_default();
-                *causes.entry(cause(&line, &turn)).or_default() += 1;
+                let admission = admissions.swap_remove(&line.id).unwrap_or_default();
+                let causes = counts.entry(line.route.clone()).or_default();
+                *causes.entry(classify(&line, &admission)).or_default() += 1;
             }
             _ => {}
         }
     }
-    table
+    counts
 }
 
-/// The JSON of a line, whatever stands before it.
-fn read(line: &str) -> Option<Line> {
+/// Parses a line from its first brace on.
+fn parse_line(line: &str) -> Option<LogLine> {
     let start = line.find('{')?;
     serde_json::from_str(&line[start..]).ok()
 }
 
-/// Why a request ended as it did; `turn` is what came of its last turn at a runner.
-fn cause(line: &Line, turn: &str) -> Cause {
+/// Classifies the end of a request; `admission` is the last response of a runner to its
+/// admission request, empty if there was none.
+fn classify(line: &LogLine, admission: &str) -> Cause {
     match line.end.as_str() {
-        "answered" => lateness(line),
-        "Overloaded" | "Unavailable" if turn == "Denied" => Cause::NoAdapterSlot,
+        "answered" => classify_served(line),
+        "Overloaded" | "Unavailable" if admission == "Denied" => Cause::NoAdapterSlot,
         "Overloaded" => Cause::RunnersFull,
         "Unavailable" => Cause::NoServer,
         "Broken" | "broken" => Cause::Interrupted,
@@ -149,27 +160,37 @@
     }
 }
 
-fn lateness(line: &Line) -> Cause {
-    let first = line.first_ms.unwrap_or_default();
-    if line.begun_ms.unwrap_or(line.ms) > line.objective_ms {
-        // Longer at the runner than before it.
-        let sent = line.begun_ms.unwrap_or_default().saturating_sub(first);
-        return if first > sent { Cause::SlowFirstEvent } else { Cause::AdmissionWait };
+/// Compares the timing of a served request with its objectives.
+fn classify_served(line: &LogLine) -> Cause {
+    let after_send = line.first_after_send_ms.unwrap_or_default();
+    if line.first_after_arrival_ms.unwrap_or(line.total_ms) > line.objective_ms {
+        // The longer part of the wait, before or after sending, is the cause.
+        let before_send =
+            line.first_after_arrival_ms.unwrap_or_default().saturating_sub(after_send);
+        return if after_send > before_send {
+            Cause::SlowFirstEvent
+        } else {
+            Cause::AdmissionWait
+        };
+    }
+    let max_gap = line.max_gap_ms.unwrap_or(u64::MAX);
+    if line.longest_gap_ms.unwrap_or_default() > max_gap {
+        Cause::EventGap
+    } else {
+        Cause::InTime
     }
-    let gap = line.gap_ms.unwrap_or(u64::MAX);
-    if line.pause_ms.unwrap_or_default() > gap { Cause::EventGap } else { Cause::InTime }
 }
 
-fn print(table: &CauseCounts) {
-    for (route, causes) in table {
-        let all: u64 = causes.values().sum();
-        println!("{route}: {all} requests");
+fn print(counts: &CauseCounts) {
+    for (route, causes) in counts {
+        let total: u64 = causes.values().sum();
+        println!("{route}: {total} requests");
         let mut causes: Vec<(&Cause, &u64)> = causes.iter().collect();
         causes.sort();
         for (cause, count) in causes {
             println!(
                 "  {:5.1} %  {count:6}  {cause}",
-                100.0 * *count as f64 / all as f64
+                100.0 * *count as f64 / total as f64
             );
         }
     }
--- a/crates/lab/src/lib.rs
+++ b/crates/lab/src/lib.rs
@@ -1,13 +1,13 @@
-//! Experiments on the decisions and measurements of the daemons.
+//! Simulations and measurements of the daemons.
 //!
-//! - [`causes`]: where requests were lost, by the logs of daemons,
-//! - [`policies`]: admission and routing under load, against baselines and a bound,
-//! - [`config`]: how soon accepted declarations are in force and what it costs,
-//! - [`decisions`]: what one decision costs,
-//! - [`journal`]: what the journal of non-idempotent requests adds and writes,
-//! - [`logs`]: what the log lines of a request cost,
-//! - [`moves`]: placements of models under shifting demand, against baselines,
-//! - [`slopes`]: what real daemons cost as the system grows.
+//! - [`causes`]: why requests were late or not served, from the logs of daemons,
+//! - [`policies`]: admission and routing under load, compared with baselines and an upper bound,
+//! - [`config`]: delay and cost of bringing accepted declarations into force,
+//! - [`decisions`]: computing time of single decisions,
+//! - [`journal`]: latency and writes that the journal of non-idempotent requests adds,
+//! - [`logs`]: processor time of logging a request,
+//! - [`moves`]: placement of models under shifting demand, compared with baselines,
+//! - [`slopes`]: resource use of real daemons as the system grows.
 
 pub mod causes;
 pub mod config;
@@ -23,37 +23,37 @@
 
 use bpaf::Bpaf;
 
-/// Experiments on the decisions of chestnutlane.
+/// Simulates and measures chestnutlane.
 #[derive(Debug, Clone, Bpaf)]
 #[bpaf(options)]
 enum Command {
-    /// Counts why requests were late or not served, by the logs of daemons.
+    /// Counts why requests were late or not served, from the logs of daemons.
     #[bpaf(command)]
     Causes(#[bpaf(external(causes::options))] causes::Options),
-    /// Compares policies under load, in virtual time.
+    /// Compares admission and routing policies under load, in virtual time.
     #[bpaf(command)]
     Policies(#[bpaf(external(policies::options))] policies::Options),
-    /// Measures what a decision costs.
+    /// Measures the computing time of single decisions.
     #[bpaf(command)]
     Decisions(#[bpaf(external(decisions::options))] decisions::Options),
-    /// Measures how soon accepted declarations are in force and what that costs.
+    /// Measures the delay and the cost of bringing accepted declarations into force.
     #[bpaf(command)]
     Config(#[bpaf(external(config::options))] config::Options),
     /// Measures the journal of non-idempotent requests.
     #[bpaf(command)]
     Journal(#[bpaf(external(journal::options))] journal::Options),
-    /// Measures what the log lines of a request cost.
+    /// Measures the processor time of logging a request.
     #[bpaf(command)]
     Logs(#[bpaf(external(logs::options))] logs::Options),
-    /// Compares placements of models under shifting demand, in virtual time.
+    /// Compares placement policies under shifting demand, in virtual time.
     #[bpaf(command)]
     Moves(#[bpaf(external(moves::options))] moves::Options),
-    /// Measures what real daemons cost as the system grows.
+    /// Measures the resource use of real daemons as the system grows.
     #[bpaf(command)]
     Slopes(#[bpaf(external(slopes::options))] slopes::Options),
 }
 
-/// Runs the program.
+/// Runs the experiment that the command line selects.
 pub fn main() -> ExitCode {
     match command().run() {
         Command::Causes(options) => return causes::run(&options),
--- a/crates/lab/tests/causes.rs
+++ b/crates/lab/tests/causes.rs
@@ -1,10 +1,10 @@
-//! Causes of late and lost requests, from daemons' logs.
+//! Causes of late and refused requests, from the logs of daemons.
 
 use chestnut_lab::causes::{Cause, count_causes};
 
 #[test]
-fn causes_are_told_from_the_lines_of_a_request() {
-    let text = r#"
+fn causes_are_derived_from_the_log_lines_of_a_request() {
+    let logs = r#"
  1.0 vm-1 {"msg":"turn","id":"a","turn":"Again"}
  1.1 vm-1 {"msg":"turn","id":"a","turn":"Send(7)"}
 {"msg":"request ended","id":"a","route":"r","end":"answered","ms":900,"objective_ms":500,"begun_ms":700,"first_ms":90,"pause_ms":20,"gap_ms":250}
@@ -18,8 +18,8 @@
 no JSON
 {"msg":"request ended","id":"h"
 "#;
-    let table = count_causes(text);
-    let found: Vec<Cause> = table["r"].keys().copied().collect();
+    let counts = count_causes(logs);
+    let found: Vec<Cause> = counts["r"].keys().copied().collect();
     use Cause::{
         AdmissionWait, EventGap, InTime, NoAdapterSlot, RunnersFull, SlowFirstEvent,
     };
@@ -27,5 +27,5 @@
         found,
         [AdmissionWait, SlowFirstEvent, EventGap, InTime, NoAdapterSlot, RunnersFull]
     );
-    assert_eq!(table["plain"][&InTime], 1);
+    assert_eq!(counts["plain"][&InTime], 1);
 }
