--- a/crates/lab/src/decisions.rs
+++ b/crates/lab/src/decisions.rs
@@ -1,4 +1,4 @@
-//! What a decision costs.
+//! Measures the computing time of routing, admission, permit and placement decisions.
 
 use std::collections::VecDeque;
 use std::time::{Duration, Instant};
@@ -19,22 +19,22 @@
     Candidate, Feedback, LoadReport, RouteRequest, Router, RoutingPolicy,
 };
 
-/// Requests that a server of a plain service runs at the same time, as the users' do.
-const SLOTS: u32 = 6;
+/// Parallel requests per server of a plain service, as in the users' deployments.
+const SERVER_SLOTS: u32 = 6;
 
-/// How often the gate's planner looks.
-const PLAN_PERIOD: Duration = Duration::from_millis(250);
+/// Interval between plans of the gate's planner.
+const PLAN_INTERVAL: Duration = Duration::from_millis(250);
 
-/// What to measure.
+/// Sets the length of the measurement.
 #[derive(Debug, Clone, Bpaf)]
 #[bpaf(generate(options))]
 pub struct Options {
-    /// Decisions of each sort.
+    /// Number of routing decisions per measurement; admission and permits take a tenth.
     #[bpaf(argument("N"), fallback(20_000))]
     pub rounds: u32,
 }
 
-/// Measures and prints the cost of decisions.
+/// Measures each kind of decision and prints one JSON object per line.
 pub fn run(options: &Options) {
     for count in [9, 21, 1200] {
         for (name, policy) in [
@@ -44,26 +44,26 @@
             ("k-choice", RoutingPolicy::KChoice(2)),
             ("chosen", RoutingPolicy::Estimate),
         ] {
-            let nanos = choice(policy, count, options.rounds);
+            let nanos = time_routing(policy, count, options.rounds);
             println!(
                 "{{\"decision\":\"choose\",\"policy\":\"{name}\",\"candidates\":{count},\"ns\":{nanos}}}"
             );
         }
     }
     for waiting in [0, 32, 256] {
-        let nanos = admission(waiting, options.rounds / 10);
+        let nanos = time_admission(waiting, options.rounds / 10);
         println!("{{\"decision\":\"offer\",\"waiting\":{waiting},\"ns\":{nanos}}}");
     }
     for servers in [3, 30, 300] {
         for waiting in [0, 100] {
-            let nanos = place(servers, waiting, options.rounds / 10);
+            let nanos = time_permits(servers, waiting, options.rounds / 10);
             println!(
                 "{{\"decision\":\"place\",\"servers\":{servers},\"waiting\":{waiting},\"ns\":{nanos}}}"
             );
         }
     }
     for (runners, models) in [(112, 155), (1_200, 190), (12_000, 1_900)] {
-        let micros = plan(runners, models);
+        let micros = time_plan(runners, models);
         println!(
             "{{\"decision\":\"plan\",\"runners\":{runners},\"models\":{models},\"us\":{micros}}}"
         );
@@ -74,8 +74,8 @@
     );
 }
 
-/// Nanoseconds of a choice among `count` candidates.
-fn choice(policy: RoutingPolicy, count: u32, rounds: u32) -> u128 {
+/// Mean nanoseconds of a routing decision among `count` candidates.
+fn time_routing(policy: RoutingPolicy, count: u32, rounds: u32) -> u128 {
     let now = Instant::now();
     let mut router = Router::new(policy, 1);
     let candidates: Vec<_> = (0..count)
@@ -99,17 +99,18 @@
         .collect();
     let prefix: Vec<u64> = (0..20).collect();
     router.begin_attempt(candidates[0].server, &prefix);
-    let ask =
+    let request =
         RouteRequest { prompt_tokens: 600, output_tokens: 200, prefix_blocks: &prefix };
     let start = Instant::now();
     for _ in 0..rounds {
-        std::hint::black_box(router.choose(&candidates, ask, now));
+        std::hint::black_box(router.choose(&candidates, request, now));
     }
     start.elapsed().as_nanos() / u128::from(rounds)
 }
 
-/// Nanoseconds of an offer and its withdrawal with 32 running and some waiting.
-fn admission(waiting: u32, rounds: u32) -> u128 {
+/// Mean nanoseconds of an offer and its withdrawal, with 32 running and `waiting` queued
+/// requests.
+fn time_admission(waiting: u32, rounds: u32) -> u128 {
     let now = Instant::now();
     let limits = Limits {
         max_streams: 32,
@@ -117,102 +118,101 @@
         max_queued: 512,
         step_time: Duration::from_millis(10),
     };
-    let mut lead = AdmissionController::new(limits, AdmissionPolicy::default(), now);
+    let mut controller =
+        AdmissionController::new(limits, AdmissionPolicy::default(), now);
     for index in 0..32 + waiting {
-        lead.offer(job(index, now), now);
+        controller.offer(job(index, now), now);
     }
     let start = Instant::now();
     for index in 0..rounds {
-        let ticket = lead.offer(job(index, now), now);
-        lead.finish(ticket, chestnut_admit::AttemptEnd::Cancelled, now);
-        lead.take_effects();
+        let ticket = controller.offer(job(index, now), now);
+        controller.finish(ticket, chestnut_admit::AttemptEnd::Cancelled, now);
+        controller.take_effects();
     }
     start.elapsed().as_nanos() / u128::from(rounds)
 }
 
-/// Nanoseconds of a place at a plain service: a request comes, another one ends, and what
-/// can be sent is sent, with nine places of ten taken or with requests that wait.
-fn place(servers: u64, waiting: u64, rounds: u32) -> u128 {
+/// Mean nanoseconds of permit decisions for one arrival and one completion at a plain
+/// service, with nine permits of ten in use or with `waiting` requests queued.
+fn time_permits(servers: u64, waiting: u64, rounds: u32) -> u128 {
     let now = Instant::now();
     let mut queue = PermitQueue::default();
     let listed = |index| ListedServer {
         name: ServerName::try_from(format!("server-{index}")).expect("well formed"),
-        slots: SLOTS,
+        slots: SERVER_SLOTS,
         domain: domain(index),
     };
     queue.update_servers((0..servers).map(listed).collect(), now);
-    let asker = |number: u64| (MemberId(number % 100), number);
-    let full = servers * u64::from(SLOTS);
-    let busy = if waiting > 0 { full * 2 + waiting } else { full * 9 / 10 };
-    let mut sent = VecDeque::new();
-    for number in 0..busy {
-        queue.push(asker(number), want(number), now);
-        sent.extend(next(&mut queue, now));
+    let request_key = |number: u64| (MemberId(number % 100), number);
+    let permits = servers * u64::from(SERVER_SLOTS);
+    let initial = if waiting > 0 { permits * 2 + waiting } else { permits * 9 / 10 };
+    let mut running = VecDeque::new();
+    for number in 0..initial {
+        queue.push(request_key(number), plain_request(number), now);
+        running.extend(take_grants(&mut queue, now));
     }
     let start = Instant::now();
     for round in 0..u64::from(rounds) {
-        let number = busy + round;
-        queue.push(asker(number), want(number), now);
-        sent.extend(next(&mut queue, now));
-        if let Some(done) = sent.pop_front() {
+        let number = initial + round;
+        queue.push(request_key(number), plain_request(number), now);
+        running.extend(take_grants(&mut queue, now));
+        if let Some(done) = running.pop_front() {
             queue.release(done, PermitOutcome::Answered, now);
-            sent.extend(next(&mut queue, now));
+            running.extend(take_grants(&mut queue, now));
         }
     }
     start.elapsed().as_nanos() / u128::from(rounds)
 }
 
-/// Microseconds of a look of the gate's planner at runners of two models each, in the mean
-/// of a few; a twentieth of the models has nearly all of the demand.
-fn plan(runners: usize, models: usize) -> u128 {
-    const LOOKS: u32 = 4;
+/// Mean microseconds of a plan of the gate's planner for runners that hold two models each.
+/// A twentieth of the models has nearly all of the demand.
+fn time_plan(runners: usize, models: usize) -> u128 {
+    const PLANS: u32 = 4;
     let now = Instant::now();
     let engine = engine(models);
     let names: Vec<&ModelName> = engine.models.keys().collect();
-    let entry =
-        |at: usize| runner(at, [names[at % models], names[(at * 7 + 1) % models]]);
-    let entries: Vec<ServerEntry> = (0..runners).map(entry).collect();
-    let speeds = EngineTimings::default();
+    let server_entry = |index: usize| {
+        runner(index, [names[index % models], names[(index * 7 + 1) % models]])
+    };
+    let entries: Vec<ServerEntry> = (0..runners).map(server_entry).collect();
+    let timings = EngineTimings::default();
     let window = Duration::from_secs(5);
-    let bound = LoadBound { rate: engine.loads_per_s, window, overshoot: 1.1 };
-    let scene = PlacementInput {
+    let load_bound = LoadBound { rate: engine.loads_per_s, window, overshoot: 1.1 };
+    let input = PlacementInput {
         runners: &entries,
         fixed: &[],
         engine: &engine,
-        load_bound: bound,
-        timings: &speeds,
+        load_bound,
+        timings: &timings,
     };
-    let mut placing = PlacementPlanner::new(now);
-    let asked = |look: u32| {
-        let asked = |(at, name): (usize, &&ModelName)| {
-            let busy = if at.is_multiple_of(20) { 20.0 } else { 0.05 };
-            let requests = busy * f64::from(look + 1);
-            let prompt = requests * 800.0;
+    let mut planner = PlacementPlanner::new(now);
+    let demand = |round: u32| {
+        let model_demand = |(index, name): (usize, &&ModelName)| {
+            let base = if index.is_multiple_of(20) { 20.0 } else { 0.05 };
+            let requests = base * f64::from(round + 1);
+            let prompt_tokens = requests * 800.0;
             (
                 (*name).clone(),
-                DemandCounts {
-                    requests,
-                    prompt_tokens: prompt,
-                    ..DemandCounts::default()
-                },
+                DemandCounts { requests, prompt_tokens, ..DemandCounts::default() },
             )
         };
-        names.iter().enumerate().map(asked).collect()
+        names.iter().enumerate().map(model_demand).collect()
     };
     let start = Instant::now();
-    for look in 0..LOOKS {
-        placing.update_demand(MemberId(1), 0, asked(look));
-        std::hint::black_box(placing.plan(&scene, now + PLAN_PERIOD * look));
+    for round in 0..PLANS {
+        planner.update_demand(MemberId(1), 0, demand(round));
+        std::hint::black_box(planner.plan(&input, now + PLAN_INTERVAL * round));
     }
-    start.elapsed().as_micros() / u128::from(LOOKS)
+    start.elapsed().as_micros() / u128::from(PLANS)
 }
 
-/// An engine for so many models of 16 to 34 GB, two or three of which fit.
+/// An engine that serves `models` models of 16 to 34 GB, two or three of which fit into its
+/// memory.
 fn engine(models: usize) -> Engine {
-    let model = |at: usize| {
-        let name = ModelName::try_from(format!("model-{at}")).expect("well formed");
+    let model = |index: usize| {
+        let name = ModelName::try_from(format!("model-{index}")).expect("well formed");
         let model = Model {
-            weights_mb: if at.is_multiple_of(2) { 34_300.0 } else { 16_100.0 },
+            weights_mb: if index.is_multiple_of(2) { 34_300.0 } else { 16_100.0 },
             adapter_count: 4,
             adapter_mb: 40.0,
             store_load_time: Duration::from_secs(2),
@@ -232,40 +232,40 @@
     }
 }
 
-fn runner(at: usize, models: [&ModelName; 2]) -> ServerEntry {
-    let held = |model: &ModelName| LoadedModel {
+fn runner(index: usize, models: [&ModelName; 2]) -> ServerEntry {
+    let loaded = |model: &ModelName| LoadedModel {
         model: model.clone(),
         version: 1,
         adapters: Vec::new(),
     };
     ServerEntry {
-        name: ServerName::try_from(format!("runner-{at}")).expect("well formed"),
+        name: ServerName::try_from(format!("runner-{index}")).expect("well formed"),
         started_at_ms: Some(1),
         service: ServiceName::try_from("pool").expect("well formed"),
         address: ([10, 0, 0, 1], 80).into(),
-        domain: domain(at as u64),
+        domain: domain(index as u64),
         slots: 48,
         phase: Phase::Ready,
         warmup_remaining: Duration::ZERO,
         accepted_orders: 0,
-        models: models.into_iter().map(held).collect(),
+        models: models.into_iter().map(loaded).collect(),
         in_memory: Vec::new(),
         on_disk: Vec::new(),
     }
 }
 
-/// The requests that are sent now.
-fn next(queue: &mut PermitQueue, now: Instant) -> Vec<RequestKey> {
-    let mut sent = Vec::new();
-    while let Some(step) = queue.next_decision(now) {
-        if let QueueDecision::Grant(asker, _) = step {
-            sent.push(asker);
+/// Takes all pending decisions and returns the requests that received a permit.
+fn take_grants(queue: &mut PermitQueue, now: Instant) -> Vec<RequestKey> {
+    let mut granted = Vec::new();
+    while let Some(decision) = queue.next_decision(now) {
+        if let QueueDecision::Grant(request, _) = decision {
+            granted.push(request);
         }
     }
-    sent
+    granted
 }
 
-fn want(number: u64) -> PlainRequest {
+fn plain_request(number: u64) -> PlainRequest {
     PlainRequest {
         urgency: (number % 3) as u8,
         target_time: Duration::from_secs(60),
--- a/crates/lab/src/logs.rs
+++ b/crates/lab/src/logs.rs
@@ -1,9 +1,8 @@
-//! What the log lines of a request cost, with a reader and with one that has stopped.
+//! Measures the processor time of logging requests, with and without a blocked output.
 //!
-//! A request that is served at once leaves three lines: the server that was picked, its
-//! turn, and its end. They are logged here with fields of usual length by the logger of
-//! the gate, at a given rate, and the processor time of both threads is told apart: the
-//! one that serves, and the one that writes.
+//! A request that is served at once logs three lines: the selected server, its admission and
+//! its end. The gate's logger logs them here at a fixed rate, with fields of typical length.
+//! The processor time of the serving thread and of the writer thread is measured separately.
 
 use std::io::{self, Write};
 use std::sync::Arc;
@@ -17,43 +16,43 @@
 
 use crate::cost;
 
-/// The name of the thread that serves, as far as logging is concerned.
+/// Name of the thread that logs the requests.
 const SERVING: &str = "serving";
 
-/// How long the writer may take for what is left at the end.
-const REST: Duration = Duration::from_millis(300);
+/// Time at the end in which the writer drains its queue.
+const DRAIN_TIME: Duration = Duration::from_millis(300);
 
-/// How often a stopped reader looks whether it is to go on.
-const LOOK: Duration = Duration::from_millis(5);
+/// Poll interval of a blocked output.
+const POLL_INTERVAL: Duration = Duration::from_millis(5);
 
-/// How many requests to log.
+/// Sets the rate and the duration of the measurement.
 #[derive(Debug, Clone, Bpaf)]
 #[bpaf(generate(options))]
 pub struct Options {
-    /// Requests a second; a busy daemon of the users' deployments has 24.
+    /// Requests per second; a busy daemon in the users' deployments has 24.
     #[bpaf(argument("N"), guard(is_positive, "must be at least 1"), fallback(1000))]
     pub rate: u32,
-    /// For how many seconds.
+    /// Duration of the measurement for each kind of output.
     #[bpaf(argument("SECONDS"), guard(is_positive, "must be at least 1"), fallback(4))]
     pub seconds: u32,
 }
 
-fn is_positive(number: &u32) -> bool {
-    *number > 0
+fn is_positive(value: &u32) -> bool {
+    *value > 0
 }
 
-/// Where the lines go.
+/// Where the log lines go; the variants are names in the output.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum Sink {
-    /// Nowhere: nothing is formatted.
+    /// Discarded without formatting.
     None,
-    /// A reader that keeps up.
+    /// An output that accepts all lines at once.
     Reader,
-    /// A reader that has stopped.
+    /// An output that blocks.
     Stopped,
 }
 
-/// Measures and prints the cost of the lines.
+/// Measures each kind of output and prints one JSON object per line.
 pub fn run(options: &Options) {
     for sink in [Sink::None, Sink::Reader, Sink::Stopped] {
         let output = Output::default();
@@ -62,58 +61,58 @@
             Sink::None => Logger::root(Discard, o!()),
             Sink::Reader | Sink::Stopped => logger_to(output.clone(), "vm-1"),
         };
-        let cost = serve(&log, options);
-        // Otherwise the logger would wait for its thread for ever.
+        let usage = measure(&log, options);
+        // A logger that is dropped waits for its writer thread, which must not stay blocked.
         output.stopped.store(false, Ordering::Relaxed);
         let requests = f64::from(options.rate * options.seconds);
-        // A sum over no thread is minus zero.
+        // The sum over no threads is -0.0; `abs` removes the sign.
         let micros = |seconds: f64| seconds.abs() * 1e6 / requests;
         println!(
             "{{\"sink\":\"{sink:?}\",\"serving_us\":{:.2},\"writing_us\":{:.2},\
              \"slowest_us\":{},\"bytes\":{:.0}}}",
-            micros(cost.serving),
-            micros(cost.writing),
-            cost.slowest.as_micros(),
+            micros(usage.serving),
+            micros(usage.writing),
+            usage.slowest.as_micros(),
             output.written.load(Ordering::Relaxed) as f64 / requests,
         );
     }
 }
 
-/// What logging took.
-struct Cost {
-    /// Processor time of the thread that serves, in seconds.
+/// Resources that logging used.
+struct Usage {
+    /// Processor time of the serving thread, in seconds.
     serving: f64,
-    /// Processor time of the thread that writes, in seconds.
+    /// Processor time of the writer thread, in seconds.
     writing: f64,
-    /// The longest time that the lines of one request took.
+    /// Longest time for logging one request.
     slowest: Duration,
 }
 
-/// Logs at the given rate in a thread of its own.
-fn serve(log: &Logger, options: &Options) -> Cost {
+/// Logs requests at the given rate in a thread of its own.
+fn measure(log: &Logger, options: &Options) -> Usage {
     let Options { rate, seconds } = options.clone();
     let log = log.clone();
-    let serving = thread::Builder::new().name(SERVING.to_owned()).spawn(move || {
-        let pause = Duration::from_secs(1) / rate;
+    let thread = thread::Builder::new().name(SERVING.to_owned()).spawn(move || {
+        let interval = Duration::from_secs(1) / rate;
         let start = Instant::now();
         let mut slowest = Duration::ZERO;
         for number in 0..rate * seconds {
-            let due = start + pause * number;
+            let due = start + interval * number;
             thread::sleep(due.saturating_duration_since(Instant::now()));
-            let begin = Instant::now();
+            let started = Instant::now();
             log_request(&log, number);
-            slowest = slowest.max(begin.elapsed());
+            slowest = slowest.max(started.elapsed());
         }
-        thread::sleep(REST);
-        // Threads that have ended are not counted.
-        Cost {
+        thread::sleep(DRAIN_TIME);
+        // Read before the thread ends: ended threads are not counted.
+        Usage {
             serving: cost::processor(SERVING),
             writing: cost::processor(WRITER_THREAD),
             slowest,
         }
     });
-    let serving = serving.expect("a thread can be started");
-    serving.join().expect("logging does not panic")
+    let thread = thread.expect("a thread can be started");
+    thread.join().expect("logging does not panic")
 }
 
 fn log_request(log: &Logger, number: u32) {
@@ -129,7 +128,7 @@
         "first_ms" => 169u64, "pause_ms" => 141u64);
 }
 
-/// Counts what is written, or takes nothing while it is stopped.
+/// Counts the bytes written; blocks while it is stopped.
 #[derive(Debug, Clone, Default)]
 struct Output {
     written: Arc<AtomicU64>,
@@ -139,7 +138,7 @@
 impl Write for Output {
     fn write(&mut self, bytes: &[u8]) -> io::Result<usize> {
         while self.stopped.load(Ordering::Relaxed) {
-            thread::sleep(LOOK);
+            thread::sleep(POLL_INTERVAL);
         }
         self.written.fetch_add(bytes.len() as u64, Ordering::Relaxed);
         Ok(bytes.len())
