--- a/crates/lab/src/causes.rs
+++ b/crates/lab/src/causes.rs
@@ -1,8 +1,8 @@
-//! Where requests were lost, by the logs of the daemons.
+//! Counts why requests were late or not served, from the logs of daemons.
 //!
-//! Reads the structured lines of any number of daemons, joins those of a request, and
-//! counts for each route why answers were late or requests were not served. Lines may have
-//! a prefix, such as a time and the name of a VM, before their JSON.
+//! Reads the JSON log lines of any number of daemons, joins the lines of each request and
+//! counts the causes per route. A line may have a prefix before its JSON, such as a time
+//! and the name of a VM.
 
 use std::fmt::{self, Display, Formatter};
 use std::fs;
@@ -14,39 +14,39 @@
 use indexmap::IndexMap;
 use serde::Deserialize;
 
-/// Which logs to read.
+/// Selects the logs.
 #[derive(Debug, Clone, Bpaf)]
 #[bpaf(generate(options))]
 pub struct Options {
-    /// The daemons' logs in one file; standard input if none is named.
+    /// File with the logs of the daemons; standard input by default.
     #[bpaf(positional("FILE"), optional)]
     pub file: Option<PathBuf>,
 }
 
-/// Why a request was not served in time.
+/// Outcome of a request: served in time, or why not.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub enum Cause {
-    /// It was served in time.
+    /// Served in time.
     InTime,
-    /// It waited for its turn at a runner.
-    Turn,
-    /// Its first event came late after it had been sent.
-    Engine,
-    /// Its events paused for too long.
-    Paused,
-    /// All runners with its model were full.
-    Full,
-    /// No runner could take its adapter.
-    Adapter,
-    /// No server held its model, or took requests.
+    /// The first event was late, mainly because of the wait for admission.
+    AdmissionWait,
+    /// The first event was late, mainly because of the time at the runner.
+    SlowFirstEvent,
+    /// A gap between two events was too long.
+    EventGap,
+    /// Refused because all runners with the model were full.
+    RunnersFull,
+    /// Refused because no runner could load the adapter.
+    NoAdapterSlot,
+    /// Refused because no server had the model or accepted requests.
     NoServer,
-    /// Its answer broke off.
-    Broken,
-    /// The time ran out.
-    Expired,
-    /// Its caller left.
-    CallerLeft,
-    /// Anything else.
+    /// The response was cut short.
+    Interrupted,
+    /// The deadline passed.
+    DeadlineExceeded,
+    /// The caller disconnected.
+    CallerDisconnected,
+    /// Any other end.
     Other,
 }
 
@@ -54,122 +54,143 @@
     fn fmt(&self, f: &mut Formatter<'_>) -> fmt::Result {
         f.write_str(match self {
             Self::InTime => "in time",
-            Self::Turn => "late: waited for its turn",
-            Self::Engine => "late: first event after sending",
-            Self::Paused => "late: paused between events",
-            Self::Full => "refused: all runners full",
-            Self::Adapter => "refused: no place for its adapter",
+            Self::AdmissionWait => "late: waited for its turn",
+            Self::SlowFirstEvent => "late: first event after sending",
+            Self::EventGap => "late: paused between events",
+            Self::RunnersFull => "refused: all runners full",
+            Self::NoAdapterSlot => "refused: no place for its adapter",
             Self::NoServer => "refused: no server",
-            Self::Broken => "failed: broke off",
-            Self::Expired => "failed: time ran out",
-            Self::CallerLeft => "caller left",
+            Self::Interrupted => "failed: broke off",
+            Self::DeadlineExceeded => "failed: time ran out",
+            Self::CallerDisconnected => "caller left",
             Self::Other => "other",
         })
     }
 }
 
-/// A line that tells of a request, as far as it is needed here.
+/// The fields that are read from a log line about a request.
 #[derive(Debug, Default, Deserialize)]
 #[serde(default)]
-struct Line {
+struct LogLine {
     msg: String,
     id: String,
-    turn: String,
+    #[serde(rename = "turn")]
+    admission: String,
     end: String,
     route: String,
-    ms: u64,
+    #[serde(rename = "ms")]
+    total_ms: u64,
     objective_ms: u64,
-    begun_ms: Option<u64>,
-    first_ms: Option<u64>,
-    pause_ms: Option<u64>,
-    gap_ms: Option<u64>,
+    /// Time from the arrival of the request to its first event.
+    #[serde(rename = "begun_ms")]
+    first_after_arrival_ms: Option<u64>,
+    /// Time from the dispatch to the runner to the first event.
+    #[serde(rename = "first_ms")]
+    first_after_send_ms: Option<u64>,
+    /// Longest gap between two events.
+    #[serde(rename = "pause_ms")]
+    longest_gap_ms: Option<u64>,
+    /// Permitted gap between two events.
+    #[serde(rename = "gap_ms")]
+    max_gap_ms: Option<u64>,
 }
 
-/// Counts of requests by route and cause.
-pub type Table = IndexMap<String, IndexMap<Cause, u64>>;
+/// Number of requests by route and cause.
+pub type CauseCounts = IndexMap<String, IndexMap<Cause, u64>>;
 
-/// Reads logs and prints where requests were lost.
+/// Reads logs and prints the causes per route; fails if the logs are not readable.
 pub fn run(options: &Options) -> ExitCode {
-    let text = match &options.file {
+    let bytes = match &options.file {
         Some(path) => fs::read(path),
         None => {
             let mut bytes = Vec::new();
             io::stdin().read_to_end(&mut bytes).map(|_| bytes)
         }
     };
-    match text {
+    match bytes {
         Ok(bytes) => {
-            print(&table(&String::from_utf8_lossy(&bytes)));
+            print(&count_causes(&String::from_utf8_lossy(&bytes)));
             ExitCode::SUCCESS
         }
         Err(error) => {
             eprintln!(
-                "the logs can't be read ({error}); name a file with daemons' lines"
+                "the logs are not readable ({error}); pass a file with logs of daemons"
             );
             ExitCode::FAILURE
         }
     }
 }
 
-/// Counts the requests of logs by route and cause.
-pub fn table(text: &str) -> Table {
-    let mut turns: IndexMap<String, String> = IndexMap::new();
-    let mut table = Table::new();
-    for line in text.lines().filter_map(read) {
+/// Counts the ended requests in the logs; ignores lines that are not valid JSON.
+pub fn count_causes(text: &str) -> CauseCounts {
+    let mut admissions: IndexMap<String, String> = IndexMap::new();
+    let mut counts = CauseCounts::new();
+    for line in text.lines().filter_map(parse_line) {
         match line.msg.as_str() {
-            "turn" => drop(turns.insert(line.id, line.turn)),
+            "turn" => drop(admissions.insert(line.id, line.admission)),
             "request ended" => {
-                let turn = turns.swap_remove(&line.id).unwrap_or_default();
-                let causes = table.entry(line.route.clone()).or_default();
-                *causes.entry(cause(&line, &turn)).or_default() += 1;
+                let admission = admissions.swap_remove(&line.id).unwrap_or_default();
+                let causes = counts.entry(line.route.clone()).or_default();
+                *causes.entry(classify(&line, &admission)).or_default() += 1;
             }
             _ => {}
         }
     }
-    table
+    counts
 }
 
-/// The JSON of a line, whatever stands before it.
-fn read(line: &str) -> Option<Line> {
+/// Parses a line from its first brace on.
+fn parse_line(line: &str) -> Option<LogLine> {
     let start = line.find('{')?;
     serde_json::from_str(&line[start..]).ok()
 }
 
-/// Why a request ended as it did; `turn` is what came of its last turn at a runner.
-fn cause(line: &Line, turn: &str) -> Cause {
+/// Classifies the end of a request; `admission` is the last response of a runner to its
+/// admission request, empty if there was none.
+fn classify(line: &LogLine, admission: &str) -> Cause {
     match line.end.as_str() {
-        "answered" => lateness(line),
-        "Overloaded" | "Unavailable" if turn == "Denied" => Cause::Adapter,
-        "Overloaded" => Cause::Full,
+        "answered" => classify_served(line),
+        "Overloaded" | "Unavailable" if admission == "Denied" => Cause::NoAdapterSlot,
+        "Overloaded" => Cause::RunnersFull,
         "Unavailable" => Cause::NoServer,
-        "Broken" | "broken" => Cause::Broken,
-        "Late" | "late" | "Deadline" => Cause::Expired,
-        "caller left" => Cause::CallerLeft,
+        "Broken" | "broken" => Cause::Interrupted,
+        "Late" | "late" | "Deadline" => Cause::DeadlineExceeded,
+        "caller left" => Cause::CallerDisconnected,
         _ => Cause::Other,
     }
 }
 
-fn lateness(line: &Line) -> Cause {
-    let first = line.first_ms.unwrap_or_default();
-    if line.begun_ms.unwrap_or(line.ms) > line.objective_ms {
-        // Longer at the runner than before it.
-        let sent = line.begun_ms.unwrap_or_default().saturating_sub(first);
-        return if first > sent { Cause::Engine } else { Cause::Turn };
+/// Compares the timing of a served request with its objectives.
+fn classify_served(line: &LogLine) -> Cause {
+    let after_send = line.first_after_send_ms.unwrap_or_default();
+    if line.first_after_arrival_ms.unwrap_or(line.total_ms) > line.objective_ms {
+        // The longer part of the wait, before or after sending, is the cause.
+        let before_send =
+            line.first_after_arrival_ms.unwrap_or_default().saturating_sub(after_send);
+        return if after_send > before_send {
+            Cause::SlowFirstEvent
+        } else {
+            Cause::AdmissionWait
+        };
+    }
+    let max_gap = line.max_gap_ms.unwrap_or(u64::MAX);
+    if line.longest_gap_ms.unwrap_or_default() > max_gap {
+        Cause::EventGap
+    } else {
+        Cause::InTime
     }
-    let gap = line.gap_ms.unwrap_or(u64::MAX);
-    if line.pause_ms.unwrap_or_default() > gap { Cause::Paused } else { Cause::InTime }
 }
 
-fn print(table: &Table) {
-    for (route, causes) in table {
-        let all: u64 = causes.values().sum();
-        println!("{route}: {all} requests");
+fn print(counts: &CauseCounts) {
+    for (route, causes) in counts {
+        let total: u64 = causes.values().sum();
+        println!("{route}: {total} requests");
         let mut causes: Vec<(&Cause, &u64)> = causes.iter().collect();
         causes.sort();
         for (cause, count) in causes {
             println!(
                 "  {:5.1} %  {count:6}  {cause}",
-                100.0 * *count as f64 / all as f64
+                100.0 * *count as f64 / total as f64
             );
         }
     }
--- a/crates/lab/src/policies/mod.rs
+++ b/crates/lab/src/policies/mod.rs
@@ -1,124 +1,127 @@
-//! Admission and routing under load, against baselines and a bound.
+//! Compares admission and routing policies under load with baselines and an upper bound.
 //!
 //! A run passes through these stages:
 //!
-//! 1. [`shape`] describes a deployment and [`traffic`] draws its requests,
-//! 2. [`world`] plays them against [`engine`]s in virtual time, with the very
-//!    routers and leads that the daemon uses,
-//! 3. [`bound`] computes what no schedule could exceed,
-//! 4. [`tally`] turns what callers received into figures.
+//! 1. [`scenario`] describes a deployment and [`traffic`] generates its requests,
+//! 2. [`simulation`] runs them against [`engine`]s in virtual time, with the routers and
+//!    admission controllers of the daemon,
+//! 3. [`bound`] computes an upper bound that no schedule can exceed,
+//! 4. [`results`] aggregates the results of the requests.
 
 pub mod bound;
 pub mod engine;
-pub mod shape;
-pub mod tally;
+pub mod results;
+pub mod scenario;
+pub mod simulation;
 pub mod traffic;
-pub mod world;
 
 use bpaf::Bpaf;
 use chestnut_admit::AdmissionPolicy;
 use chestnut_route::RoutingPolicy;
 
-use shape::{Deployment, Pattern, Shape};
-use tally::{Figures, Tally};
+use results::{Aggregator, Summary};
+use scenario::{Deployment, DeploymentSpec, Pattern};
+use simulation::Simulation;
 use traffic::Traffic;
-use world::World;
 
-/// What to compare.
+/// Selects the runs of a comparison.
 #[derive(Debug, Clone, Bpaf)]
 #[bpaf(generate(options))]
 pub struct Options {
-    /// Print one JSON object a line.
+    /// Print one JSON object per line.
     pub json: bool,
-    /// Runs with different random numbers.
+    /// Number of runs, each with its own random seed.
     #[bpaf(argument("N"), fallback(20))]
     pub seeds: u64,
-    /// Only this pattern.
+    /// Run only this load pattern.
     #[bpaf(argument("P"))]
     pub pattern: Option<Pattern>,
-    /// Only this deployment.
+    /// Run only this deployment.
     #[bpaf(argument("D"))]
     pub deployment: Option<Deployment>,
-    /// Only this policy.
+    /// Run only the policy of this name.
     #[bpaf(argument("NAME"))]
     pub policy: Option<String>,
 }
 
-/// A policy under comparison: how entries choose and how leads decide.
+/// A policy under comparison: routing at the entries, admission at the leads.
 #[derive(Debug, Clone, Copy)]
-pub struct Contender {
-    /// Its name in the output.
+pub struct PolicyConfig {
+    /// Name in the output.
     pub name: &'static str,
-    /// How entries choose.
-    pub policy: RoutingPolicy,
-    /// How leads decide.
-    pub rule: AdmissionPolicy,
-    /// Whether it is what the daemon uses.
-    pub chosen: bool,
+    /// How entries select a server.
+    pub routing: RoutingPolicy,
+    /// How leads admit requests.
+    pub admission: AdmissionPolicy,
+    /// Whether the daemon uses this policy.
+    pub is_default: bool,
 }
 
-/// Runs the comparison and prints it.
+/// Runs the comparison and prints a line per deployment, pattern and policy.
 pub fn run(options: &Options) {
     if !options.json {
-        println!("{}", tally::header());
+        println!("{}", results::table_header());
     }
-    for deployment in wanted(&Deployment::ALL, options.deployment) {
-        for pattern in wanted(&Pattern::ALL, options.pattern) {
-            for contender in contenders() {
+    for deployment in selected(&Deployment::ALL, options.deployment) {
+        for pattern in selected(&Pattern::ALL, options.pattern) {
+            for config in policy_configs() {
                 let name = options.policy.as_deref();
-                if name.is_none_or(|name| name == contender.name) {
-                    let figures = compare(deployment, pattern, contender, options.seeds);
-                    println!("{}", tally::line(&figures, options.json));
+                if name.is_none_or(|name| name == config.name) {
+                    let summary = compare(deployment, pattern, config, options.seeds);
+                    println!("{}", results::format_summary(&summary, options.json));
                 }
             }
         }
     }
 }
 
-/// The mean figures of a policy over all seeds.
+/// Runs a policy with every seed below `seeds` and aggregates the results.
 pub fn compare(
     deployment: Deployment,
     pattern: Pattern,
-    contender: Contender,
+    config: PolicyConfig,
     seeds: u64,
-) -> Figures {
-    let shape = Shape::of(deployment);
-    let mut tally = Tally::default();
+) -> Summary {
+    let spec = DeploymentSpec::of(deployment);
+    let mut aggregator = Aggregator::default();
     for seed in 0..seeds {
-        let traffic = Traffic::draw(&shape, pattern, seed);
-        let most = bound::most(&shape, &traffic);
-        let world = World::new(&shape, &traffic, contender, seed);
-        tally.add(&shape, &traffic, &world.play(), most);
+        let traffic = Traffic::generate(&spec, pattern, seed);
+        let upper_bound = bound::max_served(&spec, &traffic);
+        let world = Simulation::new(&spec, &traffic, config, seed);
+        aggregator.add(&spec, &traffic, &world.run(), upper_bound);
     }
-    tally.figures(deployment, pattern, contender)
+    aggregator.summary(deployment, pattern, config)
 }
 
-/// The policies that are compared.
-pub fn contenders() -> Vec<Contender> {
-    let naive = |name, policy| Contender {
+/// All policies, baselines first.
+pub fn policy_configs() -> Vec<PolicyConfig> {
+    let without_admission = |name, routing| PolicyConfig {
         name,
-        policy,
-        rule: AdmissionPolicy::FIFO,
-        chosen: false,
+        routing,
+        admission: AdmissionPolicy::FIFO,
+        is_default: false,
     };
-    let led = |name, policy| Contender {
+    let with_admission = |name, routing| PolicyConfig {
         name,
-        policy,
-        rule: AdmissionPolicy::default(),
-        chosen: false,
+        routing,
+        admission: AdmissionPolicy::default(),
+        is_default: false,
     };
     vec![
-        naive("round-robin", RoutingPolicy::RoundRobin),
-        naive("least-in-flight", RoutingPolicy::LeastInFlight),
-        naive("two-choices", RoutingPolicy::TwoChoices),
-        naive("k-choice", RoutingPolicy::KChoice(2)),
-        led("round-robin+lead", RoutingPolicy::RoundRobin),
-        led("k-choice+lead", RoutingPolicy::KChoice(2)),
-        Contender { chosen: true, ..led("chosen", RoutingPolicy::Estimate) },
+        without_admission("round-robin", RoutingPolicy::RoundRobin),
+        without_admission("least-in-flight", RoutingPolicy::LeastInFlight),
+        without_admission("two-choices", RoutingPolicy::TwoChoices),
+        without_admission("k-choice", RoutingPolicy::KChoice(2)),
+        with_admission("round-robin+lead", RoutingPolicy::RoundRobin),
+        with_admission("k-choice+lead", RoutingPolicy::KChoice(2)),
+        PolicyConfig {
+            is_default: true,
+            ..with_admission("chosen", RoutingPolicy::Estimate)
+        },
     ]
 }
 
-/// All variants, or the one that is named.
-fn wanted<T: Copy>(all: &[T], only: Option<T>) -> Vec<T> {
+/// All values, or only the selected one.
+fn selected<T: Copy>(all: &[T], only: Option<T>) -> Vec<T> {
     only.map_or_else(|| all.to_vec(), |only| vec![only])
 }
