--- a/crates/demo/src/own/burst.rs
+++ b/crates/demo/src/own/burst.rs
@@ -4,7 +4,7 @@
 use std::sync::Arc;
 use std::time::{Duration, Instant};
 
-use chestnut_fake::caller::{Ask, Completion, Form, Reply};
+use chestnut_fake::caller::{CallerRequest, CallerResponse, Completion, Operation};
 use serde::Deserialize;
 use tokio::task::JoinSet;
 
@@ -98,9 +98,9 @@
 /// What became of one request.
 struct Outcome {
     mix: Mix,
-    ask: Ask,
+    ask: CallerRequest,
     /// What its caller got.
-    reply: Reply,
+    reply: CallerResponse,
     /// How long the caller waited.
     took: Duration,
 }
@@ -128,13 +128,14 @@
     let ran = Ran::read(stage).await?;
     let mut once = HashSet::new();
     let seen = |one: &Outcome| {
-        let first = one.mix.once && once.insert((one.mix.kind, one.ask.key.clone()));
+        let first =
+            one.mix.once && once.insert((one.mix.kind, one.ask.idempotency_key.clone()));
         Seen {
             kind: one.mix.kind,
             end: ending(one, &ran),
             took: one.took,
             deadline: one.mix.deadline,
-            retried: one.reply.tries > 1,
+            retried: one.reply.attempts > 1,
             doubled: first && ran.of(&one.ask) > 1,
         }
     };
@@ -143,13 +144,13 @@
 }
 
 fn ending(one: &Outcome, ran: &Ran) -> Ending {
-    if one.reply.is_whole(&one.ask) {
+    if one.reply.is_complete(&one.ask) {
         Ending::Whole
-    } else if one.reply.wrong(&one.ask).is_some() {
+    } else if one.reply.mismatch(&one.ask).is_some() {
         Ending::Foreign
     } else if one.reply.outcome.as_deref() == Some("not_run") {
         // A request that was sent to two entries may have run by the other.
-        Ending::Refused { ran: one.reply.tries == 1 && ran.of(&one.ask) > 0 }
+        Ending::Refused { ran: one.reply.attempts == 1 && ran.of(&one.ask) > 0 }
     } else {
         Ending::Broken
     }
@@ -168,11 +169,11 @@
             let twice = mix.once && index % DOUBLED == 0;
             for copy in 0..1 + usize::from(twice) {
                 let mut ask = ask.clone();
-                ask.bases.rotate_left(copy);
+                ask.base_urls.rotate_left(copy);
                 let http = stage.http.clone();
                 calls.spawn(async move {
                     let start = Instant::now();
-                    let reply = ask.clone().run(http, Arc::default()).await;
+                    let reply = ask.clone().send_with_retries(http, Arc::default()).await;
                     Outcome { mix, ask, reply, took: start.elapsed() }
                 });
             }
@@ -193,22 +194,22 @@
     Ok(bases)
 }
 
-fn ask(mix: Mix, index: usize, bases: &[String]) -> Ask {
+fn ask(mix: Mix, index: usize, bases: &[String]) -> CallerRequest {
     let text = format!("{} {index} of {}", mix.kind, mix.caller);
     let form = match mix.what {
         What::Tokens { route, tokens, stream } => {
             let known = ROUTES.iter().find(|(name, _)| *name == route);
-            Form::Completion(Completion {
-                former: None,
+            Operation::Completion(Completion {
+                previous_model: None,
                 route: route.to_owned(),
                 model: known.map_or(route, |(_, model)| model).to_owned(),
                 prompt: text,
-                tokens,
+                max_tokens: tokens,
                 stream,
                 chat: false,
             })
         }
-        What::Call { method, path } => Form::Service {
+        What::Call { method, path } => Operation::Service {
             name: "box-office".into(),
             path: path.to_owned(),
             method: method.to_owned(),
@@ -218,15 +219,15 @@
     let mut bases = bases.to_vec();
     let len = bases.len();
     bases.rotate_left(index % len);
-    Ask {
-        bases,
+    CallerRequest {
+        base_urls: bases,
         caller: mix.caller.to_owned(),
-        key: mix.once.then(|| format!("{}-{index}", mix.kind)),
+        idempotency_key: mix.once.then(|| format!("{}-{index}", mix.kind)),
         kind: (mix.kind != "proof").then(|| mix.kind.to_owned()),
-        form,
-        deadline: None,
-        safe: !mix.once,
-        patience: mix.deadline,
-        give_up: mix.deadline,
+        operation: form,
+        deadline_ms: None,
+        idempotent: !mix.once,
+        wait_limit: mix.deadline,
+        attempt_timeout: mix.deadline,
     }
 }
--- a/crates/demo/src/own/ran.rs
+++ b/crates/demo/src/own/ran.rs
@@ -1,7 +1,7 @@
 //! How often things ran, as the backend servers counted.
 
-use chestnut_fake::caller::{Ask, Form};
-use chestnut_fake::{EngineCounts, Handle, ServiceCounts};
+use chestnut_fake::caller::{CallerRequest, Operation};
+use chestnut_fake::{EngineCounts, ServerHandle, ServiceCounts};
 use indexmap::IndexMap;
 use serde::de::DeserializeOwned;
 
@@ -32,9 +32,11 @@
     }
 
     /// How often a request ran.
-    pub fn of(&self, ask: &Ask) -> u32 {
-        let count = match (&ask.form, &ask.key) {
-            (Form::Completion(completion), _) => self.prompts.get(&completion.prompt),
+    pub fn of(&self, ask: &CallerRequest) -> u32 {
+        let count = match (&ask.operation, &ask.idempotency_key) {
+            (Operation::Completion(completion), _) => {
+                self.prompts.get(&completion.prompt)
+            }
             (_, Some(key)) => self.calls.get(key),
             _ => None,
         };
@@ -44,7 +46,7 @@
 
 async fn counts<T: DeserializeOwned>(
     stage: &Stage,
-    server: &Handle,
+    server: &ServerHandle,
 ) -> Result<T, StageError> {
     let url = format!("{}/counts", server.url());
     Ok(stage.http.get(url).send().await?.json().await?)
--- a/crates/demo/src/own/stage.rs
+++ b/crates/demo/src/own/stage.rs
@@ -8,9 +8,10 @@
 use chestnut_base::SystemClock;
 use chestnut_config::Settings;
 use chestnut_config::keys::sha256;
-use chestnut_fake::caller::{Ask, Completion, Form};
+use chestnut_fake::caller::{CallerRequest, Completion, Operation};
 use chestnut_fake::{
-    EngineConfig, Handle, ServiceConfig, WeightSpeed, certs, engine, platform, service,
+    EngineConfig, ServerHandle, ServiceConfig, WeightStoreConfig, certs, engine,
+    platform, service,
 };
 use chestnut_node::logs;
 use chestnut_node::run::{self, Daemon};
@@ -55,14 +56,14 @@
     /// The client of all callers.
     pub http: Client,
     /// The engines.
-    pub engines: Vec<Handle>,
+    pub engines: Vec<ServerHandle>,
     /// The servers of the plain service.
-    pub services: Vec<Handle>,
+    pub services: Vec<ServerHandle>,
     /// Where callers reach the daemons.
     pub entries: Vec<String>,
     ops: Vec<String>,
     daemons: Vec<Daemon>,
-    platform: Handle,
+    platform: ServerHandle,
     folder: Folder,
 }
 
@@ -71,7 +72,8 @@
     pub async fn start() -> Result<Self, StageError> {
         let folder = Folder::new()?;
         certs::write(&folder.0).map_err(|error| StageError::Files(error.to_string()))?;
-        let platform = started(platform::start(any(), WeightSpeed::default()).await)?;
+        let platform =
+            started(platform::start(any(), WeightStoreConfig::default()).await)?;
         let http = Client::builder().no_proxy().build()?;
         let mut stage = Self {
             http,
@@ -126,8 +128,8 @@
     async fn start_servers(&mut self) -> Result<(), StageError> {
         for index in 0..RUNNERS {
             let config = EngineConfig {
-                capacity: MEMORY,
-                weights: Some(self.platform.url()),
+                memory_bytes: MEMORY,
+                weight_store_url: Some(self.platform.url()),
                 ..EngineConfig::default()
             };
             let engine = started(engine::start(any(), config).await)?;
@@ -137,8 +139,8 @@
             self.engines.push(engine);
         }
         for index in 0..DOMAINS.len() {
-            let work = Duration::from_millis(3);
-            let config = ServiceConfig { name: "box-office".into(), work };
+            let service_time = Duration::from_millis(3);
+            let config = ServiceConfig { name: "box-office".into(), service_time };
             let server = started(service::start(any(), config).await)?;
             let name = format!("box-office-{}", index + 1);
             let role = json!({"role": "service", "service": "box-office"});
@@ -258,9 +260,12 @@
     async fn wait_served(&self) -> Result<(), StageError> {
         for entry in &self.entries {
             for ask in probes(entry) {
-                let what = format!("{:?}", ask.form);
-                let reply = ask.clone().run(self.http.clone(), Arc::default()).await;
-                if !reply.is_whole(&ask) {
+                let what = format!("{:?}", ask.operation);
+                let reply = ask
+                    .clone()
+                    .send_with_retries(self.http.clone(), Arc::default())
+                    .await;
+                if !reply.is_complete(&ask) {
                     return Err(StageError::NotServed(format!("{what}: {reply:?}")));
                 }
             }
@@ -270,41 +275,44 @@
 }
 
 /// A request for each thing that is declared, sent to one entry.
-fn probes(entry: &str) -> Vec<Ask> {
+fn probes(entry: &str) -> Vec<CallerRequest> {
     let completion = |(route, model): &(&str, &str)| {
-        Form::Completion(Completion {
-            former: None,
+        Operation::Completion(Completion {
+            previous_model: None,
             route: route.to_string(),
             model: model.to_string(),
             prompt: "ready?".into(),
-            tokens: 1,
+            max_tokens: 1,
             stream: false,
             chat: false,
         })
     };
-    let seats = Form::Service {
+    let seats = Operation::Service {
         name: "box-office".into(),
         path: "/seats".into(),
         method: "GET".into(),
         body: String::new(),
     };
-    let booking = Form::Service {
+    let booking = Operation::Service {
         name: "box-office".into(),
         path: "/book".into(),
         method: "POST".into(),
         body: "ready?".into(),
     };
     let forms = ROUTES.iter().map(completion).chain([seats, booking]);
-    let number = forms.enumerate().map(|(index, form)| Ask {
-        bases: vec![entry.to_owned()],
+    let number = forms.enumerate().map(|(index, form)| CallerRequest {
+        base_urls: vec![entry.to_owned()],
         caller: "portal".into(),
-        key: Some(format!("ready-{index}-{}", entry.rsplit(':').next().unwrap_or(""))),
-        form,
+        idempotency_key: Some(format!(
+            "ready-{index}-{}",
+            entry.rsplit(':').next().unwrap_or("")
+        )),
+        operation: form,
         kind: None,
-        deadline: None,
-        safe: false,
-        patience: PATIENCE,
-        give_up: PATIENCE,
+        deadline_ms: None,
+        idempotent: false,
+        wait_limit: PATIENCE,
+        attempt_timeout: PATIENCE,
     });
     number.collect()
 }
@@ -335,7 +343,7 @@
     }
 }
 
-fn started(handle: std::io::Result<Handle>) -> Result<Handle, StageError> {
+fn started(handle: std::io::Result<ServerHandle>) -> Result<ServerHandle, StageError> {
     handle.map_err(|error| StageError::Start(error.to_string()))
 }
 
--- a/crates/fake/src/cli.rs
+++ b/crates/fake/src/cli.rs
@@ -8,9 +8,9 @@
 use serde_json::json;
 
 use crate::engine::EngineConfig;
-use crate::port::Handle;
+use crate::port::ServerHandle;
 use crate::service::ServiceConfig;
-use crate::weights::WeightSpeed;
+use crate::weights::WeightStoreConfig;
 use crate::{engine, platform, service};
 
 /// Runs a stand-in of an outside system, for tests and trials.
@@ -112,15 +112,15 @@
     }
 }
 
-async fn start(command: Command) -> std::io::Result<Handle> {
+async fn start(command: Command) -> std::io::Result<ServerHandle> {
     match command {
         Command::Platform { listen, load_rate, parallel_loads, load_speed } => {
-            let speed = WeightSpeed {
-                rate: load_rate,
-                parallel: parallel_loads,
-                bytes: load_speed,
+            let weight_store = WeightStoreConfig {
+                loads_per_second: load_rate,
+                parallel_loads,
+                bytes_per_second: load_speed,
             };
-            platform::start(listen, speed).await
+            platform::start(listen, weight_store).await
         }
         Command::Engine {
             listen,
@@ -135,21 +135,21 @@
             unfenced,
         } => {
             let config = EngineConfig {
-                capacity,
-                streams,
-                tokens,
-                waiting,
-                step: Duration::from_millis(step_ms),
-                blocks,
+                memory_bytes: capacity,
+                max_streams: streams,
+                kv_tokens: tokens,
+                max_waiting: waiting,
+                step_time: Duration::from_millis(step_ms),
+                cache_blocks: blocks,
                 fenced: !unfenced,
-                lag: Duration::from_millis(lag_ms),
-                weights,
+                report_lag: Duration::from_millis(lag_ms),
+                weight_store_url: weights,
             };
             engine::start(listen, config).await
         }
         Command::Service { listen, name, work_ms } => {
-            let work = Duration::from_millis(work_ms);
-            service::start(listen, ServiceConfig { name, work }).await
+            let service_time = Duration::from_millis(work_ms);
+            service::start(listen, ServiceConfig { name, service_time }).await
         }
     }
 }
--- a/crates/fake/src/engine/batch.rs
+++ b/crates/fake/src/engine/batch.rs
@@ -18,14 +18,14 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Progress {
     /// The number of the next token.
-    pub next: u32,
+    pub next_token: u32,
     /// Whether the request ended, and how.
-    pub end: Option<End>,
+    pub finish: Option<FinishReason>,
 }
 
 /// How a request ended.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum End {
+pub enum FinishReason {
     /// All tokens were generated.
     Length,
     /// It was cancelled.
@@ -34,25 +34,25 @@
 
 /// A question to the engine.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Question {
+pub struct GenerationRequest {
     /// The name of the model or adapter.
     pub model: String,
     /// The prompt's text.
     pub prompt: String,
     /// The prompt's length in tokens.
-    pub tokens: u32,
+    pub prompt_tokens: u32,
     /// The first token to generate.
-    pub from: u32,
+    pub start_token: u32,
     /// The number of the token before which generation ends.
-    pub until: u32,
+    pub end_token: u32,
     /// 0 is the most urgent.
     pub priority: u8,
 }
 
-impl Question {
+impl GenerationRequest {
     /// The tokens of KV cache that are reserved while the request runs.
-    pub fn space(&self) -> u64 {
-        u64::from(self.tokens) + u64::from(self.until)
+    pub fn kv_tokens(&self) -> u64 {
+        u64::from(self.prompt_tokens) + u64::from(self.end_token)
     }
 }
 
@@ -68,7 +68,7 @@
 #[derive(Debug)]
 pub struct Job {
     /// What is asked.
-    pub question: Question,
+    pub question: GenerationRequest,
     stage: Stage,
     number: u64,
     progress: watch::Sender<Progress>,
@@ -91,9 +91,9 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum BatchError {
     /// It would not fit even alone.
-    Long,
+    TooLong,
     /// The id is in use.
-    Known,
+    DuplicateId,
 }
 
 impl Batch {
@@ -103,19 +103,19 @@
     }
 
     /// Takes a request, which waits until it fits.
-    pub fn offer(
+    pub fn submit(
         &mut self,
         id: &str,
-        question: Question,
+        question: GenerationRequest,
     ) -> Result<watch::Receiver<Progress>, BatchError> {
-        if question.space() > self.room {
-            return Err(BatchError::Long);
+        if question.kv_tokens() > self.room {
+            return Err(BatchError::TooLong);
         }
         if self.jobs.contains_key(id) {
-            return Err(BatchError::Known);
+            return Err(BatchError::DuplicateId);
         }
         let (progress, watched) =
-            watch::channel(Progress { next: question.from, end: None });
+            watch::channel(Progress { next_token: question.start_token, finish: None });
         let number = self.next;
         self.next += 1;
         let job = Job { question, stage: Stage::Waiting, number, progress };
@@ -125,7 +125,10 @@
     }
 
     /// The progress of a request that is known.
-    pub fn watch(&self, id: &str) -> Option<(&Question, watch::Receiver<Progress>)> {
+    pub fn watch(
+        &self,
+        id: &str,
+    ) -> Option<(&GenerationRequest, watch::Receiver<Progress>)> {
         let job = self.jobs.get(id)?;
         Some((&job.question, job.progress.subscribe()))
     }
@@ -134,11 +137,12 @@
     pub fn cancel(&mut self, id: &str) -> bool {
         let Some(job) = self.jobs.get_mut(id) else { return false };
         if job.stage == Stage::Running {
-            self.space -= job.question.space();
+            self.space -= job.question.kv_tokens();
         }
         if job.stage != Stage::Ended {
             job.stage = Stage::Ended;
-            job.progress.send_modify(|progress| progress.end = Some(End::Abort));
+            job.progress
+                .send_modify(|progress| progress.finish = Some(FinishReason::Abort));
         }
         true
     }
@@ -146,14 +150,14 @@
     /// Starts the waiting requests that fit, the most urgent first.
     ///
     /// `start` is told each question that starts.
-    pub fn admit(&mut self, mut start: impl FnMut(&Question)) {
-        let running = self.jobs_running();
+    pub fn admit(&mut self, mut start: impl FnMut(&GenerationRequest)) {
+        let running = self.running();
         let mut free = self.streams.saturating_sub(running);
         let mut waiting: Vec<_> =
             self.jobs.values_mut().filter(|job| job.stage == Stage::Waiting).collect();
         waiting.sort_by_key(|job| (job.question.priority, job.number));
         for job in waiting {
-            let space = job.question.space();
+            let space = job.question.kv_tokens();
             if free == 0 || self.space + space > self.room {
                 break;
             }
@@ -169,33 +173,33 @@
         let mut count = 0;
         for job in self.jobs.values_mut().filter(|job| job.stage == Stage::Running) {
             count += 1;
-            let until = job.question.until;
+            let until = job.question.end_token;
             let mut ended = false;
             job.progress.send_modify(|progress| {
-                progress.next = (progress.next + 1).min(until);
-                ended = progress.next == until;
-                progress.end = ended.then_some(End::Length);
+                progress.next_token = (progress.next_token + 1).min(until);
+                ended = progress.next_token == until;
+                progress.finish = ended.then_some(FinishReason::Length);
             });
             if ended {
                 job.stage = Stage::Ended;
-                self.space -= job.question.space();
+                self.space -= job.question.kv_tokens();
             }
         }
         count
     }
 
     /// How many requests run.
-    pub fn jobs_running(&self) -> usize {
+    pub fn running(&self) -> usize {
         self.count(Stage::Running)
     }
 
     /// How many requests wait.
-    pub fn jobs_waiting(&self) -> usize {
+    pub fn waiting(&self) -> usize {
         self.count(Stage::Waiting)
     }
 
     /// The tokens of KV cache that are reserved.
-    pub fn kv_tokens(&self) -> u64 {
+    pub fn reserved_kv_tokens(&self) -> u64 {
         self.space
     }
 
--- a/crates/fake/src/engine/core.rs
+++ b/crates/fake/src/engine/core.rs
@@ -5,7 +5,7 @@
 
 use chestnut_base::prefix_hashes;
 
-use super::batch::{Batch, Question, step_time};
+use super::batch::{Batch, GenerationRequest, step_time};
 use super::cache::PrefixCache;
 use super::memory::Memory;
 
@@ -14,7 +14,7 @@
 
 /// What one life of an engine holds and runs.
 #[derive(Debug)]
-pub struct Core {
+pub struct EngineCore {
     /// The requests.
     pub batch: Batch,
     /// The prompts that are cached.
@@ -23,14 +23,14 @@
     pub memory: Memory,
 }
 
-impl Core {
+impl EngineCore {
     /// Starts the requests that fit and tells each of them to `start`; returns the
     /// time of the next step, or nothing if no request runs.
     pub fn begin_step(
         &mut self,
         base: Duration,
         now: Instant,
-        mut start: impl FnMut(&Question),
+        mut start: impl FnMut(&GenerationRequest),
     ) -> Option<Duration> {
         let mut prefill = 0;
         let cache = &mut self.cache;
@@ -38,14 +38,14 @@
             prefill += uncached(cache, now, question);
             start(question);
         });
-        let running = self.batch.jobs_running();
+        let running = self.batch.running();
         (running > 0).then(|| step_time(base, running, prefill))
     }
 
     /// Frees what is to be unloaded and not in use any more; returns its names.
-    pub fn sweep(&mut self, now: Instant) -> Vec<String> {
+    pub fn free_unloaded(&mut self, now: Instant) -> Vec<String> {
         let batch = &self.batch;
-        let freed = self.memory.sweep(|name| batch.uses(name));
+        let freed = self.memory.free_unloaded(|name| batch.uses(name));
         for name in &freed {
             self.cache.drop_model(now, name);
         }
@@ -54,8 +54,8 @@
 }
 
 /// The tokens of a question that are not cached; uses its blocks.
-fn uncached(cache: &mut PrefixCache, now: Instant, question: &Question) -> u32 {
+fn uncached(cache: &mut PrefixCache, now: Instant, question: &GenerationRequest) -> u32 {
     let hashes = prefix_hashes(&question.prompt);
     let hits = cache.touch(now, &question.model, &hashes) as u32;
-    (question.tokens + question.from).saturating_sub(hits * BLOCK_TOKENS)
+    (question.prompt_tokens + question.start_token).saturating_sub(hits * BLOCK_TOKENS)
 }
--- a/crates/fake/src/engine/feed.rs
+++ b/crates/fake/src/engine/feed.rs
@@ -12,7 +12,7 @@
 use tokio::sync::watch;
 
 use super::Engine;
-use super::batch::{End, Progress, Question};
+use super::batch::{FinishReason, GenerationRequest, Progress};
 use super::text::token_text;
 use crate::port::Peer;
 
@@ -21,7 +21,7 @@
     engine: Arc<Engine>,
     peer: Peer,
     id: String,
-    question: Question,
+    question: GenerationRequest,
     next: u32,
     shape: Shape,
     progress: watch::Receiver<Progress>,
@@ -45,7 +45,7 @@
         engine: Arc<Engine>,
         peer: Peer,
         id: String,
-        question: Question,
+        question: GenerationRequest,
         next: u32,
         shape: Shape,
         progress: watch::Receiver<Progress>,
@@ -112,7 +112,7 @@
 
     /// Waits for the next token or the end.
     async fn advance(&mut self) -> Piece {
-        let sent = self.next.saturating_sub(self.question.from);
+        let sent = self.next.saturating_sub(self.question.start_token);
         if self.cut.is_some_and(|cut| sent >= cut) {
             self.peer.cut();
             return Piece::Broken;
@@ -121,13 +121,14 @@
             return Piece::Broken;
         }
         let wanted = self.next;
-        let ready =
-            |progress: &Progress| progress.next > wanted || progress.end.is_some();
+        let ready = |progress: &Progress| {
+            progress.next_token > wanted || progress.finish.is_some()
+        };
         // The sender goes away when the engine crashes.
         let Ok(progress) = self.progress.wait_for(ready).await.map(|p| *p) else {
             return Piece::Broken;
         };
-        if progress.next > wanted {
+        if progress.next_token > wanted {
             self.next += 1;
             self.engine.count(|counts| {
                 let run = counts.runs.entry(self.id.clone()).or_default();
@@ -139,9 +140,9 @@
                 wanted,
             ));
         }
-        match progress.end {
-            Some(End::Length) => Piece::Done,
-            Some(End::Abort) | None => Piece::Broken,
+        match progress.finish {
+            Some(FinishReason::Length) => Piece::Done,
+            Some(FinishReason::Abort) | None => Piece::Broken,
         }
     }
 
@@ -189,7 +190,7 @@
     }
 
     fn usage(&self) -> Value {
-        let (prompt, answer) = (self.question.tokens, self.next);
+        let (prompt, answer) = (self.question.prompt_tokens, self.next);
         json!({
             "prompt_tokens": prompt,
             "completion_tokens": answer,
--- a/crates/fake/src/engine/http.rs
+++ b/crates/fake/src/engine/http.rs
@@ -12,7 +12,7 @@
 use serde::Deserialize;
 use serde_json::{Value, json};
 
-use super::batch::{BatchError, Question};
+use super::batch::{BatchError, GenerationRequest};
 use super::feed::{Feed, Shape};
 use super::orders::{Order, OrderError};
 use super::text::prompt_tokens;
@@ -101,41 +101,41 @@
     let question = question(&headers, ask);
     let taken = {
         let mut life = engine.life();
-        if !life.core.memory.ready(&question.model) {
+        if !life.core.memory.is_ready(&question.model) {
             let why = format!("{} is not loaded", question.model);
             return refuse(StatusCode::NOT_FOUND, "model", &why);
         }
-        if life.core.batch.jobs_waiting() >= engine.config.waiting {
+        if life.core.batch.waiting() >= engine.config.max_waiting {
             return refuse(StatusCode::SERVICE_UNAVAILABLE, "full", "the queue is full");
         }
-        life.core.batch.offer(&id, question.clone())
+        life.core.batch.submit(&id, question.clone())
     };
     let progress = match taken {
         Ok(progress) => progress,
-        Err(BatchError::Long) => {
+        Err(BatchError::TooLong) => {
             let why = "the request does not fit into the KV cache; shorten it";
             return refuse(StatusCode::BAD_REQUEST, "long", why);
         }
-        Err(BatchError::Known) => {
+        Err(BatchError::DuplicateId) => {
             return refuse(StatusCode::CONFLICT, "id", "the id is in use");
         }
     };
     engine.work.notify_one();
-    let from = question.from;
+    let from = question.start_token;
     let feed = Feed::new(engine, peer, id, question, from, shape, progress);
     if stream { feed.stream() } else { feed.whole().await }
 }
 
-fn question(headers: &HeaderMap, ask: Ask) -> Question {
+fn question(headers: &HeaderMap, ask: Ask) -> GenerationRequest {
     let priority = text_header(headers, "x-priority").and_then(|text| text.parse().ok());
     let until = ask.max_tokens.unwrap_or(MAX_TOKENS).max(1);
-    Question {
-        tokens: prompt_tokens(&ask.prompt),
+    GenerationRequest {
+        prompt_tokens: prompt_tokens(&ask.prompt),
         model: ask.model,
         prompt: ask.prompt,
         // At least one token is generated, so that every request has an end.
-        from: ask.resume_from.min(until - 1),
-        until,
+        start_token: ask.resume_from.min(until - 1),
+        end_token: until,
         priority: priority.unwrap_or(1),
     }
 }
--- a/crates/fake/src/engine/memory.rs
+++ b/crates/fake/src/engine/memory.rs
@@ -8,7 +8,7 @@
 /// Whether something in memory can be used.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
-pub enum HeldState {
+pub enum LoadState {
     /// Its memory is reserved and its weights are on their way.
     Loading,
     /// Requests may use it.
@@ -19,41 +19,41 @@
 
 /// A model or adapter in memory.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Held {
+pub struct Allocation {
     /// The memory it occupies from the start of its loading, in bytes.
     pub bytes: u64,
     /// Whether it can be used.
-    pub state: HeldState,
+    pub state: LoadState,
 }
 
 /// Why something can't be loaded.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum MemoryError {
     /// It does not fit.
-    Full,
+    OutOfMemory,
     /// The same is being unloaded.
-    Busy,
+    Unloading,
     /// The adapter's model is not ready.
-    NoModel,
+    BaseNotReady,
 }
 
 impl Display for MemoryError {
     fn fmt(&self, f: &mut Formatter<'_>) -> fmt::Result {
         f.write_str(match self {
-            Self::Full => "it does not fit; unload something first",
-            Self::Busy => "it is being unloaded; order again when it is gone",
-            Self::NoModel => "the adapter's model is not ready; load it first",
+            Self::OutOfMemory => "it does not fit; unload something first",
+            Self::Unloading => "it is being unloaded; order again when it is gone",
+            Self::BaseNotReady => "the adapter's model is not ready; load it first",
         })
     }
 }
 
 /// What a load has to do.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Begin {
+pub enum LoadStart {
     /// The memory is reserved and the weights must be fetched.
-    Fetch,
+    FetchWeights,
     /// It is already there or on its way.
-    Joined,
+    AlreadyPresent,
 }
 
 /// The accelerators' memory of one engine.
@@ -69,9 +69,9 @@
     /// The greatest `used` ever.
     pub peak: u64,
     /// Models by the engine's name, `MODEL@VERSION`.
-    pub models: IndexMap<String, Held>,
+    pub models: IndexMap<String, Allocation>,
     /// Adapters by name, each with its model's engine name.
-    pub adapters: IndexMap<String, (String, Held)>,
+    pub adapters: IndexMap<String, (String, Allocation)>,
 }
 
 impl Memory {
@@ -87,40 +87,44 @@
     }
 
     /// Reserves the memory of a model that is to be loaded.
-    pub fn load_model(&mut self, name: &str, bytes: u64) -> Result<Begin, MemoryError> {
+    pub fn reserve_model(
+        &mut self,
+        name: &str,
+        bytes: u64,
+    ) -> Result<LoadStart, MemoryError> {
         if let Some(held) = self.models.get(name) {
             return joined(held);
         }
         let held = self.reserve(bytes)?;
         self.models.insert(name.to_owned(), held);
-        Ok(Begin::Fetch)
+        Ok(LoadStart::FetchWeights)
     }
 
     /// Reserves the memory of an adapter; `base` may be a model with no version.
-    pub fn load_adapter(
+    pub fn reserve_adapter(
         &mut self,
         name: &str,
         base: &str,
         bytes: u64,
-    ) -> Result<Begin, MemoryError> {
+    ) -> Result<LoadStart, MemoryError> {
         if let Some((_, held)) = self.adapters.get(name) {
             return joined(held);
         }
-        let model = self.ready_model(base).ok_or(MemoryError::NoModel)?;
+        let model = self.ready_model(base).ok_or(MemoryError::BaseNotReady)?;
         let held = self.reserve(bytes)?;
         self.adapters.insert(name.to_owned(), (model, held));
-        Ok(Begin::Fetch)
+        Ok(LoadStart::FetchWeights)
     }
 
     /// Makes a loaded model or adapter ready; false if it was dropped meanwhile.
-    pub fn loaded(&mut self, name: &str) -> bool {
+    pub fn mark_ready(&mut self, name: &str) -> bool {
         let held = self
             .models
             .get_mut(name)
             .or_else(|| self.adapters.get_mut(name).map(|(_, held)| held));
         match held {
-            Some(held) if held.state == HeldState::Loading => {
-                held.state = HeldState::Ready;
+            Some(held) if held.state == LoadState::Loading => {
+                held.state = LoadState::Ready;
                 true
             }
             _ => false,
@@ -128,22 +132,23 @@
     }
 
     /// Starts to unload a model or adapter; a model takes its adapters along.
-    pub fn unload(&mut self, name: &str) {
+    pub fn start_unload(&mut self, name: &str) {
         if let Some(held) = self.models.get_mut(name) {
-            held.state = HeldState::Unloading;
+            held.state = LoadState::Unloading;
         }
         for (adapter, (model, held)) in &mut self.adapters {
             if adapter == name || model == name {
-                held.state = HeldState::Unloading;
+                held.state = LoadState::Unloading;
             }
         }
     }
 
     /// Frees what is unloading and not in use, and returns its names.
-    pub fn sweep(&mut self, in_use: impl Fn(&str) -> bool) -> Vec<String> {
+    pub fn free_unloaded(&mut self, in_use: impl Fn(&str) -> bool) -> Vec<String> {
         let mut freed = Vec::new();
-        let gone =
-            |held: &Held, name: &str| held.state == HeldState::Unloading && !in_use(name);
+        let gone = |held: &Allocation, name: &str| {
+            held.state == LoadState::Unloading && !in_use(name)
+        };
         self.adapters.retain(|name, (_, held)| {
             let gone = gone(held, name);
             if gone {
@@ -166,14 +171,14 @@
     }
 
     /// Whether requests may use a model or adapter.
-    pub fn ready(&self, name: &str) -> bool {
-        let ready = |held: &Held| held.state == HeldState::Ready;
+    pub fn is_ready(&self, name: &str) -> bool {
+        let ready = |held: &Allocation| held.state == LoadState::Ready;
         self.models.get(name).is_some_and(ready)
             || self.adapters.get(name).is_some_and(|(_, held)| ready(held))
     }
 
     /// Whether a model or adapter occupies memory.
-    pub fn holds(&self, name: &str) -> bool {
+    pub fn contains(&self, name: &str) -> bool {
         self.models.contains_key(name) || self.adapters.contains_key(name)
     }
 
@@ -184,24 +189,24 @@
         let ready = self
             .models
             .iter()
-            .find(|(name, held)| matches(name) && held.state == HeldState::Ready);
+            .find(|(name, held)| matches(name) && held.state == LoadState::Ready);
         ready.map(|(name, _)| name.clone())
     }
 
-    fn reserve(&mut self, bytes: u64) -> Result<Held, MemoryError> {
+    fn reserve(&mut self, bytes: u64) -> Result<Allocation, MemoryError> {
         let used = self.used.saturating_add(bytes);
         if used > self.capacity {
-            return Err(MemoryError::Full);
+            return Err(MemoryError::OutOfMemory);
         }
         self.used = used;
         self.peak = self.peak.max(used);
-        Ok(Held { bytes, state: HeldState::Loading })
+        Ok(Allocation { bytes, state: LoadState::Loading })
     }
 }
 
-fn joined(held: &Held) -> Result<Begin, MemoryError> {
+fn joined(held: &Allocation) -> Result<LoadStart, MemoryError> {
     match held.state {
-        HeldState::Unloading => Err(MemoryError::Busy),
-        HeldState::Loading | HeldState::Ready => Ok(Begin::Joined),
+        LoadState::Unloading => Err(MemoryError::Unloading),
+        LoadState::Loading | LoadState::Ready => Ok(LoadStart::AlreadyPresent),
     }
 }
--- a/crates/fake/src/engine/mod.rs
+++ b/crates/fake/src/engine/mod.rs
@@ -26,11 +26,11 @@
 
 use self::batch::Batch;
 use self::cache::PrefixCache;
-use self::core::Core;
+use self::core::EngineCore;
 use self::memory::Memory;
 use self::orders::OrderBook;
 use crate::faults::{EngineFaults, Faults};
-use crate::port::{Handle, Lives};
+use crate::port::{Lives, ServerHandle};
 
 /// How often a frozen engine looks whether it is thawed.
 const THAW: Duration = Duration::from_millis(10);
@@ -42,37 +42,37 @@
 #[derive(Debug, Clone)]
 pub struct EngineConfig {
     /// The accelerators' memory for models and adapters, in bytes.
-    pub capacity: u64,
+    pub memory_bytes: u64,
     /// Streams in a batch.
-    pub streams: usize,
+    pub max_streams: usize,
     /// Tokens that the KV cache holds.
-    pub tokens: u64,
+    pub kv_tokens: u64,
     /// Requests that wait for a place in the batch.
-    pub waiting: usize,
+    pub max_waiting: usize,
     /// The time of a step with one stream.
-    pub step: Duration,
+    pub step_time: Duration,
     /// Blocks of prompts that are cached.
-    pub blocks: usize,
+    pub cache_blocks: usize,
     /// Whether orders with an old fence are refused.
     pub fenced: bool,
     /// How old the load in reports may be.
-    pub lag: Duration,
+    pub report_lag: Duration,
     /// The base URL of the weight store; loads take no time without one.
-    pub weights: Option<String>,
+    pub weight_store_url: Option<String>,
 }
 
 impl Default for EngineConfig {
     fn default() -> Self {
         Self {
-            capacity: 80 << 30,
-            streams: 32,
-            tokens: 200_000,
-            waiting: 256,
-            step: Duration::from_millis(10),
-            blocks: 4096,
+            memory_bytes: 80 << 30,
+            max_streams: 32,
+            kv_tokens: 200_000,
+            max_waiting: 256,
+            step_time: Duration::from_millis(10),
+            cache_blocks: 4096,
             fenced: true,
-            lag: Duration::from_millis(200),
-            weights: None,
+            report_lag: Duration::from_millis(200),
+            weight_store_url: None,
         }
     }
 }
@@ -113,7 +113,7 @@
 struct Life {
     incarnation: u64,
     reports: u64,
-    core: Core,
+    core: EngineCore,
     orders: OrderBook,
     /// The length of the last step.
     step: Duration,
@@ -132,8 +132,8 @@
 }
 
 /// Starts an engine.
-pub async fn start(listen: SocketAddr, config: EngineConfig) -> io::Result<Handle> {
-    let counts = EngineCounts { capacity: config.capacity, ..Default::default() };
+pub async fn start(listen: SocketAddr, config: EngineConfig) -> io::Result<ServerHandle> {
+    let counts = EngineCounts { capacity: config.memory_bytes, ..Default::default() };
     let engine = Arc::new(Engine {
         life: Mutex::new(Life::new(&config, first_incarnation())),
         config,
@@ -144,7 +144,7 @@
         http: reqwest::Client::builder().no_proxy().build().map_err(io::Error::other)?,
     });
     let router = http::router(engine.clone());
-    let handle = Handle::serve(listen, engine.lives.clone(), router).await?;
+    let handle = ServerHandle::serve(listen, engine.lives.clone(), router).await?;
     let weak = Arc::downgrade(&engine);
     tokio::spawn(async move {
         while let Some(engine) = weak.upgrade() {
@@ -175,7 +175,8 @@
         self.thawed().await;
         let (base, mark, crash) = {
             let mut faults = self.faults.lock();
-            let base = faults.step_ms.map_or(self.config.step, Duration::from_millis);
+            let base =
+                faults.step_ms.map_or(self.config.step_time, Duration::from_millis);
             (base, faults.crash_on.clone(), std::mem::take(&mut faults.crash))
         };
         let (marked, step) = self.life().begin_step(self, base, mark.as_deref());
@@ -185,7 +186,8 @@
         }
         let Some(step) = step else {
             // The load is sampled also while nothing runs.
-            let nap = tokio::time::sleep(self.config.lag.min(Duration::from_millis(20)));
+            let nap =
+                tokio::time::sleep(self.config.report_lag.min(Duration::from_millis(20)));
             tokio::select! {
                 () = self.work.notified() => {}
                 () = nap => {}
@@ -214,13 +216,13 @@
         Self {
             incarnation,
             reports: 0,
-            core: Core {
-                batch: Batch::new(config.streams, config.tokens),
-                cache: PrefixCache::new(config.blocks),
-                memory: Memory::new(config.capacity),
+            core: EngineCore {
+                batch: Batch::new(config.max_streams, config.kv_tokens),
+                cache: PrefixCache::new(config.cache_blocks),
+                memory: Memory::new(config.memory_bytes),
             },
             orders: OrderBook::default(),
-            step: config.step,
+            step: config.step_time,
             load: Load::default(),
             sampled: Instant::now(),
         }
@@ -254,15 +256,15 @@
             self.step = step;
         }
         let now = Instant::now();
-        self.core.sweep(now);
+        self.core.free_unloaded(now);
         let memory = &self.core.memory;
-        self.orders.finish_unloads(|name| memory.holds(name));
-        if now - self.sampled >= config.lag {
+        self.orders.finish_unloads(|name| memory.contains(name));
+        if now - self.sampled >= config.report_lag {
             self.sampled = now;
             self.load = Load {
-                running: self.core.batch.jobs_running(),
-                waiting: self.core.batch.jobs_waiting(),
-                tokens: self.core.batch.kv_tokens(),
+                running: self.core.batch.running(),
+                waiting: self.core.batch.waiting(),
+                tokens: self.core.batch.reserved_kv_tokens(),
                 step: self.step,
             };
         }
--- a/crates/fake/src/engine/orders.rs
+++ b/crates/fake/src/engine/orders.rs
@@ -7,7 +7,7 @@
 use serde::{Deserialize, Serialize};
 
 use super::Engine;
-use super::memory::{Begin, MemoryError};
+use super::memory::{LoadStart, MemoryError};
 
 /// How many orders are reported.
 const KEPT: usize = 512;
@@ -115,13 +115,13 @@
         }
         let (name, bytes, begun) = match &order {
             Order::LoadModel { name, bytes } => {
-                (name, *bytes, life.core.memory.load_model(name, *bytes))
+                (name, *bytes, life.core.memory.reserve_model(name, *bytes))
             }
             Order::LoadAdapter { name, base, bytes } => {
-                (name, *bytes, life.core.memory.load_adapter(name, base, *bytes))
+                (name, *bytes, life.core.memory.reserve_adapter(name, base, *bytes))
             }
             Order::Unload { name } => {
-                life.core.memory.unload(name);
+                life.core.memory.start_unload(name);
                 life.orders.insert(id, name, OrderState::Running);
                 self.count(|counts| counts.orders += 1);
                 self.work.notify_one();
@@ -130,11 +130,11 @@
         };
         let begun = begun.map_err(|error| {
             self.count(|counts| {
-                counts.overfull += u32::from(error == MemoryError::Full);
+                counts.overfull += u32::from(error == MemoryError::OutOfMemory);
             });
             OrderError::Memory(error)
         })?;
-        let ready = life.core.memory.ready(name);
+        let ready = life.core.memory.is_ready(name);
         let state = if ready { OrderState::Done } else { OrderState::Running };
         life.orders.insert(id, name, state);
         let peak = life.core.memory.peak;
@@ -142,7 +142,7 @@
             counts.orders += 1;
             counts.peak = counts.peak.max(peak);
         });
-        if begun == Begin::Fetch {
+        if begun == LoadStart::FetchWeights {
             let engine = self.clone();
             let (name, incarnation) = (name.clone(), life.incarnation);
             tokio::spawn(async move { engine.fetch(incarnation, name, bytes).await });
@@ -157,16 +157,16 @@
         if life.incarnation != incarnation {
             return;
         }
-        if fetched && life.core.memory.loaded(&name) {
+        if fetched && life.core.memory.mark_ready(&name) {
             life.orders.finish(&name, OrderState::Done);
         } else if !fetched {
             life.orders.finish(&name, OrderState::Failed);
-            life.core.memory.unload(&name);
+            life.core.memory.start_unload(&name);
         }
     }
 
     async fn fetch_weights(&self, name: &str, bytes: u64) -> bool {
-        let Some(base) = &self.config.weights else { return true };
+        let Some(base) = &self.config.weight_store_url else { return true };
         let url = format!("{base}/v1/weights/{name}");
         for _ in 0..TRIES {
             let call = self.http.get(&url).query(&[("bytes", bytes)]);
--- a/crates/fake/src/lib.rs
+++ b/crates/fake/src/lib.rs
@@ -30,6 +30,6 @@
 pub use engine::text::expected_text;
 pub use engine::{EngineConfig, EngineCounts};
 pub use platform::PlatformCounts;
-pub use port::Handle;
+pub use port::ServerHandle;
 pub use service::{ServiceConfig, ServiceCounts};
-pub use weights::WeightSpeed;
+pub use weights::WeightStoreConfig;
--- a/crates/fake/src/platform.rs
+++ b/crates/fake/src/platform.rs
@@ -19,10 +19,10 @@
 
 use crate::faults::{self, Faults, PlatformFaults, admit, loses_ack};
 use crate::objects::ObjectMap;
-use crate::port::{Handle, Lives, Peer};
+use crate::port::{Lives, Peer, ServerHandle};
 use crate::table::{Tables, row_value};
 use crate::vms::VmHistory;
-use crate::weights::{WeightSpeed, Weights};
+use crate::weights::{WeightStore, WeightStoreConfig};
 
 /// The largest object or transaction, in bytes.
 const BODY: usize = 64 << 20;
@@ -56,14 +56,17 @@
     tables: Mutex<Tables>,
     objects: Mutex<ObjectMap>,
     vms: Mutex<VmHistory>,
-    weights: Weights,
+    weights: WeightStore,
     counts: Mutex<PlatformCounts>,
 }
 
 type Shared = State<Arc<Platform>>;
 
 /// Starts the platform's services.
-pub async fn start(listen: SocketAddr, speed: WeightSpeed) -> io::Result<Handle> {
+pub async fn start(
+    listen: SocketAddr,
+    weight_store: WeightStoreConfig,
+) -> io::Result<ServerHandle> {
     let faults = Faults::default();
     let platform = Arc::new(Platform {
         clock: SystemClock,
@@ -71,7 +74,7 @@
         tables: Mutex::default(),
         objects: Mutex::default(),
         vms: Mutex::default(),
-        weights: Weights::new(speed),
+        weights: WeightStore::new(weight_store),
         counts: Mutex::default(),
     });
     let router = Router::new()
@@ -91,7 +94,7 @@
         .layer(axum::extract::DefaultBodyLimit::max(BODY))
         .with_state(platform)
         .merge(faults::routes(faults));
-    Handle::serve(listen, Lives::default(), router).await
+    ServerHandle::serve(listen, Lives::default(), router).await
 }
 
 impl Platform {
--- a/crates/fake/src/port.rs
+++ b/crates/fake/src/port.rs
@@ -20,14 +20,14 @@
 
 /// A running stand-in; it stops when the handle is stopped or dropped.
 #[derive(Debug)]
-pub struct Handle {
+pub struct ServerHandle {
     /// Where the stand-in listens.
     pub address: SocketAddr,
     lives: Lives,
     task: JoinHandle<()>,
 }
 
-impl Handle {
+impl ServerHandle {
     /// Serves `router` on an address; port 0 lets the system choose one.
     pub(crate) async fn serve(
         listen: SocketAddr,
@@ -65,7 +65,7 @@
     }
 }
 
-impl Drop for Handle {
+impl Drop for ServerHandle {
     fn drop(&mut self) {
         self.task.abort();
         self.lives.token().cancel();
--- a/crates/fake/src/service.rs
+++ b/crates/fake/src/service.rs
@@ -16,7 +16,7 @@
 use serde_json::json;
 
 use crate::faults::{self, Faults, ServiceFaults, take};
-use crate::port::{Handle, Lives, Peer};
+use crate::port::{Lives, Peer, ServerHandle};
 
 /// How often a frozen service looks whether it is thawed.
 const THAW: Duration = Duration::from_millis(10);
@@ -27,7 +27,7 @@
     /// The service's name, which its answers tell.
     pub name: String,
     /// How long a call takes.
-    pub work: Duration,
+    pub service_time: Duration,
 }
 
 /// What a plain service did so far, over all its lives.
@@ -55,7 +55,10 @@
 type Shared = State<Arc<Service>>;
 
 /// Starts a plain service.
-pub async fn start(listen: SocketAddr, config: ServiceConfig) -> io::Result<Handle> {
+pub async fn start(
+    listen: SocketAddr,
+    config: ServiceConfig,
+) -> io::Result<ServerHandle> {
     let service = Arc::new(Service {
         config,
         faults: Faults::default(),
@@ -69,7 +72,7 @@
         .fallback(call)
         .with_state(service)
         .merge(faults::routes(faults));
-    Handle::serve(listen, lives, router).await
+    ServerHandle::serve(listen, lives, router).await
 }
 
 async fn call(
@@ -88,7 +91,7 @@
     }
     let run = service.begin(&headers);
     let delay = Duration::from_millis(service.faults.lock().delay_ms);
-    tokio::time::sleep(service.config.work + delay).await;
+    tokio::time::sleep(service.config.service_time + delay).await;
     service.end();
     let echo = String::from_utf8_lossy(&body).into_owned();
     if service.marked(&echo) {
--- a/crates/fake/src/weights.rs
+++ b/crates/fake/src/weights.rs
@@ -11,34 +11,34 @@
 
 /// How fast a weight store is.
 #[derive(Debug, Clone, Copy)]
-pub struct WeightSpeed {
+pub struct WeightStoreConfig {
     /// Loads that it starts in a second.
-    pub rate: f64,
+    pub loads_per_second: f64,
     /// Loads that it serves at full speed at the same time.
-    pub parallel: u32,
+    pub parallel_loads: u32,
     /// The full speed of one load, in bytes a second.
-    pub bytes: f64,
+    pub bytes_per_second: f64,
 }
 
-impl Default for WeightSpeed {
+impl Default for WeightStoreConfig {
     fn default() -> Self {
-        Self { rate: 20.0, parallel: 2, bytes: 400e9 }
+        Self { loads_per_second: 20.0, parallel_loads: 2, bytes_per_second: 400e9 }
     }
 }
 
 /// The weight store.
 #[derive(Debug)]
-pub struct Weights {
-    speed: WeightSpeed,
+pub struct WeightStore {
+    config: WeightStoreConfig,
     /// When the next load may start.
     next: Mutex<Instant>,
     active: AtomicU32,
 }
 
-impl Weights {
+impl WeightStore {
     /// Creates a store.
-    pub fn new(speed: WeightSpeed) -> Self {
-        Self { speed, next: Mutex::new(Instant::now()), active: AtomicU32::new(0) }
+    pub fn new(config: WeightStoreConfig) -> Self {
+        Self { config, next: Mutex::new(Instant::now()), active: AtomicU32::new(0) }
     }
 
     /// Takes the time that a load of so many bytes takes, which is returned.
@@ -61,7 +61,7 @@
     fn book(&self) -> Instant {
         let mut next = self.next.lock().expect("no holder of the booking panics");
         let start = (*next).max(Instant::now());
-        *next = start + Duration::from_secs_f64(1.0 / self.speed.rate);
+        *next = start + Duration::from_secs_f64(1.0 / self.config.loads_per_second);
         start
     }
 
@@ -71,9 +71,9 @@
     /// them, as the store's disks lose time between their files.
     fn share(&self) -> f64 {
         let active = f64::from(self.active.load(Ordering::Relaxed).max(1));
-        let parallel = f64::from(self.speed.parallel);
+        let parallel = f64::from(self.config.parallel_loads);
         let crowd = (active / parallel).max(1.0);
-        self.speed.bytes / (crowd * crowd)
+        self.config.bytes_per_second / (crowd * crowd)
     }
 }
 
--- a/crates/fake/tests/engine.rs
+++ b/crates/fake/tests/engine.rs
@@ -3,12 +3,12 @@
 use std::net::{Ipv4Addr, SocketAddr};
 use std::time::Duration;
 
-use chestnut_fake::{EngineConfig, EngineCounts, Handle, engine, expected_text};
+use chestnut_fake::{EngineConfig, EngineCounts, ServerHandle, engine, expected_text};
 use reqwest::{Client, RequestBuilder, Response, StatusCode};
 use serde_json::{Value, json};
 
 struct Rig {
-    engine: Handle,
+    engine: ServerHandle,
     http: Client,
     orders: u64,
 }
@@ -83,7 +83,11 @@
 }
 
 fn quick() -> EngineConfig {
-    EngineConfig { capacity: 100, step: Duration::from_millis(1), ..Default::default() }
+    EngineConfig {
+        memory_bytes: 100,
+        step_time: Duration::from_millis(1),
+        ..Default::default()
+    }
 }
 
 /// The text of the events of a stream and whether it has its end mark.
@@ -269,7 +273,7 @@
 
 #[tokio::test]
 async fn urgent_requests_start_first() {
-    let mut rig = Rig::new(EngineConfig { streams: 1, ..quick() }).await;
+    let mut rig = Rig::new(EngineConfig { max_streams: 1, ..quick() }).await;
     rig.load("m", 10, 1).await;
     rig.until(|report| report["models"][0]["state"] == "ready").await;
     rig.fault(json!({"step_ms": 20})).await;
--- a/crates/fake/tests/parts.rs
+++ b/crates/fake/tests/parts.rs
@@ -3,7 +3,7 @@
 use std::net::{Ipv4Addr, SocketAddr};
 use std::time::{Duration, Instant};
 
-use chestnut_fake::engine::batch::{Batch, Question};
+use chestnut_fake::engine::batch::{Batch, GenerationRequest};
 use chestnut_fake::engine::memory::Memory;
 use chestnut_fake::vms::VmHistory;
 use chestnut_fake::{ServiceConfig, ServiceCounts, service};
@@ -11,19 +11,26 @@
 use proptest::prelude::*;
 use serde_json::{Value, json};
 
-fn question(priority: u8, tokens: u32) -> Question {
+fn question(priority: u8, tokens: u32) -> GenerationRequest {
     let (model, prompt) = ("m".to_owned(), "p".to_owned());
-    Question { model, prompt, tokens, from: 0, until: 1, priority }
+    GenerationRequest {
+        model,
+        prompt,
+        prompt_tokens: tokens,
+        start_token: 0,
+        end_token: 1,
+        priority,
+    }
 }
 
 #[test]
 fn batch_starts_the_most_urgent_first() {
     let mut batch = Batch::new(1, 1000);
     for (id, priority) in [("slow", 2), ("normal", 1), ("urgent", 0), ("late", 0)] {
-        batch.offer(id, question(priority, 9)).unwrap();
+        batch.submit(id, question(priority, 9)).unwrap();
     }
     let mut order = Vec::new();
-    while batch.jobs_waiting() > 0 {
+    while batch.waiting() > 0 {
         batch.admit(|question| order.push(question.priority));
         assert_eq!(batch.step(), 1);
     }
@@ -38,17 +45,17 @@
     ) {
         let mut batch = Batch::new(4, 100);
         for (index, (priority, tokens)) in asks.iter().enumerate() {
-            batch.offer(&index.to_string(), question(*priority, *tokens)).unwrap();
+            batch.submit(&index.to_string(), question(*priority, *tokens)).unwrap();
         }
         for round in 0..asks.len() {
             batch.admit(|_| {});
-            prop_assert!(batch.jobs_running() <= 4 && batch.kv_tokens() <= 100);
+            prop_assert!(batch.running() <= 4 && batch.reserved_kv_tokens() <= 100);
             if let Some(index) = cancels.get(round) {
                 batch.cancel(&index.to_string());
             }
             batch.step();
         }
-        prop_assert_eq!((batch.jobs_waiting(), batch.kv_tokens()), (0, 0));
+        prop_assert_eq!((batch.waiting(), batch.reserved_kv_tokens()), (0, 0));
     }
 
     #[test]
@@ -60,10 +67,10 @@
             let model = format!("m{name}@1");
             match op {
                 // A refusal is one of the outcomes that are tried here.
-                0 => { memory.load_model(&model, bytes).ok(); }
-                1 => { memory.load_adapter(&format!("a{name}"), &model, bytes).ok(); }
-                2 => { memory.loaded(&model); }
-                _ => { memory.unload(&model); memory.sweep(|_| false); }
+                0 => { memory.reserve_model(&model, bytes).ok(); }
+                1 => { memory.reserve_adapter(&format!("a{name}"), &model, bytes).ok(); }
+                2 => { memory.mark_ready(&model); }
+                _ => { memory.start_unload(&model); memory.free_unloaded(|_| false); }
             }
             let models = memory.models.values().map(|held| held.bytes);
             let adapters = memory.adapters.values().map(|(_, held)| held.bytes);
@@ -97,7 +104,7 @@
 #[tokio::test]
 async fn service_counts_runs_also_when_the_answer_is_lost() {
     let any = SocketAddr::from((Ipv4Addr::LOCALHOST, 0));
-    let config = ServiceConfig { name: "desk".into(), work: Duration::ZERO };
+    let config = ServiceConfig { name: "desk".into(), service_time: Duration::ZERO };
     let desk = service::start(any, config).await.unwrap();
     let http = reqwest::Client::builder().no_proxy().build().unwrap();
     let call = || {
--- a/crates/lab/src/config/stage.rs
+++ b/crates/lab/src/config/stage.rs
@@ -7,8 +7,8 @@
 
 use chestnut_base::{Revision, SystemClock};
 use chestnut_config::{Settings, keys};
-use chestnut_fake::weights::WeightSpeed;
-use chestnut_fake::{Handle, platform};
+use chestnut_fake::weights::WeightStoreConfig;
+use chestnut_fake::{ServerHandle, platform};
 use chestnut_node::logs;
 use chestnut_node::run::{self, Daemon};
 use reqwest::Client;
@@ -25,7 +25,7 @@
 
 /// The platform's stand-in and the daemons of the experiment.
 pub struct Stage {
-    platform: Handle,
+    platform: ServerHandle,
     daemons: Vec<Daemon>,
     counts: Vec<Arc<Count>>,
     /// When each daemon had which revision in force.
@@ -57,7 +57,7 @@
     /// Starts everything and declares all files.
     pub async fn start(options: &Options) -> Self {
         let any = SocketAddr::from(([127, 0, 0, 1], 0));
-        let platform = platform::start(any, WeightSpeed::default()).await;
+        let platform = platform::start(any, WeightStoreConfig::default()).await;
         let platform = platform.expect("a port is free");
         let http = Client::builder().no_proxy().build().expect("clients can be made");
         let dir = certs();
--- a/crates/lab/src/journal.rs
+++ b/crates/lab/src/journal.rs
@@ -12,7 +12,7 @@
 use bpaf::Bpaf;
 use chestnut_base::SlotId;
 use chestnut_fake::platform;
-use chestnut_fake::weights::WeightSpeed;
+use chestnut_fake::weights::WeightStoreConfig;
 use chestnut_node::members::CLAIMS;
 use chestnut_plat::{ObjectStore, TableClient, Txn, TxnResponse};
 use hdrhistogram::Histogram;
@@ -60,7 +60,11 @@
 
 async fn measure(options: &Options) {
     let listen = SocketAddr::from(([127, 0, 0, 1], 0));
-    let speed = WeightSpeed { rate: 1.0, parallel: 1, bytes: 1e9 };
+    let speed = WeightStoreConfig {
+        loads_per_second: 1.0,
+        parallel_loads: 1,
+        bytes_per_second: 1e9,
+    };
     let platform = platform::start(listen, speed).await.expect("a free port");
     let url = platform.url();
     let table = TableClient::new(&url, TIMEOUT).expect("a client");
--- a/crates/lab/src/slopes/requests.rs
+++ b/crates/lab/src/slopes/requests.rs
@@ -31,8 +31,8 @@
     let mut world = World::new(json!({ "poll_ms": 500 }))?;
     for _ in 0..2 {
         world.start_engine(EngineConfig {
-            streams: 256,
-            step: Duration::from_millis(1),
+            max_streams: 256,
+            step_time: Duration::from_millis(1),
             ..EngineConfig::default()
         })?;
     }
--- a/crates/lab/src/slopes/world.rs
+++ b/crates/lab/src/slopes/world.rs
@@ -8,7 +8,9 @@
 
 use chestnut_base::SystemClock;
 use chestnut_config::Settings;
-use chestnut_fake::{EngineConfig, Handle, WeightSpeed, certs, engine, platform};
+use chestnut_fake::{
+    EngineConfig, ServerHandle, WeightStoreConfig, certs, engine, platform,
+};
 use chestnut_node::logs;
 use chestnut_node::run::{self, Daemon};
 use chestnut_plat::{PlatformError, TableClient};
@@ -66,8 +68,8 @@
     pub daemons: Vec<Daemon>,
     /// The client of the experiment.
     pub http: Client,
-    platform: Handle,
-    engines: Vec<Handle>,
+    platform: ServerHandle,
+    engines: Vec<ServerHandle>,
     folder: PathBuf,
     /// The times in the daemons' settings.
     times: Value,
@@ -85,7 +87,11 @@
         };
         let inside = runtime(DAEMON_THREADS)?;
         let outside = runtime(OUTSIDE_THREADS)?;
-        let speed = WeightSpeed { rate: 100.0, parallel: 8, bytes: 400e9 };
+        let speed = WeightStoreConfig {
+            loads_per_second: 100.0,
+            parallel_loads: 8,
+            bytes_per_second: 400e9,
+        };
         let platform = outside.block_on(platform::start(any(), speed))?;
         let table = TableClient::new(platform.url(), WAIT)?;
         let folder = std::env::temp_dir().join(format!(
--- a/crates/node/tests/feed.rs
+++ b/crates/node/tests/feed.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use chestnut_base::SystemClock;
-use chestnut_fake::{platform, weights::WeightSpeed};
+use chestnut_fake::{platform, weights::WeightStoreConfig};
 use chestnut_node::feed::ChangeFeed;
 use chestnut_plat::{PlatformError, TableClient, Txn};
 use indexmap::IndexMap;
@@ -51,9 +51,13 @@
     }
 }
 
-async fn start() -> (chestnut_fake::Handle, TableClient) {
+async fn start() -> (chestnut_fake::ServerHandle, TableClient) {
     let listen = SocketAddr::from(([127, 0, 0, 1], 0));
-    let speed = WeightSpeed { rate: 1.0, parallel: 1, bytes: 1e9 };
+    let speed = WeightStoreConfig {
+        loads_per_second: 1.0,
+        parallel_loads: 1,
+        bytes_per_second: 1e9,
+    };
     let platform = platform::start(listen, speed).await.expect("a free port");
     let table =
         TableClient::new(platform.url(), Duration::from_secs(5)).expect("a client");
--- a/crates/plat/tests/clients.rs
+++ b/crates/plat/tests/clients.rs
@@ -4,19 +4,19 @@
 use std::time::Duration;
 
 use bytes::Bytes;
-use chestnut_fake::{Handle, WeightSpeed, platform};
+use chestnut_fake::{ServerHandle, WeightStoreConfig, platform};
 use chestnut_plat::{ObjectStore, PlatformError, TableClient, Txn, TxnResponse};
 use serde_json::{Value, json};
 
 /// Longer than any call in these tests takes to be answered.
 const TIMEOUT: Duration = Duration::from_secs(20);
 
-async fn start_platform() -> Handle {
+async fn start_platform() -> ServerHandle {
     let any_port = SocketAddr::from((Ipv4Addr::LOCALHOST, 0));
-    platform::start(any_port, WeightSpeed::default()).await.unwrap()
+    platform::start(any_port, WeightStoreConfig::default()).await.unwrap()
 }
 
-async fn inject_fault(platform: &Handle, fault: Value) {
+async fn inject_fault(platform: &ServerHandle, fault: Value) {
     let http = reqwest::Client::builder().no_proxy().build().unwrap();
     let url = format!("{}/faults", platform.url());
     let response = http.post(url).json(&fault).send().await.unwrap();
--- a/tests/support/promises.rs
+++ b/tests/support/promises.rs
@@ -12,7 +12,7 @@
 use serde_json::Value;
 
 use super::Failure;
-use super::ask::{Ask, Form, Reply, idempotent};
+use super::ask::{CallerRequest, CallerResponse, Operation, idempotent};
 use super::command::Kind;
 use super::world::World;
 
@@ -25,7 +25,7 @@
 /// Checks all promises.
 pub async fn check(world: &World) -> Result<(), Failure> {
     for (ask, reply) in &world.replies {
-        if let Some(why) = reply.wrong(ask) {
+        if let Some(why) = reply.mismatch(ask) {
             return Err(format!("{ask:?} got {why}"));
         }
     }
@@ -79,10 +79,12 @@
         add(&mut self.prompts, &counts["prompts"]);
     }
 
-    fn of(&self, ask: &Ask) -> u64 {
-        let count = match (&ask.form, &ask.key) {
-            (Form::Completion(completion), _) => self.prompts.get(&completion.prompt),
-            (Form::Service { .. }, Some(key)) => self.calls.get(key),
+    fn of(&self, ask: &CallerRequest) -> u64 {
+        let count = match (&ask.operation, &ask.idempotency_key) {
+            (Operation::Completion(completion), _) => {
+                self.prompts.get(&completion.prompt)
+            }
+            (Operation::Service { .. }, Some(key)) => self.calls.get(key),
             _ => None,
         };
         count.copied().unwrap_or(0)
@@ -131,12 +133,12 @@
 }
 
 /// How many requests of the scenario have the same prompt or service key.
-fn distinct_keys(world: &World, ask: &Ask) -> u64 {
+fn distinct_keys(world: &World, ask: &CallerRequest) -> u64 {
     let mut keys: Vec<_> = world
         .replies
         .iter()
         .filter(|(other, _)| same(ask, other))
-        .map(|(other, _)| (&other.caller, &other.key))
+        .map(|(other, _)| (&other.caller, &other.idempotency_key))
         .collect();
     keys.sort();
     keys.dedup();
@@ -147,7 +149,7 @@
     for (ask, _) in world.replies.iter().filter(|(_, reply)| is_not_run(reply)) {
         let others = world.replies.iter().filter(|(other, _)| same(ask, other)).count();
         // Another request with the same text, or an earlier try, may have run.
-        let alone = others == 1 && ask.patience.is_zero();
+        let alone = others == 1 && ask.wait_limit.is_zero();
         if alone && ran.of(ask) > 0 {
             return Err(format!("{ask:?} was refused as not run and ran"));
         }
@@ -155,14 +157,18 @@
     Ok(())
 }
 
-fn is_not_run(reply: &Reply) -> bool {
+fn is_not_run(reply: &CallerResponse) -> bool {
     reply.outcome.as_deref() == Some("not_run")
 }
 
-fn same(one: &Ask, other: &Ask) -> bool {
-    match (&one.form, &other.form) {
-        (Form::Completion(one), Form::Completion(other)) => one.prompt == other.prompt,
-        (Form::Service { .. }, Form::Service { .. }) => one.key == other.key,
+fn same(one: &CallerRequest, other: &CallerRequest) -> bool {
+    match (&one.operation, &other.operation) {
+        (Operation::Completion(one), Operation::Completion(other)) => {
+            one.prompt == other.prompt
+        }
+        (Operation::Service { .. }, Operation::Service { .. }) => {
+            one.idempotency_key == other.idempotency_key
+        }
         _ => false,
     }
 }
--- a/tests/support/steps.rs
+++ b/tests/support/steps.rs
@@ -6,7 +6,7 @@
 
 use serde_json::{Value, json};
 
-use super::ask::{self, Ask};
+use super::ask::{self, CallerRequest};
 use super::command::{Command, Compare, Kind, Look, Options, Signal};
 use super::operate::{self, Operator};
 use super::world::{Sent, World};
@@ -175,14 +175,14 @@
     for index in 0..count {
         let ask = if single { base.clone() } else { base.numbered(index) };
         let seen = Arc::default();
-        let run = ask.clone().run(world.http.clone(), Arc::clone(&seen));
+        let run = ask.clone().send_with_retries(world.http.clone(), Arc::clone(&seen));
         let sent = Sent { ask, seen, reply: tokio::spawn(run) };
         world.sent.entry(name.to_owned()).or_default().push(sent);
     }
     Ok(())
 }
 
-fn read(world: &World, options: &Options) -> Result<Ask, Failure> {
+fn read(world: &World, options: &Options) -> Result<CallerRequest, Failure> {
     let at = options.or("at", "e1");
     let bases = at.split(',').map(|name| world.base(name)).collect::<Result<_, _>>()?;
     ask::read(options, bases)
@@ -196,7 +196,7 @@
         let reply = waited.map_err(|_| "no answer came")?.map_err(|e| e.to_string())?;
         let mut facts = ask::facts(&reply, &one.ask);
         // The rest is for the reader of a failure; no case can expect it.
-        let (form, text, body) = (&one.ask.form, &reply.text, &reply.body);
+        let (form, text, body) = (&one.ask.operation, &reply.text, &reply.body);
         facts.push(format!("(asked {form:?}, got text {text:?} body {body})"));
         world.last.push(facts);
         world.replies.push((one.ask, reply));
--- a/tests/support/world.rs
+++ b/tests/support/world.rs
@@ -13,7 +13,7 @@
 use serde_json::{Value, json};
 use tokio::task::JoinHandle;
 
-use super::ask::{self, Ask, Reply};
+use super::ask::{self, CallerRequest, CallerResponse};
 use super::command::{Kind, Options};
 use super::operate::Operator;
 use super::process::Process;
@@ -48,7 +48,7 @@
     /// The facts of the replies that came last.
     pub last: Vec<Vec<String>>,
     /// All replies.
-    pub replies: Vec<(Ask, Reply)>,
+    pub replies: Vec<(CallerRequest, CallerResponse)>,
     /// The operators whose commands run.
     pub operators: IndexMap<String, Operator>,
     /// The number of changes that were sent.
@@ -58,11 +58,11 @@
 /// A request on its way.
 pub struct Sent {
     /// The request.
-    pub ask: Ask,
+    pub ask: CallerRequest,
     /// The tokens that arrived.
     pub seen: Arc<AtomicUsize>,
     /// Its reply.
-    pub reply: JoinHandle<Reply>,
+    pub reply: JoinHandle<CallerResponse>,
 }
 
 impl World {
@@ -338,8 +338,11 @@
             let ask = ask::read(&options, vec![self.base(name)?])?;
             let start = std::time::Instant::now();
             loop {
-                let reply = ask.clone().run(self.http.clone(), Arc::default()).await;
-                if reply.is_whole(&ask) {
+                let reply = ask
+                    .clone()
+                    .send_with_retries(self.http.clone(), Arc::default())
+                    .await;
+                if reply.is_complete(&ask) {
                     break;
                 }
                 if start.elapsed() > PATIENCE {
