--- a/crates/fake/src/certs.rs
+++ b/crates/fake/src/certs.rs
@@ -1,4 +1,4 @@
-//! Certificates that daemons of a test or demo trust, made anew each time.
+//! Certificates that the daemons of a test or demo trust, generated for each run.
 
 use std::path::Path;
 
@@ -7,24 +7,25 @@
     KeyUsagePurpose,
 };
 
-/// The name that every daemon's certificate carries.
+/// The DNS name in every daemon's certificate.
 const PEER_NAME: &str = "chestnutlane";
 
-/// Writes `trust.pem`, `daemon.pem` and `daemon.key` into a directory.
+/// Generates a certificate authority and a daemon certificate, and writes `trust.pem`,
+/// `daemon.pem` and `daemon.key` into a directory.
 pub fn write(dir: &Path) -> std::io::Result<()> {
-    for (name, text) in make().map_err(std::io::Error::other)? {
+    for (name, text) in generate().map_err(std::io::Error::other)? {
         std::fs::write(dir.join(name), text)?;
     }
     Ok(())
 }
 
-fn make() -> Result<[(&'static str, String); 3], rcgen::Error> {
+fn generate() -> Result<[(&'static str, String); 3], rcgen::Error> {
     let mut params = CertificateParams::new(Vec::new())?;
     params.is_ca = IsCa::Ca(BasicConstraints::Unconstrained);
     params.key_usages = vec![KeyUsagePurpose::KeyCertSign];
-    let key = KeyPair::generate()?;
-    let authority = params.self_signed(&key)?;
-    let issuer = Issuer::new(params, key);
+    let authority_key = KeyPair::generate()?;
+    let authority = params.self_signed(&authority_key)?;
+    let issuer = Issuer::new(params, authority_key);
     let mut params = CertificateParams::new(vec![PEER_NAME.to_owned()])?;
     params.extended_key_usages =
         vec![ExtendedKeyUsagePurpose::ServerAuth, ExtendedKeyUsagePurpose::ClientAuth];
--- a/crates/fake/src/cli.rs
+++ b/crates/fake/src/cli.rs
@@ -8,73 +8,73 @@
 use serde_json::json;
 
 use crate::engine::EngineConfig;
-use crate::port::ServerHandle;
+use crate::listener::ServerHandle;
 use crate::service::ServiceConfig;
 use crate::weights::WeightStoreConfig;
 use crate::{engine, platform, service};
 
-/// Runs a stand-in of an outside system, for tests and trials.
+/// Runs a stand-in for an external system, for tests and experiments.
 ///
-/// It prints the address it listens on as a line of JSON and keeps nothing.
+/// It prints the address that it listens on as one line of JSON and persists nothing.
 #[derive(Debug, Clone, Bpaf)]
 #[bpaf(options, version)]
 enum Command {
-    /// The table service, object store, list of VMs and weight store.
+    /// The table service, object store, list of VMs and weight store
     #[bpaf(command)]
     Platform {
         #[bpaf(external)]
         listen: SocketAddr,
-        /// Loads that the weight store starts in a second.
+        /// Loads that the weight store starts per second
         #[bpaf(argument("NUMBER"), fallback(20.0), display_fallback)]
         load_rate: f64,
-        /// Loads that the weight store serves at full speed at the same time.
+        /// Concurrent loads that the weight store serves at full speed
         #[bpaf(argument("NUMBER"), fallback(2), display_fallback)]
         parallel_loads: u32,
-        /// The full speed of one load, in bytes a second.
+        /// Full speed of one load, in bytes per second
         #[bpaf(argument("NUMBER"), fallback(400e9), display_fallback)]
         load_speed: f64,
     },
-    /// A model engine.
+    /// A model engine
     #[bpaf(command)]
     Engine {
         #[bpaf(external)]
         listen: SocketAddr,
-        /// The accelerators' memory for models and adapters, in bytes.
+        /// Accelerator memory for models and adapters, in bytes
         #[bpaf(argument("BYTES"), fallback(80 << 30), display_fallback)]
         capacity: u64,
-        /// Streams in a batch.
+        /// Maximum number of streams in a batch
         #[bpaf(argument("NUMBER"), fallback(32), display_fallback)]
         streams: usize,
-        /// Tokens that the KV cache holds.
+        /// Capacity of the KV cache, in tokens
         #[bpaf(argument("NUMBER"), fallback(200_000), display_fallback)]
         tokens: u64,
-        /// Requests that wait for a place in the batch.
+        /// Maximum number of requests waiting to enter the batch
         #[bpaf(argument("NUMBER"), fallback(256), display_fallback)]
         waiting: usize,
-        /// The time of a step with one stream, in milliseconds.
+        /// Duration of a step with one stream, in milliseconds
         #[bpaf(argument("MS"), fallback(10), display_fallback)]
         step_ms: u64,
-        /// Blocks of prompts that are cached.
+        /// Capacity of the prefix cache, in blocks
         #[bpaf(argument("NUMBER"), fallback(4096), display_fallback)]
         blocks: usize,
-        /// How old the load in reports may be, in milliseconds.
+        /// Maximum age of the load in reports, in milliseconds
         #[bpaf(argument("MS"), fallback(200), display_fallback)]
         lag_ms: u64,
-        /// The base URL of the weight store.
+        /// Base URL of the weight store; without it loads take no time
         #[bpaf(argument("URL"))]
         weights: Option<String>,
-        /// Obey orders that carry an old fence.
+        /// Accept orders with an outdated fence
         unfenced: bool,
     },
-    /// A plain service.
+    /// A plain service
     #[bpaf(command)]
     Service {
         #[bpaf(external)]
         listen: SocketAddr,
-        /// The service's name.
+        /// Name of the service
         #[bpaf(argument("NAME"), fallback("service".to_owned()), display_fallback)]
         name: String,
-        /// How long a call takes, in milliseconds.
+        /// Duration of a call, in milliseconds
         #[bpaf(argument("MS"), fallback(1), display_fallback)]
         work_ms: u64,
     },
@@ -83,19 +83,19 @@
 fn listen() -> impl bpaf::Parser<SocketAddr> {
     use bpaf::Parser;
     bpaf::long("listen")
-        .help("The address to listen on; port 0 lets the system choose")
+        .help("Address to listen on; with port 0 the system chooses the port")
         .argument("ADDR")
         .fallback(SocketAddr::from(([127, 0, 0, 1], 0)))
         .display_fallback()
 }
 
-/// Runs the program.
+/// Parses the arguments and runs the stand-in until the process ends.
 pub fn main() -> ExitCode {
     let command = command().run();
     let runtime = match tokio::runtime::Runtime::new() {
         Ok(runtime) => runtime,
         Err(error) => {
-            eprintln!("the runtime can't start: {error}; free memory or threads");
+            eprintln!("can't start the runtime: {error}; free memory or threads");
             return ExitCode::FAILURE;
         }
     };
@@ -106,7 +106,7 @@
             ExitCode::SUCCESS
         }
         Err(error) => {
-            eprintln!("the address can't be bound: {error}; choose a free one");
+            eprintln!("can't listen on the address: {error}; choose a free one");
             ExitCode::FAILURE
         }
     }
--- a/crates/fake/src/engine/batch.rs
+++ b/crates/fake/src/engine/batch.rs
@@ -1,29 +1,29 @@
-//! Which requests wait, run and have ended, and how long a step takes.
+//! Continuous batching: the waiting, running and finished requests, and the step time.
 
 use std::time::Duration;
 
 use indexmap::IndexMap;
 use tokio::sync::watch;
 
-/// How many ended requests can still be read.
-const ENDED: usize = 2048;
+/// The number of finished requests whose response can still be read.
+const MAX_FINISHED: usize = 2048;
 
-/// How much each further stream lengthens a step.
-const STREAM_SLOPE: f64 = 0.02;
+/// The relative increase of the step time per stream beyond the first.
+const STEP_GROWTH_PER_STREAM: f64 = 0.02;
 
-/// The time that each token of a prompt takes that is not cached.
-const PREFILL: Duration = Duration::from_micros(20);
+/// The prefill time of each token that is not cached.
+const PREFILL_TIME_PER_TOKEN: Duration = Duration::from_micros(20);
 
-/// What the stream of a request shows.
+/// The progress of a request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Progress {
-    /// The number of the next token.
+    /// The index of the next token to generate.
     pub next_token: u32,
-    /// Whether the request ended, and how.
+    /// How the request finished; `None` before that.
     pub finish: Option<FinishReason>,
 }
 
-/// How a request ended.
+/// How a request finished.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum FinishReason {
     /// All tokens were generated.
@@ -32,203 +32,213 @@
     Abort,
 }
 
-/// A question to the engine.
+/// A request to the engine.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct GenerationRequest {
     /// The name of the model or adapter.
     pub model: String,
     /// The prompt's text.
     pub prompt: String,
-    /// The prompt's length in tokens.
+    /// The length of the prompt, in tokens.
     pub prompt_tokens: u32,
-    /// The first token to generate.
+    /// The index of the first token to generate.
     pub start_token: u32,
-    /// The number of the token before which generation ends.
+    /// The index after the last token to generate.
     pub end_token: u32,
-    /// 0 is the most urgent.
+    /// The priority; 0 is the most urgent.
     pub priority: u8,
 }
 
 impl GenerationRequest {
-    /// The tokens of KV cache that are reserved while the request runs.
+    /// The tokens of KV cache reserved while the request runs.
     pub fn kv_tokens(&self) -> u64 {
         u64::from(self.prompt_tokens) + u64::from(self.end_token)
     }
 }
 
-/// Where a request stands.
+/// The state of a request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-enum Stage {
+enum JobState {
     Waiting,
     Running,
-    Ended,
+    Finished,
 }
 
 /// A request in the engine.
 #[derive(Debug)]
 pub struct Job {
-    /// What is asked.
-    pub question: GenerationRequest,
-    stage: Stage,
-    number: u64,
+    /// The request as submitted.
+    pub request: GenerationRequest,
+    state: JobState,
+    /// The order of arrival.
+    sequence: u64,
     progress: watch::Sender<Progress>,
 }
 
-/// The requests of one life of an engine.
+/// The requests of an engine.
 ///
-/// At most `streams` requests run, and the sum of their spaces is `space`, which
-/// never exceeds `room`.
+/// At most `max_streams` requests run. `reserved` is the sum of the KV cache tokens that
+/// they reserve and never exceeds `capacity`.
 #[derive(Debug)]
 pub struct Batch {
-    streams: usize,
-    room: u64,
-    space: u64,
-    next: u64,
+    max_streams: usize,
+    capacity: u64,
+    reserved: u64,
+    next_sequence: u64,
     jobs: IndexMap<String, Job>,
 }
 
-/// Why a request is not taken.
+/// Why a request is rejected.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum BatchError {
-    /// It would not fit even alone.
+    /// It exceeds the capacity of the KV cache.
     TooLong,
-    /// The id is in use.
+    /// A request with this id is retained.
     DuplicateId,
 }
 
 impl Batch {
-    /// Creates an empty batch.
-    pub fn new(streams: usize, room: u64) -> Self {
-        Self { streams, room, space: 0, next: 0, jobs: IndexMap::new() }
+    /// Creates an empty batch. `capacity` is that of the KV cache, in tokens.
+    pub fn new(max_streams: usize, capacity: u64) -> Self {
+        Self {
+            max_streams,
+            capacity,
+            reserved: 0,
+            next_sequence: 0,
+            jobs: IndexMap::new(),
+        }
     }
 
-    /// Takes a request, which waits until it fits.
+    /// Submits a request, which waits until it fits.
     pub fn submit(
         &mut self,
         id: &str,
-        question: GenerationRequest,
+        request: GenerationRequest,
     ) -> Result<watch::Receiver<Progress>, BatchError> {
-        if question.kv_tokens() > self.room {
+        if request.kv_tokens() > self.capacity {
             return Err(BatchError::TooLong);
         }
         if self.jobs.contains_key(id) {
             return Err(BatchError::DuplicateId);
         }
-        let (progress, watched) =
-            watch::channel(Progress { next_token: question.start_token, finish: None });
-        let number = self.next;
-        self.next += 1;
-        let job = Job { question, stage: Stage::Waiting, number, progress };
+        let (progress, receiver) =
+            watch::channel(Progress { next_token: request.start_token, finish: None });
+        let sequence = self.next_sequence;
+        self.next_sequence += 1;
+        let job = Job { request, state: JobState::Waiting, sequence, progress };
         self.jobs.insert(id.to_owned(), job);
-        self.trim();
-        Ok(watched)
+        self.evict_finished();
+        Ok(receiver)
     }
 
-    /// The progress of a request that is known.
-    pub fn watch(
+    /// A retained request and its progress.
+    pub fn subscribe(
         &self,
         id: &str,
     ) -> Option<(&GenerationRequest, watch::Receiver<Progress>)> {
         let job = self.jobs.get(id)?;
-        Some((&job.question, job.progress.subscribe()))
+        Some((&job.request, job.progress.subscribe()))
     }
 
-    /// Cancels a request; false if it is not known.
+    /// Cancels a request unless it finished; returns false if it is not retained.
     pub fn cancel(&mut self, id: &str) -> bool {
         let Some(job) = self.jobs.get_mut(id) else { return false };
-        if job.stage == Stage::Running {
-            self.space -= job.question.kv_tokens();
+        if job.state == JobState::Running {
+            self.reserved -= job.request.kv_tokens();
         }
-        if job.stage != Stage::Ended {
-            job.stage = Stage::Ended;
+        if job.state != JobState::Finished {
+            job.state = JobState::Finished;
             job.progress
                 .send_modify(|progress| progress.finish = Some(FinishReason::Abort));
         }
         true
     }
 
-    /// Starts the waiting requests that fit, the most urgent first.
+    /// Starts waiting requests by priority and arrival, up to the first that does not
+    /// fit.
     ///
-    /// `start` is told each question that starts.
-    pub fn admit(&mut self, mut start: impl FnMut(&GenerationRequest)) {
+    /// `on_start` is called for each request that starts.
+    pub fn admit(&mut self, mut on_start: impl FnMut(&GenerationRequest)) {
         let running = self.running();
-        let mut free = self.streams.saturating_sub(running);
+        let mut free_streams = self.max_streams.saturating_sub(running);
         let mut waiting: Vec<_> =
-            self.jobs.values_mut().filter(|job| job.stage == Stage::Waiting).collect();
-        waiting.sort_by_key(|job| (job.question.priority, job.number));
+            self.jobs.values_mut().filter(|job| job.state == JobState::Waiting).collect();
+        waiting.sort_by_key(|job| (job.request.priority, job.sequence));
         for job in waiting {
-            let space = job.question.kv_tokens();
-            if free == 0 || self.space + space > self.room {
+            let tokens = job.request.kv_tokens();
+            if free_streams == 0 || self.reserved + tokens > self.capacity {
                 break;
             }
-            free -= 1;
-            self.space += space;
-            job.stage = Stage::Running;
-            start(&job.question);
+            free_streams -= 1;
+            self.reserved += tokens;
+            job.state = JobState::Running;
+            on_start(&job.request);
         }
     }
 
-    /// Gives each running request one token; returns how many there were.
+    /// Generates one token for each running request; returns their number.
     pub fn step(&mut self) -> usize {
         let mut count = 0;
-        for job in self.jobs.values_mut().filter(|job| job.stage == Stage::Running) {
+        for job in self.jobs.values_mut().filter(|job| job.state == JobState::Running) {
             count += 1;
-            let until = job.question.end_token;
-            let mut ended = false;
+            let end_token = job.request.end_token;
+            let mut is_finished = false;
             job.progress.send_modify(|progress| {
-                progress.next_token = (progress.next_token + 1).min(until);
-                ended = progress.next_token == until;
-                progress.finish = ended.then_some(FinishReason::Length);
+                progress.next_token = (progress.next_token + 1).min(end_token);
+                is_finished = progress.next_token == end_token;
+                progress.finish = is_finished.then_some(FinishReason::Length);
             });
-            if ended {
-                job.stage = Stage::Ended;
-                self.space -= job.question.kv_tokens();
+            if is_finished {
+                job.state = JobState::Finished;
+                self.reserved -= job.request.kv_tokens();
             }
         }
         count
     }
 
-    /// How many requests run.
+    /// The number of running requests.
     pub fn running(&self) -> usize {
-        self.count(Stage::Running)
+        self.count(JobState::Running)
     }
 
-    /// How many requests wait.
+    /// The number of waiting requests.
     pub fn waiting(&self) -> usize {
-        self.count(Stage::Waiting)
+        self.count(JobState::Waiting)
     }
 
-    /// The tokens of KV cache that are reserved.
+    /// The KV cache tokens reserved by the running requests.
     pub fn reserved_kv_tokens(&self) -> u64 {
-        self.space
+        self.reserved
     }
 
-    /// Whether a request that has not ended uses a model or adapter.
+    /// Whether a waiting or running request uses a model or adapter.
     pub fn uses(&self, name: &str) -> bool {
         let mut jobs = self.jobs.values();
-        jobs.any(|job| job.stage != Stage::Ended && job.question.model == name)
+        jobs.any(|job| job.state != JobState::Finished && job.request.model == name)
     }
 
-    fn count(&self, stage: Stage) -> usize {
-        self.jobs.values().filter(|job| job.stage == stage).count()
+    fn count(&self, state: JobState) -> usize {
+        self.jobs.values().filter(|job| job.state == state).count()
     }
 
-    /// Forgets the oldest ended requests beyond those that are kept.
-    fn trim(&mut self) {
-        if self.jobs.len() < 2 * ENDED {
+    /// Evicts the oldest finished requests beyond `MAX_FINISHED`. It does so only when
+    /// many requests are retained, so that its cost is amortised.
+    fn evict_finished(&mut self) {
+        if self.jobs.len() < 2 * MAX_FINISHED {
             return;
         }
-        let mut surplus = self.count(Stage::Ended).saturating_sub(ENDED);
+        let mut surplus = self.count(JobState::Finished).saturating_sub(MAX_FINISHED);
         self.jobs.retain(|_, job| {
-            let drop = surplus > 0 && job.stage == Stage::Ended;
-            surplus -= usize::from(drop);
-            !drop
+            let evict = surplus > 0 && job.state == JobState::Finished;
+            surplus -= usize::from(evict);
+            !evict
         });
     }
 }
 
-/// How long a step takes with so many streams and so many tokens of prompts.
-pub fn step_time(base: Duration, streams: usize, prefill: u32) -> Duration {
-    let crowd = 1.0 + STREAM_SLOPE * streams.saturating_sub(1) as f64;
-    base.mul_f64(crowd) + PREFILL * prefill
+/// The duration of a step with `streams` running requests and `prefill_tokens` to
+/// prefill; `base` is that of a step with one stream and no prefill.
+pub fn step_time(base: Duration, streams: usize, prefill_tokens: u32) -> Duration {
+    let stream_factor = 1.0 + STEP_GROWTH_PER_STREAM * streams.saturating_sub(1) as f64;
+    base.mul_f64(stream_factor) + PREFILL_TIME_PER_TOKEN * prefill_tokens
 }
--- a/crates/fake/src/engine/core.rs
+++ b/crates/fake/src/engine/core.rs
@@ -1,5 +1,5 @@
-//! The engine model that all stand-ins of an engine share: batch, cache and memory,
-//! without a protocol and without a clock of its own.
+//! The engine model shared by all stand-ins for an engine: batch, prefix cache and
+//! memory, without a protocol or a clock.
 
 use std::time::{Duration, Instant};
 
@@ -12,50 +12,56 @@
 /// The tokens of a cached block; a token is four bytes of text.
 const BLOCK_TOKENS: u32 = (chestnut_base::request::PREFIX_BLOCK_BYTES / 4) as u32;
 
-/// What one life of an engine holds and runs.
+/// The state of an engine, which a crash discards.
 #[derive(Debug)]
 pub struct EngineCore {
     /// The requests.
     pub batch: Batch,
-    /// The prompts that are cached.
+    /// The cached blocks of prompts.
     pub cache: PrefixCache,
-    /// The models and adapters.
+    /// The models and adapters in memory.
     pub memory: Memory,
 }
 
 impl EngineCore {
-    /// Starts the requests that fit and tells each of them to `start`; returns the
-    /// time of the next step, or nothing if no request runs.
+    /// Starts the requests that fit and calls `on_start` for each; returns the duration
+    /// of the next step, or `None` if no request runs.
     pub fn begin_step(
         &mut self,
-        base: Duration,
+        base_step_time: Duration,
         now: Instant,
-        mut start: impl FnMut(&GenerationRequest),
+        mut on_start: impl FnMut(&GenerationRequest),
     ) -> Option<Duration> {
-        let mut prefill = 0;
+        let mut prefill_tokens = 0;
         let cache = &mut self.cache;
-        self.batch.admit(|question| {
-            prefill += uncached(cache, now, question);
-            start(question);
+        self.batch.admit(|request| {
+            prefill_tokens += uncached_tokens(cache, now, request);
+            on_start(request);
         });
         let running = self.batch.running();
-        (running > 0).then(|| step_time(base, running, prefill))
+        (running > 0).then(|| step_time(base_step_time, running, prefill_tokens))
     }
 
-    /// Frees what is to be unloaded and not in use any more; returns its names.
+    /// Frees models and adapters that are unloading and no longer in use; returns their
+    /// names.
     pub fn free_unloaded(&mut self, now: Instant) -> Vec<String> {
         let batch = &self.batch;
         let freed = self.memory.free_unloaded(|name| batch.uses(name));
         for name in &freed {
-            self.cache.drop_model(now, name);
+            self.cache.remove_model(now, name);
         }
         freed
     }
 }
 
-/// The tokens of a question that are not cached; uses its blocks.
-fn uncached(cache: &mut PrefixCache, now: Instant, question: &GenerationRequest) -> u32 {
-    let hashes = prefix_hashes(&question.prompt);
-    let hits = cache.touch(now, &question.model, &hashes) as u32;
-    (question.prompt_tokens + question.start_token).saturating_sub(hits * BLOCK_TOKENS)
+/// The tokens that a request has to prefill; marks its blocks in the cache as used.
+fn uncached_tokens(
+    cache: &mut PrefixCache,
+    now: Instant,
+    request: &GenerationRequest,
+) -> u32 {
+    let hashes = prefix_hashes(&request.prompt);
+    let cached_blocks = cache.touch(now, &request.model, &hashes) as u32;
+    (request.prompt_tokens + request.start_token)
+        .saturating_sub(cached_blocks * BLOCK_TOKENS)
 }
--- a/crates/fake/src/engine/http.rs
+++ b/crates/fake/src/engine/http.rs
@@ -13,43 +13,47 @@
 use serde_json::{Value, json};
 
 use super::batch::{BatchError, GenerationRequest};
-use super::feed::{Feed, Shape};
 use super::orders::{Order, OrderError};
+use super::response::{GenerationResponse, ResponseFormat};
 use super::text::prompt_tokens;
 use super::{Engine, EngineCounts};
 use crate::faults::{self, OrderFault};
-use crate::port::Peer;
+use crate::listener::Connection;
 
-/// The length of an answer whose request names none.
-const MAX_TOKENS: u32 = 16;
+/// The length of a response if the request doesn't specify `max_tokens`.
+const DEFAULT_MAX_TOKENS: u32 = 16;
 
-type Shared = State<Arc<Engine>>;
+type SharedEngine = State<Arc<Engine>>;
 
 pub(super) fn router(engine: Arc<Engine>) -> Router {
     let faults = engine.faults.clone();
     Router::new()
-        .route("/v1/completions", post(complete))
-        .route("/v1/chat/completions", post(chat))
-        .route("/v1/requests/{id}", get(attach).delete(cancel))
+        .route("/v1/completions", post(create_completion))
+        .route("/v1/chat/completions", post(create_chat_completion))
+        .route("/v1/requests/{id}", get(read_response).delete(cancel))
         .route("/v1/orders", post(order_model))
         .route("/v1/load_lora_adapter", post(load_adapter))
         .route("/v1/unload_lora_adapter", post(unload_adapter))
-        .route("/v1/report", get(report))
-        .route("/v1/cache-events", get(cache_events))
-        .layer(from_fn_with_state(engine.clone(), wait_thawed))
-        .route("/counts", get(counts))
+        .route("/v1/report", get(get_report))
+        .route("/v1/cache-events", get(get_cache_events))
+        .layer(from_fn_with_state(engine.clone(), delay_while_frozen))
+        .route("/counts", get(get_counts))
         .with_state(engine)
         .merge(faults::routes(faults))
 }
 
-async fn wait_thawed(State(engine): Shared, request: Request, next: Next) -> Response {
-    engine.thawed().await;
+async fn delay_while_frozen(
+    State(engine): SharedEngine,
+    request: Request,
+    next: Next,
+) -> Response {
+    engine.wait_while_frozen().await;
     next.run(request).await
 }
 
-/// A request's body in the fields that matter.
+/// The body of a completion or chat request.
 #[derive(Deserialize)]
-struct Ask {
+struct CompletionBody {
     model: String,
     #[serde(default)]
     prompt: String,
@@ -67,264 +71,282 @@
     content: String,
 }
 
-async fn complete(
-    State(engine): Shared,
-    ConnectInfo(peer): ConnectInfo<Peer>,
+async fn create_completion(
+    State(engine): SharedEngine,
+    ConnectInfo(connection): ConnectInfo<Connection>,
     headers: HeaderMap,
-    Json(ask): Json<Ask>,
+    Json(body): Json<CompletionBody>,
 ) -> Response {
-    run(engine, peer, headers, ask, Shape::Completion).await
+    generate(engine, connection, headers, body, ResponseFormat::Completion).await
 }
 
-async fn chat(
-    State(engine): Shared,
-    ConnectInfo(peer): ConnectInfo<Peer>,
+async fn create_chat_completion(
+    State(engine): SharedEngine,
+    ConnectInfo(connection): ConnectInfo<Connection>,
     headers: HeaderMap,
-    Json(mut ask): Json<Ask>,
+    Json(mut body): Json<CompletionBody>,
 ) -> Response {
-    let contents: Vec<_> = ask.messages.iter().map(|m| m.content.as_str()).collect();
-    ask.prompt = contents.join("\n");
-    run(engine, peer, headers, ask, Shape::Chat).await
+    let contents: Vec<_> = body.messages.iter().map(|m| m.content.as_str()).collect();
+    body.prompt = contents.join("\n");
+    generate(engine, connection, headers, body, ResponseFormat::Chat).await
 }
 
-async fn run(
+async fn generate(
     engine: Arc<Engine>,
-    peer: Peer,
+    connection: Connection,
     headers: HeaderMap,
-    ask: Ask,
-    shape: Shape,
+    body: CompletionBody,
+    format: ResponseFormat,
 ) -> Response {
-    let Some(id) = text_header(&headers, "x-request-id") else {
-        return refuse(StatusCode::BAD_REQUEST, "id", "send an x-request-id");
+    let Some(id) = header_text(&headers, "x-request-id") else {
+        return reject(
+            StatusCode::BAD_REQUEST,
+            "id",
+            "the header x-request-id is required",
+        );
     };
-    let stream = ask.stream;
-    let question = question(&headers, ask);
-    let taken = {
-        let mut life = engine.life();
-        if !life.core.memory.is_ready(&question.model) {
-            let why = format!("{} is not loaded", question.model);
-            return refuse(StatusCode::NOT_FOUND, "model", &why);
+    let stream = body.stream;
+    let request = generation_request(&headers, body);
+    let submitted = {
+        let mut state = engine.state();
+        if !state.core.memory.is_ready(&request.model) {
+            let message = format!("{} is not loaded", request.model);
+            return reject(StatusCode::NOT_FOUND, "model", &message);
         }
-        if life.core.batch.waiting() >= engine.config.max_waiting {
-            return refuse(StatusCode::SERVICE_UNAVAILABLE, "full", "the queue is full");
+        if state.core.batch.waiting() >= engine.config.max_waiting {
+            return reject(StatusCode::SERVICE_UNAVAILABLE, "full", "the queue is full");
         }
-        life.core.batch.submit(&id, question.clone())
+        state.core.batch.submit(&id, request.clone())
     };
-    let progress = match taken {
+    let progress = match submitted {
         Ok(progress) => progress,
         Err(BatchError::TooLong) => {
-            let why = "the request does not fit into the KV cache; shorten it";
-            return refuse(StatusCode::BAD_REQUEST, "long", why);
+            let message = "the request exceeds the capacity of the KV cache; shorten it";
+            return reject(StatusCode::BAD_REQUEST, "long", message);
         }
         Err(BatchError::DuplicateId) => {
-            return refuse(StatusCode::CONFLICT, "id", "the id is in use");
+            return reject(StatusCode::CONFLICT, "id", "the request id is in use");
         }
     };
-    engine.work.notify_one();
-    let from = question.start_token;
-    let feed = Feed::new(engine, peer, id, question, from, shape, progress);
-    if stream { feed.stream() } else { feed.whole().await }
+    engine.work_arrived.notify_one();
+    let start = request.start_token;
+    let response =
+        GenerationResponse::new(engine, connection, id, request, start, format, progress);
+    if stream { response.into_stream() } else { response.into_whole().await }
 }
 
-fn question(headers: &HeaderMap, ask: Ask) -> GenerationRequest {
-    let priority = text_header(headers, "x-priority").and_then(|text| text.parse().ok());
-    let until = ask.max_tokens.unwrap_or(MAX_TOKENS).max(1);
+fn generation_request(headers: &HeaderMap, body: CompletionBody) -> GenerationRequest {
+    let priority = header_text(headers, "x-priority").and_then(|text| text.parse().ok());
+    let end_token = body.max_tokens.unwrap_or(DEFAULT_MAX_TOKENS).max(1);
     GenerationRequest {
-        prompt_tokens: prompt_tokens(&ask.prompt),
-        model: ask.model,
-        prompt: ask.prompt,
-        // At least one token is generated, so that every request has an end.
-        start_token: ask.resume_from.min(until - 1),
-        end_token: until,
+        prompt_tokens: prompt_tokens(&body.prompt),
+        model: body.model,
+        prompt: body.prompt,
+        // At least one token is generated, so that every request finishes.
+        start_token: body.resume_from.min(end_token - 1),
+        end_token,
         priority: priority.unwrap_or(1),
     }
 }
 
 #[derive(Deserialize)]
-struct Start {
+struct ReadQuery {
     #[serde(default)]
     from: u32,
 }
 
-async fn attach(
-    State(engine): Shared,
-    ConnectInfo(peer): ConnectInfo<Peer>,
+async fn read_response(
+    State(engine): SharedEngine,
+    ConnectInfo(connection): ConnectInfo<Connection>,
     Path(id): Path<String>,
-    Query(query): Query<Start>,
+    Query(query): Query<ReadQuery>,
 ) -> Response {
     let found = engine
-        .life()
+        .state()
         .core
         .batch
-        .watch(&id)
-        .map(|(question, progress)| (question.clone(), progress));
-    let Some((question, progress)) = found else {
-        return refuse(StatusCode::NOT_FOUND, "id", "no such request");
+        .subscribe(&id)
+        .map(|(request, progress)| (request.clone(), progress));
+    let Some((request, progress)) = found else {
+        return reject(StatusCode::NOT_FOUND, "id", "no request has this id");
     };
-    let from = query.from;
-    Feed::new(engine, peer, id, question, from, Shape::Completion, progress).stream()
+    let format = ResponseFormat::Completion;
+    GenerationResponse::new(engine, connection, id, request, query.from, format, progress)
+        .into_stream()
 }
 
-async fn cancel(State(engine): Shared, Path(id): Path<String>) -> Response {
-    if engine.life().core.batch.cancel(&id) {
+async fn cancel(State(engine): SharedEngine, Path(id): Path<String>) -> Response {
+    if engine.state().core.batch.cancel(&id) {
         StatusCode::NO_CONTENT.into_response()
     } else {
-        refuse(StatusCode::NOT_FOUND, "id", "no such request")
+        reject(StatusCode::NOT_FOUND, "id", "no request has this id")
     }
 }
 
 #[derive(Deserialize)]
 #[serde(rename_all = "snake_case", tag = "op")]
-enum ModelOrder {
+enum ModelOrderBody {
     Load { model: String, version: String, bytes: u64 },
     Unload { model: String, version: String },
 }
 
 #[derive(Deserialize)]
-struct LoadAdapter {
+struct LoadAdapterBody {
     lora_name: String,
     base_model_name: String,
     bytes: u64,
 }
 
 #[derive(Deserialize)]
-struct UnloadAdapter {
+struct UnloadAdapterBody {
     lora_name: String,
 }
 
 async fn order_model(
-    State(engine): Shared,
-    ConnectInfo(peer): ConnectInfo<Peer>,
+    State(engine): SharedEngine,
+    ConnectInfo(connection): ConnectInfo<Connection>,
     headers: HeaderMap,
-    Json(order): Json<ModelOrder>,
+    Json(order): Json<ModelOrderBody>,
 ) -> Response {
     let order = match order {
-        ModelOrder::Load { model, version, bytes } => {
+        ModelOrderBody::Load { model, version, bytes } => {
             Order::LoadModel { name: format!("{model}@{version}"), bytes }
         }
-        ModelOrder::Unload { model, version } => {
+        ModelOrderBody::Unload { model, version } => {
             Order::Unload { name: format!("{model}@{version}") }
         }
     };
-    take_order(engine, peer, headers, order).await
+    accept_order(engine, connection, headers, order).await
 }
 
 async fn load_adapter(
-    State(engine): Shared,
-    ConnectInfo(peer): ConnectInfo<Peer>,
+    State(engine): SharedEngine,
+    ConnectInfo(connection): ConnectInfo<Connection>,
     headers: HeaderMap,
-    Json(load): Json<LoadAdapter>,
+    Json(body): Json<LoadAdapterBody>,
 ) -> Response {
-    let (name, base, bytes) = (load.lora_name, load.base_model_name, load.bytes);
-    take_order(engine, peer, headers, Order::LoadAdapter { name, base, bytes }).await
+    let (name, base, bytes) = (body.lora_name, body.base_model_name, body.bytes);
+    accept_order(engine, connection, headers, Order::LoadAdapter { name, base, bytes })
+        .await
 }
 
 async fn unload_adapter(
-    State(engine): Shared,
-    ConnectInfo(peer): ConnectInfo<Peer>,
+    State(engine): SharedEngine,
+    ConnectInfo(connection): ConnectInfo<Connection>,
     headers: HeaderMap,
-    Json(unload): Json<UnloadAdapter>,
+    Json(body): Json<UnloadAdapterBody>,
 ) -> Response {
-    take_order(engine, peer, headers, Order::Unload { name: unload.lora_name }).await
+    accept_order(engine, connection, headers, Order::Unload { name: body.lora_name })
+        .await
 }
 
-/// Takes an order up, or does with it what the faults say.
-async fn take_order(
+/// Accepts an order, subject to the faults.
+async fn accept_order(
     engine: Arc<Engine>,
-    peer: Peer,
+    connection: Connection,
     headers: HeaderMap,
     order: Order,
 ) -> Response {
-    let number = |name| text_header(&headers, name).and_then(|text| text.parse().ok());
-    let (Some(id), Some(fence)) = (number("x-order-id"), number("x-fence")) else {
-        let why = "send an x-order-id and an x-fence, both whole numbers";
-        return refuse(StatusCode::BAD_REQUEST, "order", why);
+    let number_header =
+        |name| header_text(&headers, name).and_then(|text| text.parse().ok());
+    let (Some(id), Some(fence)) = (number_header("x-order-id"), number_header("x-fence"))
+    else {
+        let message =
+            "the headers x-order-id and x-fence are required and must be integers";
+        return reject(StatusCode::BAD_REQUEST, "order", message);
     };
-    let (fault, late) = {
+    let (fault, delay) = {
         let faults = engine.faults.lock();
         (faults.orders, Duration::from_millis(faults.late_ms))
     };
     match fault {
         OrderFault::None => {}
-        OrderFault::Lost => return peer.hang_up().await,
+        OrderFault::Lost => return connection.reset_and_never_respond().await,
         OrderFault::Late => {
-            order_later(engine, late, id, fence, order);
-            return peer.hang_up().await;
+            accept_later(engine, delay, id, fence, order);
+            return connection.reset_and_never_respond().await;
+        }
+        OrderFault::Twice => {
+            accept_later(engine.clone(), delay, id, fence, order.clone())
         }
-        OrderFault::Twice => order_later(engine.clone(), late, id, fence, order.clone()),
     }
-    match engine.order(id, fence, order) {
+    match engine.accept_order(id, fence, order) {
         Ok(()) => StatusCode::ACCEPTED.into_response(),
         Err(OrderError::Fenced(fence)) => {
             let body = json!({"code": "fenced", "fence": fence});
             (StatusCode::CONFLICT, Json(body)).into_response()
         }
         Err(OrderError::Memory(error)) => {
-            refuse(StatusCode::CONFLICT, "memory", &error.to_string())
+            reject(StatusCode::CONFLICT, "memory", &error.to_string())
         }
     }
 }
 
-fn order_later(engine: Arc<Engine>, late: Duration, id: u64, fence: u64, order: Order) {
+fn accept_later(engine: Arc<Engine>, delay: Duration, id: u64, fence: u64, order: Order) {
     tokio::spawn(async move {
-        tokio::time::sleep(late).await;
-        // A late copy has nobody to tell; the counts show whether it was refused.
-        engine.order(id, fence, order).ok();
+        tokio::time::sleep(delay).await;
+        // Nobody waits for the result; the counts show whether the order was rejected.
+        engine.accept_order(id, fence, order).ok();
     });
 }
 
-async fn report(State(engine): Shared) -> Json<Value> {
-    let mut life = engine.life();
-    life.reports += 1;
-    let models = life.core.memory.models.iter().map(|(name, held)| {
+async fn get_report(State(engine): SharedEngine) -> Json<Value> {
+    let mut state = engine.state();
+    state.report_count += 1;
+    let models = state.core.memory.models.iter().map(|(name, allocation)| {
         let (model, version) = name.split_once('@').unwrap_or((name, ""));
-        let (bytes, state) = (held.bytes, held.state);
+        let (bytes, state) = (allocation.bytes, allocation.state);
         json!({"model": model, "version": version, "bytes": bytes, "state": state})
     });
-    let adapters = life.core.memory.adapters.iter().map(|(name, (model, held))| {
-        let (bytes, state) = (held.bytes, held.state);
-        json!({"adapter": name, "model": model, "bytes": bytes, "state": state})
-    });
+    let adapters =
+        state.core.memory.adapters.iter().map(|(name, (model, allocation))| {
+            let (bytes, state) = (allocation.bytes, allocation.state);
+            json!({"adapter": name, "model": model, "bytes": bytes, "state": state})
+        });
     let orders =
-        life.orders.states().map(|(id, state)| json!({"order": id, "state": state}));
+        state.orders.states().map(|(id, state)| json!({"order": id, "state": state}));
     Json(json!({
-        "incarnation": life.incarnation,
-        "seq": life.reports,
-        "capacity": life.core.memory.capacity,
-        "used": life.core.memory.used,
+        "incarnation": state.incarnation,
+        "seq": state.report_count,
+        "capacity": state.core.memory.capacity,
+        "used": state.core.memory.used,
         "models": models.collect::<Vec<_>>(),
         "adapters": adapters.collect::<Vec<_>>(),
         "orders": orders.collect::<Vec<_>>(),
-        "running": life.load.running,
-        "waiting": life.load.waiting,
-        "kv_tokens": life.load.tokens,
-        "step_us": life.load.step.as_micros() as u64,
+        "running": state.load.running,
+        "waiting": state.load.waiting,
+        "kv_tokens": state.load.kv_tokens,
+        "step_us": state.load.step_time.as_micros() as u64,
     }))
 }
 
 #[derive(Deserialize)]
-struct Since {
+struct EventsQuery {
     #[serde(default)]
     since: u64,
 }
 
-async fn cache_events(State(engine): Shared, Query(query): Query<Since>) -> Response {
+async fn get_cache_events(
+    State(engine): SharedEngine,
+    Query(query): Query<EventsQuery>,
+) -> Response {
     let (lag, gap) = {
         let faults = engine.faults.lock();
         (Duration::from_millis(faults.cache_lag_ms), faults.cache_gap)
     };
-    let life = engine.life();
-    Json(life.core.cache.read(Instant::now(), query.since, lag, gap)).into_response()
+    let state = engine.state();
+    Json(state.core.cache.read_events(Instant::now(), query.since, lag, gap))
+        .into_response()
 }
 
-async fn counts(State(engine): Shared) -> Json<EngineCounts> {
-    Json(engine.counts.lock().expect("no holder of the counts panics").clone())
+async fn get_counts(State(engine): SharedEngine) -> Json<EngineCounts> {
+    Json(engine.counts.lock().expect("the counts' lock is not poisoned").clone())
 }
 
-fn text_header(headers: &HeaderMap, name: &str) -> Option<String> {
+fn header_text(headers: &HeaderMap, name: &str) -> Option<String> {
     Some(headers.get(name)?.to_str().ok()?.to_owned())
 }
 
-fn refuse(status: StatusCode, code: &str, message: &str) -> Response {
+fn reject(status: StatusCode, code: &str, message: &str) -> Response {
     (status, Json(json!({"code": code, "message": message}))).into_response()
 }
--- a/crates/fake/src/engine/mod.rs
+++ b/crates/fake/src/engine/mod.rs
@@ -1,18 +1,18 @@
-//! A model engine that batches continuously.
+//! A model engine with continuous batching.
 //!
-//! A request is taken by [`http`], waits and runs in the [`batch`], uses the
-//! prefix [`cache`], and its [`text`] depends on the question alone; a [`feed`]
-//! brings the answer to its reader. [`orders`] change what is in [`memory`].
-//! Batch, cache and memory together are the [`core`], on which stand-ins with other
-//! protocols are built too.
+//! A request is received by [`http`], waits and runs in the [`batch`] and uses the prefix
+//! [`cache`]. The generated [`text`] depends only on the model and the prompt, and a
+//! [`response`] sends it to the reader. [`orders`] change what is loaded into [`memory`].
+//! Batch, cache and memory form the [`core`], which stand-ins with other protocols use
+//! too.
 
 pub mod batch;
 pub mod cache;
 pub mod core;
-mod feed;
 mod http;
 pub mod memory;
 mod orders;
+mod response;
 pub mod text;
 
 use std::io;
@@ -28,36 +28,36 @@
 use self::cache::PrefixCache;
 use self::core::EngineCore;
 use self::memory::Memory;
-use self::orders::OrderBook;
+use self::orders::OrderLog;
 use crate::faults::{EngineFaults, Faults};
-use crate::port::{Lives, ServerHandle};
+use crate::listener::{CrashSwitch, ServerHandle};
 
-/// How often a frozen engine looks whether it is thawed.
-const THAW: Duration = Duration::from_millis(10);
+/// How often a frozen engine checks whether the fault was cleared.
+const FREEZE_POLL_INTERVAL: Duration = Duration::from_millis(10);
 
-/// How many different prompts are counted.
-const PROMPTS: usize = 100_000;
+/// The number of distinct prompts counted.
+const MAX_COUNTED_PROMPTS: usize = 100_000;
 
-/// What an engine is like.
+/// The configuration of an engine.
 #[derive(Debug, Clone)]
 pub struct EngineConfig {
     /// The accelerators' memory for models and adapters, in bytes.
     pub memory_bytes: u64,
-    /// Streams in a batch.
+    /// The maximum number of streams in a batch.
     pub max_streams: usize,
-    /// Tokens that the KV cache holds.
+    /// The capacity of the KV cache, in tokens.
     pub kv_tokens: u64,
-    /// Requests that wait for a place in the batch.
+    /// The maximum number of requests waiting to enter the batch.
     pub max_waiting: usize,
-    /// The time of a step with one stream.
+    /// The duration of a step with one stream.
     pub step_time: Duration,
-    /// Blocks of prompts that are cached.
+    /// The capacity of the prefix cache, in blocks.
     pub cache_blocks: usize,
-    /// Whether orders with an old fence are refused.
+    /// Whether orders with an outdated fence are rejected.
     pub fenced: bool,
-    /// How old the load in reports may be.
+    /// The maximum age of the load in reports.
     pub report_lag: Duration,
-    /// The base URL of the weight store; loads take no time without one.
+    /// The base URL of the weight store; without one, loads take no time.
     pub weight_store_url: Option<String>,
 }
 
@@ -77,74 +77,76 @@
     }
 }
 
-/// What an engine did so far, over all its lives.
+/// What an engine did so far, including before its crashes.
 #[derive(Debug, Clone, Default, PartialEq, Serialize, Deserialize)]
 pub struct EngineCounts {
-    /// The tokens that each request generated, by request id.
+    /// The number of tokens sent of each request's response, by request id.
     pub runs: IndexMap<String, u32>,
-    /// How often each prompt was started.
+    /// The number of times each prompt was started.
     pub prompts: IndexMap<String, u32>,
-    /// How often the engine crashed.
+    /// The number of crashes.
     pub crashes: u32,
     /// The accelerators' memory, in bytes.
     pub capacity: u64,
-    /// The greatest number of bytes that were ever held.
+    /// The maximum memory in use so far, in bytes.
     pub peak: u64,
-    /// Loads that were refused because they did not fit.
+    /// Loads rejected because they did not fit into memory.
     pub overfull: u32,
-    /// Orders that were refused because of an old fence.
+    /// Orders rejected because of an outdated fence.
     pub fenced: u32,
-    /// Orders with an old fence that were obeyed.
+    /// Orders accepted despite an outdated fence.
     pub stale: u32,
-    /// Orders that were taken up, copies not counted.
+    /// Orders accepted, without duplicates.
     pub orders: u32,
 }
 
-/// The load of an engine as it was a while ago.
+/// A sample of the engine's load, as shown in reports.
 #[derive(Debug, Clone, Copy, Default)]
-struct Load {
+struct LoadSample {
     running: usize,
     waiting: usize,
-    tokens: u64,
-    step: Duration,
+    kv_tokens: u64,
+    step_time: Duration,
 }
 
-/// One life of an engine.
-struct Life {
+/// The state of an engine process, which a crash discards.
+struct EngineState {
     incarnation: u64,
-    reports: u64,
+    /// The number of reports so far, which numbers them.
+    report_count: u64,
     core: EngineCore,
-    orders: OrderBook,
-    /// The length of the last step.
-    step: Duration,
-    load: Load,
-    sampled: Instant,
+    orders: OrderLog,
+    /// The duration of the last step.
+    last_step_time: Duration,
+    load: LoadSample,
+    sampled_at: Instant,
 }
 
 struct Engine {
     config: EngineConfig,
     faults: Faults<EngineFaults>,
-    lives: Lives,
-    life: Mutex<Life>,
+    crash_switch: CrashSwitch,
+    state: Mutex<EngineState>,
     counts: Mutex<EngineCounts>,
-    work: Notify,
+    /// Notified when a request or an unload arrives.
+    work_arrived: Notify,
     http: reqwest::Client,
 }
 
-/// Starts an engine.
+/// Starts an engine on an address; with port 0 the system chooses the port.
 pub async fn start(listen: SocketAddr, config: EngineConfig) -> io::Result<ServerHandle> {
     let counts = EngineCounts { capacity: config.memory_bytes, ..Default::default() };
     let engine = Arc::new(Engine {
-        life: Mutex::new(Life::new(&config, first_incarnation())),
+        state: Mutex::new(EngineState::new(&config, first_incarnation())),
         config,
         faults: Faults::default(),
-        lives: Lives::default(),
+        crash_switch: CrashSwitch::default(),
         counts: Mutex::new(counts),
-        work: Notify::new(),
+        work_arrived: Notify::new(),
         http: reqwest::Client::builder().no_proxy().build().map_err(io::Error::other)?,
     });
     let router = http::router(engine.clone());
-    let handle = ServerHandle::serve(listen, engine.lives.clone(), router).await?;
+    let handle = ServerHandle::serve(listen, engine.crash_switch.clone(), router).await?;
     let weak = Arc::downgrade(&engine);
     tokio::spawn(async move {
         while let Some(engine) = weak.upgrade() {
@@ -155,124 +157,127 @@
 }
 
 impl Engine {
-    fn life(&self) -> MutexGuard<'_, Life> {
-        self.life.lock().expect("no holder of the engine's life panics")
+    fn state(&self) -> MutexGuard<'_, EngineState> {
+        self.state.lock().expect("the engine state's lock is not poisoned")
     }
 
-    fn count(&self, change: impl FnOnce(&mut EngineCounts)) {
-        change(&mut self.counts.lock().expect("no holder of the counts panics"));
+    fn update_counts(&self, update: impl FnOnce(&mut EngineCounts)) {
+        update(&mut self.counts.lock().expect("the counts' lock is not poisoned"));
     }
 
     /// Waits while the engine is frozen.
-    async fn thawed(&self) {
+    async fn wait_while_frozen(&self) {
         while self.faults.lock().frozen {
-            tokio::time::sleep(THAW).await;
+            tokio::time::sleep(FREEZE_POLL_INTERVAL).await;
         }
     }
 
-    /// Runs one step of the batch, or waits a moment for work.
+    /// Runs one step of the batch, or waits briefly for work.
     async fn run_step(&self) {
-        self.thawed().await;
-        let (base, mark, crash) = {
+        self.wait_while_frozen().await;
+        let (base_step_time, crash_pattern, crash) = {
             let mut faults = self.faults.lock();
-            let base =
+            let base_step_time =
                 faults.step_ms.map_or(self.config.step_time, Duration::from_millis);
-            (base, faults.crash_on.clone(), std::mem::take(&mut faults.crash))
+            (base_step_time, faults.crash_on.clone(), std::mem::take(&mut faults.crash))
         };
-        let (marked, step) = self.life().begin_step(self, base, mark.as_deref());
-        if marked || crash {
+        let (must_crash, step) =
+            self.state().begin_step(self, base_step_time, crash_pattern.as_deref());
+        if must_crash || crash {
             self.crash();
             return;
         }
         let Some(step) = step else {
-            // The load is sampled also while nothing runs.
-            let nap =
+            // The load is sampled while idle too.
+            let idle =
                 tokio::time::sleep(self.config.report_lag.min(Duration::from_millis(20)));
             tokio::select! {
-                () = self.work.notified() => {}
-                () = nap => {}
+                () = self.work_arrived.notified() => {}
+                () = idle => {}
             }
-            self.life().end_step(&self.config, Duration::ZERO);
+            self.state().end_step(&self.config, Duration::ZERO);
             return;
         };
         tokio::time::sleep(step).await;
-        self.thawed().await;
-        self.life().end_step(&self.config, step);
+        self.wait_while_frozen().await;
+        self.state().end_step(&self.config, step);
     }
 
-    /// Loses everything and closes the port for a while.
+    /// Discards the state and closes the port for the configured time.
     fn crash(&self) {
         let outage = Duration::from_millis(self.faults.lock().restart_ms);
-        self.lives.crash(outage);
-        let mut life = self.life();
-        *life = Life::new(&self.config, life.incarnation + 1);
-        drop(life);
-        self.count(|counts| counts.crashes += 1);
+        self.crash_switch.crash(outage);
+        let mut state = self.state();
+        *state = EngineState::new(&self.config, state.incarnation + 1);
+        drop(state);
+        self.update_counts(|counts| counts.crashes += 1);
     }
 }
 
-impl Life {
+impl EngineState {
     fn new(config: &EngineConfig, incarnation: u64) -> Self {
         Self {
             incarnation,
-            reports: 0,
+            report_count: 0,
             core: EngineCore {
                 batch: Batch::new(config.max_streams, config.kv_tokens),
                 cache: PrefixCache::new(config.cache_blocks),
                 memory: Memory::new(config.memory_bytes),
             },
-            orders: OrderBook::default(),
-            step: config.step_time,
-            load: Load::default(),
-            sampled: Instant::now(),
+            orders: OrderLog::default(),
+            last_step_time: config.step_time,
+            load: LoadSample::default(),
+            sampled_at: Instant::now(),
         }
     }
 
-    /// Starts requests; returns whether one has the mark that crashes the engine,
-    /// and the time of the step unless there is nothing to do.
+    /// Starts requests; returns whether a prompt contains the pattern that crashes the
+    /// engine, and the duration of the step if a request runs.
     fn begin_step(
         &mut self,
         engine: &Engine,
-        base: Duration,
-        mark: Option<&str>,
+        base_step_time: Duration,
+        crash_pattern: Option<&str>,
     ) -> (bool, Option<Duration>) {
-        let mut marked = false;
-        let step = self.core.begin_step(base, Instant::now(), |question| {
-            marked |= mark.is_some_and(|mark| question.prompt.contains(mark));
-            engine.count(|counts| {
-                if counts.prompts.len() < PROMPTS
-                    || counts.prompts.contains_key(&question.prompt)
+        let mut must_crash = false;
+        let step = self.core.begin_step(base_step_time, Instant::now(), |request| {
+            must_crash |=
+                crash_pattern.is_some_and(|pattern| request.prompt.contains(pattern));
+            engine.update_counts(|counts| {
+                if counts.prompts.len() < MAX_COUNTED_PROMPTS
+                    || counts.prompts.contains_key(&request.prompt)
                 {
-                    *counts.prompts.entry(question.prompt.clone()).or_default() += 1;
+                    *counts.prompts.entry(request.prompt.clone()).or_default() += 1;
                 }
             });
         });
-        (marked, step)
+        (must_crash, step)
     }
 
     fn end_step(&mut self, config: &EngineConfig, step: Duration) {
         if !step.is_zero() {
             self.core.batch.step();
-            self.step = step;
+            self.last_step_time = step;
         }
         let now = Instant::now();
         self.core.free_unloaded(now);
         let memory = &self.core.memory;
-        self.orders.finish_unloads(|name| memory.contains(name));
-        if now - self.sampled >= config.report_lag {
-            self.sampled = now;
-            self.load = Load {
+        self.orders.complete_unloads(|name| memory.contains(name));
+        if now - self.sampled_at >= config.report_lag {
+            self.sampled_at = now;
+            self.load = LoadSample {
                 running: self.core.batch.running(),
                 waiting: self.core.batch.waiting(),
-                tokens: self.core.batch.reserved_kv_tokens(),
-                step: self.step,
+                kv_tokens: self.core.batch.reserved_kv_tokens(),
+                step_time: self.last_step_time,
             };
         }
     }
 }
 
-/// A number that no earlier process of this engine had.
+/// An incarnation number that is greater than that of any earlier process: the start time
+/// in microseconds.
 fn first_incarnation() -> u64 {
-    let since = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
-    since.as_micros() as u64
+    let since_epoch = SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default();
+    since_epoch.as_micros() as u64
 }
--- a/crates/fake/src/engine/orders.rs
+++ b/crates/fake/src/engine/orders.rs
@@ -1,4 +1,4 @@
-//! Orders to load and unload, each done once however often it arrives.
+//! Orders to load and unload, each executed once even if it is received repeatedly.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -9,172 +9,176 @@
 use super::Engine;
 use super::memory::{LoadStart, MemoryError};
 
-/// How many orders are reported.
-const KEPT: usize = 512;
+/// The number of orders retained and reported.
+const MAX_ORDERS: usize = 512;
 
-/// How often a load is tried again when the weight store refuses it.
-const TRIES: u32 = 100;
+/// The maximum number of attempts to fetch weights.
+const MAX_FETCH_ATTEMPTS: u32 = 100;
 
-/// How long to wait before the weight store is asked again.
-const RETRY: Duration = Duration::from_millis(100);
+/// The delay after a failed attempt to fetch weights.
+const FETCH_RETRY_DELAY: Duration = Duration::from_millis(100);
 
-/// Where an order stands.
+/// The state of an order.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum OrderState {
-    /// It was taken up.
+    /// It was accepted and is being executed.
     Running,
-    /// It is done.
+    /// It completed.
     Done,
-    /// It can't be done.
+    /// It failed.
     Failed,
 }
 
-/// What an order asks for.
+/// An order to change what is in memory.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub(super) enum Order {
-    /// Loads a model under the engine's name of it.
+    /// Loads a model; `name` is the engine's name for it.
     LoadModel { name: String, bytes: u64 },
-    /// Loads an adapter on top of a model.
+    /// Loads an adapter of the model `base`.
     LoadAdapter { name: String, base: String, bytes: u64 },
     /// Unloads a model or adapter.
     Unload { name: String },
 }
 
-/// Why an order is refused.
+/// Why an order is rejected.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) enum OrderError {
-    /// Its fence is older than this one.
+    /// Its fence is lower than this one.
     Fenced(u64),
-    /// It does not fit into the memory as it is.
+    /// The memory's current contents don't permit it.
     Memory(MemoryError),
 }
 
-/// The orders of one life of an engine.
+/// The orders that an engine accepted since it started.
 #[derive(Debug, Default)]
-pub(super) struct OrderBook {
-    /// The greatest fence of an order so far.
-    fence: u64,
+pub(super) struct OrderLog {
+    /// The highest fence of an order so far.
+    highest_fence: u64,
+    /// The name and state of each order by id, oldest first.
     orders: IndexMap<u64, (String, OrderState)>,
 }
 
-impl OrderBook {
-    /// All orders that are still known.
+impl OrderLog {
+    /// The ids and states of the retained orders, oldest first.
     pub fn states(&self) -> impl Iterator<Item = (u64, OrderState)> {
         self.orders.iter().map(|(id, (_, state))| (*id, *state))
     }
 
-    /// Ends the unloads of what is no longer held.
-    pub fn finish_unloads(&mut self, held: impl Fn(&str) -> bool) {
-        let unloads =
+    /// Completes the running orders for names that are no longer in memory.
+    pub fn complete_unloads(&mut self, in_memory: impl Fn(&str) -> bool) {
+        let running =
             self.orders.values_mut().filter(|(_, state)| *state == OrderState::Running);
-        for (name, state) in unloads {
-            if !held(name) {
+        for (name, state) in running {
+            if !in_memory(name) {
                 *state = OrderState::Done;
             }
         }
     }
 
-    /// Ends all running orders about a name.
-    fn finish(&mut self, name: &str, end: OrderState) {
-        for (about, state) in self.orders.values_mut() {
-            if about == name && *state == OrderState::Running {
-                *state = end;
+    /// Sets the final state of all running orders for a name.
+    fn finish(&mut self, name: &str, final_state: OrderState) {
+        for (order_name, state) in self.orders.values_mut() {
+            if order_name == name && *state == OrderState::Running {
+                *state = final_state;
             }
         }
     }
 
     fn insert(&mut self, id: u64, name: &str, state: OrderState) {
         self.orders.insert(id, (name.to_owned(), state));
-        if self.orders.len() > KEPT {
+        if self.orders.len() > MAX_ORDERS {
             self.orders.shift_remove_index(0);
         }
     }
 }
 
 impl Engine {
-    /// Takes an order up; one with a known id is not done again.
-    pub(super) fn order(
+    /// Accepts an order; one whose id is retained is not executed again.
+    pub(super) fn accept_order(
         self: &Arc<Self>,
         id: u64,
         fence: u64,
         order: Order,
     ) -> Result<(), OrderError> {
-        let ignore = self.faults.lock().ignore_fence || !self.config.fenced;
-        let mut life = self.life();
-        if fence < life.orders.fence {
-            if !ignore {
-                self.count(|counts| counts.fenced += 1);
-                return Err(OrderError::Fenced(life.orders.fence));
+        let ignore_fence = self.faults.lock().ignore_fence || !self.config.fenced;
+        let mut engine_state = self.state();
+        if fence < engine_state.orders.highest_fence {
+            if !ignore_fence {
+                self.update_counts(|counts| counts.fenced += 1);
+                return Err(OrderError::Fenced(engine_state.orders.highest_fence));
             }
-            self.count(|counts| counts.stale += 1);
+            self.update_counts(|counts| counts.stale += 1);
         }
-        life.orders.fence = life.orders.fence.max(fence);
-        if life.orders.orders.contains_key(&id) {
+        engine_state.orders.highest_fence = engine_state.orders.highest_fence.max(fence);
+        if engine_state.orders.orders.contains_key(&id) {
             return Ok(());
         }
-        let (name, bytes, begun) = match &order {
+        let (name, bytes, started) = match &order {
             Order::LoadModel { name, bytes } => {
-                (name, *bytes, life.core.memory.reserve_model(name, *bytes))
-            }
-            Order::LoadAdapter { name, base, bytes } => {
-                (name, *bytes, life.core.memory.reserve_adapter(name, base, *bytes))
+                (name, *bytes, engine_state.core.memory.reserve_model(name, *bytes))
             }
+            Order::LoadAdapter { name, base, bytes } => (
+                name,
+                *bytes,
+                engine_state.core.memory.reserve_adapter(name, base, *bytes),
+            ),
             Order::Unload { name } => {
-                life.core.memory.start_unload(name);
-                life.orders.insert(id, name, OrderState::Running);
-                self.count(|counts| counts.orders += 1);
-                self.work.notify_one();
+                engine_state.core.memory.start_unload(name);
+                engine_state.orders.insert(id, name, OrderState::Running);
+                self.update_counts(|counts| counts.orders += 1);
+                self.work_arrived.notify_one();
                 return Ok(());
             }
         };
-        let begun = begun.map_err(|error| {
-            self.count(|counts| {
+        let started = started.map_err(|error| {
+            self.update_counts(|counts| {
                 counts.overfull += u32::from(error == MemoryError::OutOfMemory);
             });
             OrderError::Memory(error)
         })?;
-        let ready = life.core.memory.is_ready(name);
-        let state = if ready { OrderState::Done } else { OrderState::Running };
-        life.orders.insert(id, name, state);
-        let peak = life.core.memory.peak;
-        self.count(|counts| {
+        let is_ready = engine_state.core.memory.is_ready(name);
+        let state = if is_ready { OrderState::Done } else { OrderState::Running };
+        engine_state.orders.insert(id, name, state);
+        let peak = engine_state.core.memory.peak;
+        self.update_counts(|counts| {
             counts.orders += 1;
             counts.peak = counts.peak.max(peak);
         });
-        if begun == LoadStart::FetchWeights {
+        if started == LoadStart::FetchWeights {
             let engine = self.clone();
-            let (name, incarnation) = (name.clone(), life.incarnation);
-            tokio::spawn(async move { engine.fetch(incarnation, name, bytes).await });
+            let (name, incarnation) = (name.clone(), engine_state.incarnation);
+            tokio::spawn(async move { engine.load(incarnation, name, bytes).await });
         }
         Ok(())
     }
 
-    /// Fetches weights and makes what they belong to ready.
-    async fn fetch(&self, incarnation: u64, name: String, bytes: u64) {
+    /// Fetches the weights of a model or adapter and marks it as ready.
+    async fn load(&self, incarnation: u64, name: String, bytes: u64) {
         let fetched = self.fetch_weights(&name, bytes).await;
-        let mut life = self.life();
-        if life.incarnation != incarnation {
+        let mut engine_state = self.state();
+        if engine_state.incarnation != incarnation {
             return;
         }
-        if fetched && life.core.memory.mark_ready(&name) {
-            life.orders.finish(&name, OrderState::Done);
+        if fetched && engine_state.core.memory.mark_ready(&name) {
+            engine_state.orders.finish(&name, OrderState::Done);
         } else if !fetched {
-            life.orders.finish(&name, OrderState::Failed);
-            life.core.memory.start_unload(&name);
+            engine_state.orders.finish(&name, OrderState::Failed);
+            engine_state.core.memory.start_unload(&name);
         }
     }
 
     async fn fetch_weights(&self, name: &str, bytes: u64) -> bool {
         let Some(base) = &self.config.weight_store_url else { return true };
         let url = format!("{base}/v1/weights/{name}");
-        for _ in 0..TRIES {
-            let call = self.http.get(&url).query(&[("bytes", bytes)]);
-            let answer = call.send().await.and_then(|answer| answer.error_for_status());
-            if answer.is_ok_and(|answer| answer.status().is_success()) {
+        for _ in 0..MAX_FETCH_ATTEMPTS {
+            let request = self.http.get(&url).query(&[("bytes", bytes)]);
+            let response =
+                request.send().await.and_then(|response| response.error_for_status());
+            if response.is_ok_and(|response| response.status().is_success()) {
                 return true;
             }
-            tokio::time::sleep(RETRY).await;
+            tokio::time::sleep(FETCH_RETRY_DELAY).await;
         }
         false
     }
--- a/crates/fake/src/faults.rs
+++ b/crates/fake/src/faults.rs
@@ -1,4 +1,4 @@
-//! Faults that are switched while a stand-in runs.
+//! Faults that are injected while a stand-in runs.
 
 use std::sync::{Arc, Mutex, MutexGuard};
 use std::time::Duration;
@@ -11,100 +11,103 @@
 use serde::{Deserialize, Serialize};
 use serde_json::Value;
 
-/// The faults of a stand-in, shared by its parts.
+/// The faults of a stand-in, shared by its tasks.
 #[derive(Debug, Clone, Default)]
 pub struct Faults<T>(Arc<Mutex<T>>);
 
 impl<T> Faults<T> {
-    /// The faults, to read or change.
+    /// Locks the faults for reading or changing.
     pub fn lock(&self) -> MutexGuard<'_, T> {
-        self.0.lock().expect("no holder of the faults panics")
+        self.0.lock().expect("the faults' lock is not poisoned")
     }
 }
 
 impl<T: Serialize + DeserializeOwned + Clone> Faults<T> {
-    /// Changes the faults that `change` names and leaves the others.
+    /// Sets the faults that `change` contains, leaves the others, and returns all of
+    /// them.
     pub fn merge(&self, change: &Value) -> Result<Value, String> {
         let mut faults = self.lock();
-        let mut whole = serde_json::to_value(&*faults).map_err(|e| e.to_string())?;
-        overlay(&mut whole, change);
-        *faults = serde_json::from_value(whole.clone()).map_err(|e| e.to_string())?;
-        Ok(whole)
+        let mut merged = serde_json::to_value(&*faults).map_err(|e| e.to_string())?;
+        merge_json(&mut merged, change);
+        *faults = serde_json::from_value(merged.clone()).map_err(|e| e.to_string())?;
+        Ok(merged)
     }
 }
 
-/// The routes under which faults are shown and switched.
+/// The routes that return and set the faults.
 pub(crate) fn routes<T>(faults: Faults<T>) -> Router
 where
     T: Serialize + DeserializeOwned + Clone + Send + 'static,
 {
-    Router::new().route("/faults", post(change::<T>).get(show::<T>)).with_state(faults)
+    Router::new()
+        .route("/faults", post(set_faults::<T>).get(get_faults::<T>))
+        .with_state(faults)
 }
 
-async fn change<T: Serialize + DeserializeOwned + Clone>(
+async fn set_faults<T: Serialize + DeserializeOwned + Clone>(
     State(faults): State<Faults<T>>,
     Json(change): Json<Value>,
 ) -> Result<Json<Value>, (StatusCode, String)> {
-    faults.merge(&change).map(Json).map_err(|why| (StatusCode::BAD_REQUEST, why))
+    faults.merge(&change).map(Json).map_err(|reason| (StatusCode::BAD_REQUEST, reason))
 }
 
-async fn show<T: Serialize + Clone>(State(faults): State<Faults<T>>) -> Json<T> {
+async fn get_faults<T: Serialize + Clone>(State(faults): State<Faults<T>>) -> Json<T> {
     let faults = faults.lock().clone();
     Json(faults)
 }
 
-/// Writes the fields of `change` over those of `whole`, objects by field.
-fn overlay(whole: &mut Value, change: &Value) {
-    match (whole, change) {
-        (Value::Object(whole), Value::Object(change)) => {
+/// Replaces `target` by `change`; objects are merged recursively, field by field.
+fn merge_json(target: &mut Value, change: &Value) {
+    match (target, change) {
+        (Value::Object(target), Value::Object(change)) => {
             for (key, value) in change {
-                overlay(whole.entry(key.clone()).or_insert(Value::Null), value);
+                merge_json(target.entry(key.clone()).or_insert(Value::Null), value);
             }
         }
-        (whole, change) => *whole = change.clone(),
+        (target, change) => *target = change.clone(),
     }
 }
 
-/// Faults of one part of the platform.
+/// Faults of one of the platform's services.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
-pub struct PartFaults {
-    /// Refuses every call with 503 before anything is done.
+pub struct PlatformServiceFaults {
+    /// Rejects every call with status 503 before it takes effect.
     pub down: bool,
-    /// Waits before each call is carried out.
+    /// The delay before each call takes effect.
     pub delay_ms: u64,
-    /// The number of writes to come that take effect and whose answer is lost.
+    /// The number of upcoming writes that take effect but whose response is lost.
     pub lose_acks: u32,
-    /// How old the answers are; only the list of VMs knows it.
+    /// The staleness of responses; supported by the list of VMs only.
     pub lag_ms: u64,
 }
 
-/// Faults of the platform.
+/// Faults of the platform, by service.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct PlatformFaults {
-    /// Of the table service.
-    pub table: PartFaults,
-    /// Of the object store.
-    pub objects: PartFaults,
-    /// Of the weight store.
-    pub weights: PartFaults,
-    /// Of the list of VMs.
-    pub vms: PartFaults,
+    /// Faults of the table service.
+    pub table: PlatformServiceFaults,
+    /// Faults of the object store.
+    pub objects: PlatformServiceFaults,
+    /// Faults of the weight store.
+    pub weights: PlatformServiceFaults,
+    /// Faults of the list of VMs.
+    pub vms: PlatformServiceFaults,
 }
 
-/// What an engine does with orders that reach it.
+/// What happens to orders that reach an engine.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum OrderFault {
-    /// Takes them up.
+    /// Accepted normally.
     #[default]
     None,
-    /// Cuts the connection and forgets the order.
+    /// The connection is reset and the order discarded.
     Lost,
-    /// Cuts the connection and takes the order up later.
+    /// The connection is reset and the order executed later.
     Late,
-    /// Takes the order up and receives a copy of it later.
+    /// Accepted, and a duplicate is received later.
     Twice,
 }
 
@@ -112,29 +115,30 @@
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct EngineFaults {
-    /// The time of a step with one stream, instead of the engine's own.
+    /// Overrides the configured duration of a step with one stream.
     pub step_ms: Option<u64>,
-    /// Cuts the connection of the next answer after so many tokens.
+    /// Resets the connection of the next response after this number of tokens.
     pub cut_after: Option<u32>,
-    /// Ends the next answer cleanly, but with no end mark, after so many tokens.
+    /// Ends the body of the next response after this number of tokens, without an error
+    /// and without the end marker.
     pub end_after: Option<u32>,
-    /// Crashes when it starts a prompt that holds this text.
+    /// Crashes when a prompt that contains this text starts to run.
     pub crash_on: Option<String>,
-    /// Crashes at once.
+    /// Crashes before the next step.
     pub crash: bool,
-    /// How long a crashed engine's port stays closed.
+    /// How long the port stays closed after a crash.
     pub restart_ms: u64,
-    /// What becomes of orders.
+    /// What happens to orders.
     pub orders: OrderFault,
-    /// How late a late order or a copy is.
+    /// The delay of late and duplicate orders.
     pub late_ms: u64,
-    /// Obeys orders with an old fence.
+    /// Accepts orders with an outdated fence.
     pub ignore_fence: bool,
-    /// Answers nothing and makes no progress.
+    /// Neither responds nor makes progress.
     pub frozen: bool,
-    /// How late cache events are seen.
+    /// The delay before cache events become visible.
     pub cache_lag_ms: u64,
-    /// One in so many cache events is never seen; 0 loses none.
+    /// Omits every cache event whose number is a multiple of this; 0 omits none.
     pub cache_gap: u64,
 }
 
@@ -142,29 +146,29 @@
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct ServiceFaults {
-    /// Refuses every call with 503 before anything is done.
+    /// Rejects every call with status 503 before it takes effect.
     pub down: bool,
-    /// The time that each call takes on top.
+    /// Additional duration of each call.
     pub delay_ms: u64,
-    /// The number of calls to come that run and whose answer is lost.
+    /// The number of upcoming calls that run but whose response is lost.
     pub lose_answers: u32,
-    /// Crashes after it ran a call whose body holds this text.
+    /// Crashes after running a call whose body contains this text.
     pub crash_on: Option<String>,
-    /// How long a crashed service's port stays closed.
+    /// How long the port stays closed after a crash.
     pub restart_ms: u64,
-    /// Answers nothing.
+    /// Does not respond.
     pub frozen: bool,
 }
 
-/// Waits out the delay of a part; false if the part is down.
-pub(crate) async fn admit(
+/// Applies the delay of a service; returns false if the service is down.
+pub(crate) async fn accept_call(
     faults: &Faults<PlatformFaults>,
-    part: fn(&mut PlatformFaults) -> &mut PartFaults,
+    service: fn(&mut PlatformFaults) -> &mut PlatformServiceFaults,
 ) -> bool {
     let (down, delay) = {
         let mut faults = faults.lock();
-        let part = part(&mut faults);
-        (part.down, part.delay_ms)
+        let service = service(&mut faults);
+        (service.down, service.delay_ms)
     };
     if delay > 0 {
         tokio::time::sleep(Duration::from_millis(delay)).await;
@@ -172,18 +176,18 @@
     !down
 }
 
-/// Whether the answer to this write is lost; counts it if so.
-pub(crate) fn loses_ack(
+/// Whether the response to this write is lost; decrements the number of lost responses.
+pub(crate) fn loses_response(
     faults: &Faults<PlatformFaults>,
-    part: fn(&mut PlatformFaults) -> &mut PartFaults,
+    service: fn(&mut PlatformFaults) -> &mut PlatformServiceFaults,
 ) -> bool {
     let mut faults = faults.lock();
-    take(&mut part(&mut faults).lose_acks)
+    try_decrement(&mut service(&mut faults).lose_acks)
 }
 
-/// Takes one off a count that is not zero.
-pub(crate) fn take(count: &mut u32) -> bool {
-    let some = *count > 0;
-    *count -= u32::from(some);
-    some
+/// Decrements a count that is not zero; returns whether it did.
+pub(crate) fn try_decrement(count: &mut u32) -> bool {
+    let is_positive = *count > 0;
+    *count -= u32::from(is_positive);
+    is_positive
 }
--- a/crates/fake/src/platform.rs
+++ b/crates/fake/src/platform.rs
@@ -1,4 +1,4 @@
-//! The platform's services behind one port.
+//! The platform's services on one port.
 
 use std::io;
 use std::net::SocketAddr;
@@ -17,36 +17,36 @@
 use serde::{Deserialize, Serialize};
 use serde_json::json;
 
-use crate::faults::{self, Faults, PlatformFaults, admit, loses_ack};
+use crate::faults::{self, Faults, PlatformFaults, accept_call, loses_response};
+use crate::listener::{Connection, CrashSwitch, ServerHandle};
 use crate::objects::ObjectMap;
-use crate::port::{Lives, Peer, ServerHandle};
 use crate::table::{Tables, row_value};
 use crate::vms::VmHistory;
 use crate::weights::{WeightStore, WeightStoreConfig};
 
-/// The largest object or transaction, in bytes.
-const BODY: usize = 64 << 20;
+/// The maximum size of an object or transaction.
+const MAX_BODY_BYTES: usize = 64 << 20;
 
-/// What the platform was asked for so far.
+/// What the platform did so far.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct PlatformCounts {
-    /// Transactions that took effect.
+    /// Committed transactions.
     pub commits: u64,
-    /// Transactions whose checks failed.
+    /// Transactions rejected because of a precondition.
     pub conflicts: u64,
-    /// Rows that were written or removed.
+    /// Rows written or deleted.
     pub writes: u64,
-    /// Reads of the table.
+    /// Reads of tables.
     pub reads: u64,
-    /// Objects that were written or removed.
+    /// Objects written or deleted.
     pub object_writes: u64,
-    /// Reads of objects.
+    /// Reads and listings of objects.
     pub object_reads: u64,
     /// Reads of the list of VMs.
     pub vm_reads: u64,
-    /// Loads that were asked of the weight store.
+    /// Loads requested from the weight store.
     pub loads: u64,
-    /// Calls that were refused because a part was down.
+    /// Calls rejected because a service was down.
     pub refused: u64,
 }
 
@@ -60,9 +60,9 @@
     counts: Mutex<PlatformCounts>,
 }
 
-type Shared = State<Arc<Platform>>;
+type SharedPlatform = State<Arc<Platform>>;
 
-/// Starts the platform's services.
+/// Starts the platform's services on an address; with port 0 the system chooses the port.
 pub async fn start(
     listen: SocketAddr,
     weight_store: WeightStoreConfig,
@@ -81,208 +81,252 @@
         .route("/v1/table/commit", post(commit))
         .route("/v1/table/scan", post(scan))
         .route("/v1/table/changes", post(changes))
-        .route("/v1/table/get", post(lookup))
+        .route("/v1/table/get", post(get_row))
         .route("/v1/objects", get(list_objects))
         .route(
             "/v1/objects/{*key}",
             get(get_object).put(put_object).delete(delete_object),
         )
-        .route("/v1/vms", get(read_vms).put(set_vms))
+        .route("/v1/vms", get(list_vms).put(set_vms))
         .route("/v1/vms/{vm}", put(put_vm).delete(delete_vm))
-        .route("/v1/weights/{name}", get(load))
-        .route("/counts", get(counts))
-        .layer(axum::extract::DefaultBodyLimit::max(BODY))
+        .route("/v1/weights/{name}", get(load_weights))
+        .route("/counts", get(get_counts))
+        .layer(axum::extract::DefaultBodyLimit::max(MAX_BODY_BYTES))
         .with_state(platform)
         .merge(faults::routes(faults));
-    ServerHandle::serve(listen, Lives::default(), router).await
+    ServerHandle::serve(listen, CrashSwitch::default(), router).await
 }
 
 impl Platform {
-    fn millis(&self) -> u64 {
-        let since = self.clock.wall_time().duration_since(std::time::UNIX_EPOCH);
-        since.unwrap_or_default().as_millis() as u64
+    fn now_ms(&self) -> u64 {
+        let since_epoch = self.clock.wall_time().duration_since(std::time::UNIX_EPOCH);
+        since_epoch.unwrap_or_default().as_millis() as u64
     }
 
-    fn count(&self, change: impl FnOnce(&mut PlatformCounts)) {
-        change(&mut self.counts.lock().expect("no holder of the counts panics"));
+    fn update_counts(&self, update: impl FnOnce(&mut PlatformCounts)) {
+        update(&mut self.counts.lock().expect("the counts' lock is not poisoned"));
     }
 
-    fn refuse(&self) -> Response {
-        self.count(|c| c.refused += 1);
+    fn reject(&self) -> Response {
+        self.update_counts(|counts| counts.refused += 1);
         (StatusCode::SERVICE_UNAVAILABLE, "down").into_response()
     }
 }
 
 async fn commit(
-    State(platform): Shared,
-    ConnectInfo(peer): ConnectInfo<Peer>,
+    State(platform): SharedPlatform,
+    ConnectInfo(connection): ConnectInfo<Connection>,
     Json(txn): Json<Txn>,
 ) -> Response {
-    if !admit(&platform.faults, |f| &mut f.table).await {
-        return platform.refuse();
+    if !accept_call(&platform.faults, |faults| &mut faults.table).await {
+        return platform.reject();
     }
     let writes = txn.writes.len() as u64;
-    let now = platform.millis();
-    let answer = platform.tables.lock().expect("no commit panics").commit(txn, now);
-    match answer {
-        TxnResponse::Committed { .. } => platform.count(|c| {
-            c.commits += 1;
-            c.writes += writes;
+    let now = platform.now_ms();
+    let response = platform
+        .tables
+        .lock()
+        .expect("the tables' lock is not poisoned")
+        .commit(txn, now);
+    match response {
+        TxnResponse::Committed { .. } => platform.update_counts(|counts| {
+            counts.commits += 1;
+            counts.writes += writes;
         }),
-        TxnResponse::Conflict { .. } => platform.count(|c| c.conflicts += 1),
+        TxnResponse::Conflict { .. } => {
+            platform.update_counts(|counts| counts.conflicts += 1)
+        }
     }
-    if loses_ack(&platform.faults, |f| &mut f.table) {
-        return peer.hang_up().await;
+    if loses_response(&platform.faults, |faults| &mut faults.table) {
+        return connection.reset_and_never_respond().await;
     }
-    Json(answer).into_response()
+    Json(response).into_response()
 }
 
-async fn scan(State(platform): Shared, Json(scan): Json<ScanQuery>) -> Response {
-    if !admit(&platform.faults, |f| &mut f.table).await {
-        return platform.refuse();
+async fn scan(State(platform): SharedPlatform, Json(query): Json<ScanQuery>) -> Response {
+    if !accept_call(&platform.faults, |faults| &mut faults.table).await {
+        return platform.reject();
     }
-    platform.count(|c| c.reads += 1);
-    let now = platform.millis();
-    let delta = platform.tables.lock().expect("no commit panics").scan(&scan, now);
+    platform.update_counts(|counts| counts.reads += 1);
+    let now = platform.now_ms();
+    let delta = platform
+        .tables
+        .lock()
+        .expect("the tables' lock is not poisoned")
+        .scan(&query, now);
     Json(delta).into_response()
 }
 
-async fn changes(State(platform): Shared, Json(ask): Json<ChangesQuery>) -> Response {
-    if !admit(&platform.faults, |f| &mut f.table).await {
-        return platform.refuse();
+async fn changes(
+    State(platform): SharedPlatform,
+    Json(query): Json<ChangesQuery>,
+) -> Response {
+    if !accept_call(&platform.faults, |faults| &mut faults.table).await {
+        return platform.reject();
     }
-    platform.count(|c| c.reads += 1);
-    let now = platform.millis();
-    let changed = platform.tables.lock().expect("no commit panics").changes(&ask, now);
-    Json(changed).into_response()
+    platform.update_counts(|counts| counts.reads += 1);
+    let now = platform.now_ms();
+    let response = platform
+        .tables
+        .lock()
+        .expect("the tables' lock is not poisoned")
+        .changes(&query, now);
+    Json(response).into_response()
 }
 
-async fn lookup(State(platform): Shared, Json(lookup): Json<RowKey>) -> Response {
-    if !admit(&platform.faults, |f| &mut f.table).await {
-        return platform.refuse();
+async fn get_row(
+    State(platform): SharedPlatform,
+    Json(row_key): Json<RowKey>,
+) -> Response {
+    if !accept_call(&platform.faults, |faults| &mut faults.table).await {
+        return platform.reject();
     }
-    platform.count(|c| c.reads += 1);
-    let now = platform.millis();
-    let tables = platform.tables.lock().expect("no commit panics");
-    let row = row_value(tables.get(&lookup.table, &lookup.key));
+    platform.update_counts(|counts| counts.reads += 1);
+    let now = platform.now_ms();
+    let tables = platform.tables.lock().expect("the tables' lock is not poisoned");
+    let row = row_value(tables.get(&row_key.table, &row_key.key));
     Json(json!({"row": row, "now": now})).into_response()
 }
 
 async fn put_object(
-    State(platform): Shared,
-    ConnectInfo(peer): ConnectInfo<Peer>,
+    State(platform): SharedPlatform,
+    ConnectInfo(connection): ConnectInfo<Connection>,
     Path(key): Path<String>,
     headers: HeaderMap,
     body: Bytes,
 ) -> Response {
-    if !admit(&platform.faults, |f| &mut f.objects).await {
-        return platform.refuse();
+    if !accept_call(&platform.faults, |faults| &mut faults.objects).await {
+        return platform.reject();
     }
-    platform.count(|c| c.object_writes += 1);
-    let fresh = headers.get("if-none-match").is_some_and(|value| value == "*");
-    let stored = platform.objects.lock().expect("no write panics").put(key, body, fresh);
-    if loses_ack(&platform.faults, |f| &mut f.objects) {
-        return peer.hang_up().await;
+    platform.update_counts(|counts| counts.object_writes += 1);
+    let create_only = headers.get("if-none-match").is_some_and(|value| value == "*");
+    let stored = platform.objects.lock().expect("the objects' lock is not poisoned").put(
+        key,
+        body,
+        create_only,
+    );
+    if loses_response(&platform.faults, |faults| &mut faults.objects) {
+        return connection.reset_and_never_respond().await;
     }
     let status =
         if stored { StatusCode::NO_CONTENT } else { StatusCode::PRECONDITION_FAILED };
     status.into_response()
 }
 
-async fn get_object(State(platform): Shared, Path(key): Path<String>) -> Response {
-    if !admit(&platform.faults, |f| &mut f.objects).await {
-        return platform.refuse();
+async fn get_object(
+    State(platform): SharedPlatform,
+    Path(key): Path<String>,
+) -> Response {
+    if !accept_call(&platform.faults, |faults| &mut faults.objects).await {
+        return platform.reject();
     }
-    platform.count(|c| c.object_reads += 1);
-    match platform.objects.lock().expect("no write panics").get(&key) {
+    platform.update_counts(|counts| counts.object_reads += 1);
+    match platform.objects.lock().expect("the objects' lock is not poisoned").get(&key) {
         Some(value) => value.into_response(),
         None => StatusCode::NOT_FOUND.into_response(),
     }
 }
 
 async fn delete_object(
-    State(platform): Shared,
-    ConnectInfo(peer): ConnectInfo<Peer>,
+    State(platform): SharedPlatform,
+    ConnectInfo(connection): ConnectInfo<Connection>,
     Path(key): Path<String>,
 ) -> Response {
-    if !admit(&platform.faults, |f| &mut f.objects).await {
-        return platform.refuse();
+    if !accept_call(&platform.faults, |faults| &mut faults.objects).await {
+        return platform.reject();
     }
-    platform.count(|c| c.object_writes += 1);
-    platform.objects.lock().expect("no write panics").delete(&key);
-    if loses_ack(&platform.faults, |f| &mut f.objects) {
-        return peer.hang_up().await;
+    platform.update_counts(|counts| counts.object_writes += 1);
+    platform.objects.lock().expect("the objects' lock is not poisoned").delete(&key);
+    if loses_response(&platform.faults, |faults| &mut faults.objects) {
+        return connection.reset_and_never_respond().await;
     }
     StatusCode::NO_CONTENT.into_response()
 }
 
 #[derive(Deserialize)]
-struct Prefix {
+struct ListQuery {
     #[serde(default)]
     prefix: String,
 }
 
-async fn list_objects(State(platform): Shared, Query(query): Query<Prefix>) -> Response {
-    if !admit(&platform.faults, |f| &mut f.objects).await {
-        return platform.refuse();
+async fn list_objects(
+    State(platform): SharedPlatform,
+    Query(query): Query<ListQuery>,
+) -> Response {
+    if !accept_call(&platform.faults, |faults| &mut faults.objects).await {
+        return platform.reject();
     }
-    platform.count(|c| c.object_reads += 1);
-    let objects = platform.objects.lock().expect("no write panics");
+    platform.update_counts(|counts| counts.object_reads += 1);
+    let objects = platform.objects.lock().expect("the objects' lock is not poisoned");
     Json(objects.list(&query.prefix)).into_response()
 }
 
-async fn read_vms(State(platform): Shared) -> Response {
-    if !admit(&platform.faults, |f| &mut f.vms).await {
-        return platform.refuse();
+async fn list_vms(State(platform): SharedPlatform) -> Response {
+    if !accept_call(&platform.faults, |faults| &mut faults.vms).await {
+        return platform.reject();
     }
-    platform.count(|c| c.vm_reads += 1);
+    platform.update_counts(|counts| counts.vm_reads += 1);
     let lag = Duration::from_millis(platform.faults.lock().vms.lag_ms);
-    let vms = platform.vms.lock().expect("no change of VMs panics");
+    let vms = platform.vms.lock().expect("the VM list's lock is not poisoned");
     Json(vms.read(Instant::now(), lag)).into_response()
 }
 
-async fn set_vms(State(platform): Shared, Json(list): Json<Vec<VmRow>>) -> StatusCode {
-    let mut vms = platform.vms.lock().expect("no change of VMs panics");
+async fn set_vms(
+    State(platform): SharedPlatform,
+    Json(list): Json<Vec<VmRow>>,
+) -> StatusCode {
+    let mut vms = platform.vms.lock().expect("the VM list's lock is not poisoned");
     vms.set(Instant::now(), list);
     StatusCode::NO_CONTENT
 }
 
 async fn put_vm(
-    State(platform): Shared,
+    State(platform): SharedPlatform,
     Path(vm): Path<String>,
     Json(row): Json<VmRow>,
 ) -> StatusCode {
     if row.vm.as_str() != vm {
         return StatusCode::BAD_REQUEST;
     }
-    platform.vms.lock().expect("no change of VMs panics").put(Instant::now(), row);
+    platform
+        .vms
+        .lock()
+        .expect("the VM list's lock is not poisoned")
+        .put(Instant::now(), row);
     StatusCode::NO_CONTENT
 }
 
-async fn delete_vm(State(platform): Shared, Path(vm): Path<String>) -> StatusCode {
-    platform.vms.lock().expect("no change of VMs panics").delete(Instant::now(), &vm);
+async fn delete_vm(
+    State(platform): SharedPlatform,
+    Path(vm): Path<String>,
+) -> StatusCode {
+    platform
+        .vms
+        .lock()
+        .expect("the VM list's lock is not poisoned")
+        .delete(Instant::now(), &vm);
     StatusCode::NO_CONTENT
 }
 
 #[derive(Deserialize)]
-struct Size {
+struct LoadQuery {
     bytes: u64,
 }
 
-async fn load(
-    State(platform): Shared,
+async fn load_weights(
+    State(platform): SharedPlatform,
     Path(name): Path<String>,
-    Query(size): Query<Size>,
+    Query(query): Query<LoadQuery>,
 ) -> Response {
-    if !admit(&platform.faults, |f| &mut f.weights).await {
-        return platform.refuse();
+    if !accept_call(&platform.faults, |faults| &mut faults.weights).await {
+        return platform.reject();
     }
-    platform.count(|c| c.loads += 1);
-    let took = platform.weights.load(size.bytes).await;
-    let took = took.as_millis() as u64;
-    Json(json!({"name": name, "bytes": size.bytes, "took_ms": took})).into_response()
+    platform.update_counts(|counts| counts.loads += 1);
+    let duration = platform.weights.load(query.bytes).await;
+    let took_ms = duration.as_millis() as u64;
+    Json(json!({"name": name, "bytes": query.bytes, "took_ms": took_ms})).into_response()
 }
 
-async fn counts(State(platform): Shared) -> Json<PlatformCounts> {
-    Json(*platform.counts.lock().expect("no holder of the counts panics"))
+async fn get_counts(State(platform): SharedPlatform) -> Json<PlatformCounts> {
+    Json(*platform.counts.lock().expect("the counts' lock is not poisoned"))
 }
--- a/crates/fake/src/service.rs
+++ b/crates/fake/src/service.rs
@@ -1,4 +1,4 @@
-//! A plain service that records what it ran.
+//! A plain service that echoes its requests and records what it ran.
 
 use std::io;
 use std::net::SocketAddr;
@@ -15,46 +15,46 @@
 use serde::{Deserialize, Serialize};
 use serde_json::json;
 
-use crate::faults::{self, Faults, ServiceFaults, take};
-use crate::port::{Lives, Peer, ServerHandle};
+use crate::faults::{self, Faults, ServiceFaults, try_decrement};
+use crate::listener::{Connection, CrashSwitch, ServerHandle};
 
-/// How often a frozen service looks whether it is thawed.
-const THAW: Duration = Duration::from_millis(10);
+/// How often a frozen service checks whether the fault was cleared.
+const FREEZE_POLL_INTERVAL: Duration = Duration::from_millis(10);
 
-/// What a plain service is like.
+/// The configuration of a plain service.
 #[derive(Debug, Clone)]
 pub struct ServiceConfig {
-    /// The service's name, which its answers tell.
+    /// The service's name, included in its responses.
     pub name: String,
-    /// How long a call takes.
+    /// The duration of a call.
     pub service_time: Duration,
 }
 
-/// What a plain service did so far, over all its lives.
+/// What a plain service did so far, including before its crashes.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ServiceCounts {
-    /// How often a call ran, by the caller's key, or else the request id.
+    /// The number of runs by idempotency key, or by request id for calls without a key.
     pub runs: IndexMap<String, u32>,
-    /// How often a call ran, by request id.
+    /// The number of runs by request id.
     pub requests: IndexMap<String, u32>,
-    /// Calls that run now.
+    /// Calls running now.
     pub active: u32,
-    /// The most calls that ever ran at the same time.
+    /// The maximum number of concurrent calls so far.
     pub peak: u32,
-    /// How often the service crashed.
+    /// The number of crashes.
     pub crashes: u32,
 }
 
 struct Service {
     config: ServiceConfig,
     faults: Faults<ServiceFaults>,
-    lives: Lives,
+    crash_switch: CrashSwitch,
     counts: Mutex<ServiceCounts>,
 }
 
-type Shared = State<Arc<Service>>;
+type SharedService = State<Arc<Service>>;
 
-/// Starts a plain service.
+/// Starts a plain service on an address; with port 0 the system chooses the port.
 pub async fn start(
     listen: SocketAddr,
     config: ServiceConfig,
@@ -62,72 +62,72 @@
     let service = Arc::new(Service {
         config,
         faults: Faults::default(),
-        lives: Lives::default(),
+        crash_switch: CrashSwitch::default(),
         counts: Mutex::default(),
     });
     let faults = service.faults.clone();
-    let lives = service.lives.clone();
+    let crash_switch = service.crash_switch.clone();
     let router = Router::new()
-        .route("/counts", get(counts))
-        .fallback(call)
+        .route("/counts", get(get_counts))
+        .fallback(handle_call)
         .with_state(service)
         .merge(faults::routes(faults));
-    ServerHandle::serve(listen, lives, router).await
+    ServerHandle::serve(listen, crash_switch, router).await
 }
 
-async fn call(
-    State(service): Shared,
-    ConnectInfo(peer): ConnectInfo<Peer>,
+async fn handle_call(
+    State(service): SharedService,
+    ConnectInfo(connection): ConnectInfo<Connection>,
     method: Method,
     uri: Uri,
     headers: HeaderMap,
     body: Bytes,
 ) -> Response {
     while service.faults.lock().frozen {
-        tokio::time::sleep(THAW).await;
+        tokio::time::sleep(FREEZE_POLL_INTERVAL).await;
     }
     if service.faults.lock().down {
         return (StatusCode::SERVICE_UNAVAILABLE, "down").into_response();
     }
-    let run = service.begin(&headers);
+    let run_number = service.begin_call(&headers);
     let delay = Duration::from_millis(service.faults.lock().delay_ms);
     tokio::time::sleep(service.config.service_time + delay).await;
-    service.end();
+    service.end_call();
     let echo = String::from_utf8_lossy(&body).into_owned();
-    if service.marked(&echo) {
+    if service.must_crash(&echo) {
         service.crash();
     }
-    if take(&mut service.faults.lock().lose_answers) {
-        return peer.hang_up().await;
+    if try_decrement(&mut service.faults.lock().lose_answers) {
+        return connection.reset_and_never_respond().await;
     }
     Json(json!({
         "service": service.config.name,
         "method": method.as_str(),
         "path": uri.path_and_query().map_or(uri.path(), |path| path.as_str()),
         "echo": echo,
-        "run": run,
+        "run": run_number,
     }))
     .into_response()
 }
 
-async fn counts(State(service): Shared) -> Json<ServiceCounts> {
-    Json(service.lock().clone())
+async fn get_counts(State(service): SharedService) -> Json<ServiceCounts> {
+    Json(service.lock_counts().clone())
 }
 
 impl Service {
-    fn lock(&self) -> std::sync::MutexGuard<'_, ServiceCounts> {
-        self.counts.lock().expect("no holder of the counts panics")
+    fn lock_counts(&self) -> std::sync::MutexGuard<'_, ServiceCounts> {
+        self.counts.lock().expect("the counts' lock is not poisoned")
     }
 
-    /// Counts a call and returns how often its key ran by now.
-    fn begin(&self, headers: &HeaderMap) -> u32 {
-        let text = |name| {
+    /// Counts a call and returns the number of runs of its key, including this one.
+    fn begin_call(&self, headers: &HeaderMap) -> u32 {
+        let header = |name| {
             let value = headers.get(name).and_then(|value| value.to_str().ok());
             value.map(str::to_owned)
         };
-        let request = text("x-request-id").unwrap_or_default();
-        let key = text("idempotency-key").unwrap_or_else(|| request.clone());
-        let mut counts = self.lock();
+        let request = header("x-request-id").unwrap_or_default();
+        let key = header("idempotency-key").unwrap_or_else(|| request.clone());
+        let mut counts = self.lock_counts();
         counts.active += 1;
         counts.peak = counts.peak.max(counts.active);
         *counts.requests.entry(request).or_default() += 1;
@@ -136,18 +136,18 @@
         *run
     }
 
-    fn end(&self) {
-        self.lock().active -= 1;
+    fn end_call(&self) {
+        self.lock_counts().active -= 1;
     }
 
-    fn marked(&self, body: &str) -> bool {
+    fn must_crash(&self, body: &str) -> bool {
         let faults = self.faults.lock();
-        faults.crash_on.as_deref().is_some_and(|mark| body.contains(mark))
+        faults.crash_on.as_deref().is_some_and(|pattern| body.contains(pattern))
     }
 
     fn crash(&self) {
         let outage = Duration::from_millis(self.faults.lock().restart_ms);
-        self.lives.crash(outage);
-        self.lock().crashes += 1;
+        self.crash_switch.crash(outage);
+        self.lock_counts().crashes += 1;
     }
 }
--- a/crates/fake/src/table.rs
+++ b/crates/fake/src/table.rs
@@ -6,31 +6,32 @@
 use chestnut_plat::{Delta, Precondition, Row, Txn, TxnResponse, Write};
 use serde_json::Value;
 
-/// All tables.
+/// All tables of the table service.
 #[derive(Debug, Default)]
 pub struct Tables {
-    /// The version of the last commit that wrote.
+    /// The version of the last transaction with writes.
     version: u64,
     tables: BTreeMap<String, Rows>,
 }
 
-/// The rows of one table.
+/// The rows and change history of one table.
 #[derive(Debug, Default)]
 struct Rows {
     rows: BTreeMap<String, Row>,
-    /// The version at which a key was removed; never holds a key of `rows`.
-    gone: BTreeMap<String, u64>,
-    /// The last change of every key of `rows` and `gone`, in the order of versions.
-    log: BTreeSet<(u64, String)>,
+    /// Tombstones: the version at which each key was deleted; disjoint from `rows`.
+    tombstones: BTreeMap<String, u64>,
+    /// The last change of every key of `rows` and `tombstones`, ordered by version.
+    changes: BTreeSet<(u64, String)>,
 }
 
 impl Tables {
-    /// Commits a transaction at the time `now`, in milliseconds.
+    /// Commits a transaction if all its preconditions hold. `now` is in milliseconds
+    /// since the Unix epoch.
     pub fn commit(&mut self, txn: Txn, now: u64) -> TxnResponse {
-        for (index, check) in txn.checks.iter().enumerate() {
-            let (table, key) = target(check);
+        for (index, precondition) in txn.checks.iter().enumerate() {
+            let (table, key) = table_and_key(precondition);
             let row = self.get(table, key);
-            if !holds(check, row, now) {
+            if !is_met(precondition, row, now) {
                 return TxnResponse::Conflict { check: index, row: row.cloned() };
             }
         }
@@ -38,12 +39,13 @@
             self.version += 1;
         }
         for write in txn.writes {
-            self.apply(write, now);
+            self.apply_write(write, now);
         }
         TxnResponse::Committed { version: self.version, now }
     }
 
-    /// Reads the changes of a table.
+    /// The changes of a table since a version. All changes of one version are in the same
+    /// page, so a page can exceed the limit.
     pub fn scan(&self, scan: &ScanQuery, now: u64) -> Delta {
         let mut delta = Delta {
             rows: Vec::new(),
@@ -54,20 +56,21 @@
         };
         let Some(table) = self.tables.get(&scan.table) else { return delta };
         let limit = scan.limit.unwrap_or(usize::MAX);
-        let mut last = 0;
-        for (version, key) in table.log.range((scan.since + 1, String::new())..) {
+        let mut last_version = 0;
+        for (version, key) in table.changes.range((scan.since + 1, String::new())..) {
             if !key.starts_with(&scan.prefix) {
                 continue;
             }
-            if delta.rows.len() + delta.deleted.len() >= limit && *version > last {
-                delta.version = last;
+            if delta.rows.len() + delta.deleted.len() >= limit && *version > last_version
+            {
+                delta.version = last_version;
                 delta.more = true;
                 break;
             }
-            last = *version;
+            last_version = *version;
             match table.rows.get(key) {
                 Some(row) => delta.rows.push(row.clone()),
-                // Whoever reads all rows never knew of those that are gone.
+                // A reader from version 0 never saw the deleted rows.
                 None if scan.since == 0 => {}
                 None => delta.deleted.push(key.clone()),
             }
@@ -75,36 +78,37 @@
         delta
     }
 
-    /// Reads the changes of several tables.
-    pub fn changes(&self, ask: &ChangesQuery, now: u64) -> ChangesResponse {
-        let mut changed = ChangesResponse {
+    /// The changes of several tables since a version, and the requested rows.
+    pub fn changes(&self, query: &ChangesQuery, now: u64) -> ChangesResponse {
+        let mut response = ChangesResponse {
             rows: Vec::new(),
             deleted: Vec::new(),
             requested: Vec::new(),
             version: self.version,
             now,
         };
-        for table in &ask.tables {
-            let (table, since) = (table.clone(), ask.since);
+        for table in &query.tables {
+            let (table, since) = (table.clone(), query.since);
             let prefix = String::new();
             let scan = ScanQuery { table: table.clone(), prefix, since, limit: None };
             let delta = self.scan(&scan, now);
-            changed.rows.extend(delta.rows);
-            changed
+            response.rows.extend(delta.rows);
+            response
                 .deleted
                 .extend(delta.deleted.into_iter().map(|key| (table.clone(), key)));
         }
-        let wanted = ask.row_keys.iter().filter_map(|row| self.get(&row.table, &row.key));
-        changed.requested.extend(wanted.cloned());
-        changed
+        let requested =
+            query.row_keys.iter().filter_map(|row| self.get(&row.table, &row.key));
+        response.requested.extend(requested.cloned());
+        response
     }
 
-    /// Reads one row.
+    /// A row; `None` if the key does not exist.
     pub fn get(&self, table: &str, key: &str) -> Option<&Row> {
         self.tables.get(table)?.rows.get(key)
     }
 
-    fn apply(&mut self, write: Write, now: u64) {
+    fn apply_write(&mut self, write: Write, now: u64) {
         let version = self.version;
         match write {
             Write::Put { table, key, value } => {
@@ -120,8 +124,8 @@
 
 impl Rows {
     fn put(&mut self, row: Row) {
-        self.forget(&row.key);
-        self.log.insert((row.version, row.key.clone()));
+        self.remove_key(&row.key);
+        self.changes.insert((row.version, row.key.clone()));
         self.rows.insert(row.key.clone(), row);
     }
 
@@ -129,29 +133,29 @@
         if !self.rows.contains_key(&key) {
             return;
         }
-        self.forget(&key);
-        self.log.insert((version, key.clone()));
-        self.gone.insert(key, version);
+        self.remove_key(&key);
+        self.changes.insert((version, key.clone()));
+        self.tombstones.insert(key, version);
     }
 
-    fn forget(&mut self, key: &str) {
-        let row = self.rows.remove(key).map(|row| row.version);
-        if let Some(version) = row.or_else(|| self.gone.remove(key)) {
-            self.log.remove(&(version, key.to_owned()));
+    fn remove_key(&mut self, key: &str) {
+        let row_version = self.rows.remove(key).map(|row| row.version);
+        if let Some(version) = row_version.or_else(|| self.tombstones.remove(key)) {
+            self.changes.remove(&(version, key.to_owned()));
         }
     }
 }
 
-fn target(check: &Precondition) -> (&str, &str) {
-    match check {
+fn table_and_key(precondition: &Precondition) -> (&str, &str) {
+    match precondition {
         Precondition::Absent { table, key }
         | Precondition::Version { table, key, .. }
         | Precondition::Idle { table, key, .. } => (table, key),
     }
 }
 
-fn holds(check: &Precondition, row: Option<&Row>, now: u64) -> bool {
-    match (check, row) {
+fn is_met(precondition: &Precondition, row: Option<&Row>, now: u64) -> bool {
+    match (precondition, row) {
         (Precondition::Absent { .. }, row) => row.is_none(),
         (Precondition::Version { version, .. }, Some(row)) => row.version == *version,
         (Precondition::Version { .. }, None) => false,
@@ -162,7 +166,7 @@
     }
 }
 
-/// A value that stands for no row in an answer.
+/// The row as JSON; `null` if there is none.
 pub(crate) fn row_value(row: Option<&Row>) -> Value {
     row.map_or(Value::Null, |row| serde_json::json!(row))
 }
--- a/crates/fake/src/vms.rs
+++ b/crates/fake/src/vms.rs
@@ -1,46 +1,47 @@
-//! The list of VMs and what it was a while ago.
+//! The list of VMs with its history, so that reads can be stale.
 
 use std::collections::VecDeque;
 use std::time::{Duration, Instant};
 
 use chestnut_plat::VmRow;
 
-/// How many former lists are kept.
-const HISTORY: usize = 256;
+/// The number of lists retained.
+const MAX_HISTORY: usize = 256;
 
-/// The list of VMs and what it was a while ago.
+/// The list of VMs with its history.
 #[derive(Debug, Default)]
 pub struct VmHistory {
-    /// The lists with the time from which each held, oldest first.
+    /// Each list with the time at which it was set, oldest first.
     lists: VecDeque<(Instant, Vec<VmRow>)>,
 }
 
 impl VmHistory {
-    /// The list as it was `lag` before `now`; the oldest known if that is too long.
+    /// The list as it was `lag` before `now`, or the oldest one retained; empty if none
+    /// was set.
     pub fn read(&self, now: Instant, lag: Duration) -> Vec<VmRow> {
-        let old = self.lists.iter().rev().find(|(from, _)| *from + lag <= now);
-        old.or(self.lists.front()).map(|(_, list)| list.clone()).unwrap_or_default()
+        let current = self.lists.iter().rev().find(|(set_at, _)| *set_at + lag <= now);
+        current.or(self.lists.front()).map(|(_, list)| list.clone()).unwrap_or_default()
     }
 
-    /// Replaces the list.
+    /// Replaces the whole list.
     pub fn set(&mut self, now: Instant, list: Vec<VmRow>) {
         self.lists.push_back((now, list));
-        if self.lists.len() > HISTORY {
+        if self.lists.len() > MAX_HISTORY {
             self.lists.pop_front();
         }
     }
 
-    /// Adds or replaces one VM.
+    /// Adds a VM or replaces its row.
     pub fn put(&mut self, now: Instant, row: VmRow) {
         let mut list = self.latest();
-        match list.iter_mut().find(|old| old.vm == row.vm) {
-            Some(old) => *old = row,
+        match list.iter_mut().find(|existing| existing.vm == row.vm) {
+            Some(existing) => *existing = row,
             None => list.push(row),
         }
         self.set(now, list);
     }
 
-    /// Removes one VM if it is there.
+    /// Removes a VM if it is listed.
     pub fn delete(&mut self, now: Instant, vm: &str) {
         let mut list = self.latest();
         list.retain(|row| row.vm.as_str() != vm);
--- a/crates/fake/src/weights.rs
+++ b/crates/fake/src/weights.rs
@@ -1,4 +1,4 @@
-//! The weight store, which starts few loads a second and slows down under many.
+//! A weight store that limits the rate of loads and slows down under concurrent loads.
 
 use std::sync::Mutex;
 use std::sync::atomic::{AtomicU32, Ordering};
@@ -6,17 +6,17 @@
 
 use tokio::time::Instant;
 
-/// How often a load's progress is brought up to date.
-const TICK: Duration = Duration::from_millis(10);
+/// How often a load's progress is updated.
+const UPDATE_INTERVAL: Duration = Duration::from_millis(10);
 
-/// How fast a weight store is.
+/// The throughput of a weight store.
 #[derive(Debug, Clone, Copy)]
 pub struct WeightStoreConfig {
-    /// Loads that it starts in a second.
+    /// Loads started per second at most.
     pub loads_per_second: f64,
-    /// Loads that it serves at full speed at the same time.
+    /// Concurrent loads served at full speed.
     pub parallel_loads: u32,
-    /// The full speed of one load, in bytes a second.
+    /// The full speed of one load, in bytes per second.
     pub bytes_per_second: f64,
 }
 
@@ -26,68 +26,71 @@
     }
 }
 
-/// The weight store.
+/// A weight store; it serves no data, only the time that a load takes.
 #[derive(Debug)]
 pub struct WeightStore {
     config: WeightStoreConfig,
     /// When the next load may start.
-    next: Mutex<Instant>,
+    next_start: Mutex<Instant>,
     active: AtomicU32,
 }
 
 impl WeightStore {
-    /// Creates a store.
+    /// Creates a store without active loads.
     pub fn new(config: WeightStoreConfig) -> Self {
-        Self { config, next: Mutex::new(Instant::now()), active: AtomicU32::new(0) }
+        Self { config, next_start: Mutex::new(Instant::now()), active: AtomicU32::new(0) }
     }
 
-    /// Takes the time that a load of so many bytes takes, which is returned.
+    /// Waits as long as a load of `bytes` takes; returns that time, including the wait
+    /// for its start.
     pub async fn load(&self, bytes: u64) -> Duration {
-        let asked = Instant::now();
-        tokio::time::sleep_until(self.book()).await;
-        let _active = Active::enter(&self.active);
-        let mut left = bytes as f64;
-        let mut last = Instant::now();
-        while left > 0.0 {
-            tokio::time::sleep(TICK).await;
+        let requested_at = Instant::now();
+        tokio::time::sleep_until(self.reserve_start()).await;
+        let _active = ActiveLoad::new(&self.active);
+        let mut remaining = bytes as f64;
+        let mut updated_at = Instant::now();
+        while remaining > 0.0 {
+            tokio::time::sleep(UPDATE_INTERVAL).await;
             let now = Instant::now();
-            left -= self.share() * (now - last).as_secs_f64();
-            last = now;
+            remaining -= self.current_speed() * (now - updated_at).as_secs_f64();
+            updated_at = now;
         }
-        asked.elapsed()
+        requested_at.elapsed()
     }
 
-    /// Books the next start that the rate allows.
-    fn book(&self) -> Instant {
-        let mut next = self.next.lock().expect("no holder of the booking panics");
-        let start = (*next).max(Instant::now());
-        *next = start + Duration::from_secs_f64(1.0 / self.config.loads_per_second);
+    /// Reserves the next start that the rate limit allows.
+    fn reserve_start(&self) -> Instant {
+        let mut next_start =
+            self.next_start.lock().expect("the start time's lock is not poisoned");
+        let start = (*next_start).max(Instant::now());
+        *next_start = start + Duration::from_secs_f64(1.0 / self.config.loads_per_second);
         start
     }
 
-    /// The present speed of one load, in bytes a second.
+    /// The current speed of one load, in bytes per second.
     ///
-    /// Loads beyond the parallel ones share a speed that falls with each of
-    /// them, as the store's disks lose time between their files.
-    fn share(&self) -> f64 {
+    /// Beyond `parallel_loads`, the total throughput falls with each further load, since
+    /// disks lose time when they switch between files.
+    fn current_speed(&self) -> f64 {
         let active = f64::from(self.active.load(Ordering::Relaxed).max(1));
-        let parallel = f64::from(self.config.parallel_loads);
-        let crowd = (active / parallel).max(1.0);
-        self.config.bytes_per_second / (crowd * crowd)
+        let at_full_speed = f64::from(self.config.parallel_loads);
+        let excess = (active / at_full_speed).max(1.0);
+        self.config.bytes_per_second / (excess * excess)
     }
 }
 
-/// Counts a load while it lasts, also when its caller goes away.
-struct Active<'a>(&'a AtomicU32);
+/// Counts an active load until dropped, so that a load is also released when its caller
+/// disconnects.
+struct ActiveLoad<'a>(&'a AtomicU32);
 
-impl<'a> Active<'a> {
-    fn enter(count: &'a AtomicU32) -> Self {
+impl<'a> ActiveLoad<'a> {
+    fn new(count: &'a AtomicU32) -> Self {
         count.fetch_add(1, Ordering::Relaxed);
         Self(count)
     }
 }
 
-impl Drop for Active<'_> {
+impl Drop for ActiveLoad<'_> {
     fn drop(&mut self) {
         self.0.fetch_sub(1, Ordering::Relaxed);
     }
--- a/crates/fake/tests/engine.rs
+++ b/crates/fake/tests/engine.rs
@@ -1,4 +1,4 @@
-//! The engine as the daemon's clients meet it.
+//! The engine's HTTP interface.
 
 use std::net::{Ipv4Addr, SocketAddr};
 use std::time::Duration;
@@ -7,45 +7,46 @@
 use reqwest::{Client, RequestBuilder, Response, StatusCode};
 use serde_json::{Value, json};
 
-struct Rig {
-    engine: ServerHandle,
+struct TestEngine {
+    server: ServerHandle,
     http: Client,
-    orders: u64,
+    /// The id of the last order sent.
+    last_order_id: u64,
 }
 
-impl Rig {
+impl TestEngine {
     async fn new(config: EngineConfig) -> Self {
-        let any = SocketAddr::from((Ipv4Addr::LOCALHOST, 0));
-        let engine = engine::start(any, config).await.unwrap();
+        let any_port = SocketAddr::from((Ipv4Addr::LOCALHOST, 0));
+        let server = engine::start(any_port, config).await.unwrap();
         let http = Client::builder().no_proxy().build().unwrap();
-        Self { engine, http, orders: 0 }
+        Self { server, http, last_order_id: 0 }
     }
 
-    /// An engine with quick steps and the model `m@1` of 10 bytes.
+    /// Starts an engine with short steps and loads the model `m@1` of 10 bytes.
     async fn with_model() -> Self {
-        let mut rig = Self::new(quick()).await;
-        assert_eq!(rig.load("m", 10, 1).await.status(), StatusCode::ACCEPTED);
-        rig.until(|report| report["models"][0]["state"] == "ready").await;
-        rig
+        let mut engine = Self::new(config_with_short_steps()).await;
+        assert_eq!(engine.load("m", 10, 1).await.status(), StatusCode::ACCEPTED);
+        engine.wait_for_report(|report| report["models"][0]["state"] == "ready").await;
+        engine
     }
 
     fn post(&self, path: &str, body: Value) -> RequestBuilder {
-        self.http.post(format!("{}{path}", self.engine.url())).json(&body)
+        self.http.post(format!("{}{path}", self.server.url())).json(&body)
     }
 
     async fn get(&self, path: &str) -> Response {
-        self.http.get(format!("{}{path}", self.engine.url())).send().await.unwrap()
+        self.http.get(format!("{}{path}", self.server.url())).send().await.unwrap()
     }
 
-    async fn fault(&self, fault: Value) {
-        let answer = self.post("/faults", fault).send().await.unwrap();
-        assert!(answer.status().is_success());
+    async fn inject_fault(&self, fault: Value) {
+        let response = self.post("/faults", fault).send().await.unwrap();
+        assert!(response.status().is_success());
     }
 
     fn order(&mut self, body: Value, fence: u64) -> RequestBuilder {
-        self.orders += 1;
-        let order = self.post("/v1/orders", body).header("x-fence", fence);
-        order.header("x-order-id", self.orders)
+        self.last_order_id += 1;
+        let request = self.post("/v1/orders", body).header("x-fence", fence);
+        request.header("x-order-id", self.last_order_id)
     }
 
     async fn load(&mut self, model: &str, bytes: u64, fence: u64) -> Response {
@@ -62,27 +63,27 @@
         self.get("/v1/report").await.json().await.unwrap()
     }
 
-    async fn until(&self, done: impl Fn(&Value) -> bool) -> Value {
+    async fn wait_for_report(&self, condition: impl Fn(&Value) -> bool) -> Value {
         for _ in 0..1000 {
             let report = self.report().await;
-            if done(&report) {
+            if condition(&report) {
                 return report;
             }
             tokio::time::sleep(Duration::from_millis(10)).await;
         }
-        panic!("never reported: {}", self.report().await);
+        panic!("the report never met the condition: {}", self.report().await);
     }
 
     async fn counts(&self) -> EngineCounts {
         self.get("/counts").await.json().await.unwrap()
     }
 
-    fn ask(&self, id: &str, body: Value) -> RequestBuilder {
+    fn completion(&self, id: &str, body: Value) -> RequestBuilder {
         self.post("/v1/completions", body).header("x-request-id", id)
     }
 }
 
-fn quick() -> EngineConfig {
+fn config_with_short_steps() -> EngineConfig {
     EngineConfig {
         memory_bytes: 100,
         step_time: Duration::from_millis(1),
@@ -90,225 +91,242 @@
     }
 }
 
-/// The text of the events of a stream and whether it has its end mark.
+/// The text of a stream's events and whether the stream has its end marker.
 fn read_events(body: &str) -> (String, bool) {
     let mut text = String::new();
-    let mut done = false;
+    let mut has_end_marker = false;
     for line in body.lines().filter_map(|line| line.strip_prefix("data: ")) {
         if line == "[DONE]" {
-            done = true;
+            has_end_marker = true;
             continue;
         }
         let event: Value = serde_json::from_str(line).unwrap();
         let choice = &event["choices"][0];
-        let piece = choice["text"].as_str().or(choice["delta"]["content"].as_str());
-        text.push_str(piece.unwrap());
+        let content = choice["text"].as_str().or(choice["delta"]["content"].as_str());
+        text.push_str(content.unwrap());
     }
-    (text, done)
+    (text, has_end_marker)
 }
 
 #[tokio::test]
-async fn whole_streamed_and_chat_answers_have_the_expected_text() {
-    let rig = Rig::with_model().await;
+async fn whole_streamed_and_chat_responses_have_the_expected_text() {
+    let engine = TestEngine::with_model().await;
     let body = json!({"model": "m@1", "prompt": "hello", "max_tokens": 5});
-    let answer: Value = rig.ask("a", body).send().await.unwrap().json().await.unwrap();
-    assert_eq!(answer["choices"][0]["text"], expected_text("m@1", "hello", 0, 5));
+    let response: Value =
+        engine.completion("a", body).send().await.unwrap().json().await.unwrap();
+    assert_eq!(response["choices"][0]["text"], expected_text("m@1", "hello", 0, 5));
     let body = json!({
         "model": "m@1", "prompt": "hello", "max_tokens": 5, "stream": true,
         "resume_from": 3,
     });
-    let events = rig.ask("b", body).send().await.unwrap().text().await.unwrap();
+    let events = engine.completion("b", body).send().await.unwrap().text().await.unwrap();
     assert_eq!(read_events(&events), (expected_text("m@1", "hello", 3, 2), true));
     let messages = json!([{"role": "user", "content": "a"}, {"content": "b"}]);
     let body = json!({"model": "m@1", "messages": messages, "max_tokens": 2});
-    let chat = rig.post("/v1/chat/completions", body).header("x-request-id", "c");
-    let answer: Value = chat.send().await.unwrap().json().await.unwrap();
-    let text = &answer["choices"][0]["message"]["content"];
+    let request = engine.post("/v1/chat/completions", body).header("x-request-id", "c");
+    let response: Value = request.send().await.unwrap().json().await.unwrap();
+    let text = &response["choices"][0]["message"]["content"];
     assert_eq!(text, &json!(expected_text("m@1", "a\nb", 0, 2)));
 }
 
 #[tokio::test]
 async fn unknown_model_is_not_found() {
-    let rig = Rig::with_model().await;
+    let engine = TestEngine::with_model().await;
     let body = json!({"model": "other@1", "prompt": "hello"});
-    let answer = rig.ask("a", body).send().await.unwrap();
-    assert_eq!(answer.status(), StatusCode::NOT_FOUND);
+    let response = engine.completion("a", body).send().await.unwrap();
+    assert_eq!(response.status(), StatusCode::NOT_FOUND);
 }
 
-/// The reader sees the stream break off and reads the rest by the request's id.
+/// After the connection is reset in mid-stream, the rest can be read by the request's id.
 #[tokio::test]
-async fn cut_stream_can_be_read_on() {
-    let rig = Rig::with_model().await;
-    rig.fault(json!({"cut_after": 2})).await;
+async fn interrupted_stream_can_be_resumed() {
+    let engine = TestEngine::with_model().await;
+    engine.inject_fault(json!({"cut_after": 2})).await;
     let body =
         json!({"model": "m@1", "prompt": "hello", "max_tokens": 9, "stream": true});
-    let answer = rig.ask("a", body).send().await.unwrap();
-    assert!(answer.text().await.is_err());
-    let rest = rig.get("/v1/requests/a?from=2").await.text().await.unwrap();
+    let response = engine.completion("a", body).send().await.unwrap();
+    assert!(response.text().await.is_err());
+    let rest = engine.get("/v1/requests/a?from=2").await.text().await.unwrap();
     assert_eq!(read_events(&rest), (expected_text("m@1", "hello", 2, 7), true));
-    assert_eq!(rig.get("/v1/requests/z").await.status(), StatusCode::NOT_FOUND);
+    assert_eq!(engine.get("/v1/requests/z").await.status(), StatusCode::NOT_FOUND);
 }
 
-/// The reader sees a clean end of the body with no end mark.
+/// The body ends without an error but has no end marker.
 #[tokio::test]
-async fn short_stream_has_no_end_mark() {
-    let rig = Rig::with_model().await;
-    rig.fault(json!({"end_after": 2})).await;
+async fn truncated_stream_has_no_end_marker() {
+    let engine = TestEngine::with_model().await;
+    engine.inject_fault(json!({"end_after": 2})).await;
     let body =
         json!({"model": "m@1", "prompt": "hello", "max_tokens": 9, "stream": true});
-    let events = rig.ask("a", body).send().await.unwrap().text().await.unwrap();
+    let events = engine.completion("a", body).send().await.unwrap().text().await.unwrap();
     assert_eq!(read_events(&events), (expected_text("m@1", "hello", 0, 2), false));
 }
 
 #[tokio::test]
-async fn cancelled_stream_ends_with_no_end_mark() {
-    let rig = Rig::with_model().await;
-    rig.fault(json!({"step_ms": 20})).await;
+async fn cancelled_stream_has_no_end_marker() {
+    let engine = TestEngine::with_model().await;
+    engine.inject_fault(json!({"step_ms": 20})).await;
     let body =
         json!({"model": "m@1", "prompt": "hello", "max_tokens": 9000, "stream": true});
-    let answer = rig.ask("a", body).send().await.unwrap();
-    let url = format!("{}/v1/requests/a", rig.engine.url());
-    let cancelled = rig.http.delete(url).send().await.unwrap();
+    let response = engine.completion("a", body).send().await.unwrap();
+    let url = format!("{}/v1/requests/a", engine.server.url());
+    let cancelled = engine.http.delete(url).send().await.unwrap();
     assert_eq!(cancelled.status(), StatusCode::NO_CONTENT);
-    let (_, done) = read_events(&answer.text().await.unwrap());
-    assert!(!done);
-    rig.until(|report| report["running"] == 0).await;
+    let (_, has_end_marker) = read_events(&response.text().await.unwrap());
+    assert!(!has_end_marker);
+    engine.wait_for_report(|report| report["running"] == 0).await;
 }
 
-/// The prompt's sender and a bystander lose their connections; the engine comes
-/// back on the same port with nothing loaded and another incarnation.
+/// A crash resets all connections, including those of other requests. The engine restarts
+/// on the same port with nothing loaded and another incarnation.
 #[tokio::test]
-async fn marked_prompt_crashes_the_engine() {
-    let rig = Rig::with_model().await;
-    let before = rig.report().await["incarnation"].clone();
-    rig.fault(json!({"crash_on": "BOOM", "restart_ms": 50, "step_ms": 20})).await;
-    let long =
+async fn prompt_with_the_crash_pattern_crashes_the_engine() {
+    let engine = TestEngine::with_model().await;
+    let first_incarnation = engine.report().await["incarnation"].clone();
+    engine
+        .inject_fault(json!({"crash_on": "BOOM", "restart_ms": 50, "step_ms": 20}))
+        .await;
+    let long_request =
         json!({"model": "m@1", "prompt": "by", "max_tokens": 9000, "stream": true});
-    let bystander = rig.ask("b", long).send().await.unwrap();
+    let other_response = engine.completion("b", long_request).send().await.unwrap();
     let body = json!({"model": "m@1", "prompt": "go BOOM", "max_tokens": 1});
-    assert!(rig.ask("a", body).send().await.is_err());
-    assert!(bystander.text().await.is_err());
-    while tokio::net::TcpStream::connect(rig.engine.address).await.is_err() {
+    assert!(engine.completion("a", body).send().await.is_err());
+    assert!(other_response.text().await.is_err());
+    while tokio::net::TcpStream::connect(engine.server.address).await.is_err() {
         tokio::time::sleep(Duration::from_millis(10)).await;
     }
-    let report = rig.report().await;
-    assert_ne!(report["incarnation"], before);
+    let report = engine.report().await;
+    assert_ne!(report["incarnation"], first_incarnation);
     assert_eq!((&report["used"], &report["models"]), (&json!(0), &json!([])));
-    let counts = rig.counts().await;
+    let counts = engine.counts().await;
     assert_eq!((counts.crashes, counts.prompts["go BOOM"]), (1, 1));
 }
 
 #[tokio::test]
 async fn memory_is_never_overcommitted() {
-    let mut rig = Rig::with_model().await;
-    assert_eq!(rig.load("big", 91, 1).await.status(), StatusCode::CONFLICT);
-    assert_eq!(rig.load("fits", 90, 1).await.status(), StatusCode::ACCEPTED);
+    let mut engine = TestEngine::with_model().await;
+    assert_eq!(engine.load("big", 91, 1).await.status(), StatusCode::CONFLICT);
+    assert_eq!(engine.load("fits", 90, 1).await.status(), StatusCode::ACCEPTED);
     let adapter = json!({
         "lora_name": "ad", "lora_path": "x", "base_model_name": "m@1", "bytes": 1,
     });
-    let load = rig.post("/v1/load_lora_adapter", adapter.clone());
+    let load = engine.post("/v1/load_lora_adapter", adapter.clone());
     let load = load.header("x-order-id", 50).header("x-fence", 1);
     assert_eq!(load.send().await.unwrap().status(), StatusCode::CONFLICT);
-    rig.unload("fits", 1).await;
-    rig.until(|report| report["used"] == 10).await;
-    let load = rig.post("/v1/load_lora_adapter", adapter);
+    engine.unload("fits", 1).await;
+    engine.wait_for_report(|report| report["used"] == 10).await;
+    let load = engine.post("/v1/load_lora_adapter", adapter);
     let load = load.header("x-order-id", 51).header("x-fence", 1);
     assert_eq!(load.send().await.unwrap().status(), StatusCode::ACCEPTED);
-    rig.until(|report| report["adapters"][0]["state"] == "ready").await;
+    engine.wait_for_report(|report| report["adapters"][0]["state"] == "ready").await;
     let body = json!({"model": "ad", "prompt": "hello", "max_tokens": 2});
-    let answer: Value = rig.ask("a", body).send().await.unwrap().json().await.unwrap();
-    assert_eq!(answer["choices"][0]["text"], expected_text("ad", "hello", 0, 2));
-    let counts = rig.counts().await;
+    let response: Value =
+        engine.completion("a", body).send().await.unwrap().json().await.unwrap();
+    assert_eq!(response["choices"][0]["text"], expected_text("ad", "hello", 0, 2));
+    let counts = engine.counts().await;
     assert_eq!((counts.peak, counts.capacity, counts.overfull), (100, 100, 2));
 }
 
 #[tokio::test]
 async fn unloading_waits_for_running_requests() {
-    let mut rig = Rig::with_model().await;
-    rig.fault(json!({"step_ms": 5})).await;
+    let mut engine = TestEngine::with_model().await;
+    engine.inject_fault(json!({"step_ms": 5})).await;
     let body =
         json!({"model": "m@1", "prompt": "hello", "max_tokens": 40, "stream": true});
-    let answer = rig.ask("a", body.clone()).send().await.unwrap();
-    rig.unload("m", 1).await;
-    assert_eq!(rig.ask("b", body).send().await.unwrap().status(), StatusCode::NOT_FOUND);
-    let (text, done) = read_events(&answer.text().await.unwrap());
-    assert_eq!((text, done), (expected_text("m@1", "hello", 0, 40), true));
-    rig.until(|report| report["used"] == 0).await;
+    let response = engine.completion("a", body.clone()).send().await.unwrap();
+    engine.unload("m", 1).await;
+    assert_eq!(
+        engine.completion("b", body).send().await.unwrap().status(),
+        StatusCode::NOT_FOUND
+    );
+    let (text, has_end_marker) = read_events(&response.text().await.unwrap());
+    assert_eq!((text, has_end_marker), (expected_text("m@1", "hello", 0, 40), true));
+    engine.wait_for_report(|report| report["used"] == 0).await;
 }
 
 #[tokio::test]
-async fn old_fence_is_refused_unless_ignored() {
-    let mut rig = Rig::with_model().await;
-    rig.load("n", 10, 7).await;
-    let refused = rig.unload("m", 6).await;
-    assert_eq!(refused.status(), StatusCode::CONFLICT);
-    let body: Value = refused.json().await.unwrap();
+async fn outdated_fence_is_rejected_unless_ignored() {
+    let mut engine = TestEngine::with_model().await;
+    engine.load("n", 10, 7).await;
+    let rejected = engine.unload("m", 6).await;
+    assert_eq!(rejected.status(), StatusCode::CONFLICT);
+    let body: Value = rejected.json().await.unwrap();
     assert_eq!(body, json!({"code": "fenced", "fence": 7}));
-    rig.fault(json!({"ignore_fence": true})).await;
-    assert_eq!(rig.unload("m", 6).await.status(), StatusCode::ACCEPTED);
-    let counts = rig.counts().await;
+    engine.inject_fault(json!({"ignore_fence": true})).await;
+    assert_eq!(engine.unload("m", 6).await.status(), StatusCode::ACCEPTED);
+    let counts = engine.counts().await;
     assert_eq!((counts.fenced, counts.stale), (1, 1));
 }
 
 #[tokio::test]
-async fn orders_are_lost_late_or_doubled() {
-    let mut rig = Rig::with_model().await;
+async fn orders_can_be_lost_delayed_or_duplicated() {
+    let mut engine = TestEngine::with_model().await;
     let load =
         |model: &str| json!({"op": "load", "model": model, "version": "1", "bytes": 10});
-    rig.fault(json!({"orders": "lost"})).await;
-    assert!(rig.order(load("lost"), 1).send().await.is_err());
-    rig.fault(json!({"orders": "late", "late_ms": 50})).await;
-    assert!(rig.order(load("late"), 1).send().await.is_err());
-    rig.fault(json!({"orders": "twice"})).await;
-    assert!(rig.order(load("twice"), 1).send().await.is_ok());
-    rig.fault(json!({"orders": "none"})).await;
-    let held = |report: &Value, name: &str| {
+    engine.inject_fault(json!({"orders": "lost"})).await;
+    assert!(engine.order(load("lost"), 1).send().await.is_err());
+    engine.inject_fault(json!({"orders": "late", "late_ms": 50})).await;
+    assert!(engine.order(load("late"), 1).send().await.is_err());
+    engine.inject_fault(json!({"orders": "twice"})).await;
+    assert!(engine.order(load("twice"), 1).send().await.is_ok());
+    engine.inject_fault(json!({"orders": "none"})).await;
+    let is_ready = |report: &Value, name: &str| {
         let models = report["models"].as_array().unwrap();
-        models.iter().any(|held| held["model"] == name && held["state"] == "ready")
+        models.iter().any(|entry| entry["model"] == name && entry["state"] == "ready")
     };
-    let report = rig.until(|r| held(r, "late") && held(r, "twice")).await;
-    assert!(!held(&report, "lost"));
-    assert_eq!(rig.counts().await.orders, 3);
+    let report = engine
+        .wait_for_report(|report| is_ready(report, "late") && is_ready(report, "twice"))
+        .await;
+    assert!(!is_ready(&report, "lost"));
+    assert_eq!(engine.counts().await.orders, 3);
 }
 
 #[tokio::test]
-async fn urgent_requests_start_first() {
-    let mut rig = Rig::new(EngineConfig { max_streams: 1, ..quick() }).await;
-    rig.load("m", 10, 1).await;
-    rig.until(|report| report["models"][0]["state"] == "ready").await;
-    rig.fault(json!({"step_ms": 20})).await;
-    let ask = |id: &str, priority: u32, tokens: u32| {
+async fn urgent_requests_start_before_others() {
+    let mut engine =
+        TestEngine::new(EngineConfig { max_streams: 1, ..config_with_short_steps() })
+            .await;
+    engine.load("m", 10, 1).await;
+    engine.wait_for_report(|report| report["models"][0]["state"] == "ready").await;
+    engine.inject_fault(json!({"step_ms": 20})).await;
+    let send = |id: &str, priority: u32, tokens: u32| {
         let body = json!({"model": "m@1", "prompt": id, "max_tokens": tokens});
-        let call = rig.ask(id, body).header("x-priority", priority);
-        tokio::spawn(async move { call.send().await.unwrap().status() })
+        let request = engine.completion(id, body).header("x-priority", priority);
+        tokio::spawn(async move { request.send().await.unwrap().status() })
     };
-    // The first one holds the only stream while the others arrive.
-    let first = ask("first", 2, 10_000);
-    rig.until(|report| report["running"] == 1).await;
-    let calls = [ask("slow", 2, 1), ask("normal", 1, 1), ask("urgent", 0, 1)];
-    rig.until(|report| report["waiting"] == 3).await;
-    let url = format!("{}/v1/requests/first", rig.engine.url());
-    rig.http.delete(url).send().await.unwrap();
+    // The first request occupies the only stream until the others wait.
+    let first = send("first", 2, 10_000);
+    engine.wait_for_report(|report| report["running"] == 1).await;
+    let calls = [send("slow", 2, 1), send("normal", 1, 1), send("urgent", 0, 1)];
+    engine.wait_for_report(|report| report["waiting"] == 3).await;
+    let url = format!("{}/v1/requests/first", engine.server.url());
+    engine.http.delete(url).send().await.unwrap();
     for call in calls {
         assert!(call.await.unwrap().is_success());
     }
     first.abort();
-    let started: Vec<_> = rig.counts().await.prompts.into_keys().collect();
+    let started: Vec<_> = engine.counts().await.prompts.into_keys().collect();
     assert_eq!(started, ["first", "urgent", "normal", "slow"]);
 }
 
 #[tokio::test]
-async fn cached_prefixes_are_published_with_lag_and_gaps() {
-    let rig = Rig::with_model().await;
+async fn cache_events_are_published_with_lag_and_gaps() {
+    let engine = TestEngine::with_model().await;
     let prompt = "x".repeat(64 * 3);
     let body = json!({"model": "m@1", "prompt": prompt, "max_tokens": 1});
-    rig.ask("a", body).send().await.unwrap();
-    let all: Value = rig.get("/v1/cache-events?since=0").await.json().await.unwrap();
-    assert_eq!((all["events"].as_array().unwrap().len(), &all["next"]), (3, &json!(4)));
-    rig.fault(json!({"cache_gap": 2})).await;
-    let some: Value = rig.get("/v1/cache-events?since=0").await.json().await.unwrap();
-    assert_eq!(some["events"].as_array().unwrap().len(), 2);
-    rig.fault(json!({"cache_lag_ms": 60_000})).await;
-    let none: Value = rig.get("/v1/cache-events?since=0").await.json().await.unwrap();
-    assert_eq!(none["events"], json!([]));
+    engine.completion("a", body).send().await.unwrap();
+    let all_events: Value =
+        engine.get("/v1/cache-events?since=0").await.json().await.unwrap();
+    assert_eq!(
+        (all_events["events"].as_array().unwrap().len(), &all_events["next"]),
+        (3, &json!(4))
+    );
+    engine.inject_fault(json!({"cache_gap": 2})).await;
+    let with_gaps: Value =
+        engine.get("/v1/cache-events?since=0").await.json().await.unwrap();
+    assert_eq!(with_gaps["events"].as_array().unwrap().len(), 2);
+    engine.inject_fault(json!({"cache_lag_ms": 60_000})).await;
+    let delayed: Value =
+        engine.get("/v1/cache-events?since=0").await.json().await.unwrap();
+    assert_eq!(delayed["events"], json!([]));
 }
--- a/crates/fake/tests/parts.rs
+++ b/crates/fake/tests/parts.rs
@@ -1,4 +1,4 @@
-//! The parts of the stand-ins that need no network, and the plain service.
+//! The components of the stand-ins that need no network, and the plain service.
 
 use std::net::{Ipv4Addr, SocketAddr};
 use std::time::{Duration, Instant};
@@ -11,12 +11,12 @@
 use proptest::prelude::*;
 use serde_json::{Value, json};
 
-fn question(priority: u8, tokens: u32) -> GenerationRequest {
+fn request(priority: u8, prompt_tokens: u32) -> GenerationRequest {
     let (model, prompt) = ("m".to_owned(), "p".to_owned());
     GenerationRequest {
         model,
         prompt,
-        prompt_tokens: tokens,
+        prompt_tokens,
         start_token: 0,
         end_token: 1,
         priority,
@@ -24,33 +24,33 @@
 }
 
 #[test]
-fn batch_starts_the_most_urgent_first() {
+fn batch_starts_requests_by_priority_and_arrival() {
     let mut batch = Batch::new(1, 1000);
     for (id, priority) in [("slow", 2), ("normal", 1), ("urgent", 0), ("late", 0)] {
-        batch.submit(id, question(priority, 9)).unwrap();
+        batch.submit(id, request(priority, 9)).unwrap();
     }
-    let mut order = Vec::new();
+    let mut priorities = Vec::new();
     while batch.waiting() > 0 {
-        batch.admit(|question| order.push(question.priority));
+        batch.admit(|request| priorities.push(request.priority));
         assert_eq!(batch.step(), 1);
     }
-    assert_eq!(order, [0, 0, 1, 2]);
+    assert_eq!(priorities, [0, 0, 1, 2]);
 }
 
 proptest! {
     #[test]
-    fn batch_never_exceeds_its_room(
-        asks in prop::collection::vec((0u8..3, 1u32..60), 1..40),
-        cancels in prop::collection::vec(0usize..40, 0..20),
+    fn batch_never_exceeds_its_capacity(
+        requests in prop::collection::vec((0u8..3, 1u32..60), 1..40),
+        cancellations in prop::collection::vec(0usize..40, 0..20),
     ) {
         let mut batch = Batch::new(4, 100);
-        for (index, (priority, tokens)) in asks.iter().enumerate() {
-            batch.submit(&index.to_string(), question(*priority, *tokens)).unwrap();
+        for (index, (priority, tokens)) in requests.iter().enumerate() {
+            batch.submit(&index.to_string(), request(*priority, *tokens)).unwrap();
         }
-        for round in 0..asks.len() {
+        for round in 0..requests.len() {
             batch.admit(|_| {});
             prop_assert!(batch.running() <= 4 && batch.reserved_kv_tokens() <= 100);
-            if let Some(index) = cancels.get(round) {
+            if let Some(index) = cancellations.get(round) {
                 batch.cancel(&index.to_string());
             }
             batch.step();
@@ -59,21 +59,21 @@
     }
 
     #[test]
-    fn memory_accounts_for_what_it_holds(
+    fn memory_in_use_is_the_sum_of_allocations(
         orders in prop::collection::vec((0u8..4, 0u8..6, 1u64..60), 1..60),
     ) {
         let mut memory = Memory::new(100);
         for (op, name, bytes) in orders {
             let model = format!("m{name}@1");
             match op {
-                // A refusal is one of the outcomes that are tried here.
+                // A rejected load is one of the cases under test.
                 0 => { memory.reserve_model(&model, bytes).ok(); }
                 1 => { memory.reserve_adapter(&format!("a{name}"), &model, bytes).ok(); }
                 2 => { memory.mark_ready(&model); }
                 _ => { memory.start_unload(&model); memory.free_unloaded(|_| false); }
             }
-            let models = memory.models.values().map(|held| held.bytes);
-            let adapters = memory.adapters.values().map(|(_, held)| held.bytes);
+            let models = memory.models.values().map(|allocation| allocation.bytes);
+            let adapters = memory.adapters.values().map(|(_, allocation)| allocation.bytes);
             prop_assert_eq!(models.chain(adapters).sum::<u64>(), memory.used);
             prop_assert!(memory.used <= memory.capacity);
             prop_assert!(memory.peak >= memory.used);
@@ -82,7 +82,7 @@
 }
 
 #[test]
-fn vm_list_lags() {
+fn vm_list_is_read_with_lag() {
     let row = |state| VmRow {
         vm: "vm".try_into().unwrap(),
         domain: "d".try_into().unwrap(),
@@ -95,35 +95,37 @@
     let mut vms = VmHistory::default();
     vms.put(start, row(VmState::Live));
     vms.put(start + 10 * second, row(VmState::Draining));
-    let state = |at, lag| vms.read(start + at, lag)[0].state;
-    assert_eq!(state(11 * second, 2 * second), VmState::Live);
-    assert_eq!(state(12 * second, 2 * second), VmState::Draining);
+    let state_at = |elapsed, lag| vms.read(start + elapsed, lag)[0].state;
+    assert_eq!(state_at(11 * second, 2 * second), VmState::Live);
+    assert_eq!(state_at(12 * second, 2 * second), VmState::Draining);
 }
 
-/// The caller sees a broken connection, and the run is counted all the same.
+/// The caller's connection is reset after the call ran, and the run is still counted. An
+/// unknown fault name is rejected.
 #[tokio::test]
-async fn service_counts_runs_also_when_the_answer_is_lost() {
-    let any = SocketAddr::from((Ipv4Addr::LOCALHOST, 0));
+async fn service_counts_runs_whose_response_is_lost() {
+    let any_port = SocketAddr::from((Ipv4Addr::LOCALHOST, 0));
     let config = ServiceConfig { name: "desk".into(), service_time: Duration::ZERO };
-    let desk = service::start(any, config).await.unwrap();
+    let service = service::start(any_port, config).await.unwrap();
     let http = reqwest::Client::builder().no_proxy().build().unwrap();
     let call = || {
-        let call = http.post(format!("{}/seats?row=1", desk.url())).body("two");
-        call.header("x-request-id", "a-1").header("idempotency-key", "k")
+        let request = http.post(format!("{}/seats?row=1", service.url())).body("two");
+        request.header("x-request-id", "a-1").header("idempotency-key", "k")
     };
-    let answer: Value = call().send().await.unwrap().json().await.unwrap();
+    let response: Value = call().send().await.unwrap().json().await.unwrap();
     let expected = json!({
         "service": "desk", "method": "POST", "path": "/seats?row=1", "echo": "two",
         "run": 1,
     });
-    assert_eq!(answer, expected);
-    let faults = format!("{}/faults", desk.url());
+    assert_eq!(response, expected);
+    let faults_url = format!("{}/faults", service.url());
     let fault = json!({"lose_answers": 1});
-    http.post(&faults).json(&fault).send().await.unwrap();
+    http.post(&faults_url).json(&fault).send().await.unwrap();
     assert!(call().send().await.is_err());
-    let wrong = http.post(&faults).json(&json!({"donw": true})).send().await.unwrap();
-    assert!(wrong.status().is_client_error());
-    let counts = http.get(format!("{}/counts", desk.url())).send().await.unwrap();
+    let unknown_fault =
+        http.post(&faults_url).json(&json!({"donw": true})).send().await.unwrap();
+    assert!(unknown_fault.status().is_client_error());
+    let counts = http.get(format!("{}/counts", service.url())).send().await.unwrap();
     let counts: ServiceCounts = counts.json().await.unwrap();
     assert_eq!((counts.runs["k"], counts.active), (2, 0));
 }
