--- a/crates/demo/src/error.rs
+++ b/crates/demo/src/error.rs
@@ -1,51 +1,65 @@
-//! Why the demo could not be carried out.
+//! Errors that prevent the demo from completing.
 
 use std::fmt::{self, Display, Formatter};
 
-/// Why the demo could not be carried out.
+/// Why the demo could not be completed.
 #[derive(Debug)]
-pub enum StageError {
-    /// The temporary folder can't be used.
+pub enum DemoError {
+    /// The temporary directory can't be created or written.
     Files(String),
-    /// A stand-in or a daemon does not start.
+    /// A stand-in or a daemon failed to start.
     Start(String),
     /// A call to a stand-in or a daemon failed.
     Call(String),
-    /// Standard output is closed.
+    /// Writing to standard output or standard error failed.
     Output(String),
-    /// The declarations were refused.
-    Refused(String),
-    /// Not everything was served in time.
+    /// The declarations were rejected.
+    Rejected(String),
+    /// Not everything that is declared was served in time.
     NotServed(String),
-    /// There is no such kind of request; the second text names those that there are.
-    Kind(String, String),
+    /// A kind of request is unknown; the second text lists the known kinds.
+    UnknownKind(String, String),
 }
 
-impl Display for StageError {
+impl Display for DemoError {
     fn fmt(&self, f: &mut Formatter<'_>) -> fmt::Result {
         match self {
-            Self::Files(why) => {
-                write!(f, "the temporary folder can't be used ({why}); make it writable")
+            Self::Files(reason) => {
+                write!(
+                    f,
+                    "can't write to the temporary directory ({reason}); make it writable"
+                )
             }
-            Self::Start(why) => write!(f, "a part does not start ({why}); free its port"),
-            Self::Call(why) => write!(f, "a part does not answer ({why}); report it"),
-            Self::Output(why) => {
-                write!(f, "the result can't be printed ({why}); keep the output open")
+            Self::Start(reason) => write!(
+                f,
+                "a process failed to start ({reason}); check that its port is free"
+            ),
+            Self::Call(reason) => write!(
+                f,
+                "a stand-in or daemon did not respond as expected ({reason}); report this"
+            ),
+            Self::Output(reason) => {
+                write!(f, "can't print the result ({reason}); keep the output open")
             }
-            Self::Refused(why) => write!(f, "the declarations were refused: {why}"),
-            Self::Kind(kind, known) => {
-                write!(f, "no kind of request is named {kind}; choose among {known}")
+            Self::Rejected(reason) => {
+                write!(f, "the declarations were rejected: {reason}")
             }
-            Self::NotServed(why) => {
-                write!(f, "not everything was served in time ({why}); is the VM busy?")
+            Self::UnknownKind(kind, known) => {
+                write!(f, "unknown kind of request: {kind}; choose one of {known}")
+            }
+            Self::NotServed(reason) => {
+                write!(
+                    f,
+                    "not everything was served in time ({reason}); is the VM overloaded?"
+                )
             }
         }
     }
 }
 
-impl std::error::Error for StageError {}
+impl std::error::Error for DemoError {}
 
-impl From<reqwest::Error> for StageError {
+impl From<reqwest::Error> for DemoError {
     fn from(error: reqwest::Error) -> Self {
         Self::Call(error.to_string())
     }
--- a/crates/demo/src/lib.rs
+++ b/crates/demo/src/lib.rs
@@ -1,8 +1,8 @@
 //! The whole system in one process, with embedded stand-ins.
 //!
-//! It runs on its [`own`] interface or on the users' [`platform`]: stand-ins and three
-//! daemons are started, several callers send a mix of requests, and the [`tally`] tells
-//! what they received and what really ran.
+//! The demo runs on chestnutlane's [`own`] interface or on the users' [`platform`]. It
+//! starts stand-ins and three daemons and sends a mix of requests from several
+//! callers; the [`tally`] shows what the callers received and what actually ran.
 
 mod error;
 pub mod own;
@@ -17,62 +17,62 @@
 use serde_json::json;
 use tokio::signal::unix::{SignalKind, signal};
 
-pub use self::error::StageError;
+pub use self::error::DemoError;
 use self::tally::Tally;
 
-/// The exit code when a caller did not get what it must get.
-const BROKEN: u8 = 1;
+/// The exit code if a caller received a wrong response or a request ran twice.
+const EXIT_CHECK_FAILED: u8 = 1;
 
-/// The exit code when the demo could not be carried out.
-const NOT_RUN: u8 = 2;
+/// The exit code if the demo could not be completed.
+const EXIT_NOT_COMPLETED: u8 = 2;
 
 /// Runs the whole system in one process and shows what its callers receive.
 ///
-/// Exit codes: 0 if every answer was whole and its own caller's and nothing ran
-/// twice that must not, 1 if not, 2 if the demo could not be carried out.
+/// Exit codes: 0 if every response was complete and belonged to its request, and no
+/// request ran twice that must not; 1 otherwise; 2 if the demo could not be completed.
 #[derive(Debug, Clone, Bpaf)]
 #[bpaf(options, version)]
 struct Options {
-    /// Run on the users' platform instead of the own interface
+    /// Run on the users' platform instead of chestnutlane's own interface
     platform: bool,
-    /// Print one line of JSON instead of the table
+    /// Print one line of JSON instead of a table
     json: bool,
-    /// Stay up and print commands to try
+    /// Keep running and print commands to try
     keep: bool,
-    /// How many times the usual burst is sent at once
+    /// Multiplies the number of requests in the burst
     #[bpaf(argument("NUMBER"), fallback(1), display_fallback)]
     scale: usize,
-    /// Send this kind of request only; may be given more than once
+    /// Send only this kind of request; can be repeated
     #[bpaf(argument("NAME"), many)]
     kind: Vec<String>,
 }
 
-/// Runs the program.
+/// Parses the arguments and runs the demo.
 pub fn main() -> ExitCode {
     let options = options().run();
     let runtime = match tokio::runtime::Runtime::new() {
         Ok(runtime) => runtime,
         Err(error) => {
-            eprintln!("the runtime can't start ({error}); free memory or threads");
-            return ExitCode::from(NOT_RUN);
+            eprintln!("can't start the runtime ({error}); free memory or threads");
+            return ExitCode::from(EXIT_NOT_COMPLETED);
         }
     };
-    match runtime.block_on(show(&options)) {
-        Ok(tally) if tally.is_fine() => ExitCode::SUCCESS,
-        Ok(_) => ExitCode::from(BROKEN),
+    match runtime.block_on(run(&options)) {
+        Ok(tally) if tally.is_correct() => ExitCode::SUCCESS,
+        Ok(_) => ExitCode::from(EXIT_CHECK_FAILED),
         Err(error) => {
-            eprintln!("the demo could not be carried out: {error}");
-            ExitCode::from(NOT_RUN)
+            eprintln!("the demo could not be completed: {error}");
+            ExitCode::from(EXIT_NOT_COMPLETED)
         }
     }
 }
 
-/// Waits for SIGINT or SIGTERM, so that the temporary keys are removed at the end.
-async fn wait_for_end() {
+/// Waits for SIGINT or SIGTERM, so that the temporary keys are removed before the exit.
+async fn wait_for_signal() {
     let mut term = match signal(SignalKind::terminate()) {
         Ok(term) => term,
         Err(error) => {
-            eprintln!("signals can't be waited for ({error}); the demo ends");
+            eprintln!("can't wait for signals ({error}); the demo ends");
             return;
         }
     };
@@ -82,64 +82,67 @@
     }
 }
 
-fn print(text: &str) -> Result<(), StageError> {
+fn print(text: &str) -> Result<(), DemoError> {
     let mut out = stdout();
     let printed = out.write_all(text.as_bytes()).and_then(|()| out.flush());
-    printed.map_err(|error| StageError::Output(error.to_string()))
+    printed.map_err(|error| DemoError::Output(error.to_string()))
 }
 
-async fn show(options: &Options) -> Result<Tally, StageError> {
+async fn run(options: &Options) -> Result<Tally, DemoError> {
     match options.platform {
-        false => show_own(options).await,
-        true => show_platform(options).await,
+        false => run_own(options).await,
+        true => run_platform(options).await,
     }
 }
 
-/// Whether a kind is among those that are to be sent; all are if none is named.
-fn is_wanted(kinds: &[String], kind: &str) -> bool {
-    kinds.is_empty() || kinds.iter().any(|one| one == kind)
+/// Whether a kind is selected; all are if `kinds` is empty.
+fn is_selected(kinds: &[String], kind: &str) -> bool {
+    kinds.is_empty() || kinds.iter().any(|selected| selected == kind)
 }
 
-/// Refuses names that no kind has.
-fn check_kinds(kinds: &[String], known: &[&str]) -> Result<(), StageError> {
+/// Returns an error if one of the kinds is unknown.
+fn check_kinds(kinds: &[String], known: &[&str]) -> Result<(), DemoError> {
     match kinds.iter().find(|kind| !known.contains(&kind.as_str())) {
-        Some(kind) => Err(StageError::Kind(kind.clone(), known.join(", "))),
+        Some(kind) => Err(DemoError::UnknownKind(kind.clone(), known.join(", "))),
         None => Ok(()),
     }
 }
 
-async fn show_own(options: &Options) -> Result<Tally, StageError> {
-    check_kinds(&options.kind, &own::burst::MIXES.map(|mix| mix.kind))?;
-    let stage = own::stage::Stage::start().await?;
-    let tally = own::burst::run(&stage, options.scale.max(1), &options.kind).await?;
-    print_all(options, &tally, &stage.explain()).await?;
-    stage.stop().await;
+async fn run_own(options: &Options) -> Result<Tally, DemoError> {
+    check_kinds(&options.kind, &own::burst::WORKLOADS.map(|workload| workload.kind))?;
+    let cluster = own::cluster::Cluster::start().await?;
+    let tally = own::burst::run(&cluster, options.scale.max(1), &options.kind).await?;
+    report(options, &tally, &cluster.example_commands()).await?;
+    cluster.stop().await;
     Ok(tally)
 }
 
-async fn show_platform(options: &Options) -> Result<Tally, StageError> {
-    check_kinds(&options.kind, &platform::burst::MIXES.map(|(_, mix)| mix.kind))?;
+async fn run_platform(options: &Options) -> Result<Tally, DemoError> {
+    check_kinds(
+        &options.kind,
+        &platform::burst::WORKLOADS.map(|(_, workload)| workload.kind),
+    )?;
     let caller = Caller::new("demo");
-    let stage = platform::stage::Stage::start(&caller).await?;
+    let cluster = platform::cluster::Cluster::start(&caller).await?;
     let tally =
-        platform::burst::run(&stage, &caller, options.scale.max(1), &options.kind)
+        platform::burst::run(&cluster, &caller, options.scale.max(1), &options.kind)
             .await?;
-    print_all(options, &tally, &stage.explain()).await?;
+    report(options, &tally, &cluster.example_commands()).await?;
     Ok(tally)
 }
 
-/// Prints the result, and waits for the user's end if asked to stay up.
-async fn print_all(
+/// Prints the result; with `--keep`, prints commands to try and waits for a signal.
+async fn report(
     options: &Options,
     tally: &Tally,
     commands: &str,
-) -> Result<(), StageError> {
+) -> Result<(), DemoError> {
     let text =
         if options.json { format!("{}\n", json!(tally)) } else { tally.to_string() };
     print(&text)?;
     if options.keep {
         print(commands)?;
-        wait_for_end().await;
+        wait_for_signal().await;
     }
     Ok(())
 }
--- a/crates/demo/src/own/burst.rs
+++ b/crates/demo/src/own/burst.rs
@@ -1,4 +1,4 @@
-//! A mix of requests of several callers, all sent at once.
+//! A burst of requests from several callers, all sent at once.
 
 use std::collections::HashSet;
 use std::sync::Arc;
@@ -8,106 +8,122 @@
 use serde::Deserialize;
 use tokio::task::JoinSet;
 
-use super::ran::Ran;
-use super::stage::{ROUTES, Stage};
-use crate::error::StageError;
-use crate::is_wanted;
-use crate::tally::{Ending, Seen, Tally};
+use super::cluster::{Cluster, ROUTES};
+use super::run_counts::RunCounts;
+use crate::error::DemoError;
+use crate::is_selected;
+use crate::tally::{RequestOutcome, RequestResult, Tally};
 
 /// A kind of request in the burst.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Mix {
+pub struct Workload {
     /// The declared kind.
     pub kind: &'static str,
-    /// Who sends it.
+    /// The caller that sends it.
     pub caller: &'static str,
-    /// How many are sent.
+    /// The number of requests at scale 1.
     pub count: usize,
-    /// The time in which an answer is useful, as declared.
+    /// The time within which a response is useful, as declared.
     pub deadline: Duration,
-    /// Whether running it twice harms.
-    pub once: bool,
-    /// What is sent.
-    what: What,
+    /// Whether a request must run at most once.
+    pub at_most_once: bool,
+    /// How the requests are built.
+    template: RequestTemplate,
 }
 
-/// What is sent.
+/// How a request is built.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-enum What {
-    /// A completion of so many tokens.
-    Tokens { route: &'static str, tokens: u32, stream: bool },
+enum RequestTemplate {
+    /// A completion with a length in tokens.
+    Completion { route: &'static str, tokens: u32, stream: bool },
     /// A call of the plain service.
-    Call { method: &'static str, path: &'static str },
+    ServiceCall { method: &'static str, path: &'static str },
 }
 
-/// What the burst is made of.
-pub const MIXES: [Mix; 6] = [
-    Mix {
+/// The kinds of requests in the burst.
+pub const WORKLOADS: [Workload; 6] = [
+    Workload {
         kind: "letter",
         caller: "portal",
         count: 60,
         deadline: Duration::from_secs(30),
-        once: true,
-        what: What::Tokens { route: "letter", tokens: 80, stream: false },
+        at_most_once: true,
+        template: RequestTemplate::Completion {
+            route: "letter",
+            tokens: 80,
+            stream: false,
+        },
     },
-    Mix {
+    Workload {
         kind: "preview",
         caller: "caseworker",
         count: 60,
         deadline: Duration::from_secs(15),
-        once: false,
-        what: What::Tokens { route: "water-preview", tokens: 40, stream: true },
+        at_most_once: false,
+        template: RequestTemplate::Completion {
+            route: "water-preview",
+            tokens: 40,
+            stream: true,
+        },
     },
-    Mix {
+    Workload {
         kind: "proof",
         caller: "caseworker",
         count: 20,
         deadline: Duration::from_secs(15),
-        once: false,
-        what: What::Tokens { route: "proof", tokens: 30, stream: true },
+        at_most_once: false,
+        template: RequestTemplate::Completion {
+            route: "proof",
+            tokens: 30,
+            stream: true,
+        },
     },
-    Mix {
+    Workload {
         kind: "cue-sheet",
         caller: "desk",
         count: 20,
         deadline: Duration::from_secs(60),
-        once: false,
-        what: What::Tokens { route: "cue-sheet", tokens: 200, stream: true },
+        at_most_once: false,
+        template: RequestTemplate::Completion {
+            route: "cue-sheet",
+            tokens: 200,
+            stream: true,
+        },
     },
-    Mix {
+    Workload {
         kind: "seat-check",
         caller: "desk",
         count: 100,
         deadline: Duration::from_secs(5),
-        once: false,
-        what: What::Call { method: "GET", path: "/seats?hall=2" },
+        at_most_once: false,
+        template: RequestTemplate::ServiceCall { method: "GET", path: "/seats?hall=2" },
     },
-    Mix {
+    Workload {
         kind: "booking",
         caller: "desk",
         count: 40,
         deadline: Duration::from_secs(10),
-        once: true,
-        what: What::Call { method: "POST", path: "/book" },
+        at_most_once: true,
+        template: RequestTemplate::ServiceCall { method: "POST", path: "/book" },
     },
 ];
 
-/// One in so many requests that may run once only is sent to two entries at once.
-const DOUBLED: usize = 4;
+/// One in this number of requests that must run at most once is sent to two entries at
+/// the same time.
+const DUPLICATE_INTERVAL: usize = 4;
 
-/// What became of one request.
-struct Outcome {
-    mix: Mix,
-    ask: CallerRequest,
-    /// What its caller got.
-    reply: CallerResponse,
+/// A request with its final response.
+struct Exchange {
+    workload: Workload,
+    request: CallerRequest,
+    response: CallerResponse,
     /// How long the caller waited.
-    took: Duration,
+    duration: Duration,
 }
 
-/// The answer to the question which addresses to use.
+/// The system's response with the addresses that callers can use.
 #[derive(Deserialize)]
-struct Entries {
+struct EntryList {
     entries: Vec<Entry>,
 }
 
@@ -116,65 +132,76 @@
     address: String,
 }
 
-/// Sends the burst `scale` times, waits for all answers and counts them.
+/// Sends the burst, with `scale` times as many requests of each kind, waits for all
+/// responses and counts them.
 ///
-/// Of the `kinds` only; of all if none is named.
+/// Only the `kinds` are sent; all if it is empty.
 pub async fn run(
-    stage: &Stage,
+    cluster: &Cluster,
     scale: usize,
     kinds: &[String],
-) -> Result<Tally, StageError> {
-    let outcomes = send(stage, scale, kinds).await?;
-    let ran = Ran::read(stage).await?;
-    let mut once = HashSet::new();
-    let seen = |one: &Outcome| {
-        let first =
-            one.mix.once && once.insert((one.mix.kind, one.ask.idempotency_key.clone()));
-        Seen {
-            kind: one.mix.kind,
-            end: ending(one, &ran),
-            took: one.took,
-            deadline: one.mix.deadline,
-            retried: one.reply.attempts > 1,
-            doubled: first && ran.of(&one.ask) > 1,
+) -> Result<Tally, DemoError> {
+    let exchanges = send(cluster, scale, kinds).await?;
+    let run_counts = RunCounts::read(cluster).await?;
+    let mut counted = HashSet::new();
+    let evaluate = |exchange: &Exchange| {
+        let is_first = exchange.workload.at_most_once
+            && counted.insert((
+                exchange.workload.kind,
+                exchange.request.idempotency_key.clone(),
+            ));
+        RequestResult {
+            kind: exchange.workload.kind,
+            outcome: outcome(exchange, &run_counts),
+            duration: exchange.duration,
+            deadline: exchange.workload.deadline,
+            retried: exchange.response.attempts > 1,
+            ran_twice: is_first && run_counts.runs_of(&exchange.request) > 1,
         }
     };
-    let seen: Vec<Seen> = outcomes.iter().map(seen).collect();
-    Ok(Tally::count(&seen))
+    let results: Vec<RequestResult> = exchanges.iter().map(evaluate).collect();
+    Ok(Tally::count(&results))
 }
 
-fn ending(one: &Outcome, ran: &Ran) -> Ending {
-    if one.reply.is_complete(&one.ask) {
-        Ending::Whole
-    } else if one.reply.mismatch(&one.ask).is_some() {
-        Ending::Foreign
-    } else if one.reply.outcome.as_deref() == Some("not_run") {
-        // A request that was sent to two entries may have run by the other.
-        Ending::Refused { ran: one.reply.attempts == 1 && ran.of(&one.ask) > 0 }
+fn outcome(exchange: &Exchange, run_counts: &RunCounts) -> RequestOutcome {
+    if exchange.response.is_complete(&exchange.request) {
+        RequestOutcome::Complete
+    } else if exchange.response.mismatch(&exchange.request).is_some() {
+        RequestOutcome::Foreign
+    } else if exchange.response.outcome.as_deref() == Some("not_run") {
+        // A request that was sent to two entries may have run through the other
+        // one.
+        RequestOutcome::Refused {
+            ran: exchange.response.attempts == 1
+                && run_counts.runs_of(&exchange.request) > 0,
+        }
     } else {
-        Ending::Broken
+        RequestOutcome::Broken
     }
 }
 
 async fn send(
-    stage: &Stage,
+    cluster: &Cluster,
     scale: usize,
     kinds: &[String],
-) -> Result<Vec<Outcome>, StageError> {
-    let bases = ask_entries(stage).await?;
+) -> Result<Vec<Exchange>, DemoError> {
+    let base_urls = fetch_entries(cluster).await?;
     let mut calls = JoinSet::new();
-    for mix in MIXES.into_iter().filter(|mix| is_wanted(kinds, mix.kind)) {
-        for index in 0..mix.count * scale {
-            let ask = ask(mix, index, &bases);
-            let twice = mix.once && index % DOUBLED == 0;
-            for copy in 0..1 + usize::from(twice) {
-                let mut ask = ask.clone();
-                ask.base_urls.rotate_left(copy);
-                let http = stage.http.clone();
+    for workload in
+        WORKLOADS.into_iter().filter(|workload| is_selected(kinds, workload.kind))
+    {
+        for index in 0..workload.count * scale {
+            let request = build_request(workload, index, &base_urls);
+            let is_duplicated = workload.at_most_once && index % DUPLICATE_INTERVAL == 0;
+            for copy in 0..1 + usize::from(is_duplicated) {
+                let mut request = request.clone();
+                request.base_urls.rotate_left(copy);
+                let http = cluster.http.clone();
                 calls.spawn(async move {
                     let start = Instant::now();
-                    let reply = ask.clone().send_with_retries(http, Arc::default()).await;
-                    Outcome { mix, ask, reply, took: start.elapsed() }
+                    let response =
+                        request.clone().send_with_retries(http, Arc::default()).await;
+                    Exchange { workload, request, response, duration: start.elapsed() }
                 });
             }
         }
@@ -182,52 +209,61 @@
     Ok(calls.join_all().await)
 }
 
-/// Asks the system which addresses to use.
-async fn ask_entries(stage: &Stage) -> Result<Vec<String>, StageError> {
-    let url = format!("{}/v1/entry", stage.entries[0]);
-    let answer: Entries = stage.http.get(url).send().await?.json().await?;
-    let bases: Vec<_> =
-        answer.entries.iter().map(|entry| format!("http://{}", entry.address)).collect();
-    if bases.is_empty() {
-        return Err(StageError::Call("no address to use was named".into()));
+/// Fetches the addresses that callers can use.
+async fn fetch_entries(cluster: &Cluster) -> Result<Vec<String>, DemoError> {
+    let url = format!("{}/v1/entry", cluster.entries[0]);
+    let response: EntryList = cluster.http.get(url).send().await?.json().await?;
+    let base_urls: Vec<_> = response
+        .entries
+        .iter()
+        .map(|entry| format!("http://{}", entry.address))
+        .collect();
+    if base_urls.is_empty() {
+        return Err(DemoError::Call("the response lists no entry".into()));
     }
-    Ok(bases)
+    Ok(base_urls)
 }
 
-fn ask(mix: Mix, index: usize, bases: &[String]) -> CallerRequest {
-    let text = format!("{} {index} of {}", mix.kind, mix.caller);
-    let form = match mix.what {
-        What::Tokens { route, tokens, stream } => {
-            let known = ROUTES.iter().find(|(name, _)| *name == route);
+fn build_request(
+    workload: Workload,
+    index: usize,
+    base_urls: &[String],
+) -> CallerRequest {
+    let text = format!("{} {index} of {}", workload.kind, workload.caller);
+    let operation = match workload.template {
+        RequestTemplate::Completion { route, tokens, stream } => {
+            let declared = ROUTES.iter().find(|(name, _)| *name == route);
             Operation::Completion(Completion {
                 previous_model: None,
                 route: route.to_owned(),
-                model: known.map_or(route, |(_, model)| model).to_owned(),
+                model: declared.map_or(route, |(_, model)| model).to_owned(),
                 prompt: text,
                 max_tokens: tokens,
                 stream,
                 chat: false,
             })
         }
-        What::Call { method, path } => Operation::Service {
+        RequestTemplate::ServiceCall { method, path } => Operation::Service {
             name: "box-office".into(),
             path: path.to_owned(),
             method: method.to_owned(),
             body: if method == "GET" { String::new() } else { text },
         },
     };
-    let mut bases = bases.to_vec();
-    let len = bases.len();
-    bases.rotate_left(index % len);
+    let mut base_urls = base_urls.to_vec();
+    let len = base_urls.len();
+    base_urls.rotate_left(index % len);
     CallerRequest {
-        base_urls: bases,
-        caller: mix.caller.to_owned(),
-        idempotency_key: mix.once.then(|| format!("{}-{index}", mix.kind)),
-        kind: (mix.kind != "proof").then(|| mix.kind.to_owned()),
-        operation: form,
+        base_urls,
+        caller: workload.caller.to_owned(),
+        idempotency_key: workload
+            .at_most_once
+            .then(|| format!("{}-{index}", workload.kind)),
+        kind: (workload.kind != "proof").then(|| workload.kind.to_owned()),
+        operation,
         deadline_ms: None,
-        idempotent: !mix.once,
-        wait_limit: mix.deadline,
-        attempt_timeout: mix.deadline,
+        idempotent: !workload.at_most_once,
+        wait_limit: workload.deadline,
+        attempt_timeout: workload.deadline,
     }
 }
--- a/crates/demo/src/own/stage.rs
+++ b/crates/demo/src/own/cluster.rs
@@ -1,4 +1,4 @@
-//! The stand-ins, the daemons and the declarations of the demo.
+//! Starts the demo's stand-ins and daemons and sends its declarations.
 
 use std::net::{Ipv4Addr, SocketAddr};
 use std::path::{Path, PathBuf};
@@ -19,31 +19,31 @@
 use serde_json::{Value, json};
 use tokio::task::JoinSet;
 
-use crate::error::StageError;
+use crate::error::DemoError;
 
-/// The failure domains.
+/// The failure domains, assigned to VMs in turn.
 const DOMAINS: [&str; 2] = ["accra-a", "accra-b"];
 
 const DAEMONS: usize = 3;
 
 const RUNNERS: usize = 4;
 
-/// The accelerators' memory of a runner, in bytes; as declared.
-const MEMORY: u64 = 80_000_000_000;
+/// The accelerator memory of a runner, as declared for its pool.
+const RUNNER_MEMORY_BYTES: u64 = 80_000_000_000;
 
-/// How long to wait for everything to be served.
-const PATIENCE: Duration = Duration::from_secs(60);
+/// How long to wait until everything that is declared is served.
+const READY_TIMEOUT: Duration = Duration::from_secs(60);
 
-/// The teams and what they declare.
+/// The teams and their declarations.
 const TEAMS: [(&str, &str); 2] = [
     ("letters", include_str!("../letters.jsonc")),
     ("seats", include_str!("../seats.jsonc")),
 ];
 
-/// The callers; the key of each is `key-` and its name.
+/// The callers; the key of each is `key-` followed by its name.
 pub const CALLERS: [&str; 3] = ["portal", "caseworker", "desk"];
 
-/// The names that callers put into `model`, and what an engine knows them by.
+/// The routes, sent as `model`, each with the engine's name of its model or adapter.
 pub const ROUTES: [(&str, &str); 4] = [
     ("letter", "drafter@v7"),
     ("water-preview", "water-board"),
@@ -52,30 +52,32 @@
 ];
 
 /// The running stand-ins and daemons.
-pub struct Stage {
-    /// The client of all callers.
+pub struct Cluster {
+    /// The HTTP client of all callers.
     pub http: Client,
     /// The engines.
     pub engines: Vec<ServerHandle>,
     /// The servers of the plain service.
     pub services: Vec<ServerHandle>,
-    /// Where callers reach the daemons.
+    /// The base URLs of the daemons for callers.
     pub entries: Vec<String>,
+    /// The base URLs of the daemons for operators.
     ops: Vec<String>,
     daemons: Vec<Daemon>,
     platform: ServerHandle,
-    folder: Folder,
+    temp_dir: TempDir,
 }
 
-impl Stage {
-    /// Starts everything and waits until all that is declared is served.
-    pub async fn start() -> Result<Self, StageError> {
-        let folder = Folder::new()?;
-        certs::write(&folder.0).map_err(|error| StageError::Files(error.to_string()))?;
-        let platform =
-            started(platform::start(any(), WeightStoreConfig::default()).await)?;
+impl Cluster {
+    /// Starts everything and waits until everything that is declared is served.
+    pub async fn start() -> Result<Self, DemoError> {
+        let temp_dir = TempDir::new()?;
+        certs::write(&temp_dir.0).map_err(|error| DemoError::Files(error.to_string()))?;
+        let platform = check_started(
+            platform::start(any_port(), WeightStoreConfig::default()).await,
+        )?;
         let http = Client::builder().no_proxy().build()?;
-        let mut stage = Self {
+        let mut cluster = Self {
             http,
             engines: Vec::new(),
             services: Vec::new(),
@@ -83,17 +85,17 @@
             ops: Vec::new(),
             daemons: Vec::new(),
             platform,
-            folder,
+            temp_dir,
         };
-        stage.start_servers().await?;
-        stage.start_daemons().await?;
-        stage.declare().await?;
-        stage.wait_served().await?;
-        Ok(stage)
+        cluster.start_servers().await?;
+        cluster.start_daemons().await?;
+        cluster.declare().await?;
+        cluster.wait_served().await?;
+        Ok(cluster)
     }
 
-    /// Commands to try.
-    pub fn explain(&self) -> String {
+    /// Commands to try, as text for the user.
+    pub fn example_commands(&self) -> String {
         let (entry, ops, platform) =
             (&self.entries[0], &self.ops[0], self.platform.url());
         let auth = "-H 'authorization: Bearer key-portal'";
@@ -103,7 +105,8 @@
             r#"{"model": "proof", "prompt": "Dear", "max_tokens": 20, "stream": true}"#;
         let fault = r#"{"table": {"down": true}}"#;
         [
-            "\nIt stays up; end it with Ctrl-C. Try:\n".to_owned(),
+            "\nThe demo keeps running; stop it with Ctrl-C. Commands to try:\n"
+                .to_owned(),
             format!("curl {entry}/v1/entry"),
             format!("curl {entry}/v1/models"),
             format!("curl -N {entry}/v1/completions {auth} -d '{body}'"),
@@ -115,71 +118,72 @@
         .join("\n")
     }
 
-    /// Stops the daemons as planned and then the stand-ins.
+    /// Drains and stops the daemons, then stops the stand-ins.
     pub async fn stop(mut self) {
-        let mut leaving = JoinSet::new();
+        let mut draining = JoinSet::new();
         for daemon in self.daemons.drain(..) {
             daemon.leave();
-            leaving.spawn(daemon.run());
+            draining.spawn(daemon.run());
         }
-        leaving.join_all().await;
+        draining.join_all().await;
     }
 
-    async fn start_servers(&mut self) -> Result<(), StageError> {
+    async fn start_servers(&mut self) -> Result<(), DemoError> {
         for index in 0..RUNNERS {
             let config = EngineConfig {
-                memory_bytes: MEMORY,
+                memory_bytes: RUNNER_MEMORY_BYTES,
                 weight_store_url: Some(self.platform.url()),
                 ..EngineConfig::default()
             };
-            let engine = started(engine::start(any(), config).await)?;
+            let engine = check_started(engine::start(any_port(), config).await)?;
             let name = format!("runner-{}", index + 1);
             let role = json!({"role": "runner", "pool": "drafting"});
-            self.list(&name, index, engine.address, role).await?;
+            self.register_vm(&name, index, engine.address, role).await?;
             self.engines.push(engine);
         }
         for index in 0..DOMAINS.len() {
             let service_time = Duration::from_millis(3);
             let config = ServiceConfig { name: "box-office".into(), service_time };
-            let server = started(service::start(any(), config).await)?;
+            let server = check_started(service::start(any_port(), config).await)?;
             let name = format!("box-office-{}", index + 1);
             let role = json!({"role": "service", "service": "box-office"});
-            self.list(&name, index, server.address, role).await?;
+            self.register_vm(&name, index, server.address, role).await?;
             self.services.push(server);
         }
         Ok(())
     }
 
-    async fn start_daemons(&mut self) -> Result<(), StageError> {
+    async fn start_daemons(&mut self) -> Result<(), DemoError> {
         for index in 0..DAEMONS {
             let name = format!("entry-{}", index + 1);
             let text = self.settings(&name, index).to_string();
             let settings = Settings::parse("the demo's settings", &text)
-                .map_err(|problems| StageError::Start(problems.to_string()))?;
+                .map_err(|problems| DemoError::Start(problems.to_string()))?;
             let daemon =
                 run::start(settings, Arc::new(SystemClock), logs::silent()).await;
             let daemon =
-                daemon.map_err(|report| StageError::Start(format!("{report:?}")))?;
+                daemon.map_err(|report| DemoError::Start(format!("{report:?}")))?;
             let addresses = daemon.addresses;
             self.entries.push(format!("http://{}", addresses.caller));
             self.ops.push(format!("http://{}", addresses.ops));
             self.daemons.push(daemon);
-            self.list(&name, index, addresses.peer, json!({"role": "entry"})).await?;
+            self.register_vm(&name, index, addresses.peer, json!({"role": "entry"}))
+                .await?;
         }
         Ok(())
     }
 
-    /// Puts a VM on the platform's list.
-    async fn list(
+    /// Adds a VM to the platform's list.
+    async fn register_vm(
         &self,
         vm: &str,
         index: usize,
         address: SocketAddr,
         role: Value,
-    ) -> Result<(), StageError> {
+    ) -> Result<(), DemoError> {
         let mut row = role;
         row["vm"] = vm.into();
-        row["domain"] = domain(index).into();
+        row["domain"] = domain_of(index).into();
         row["address"] = address.to_string().into();
         row["state"] = "live".into();
         let url = format!("{}/v1/vms/{vm}", self.platform.url());
@@ -188,17 +192,17 @@
     }
 
     fn settings(&self, vm: &str, index: usize) -> Value {
-        let file = |name: &str| self.folder.0.join(name).display().to_string();
+        let file = |name: &str| self.temp_dir.0.join(name).display().to_string();
         let platform = self.platform.url();
         let operators: serde_json::Map<String, Value> = TEAMS
             .iter()
             .map(|(team, _)| (team.to_string(), sha256(&format!("ops-{team}")).into()))
             .collect();
-        let any = any().to_string();
+        let any_port = any_port().to_string();
         json!({
             "vm": vm,
-            "domain": domain(index),
-            "caller_addr": any, "peer_addr": any, "ops_addr": any,
+            "domain": domain_of(index),
+            "caller_addr": any_port, "peer_addr": any_port, "ops_addr": any_port,
             "table_url": platform, "object_url": platform, "vms_url": platform,
             "tls": {
                 "cert": file("daemon.pem"),
@@ -210,63 +214,64 @@
         })
     }
 
-    async fn declare(&self) -> Result<(), StageError> {
+    async fn declare(&self) -> Result<(), DemoError> {
         for (team, text) in TEAMS {
             let mut text = text.to_owned();
             for caller in CALLERS {
                 let hash = sha256(&format!("key-{caller}"));
                 text = text.replace(&format!("@{caller}@"), &hash);
             }
-            self.declare_one(team, &text).await?;
+            self.declare_team(team, &text).await?;
         }
         Ok(())
     }
 
-    /// Sends a team's file until it is accepted.
-    ///
-    /// The daemon first has to learn which runners there are.
-    async fn declare_one(&self, team: &str, text: &str) -> Result<(), StageError> {
+    /// Sends a team's declarations until they are accepted; they are rejected until the
+    /// daemon has received the list of runners.
+    async fn declare_team(&self, team: &str, text: &str) -> Result<(), DemoError> {
         let ops = &self.ops[0];
         let start = Instant::now();
-        let mut number = 0;
+        let mut attempt = 0;
         loop {
-            number += 1;
+            attempt += 1;
             let state: Value =
                 self.http.get(format!("{ops}/debug/state")).send().await?.json().await?;
             let change = json!({
-                "id": format!("demo-{team}-{number}"),
+                "id": format!("demo-{team}-{attempt}"),
                 "team": team,
                 "author": "demo",
                 "base": state["revision"],
                 "edits": {"demo.jsonc": text},
             });
-            let call = self
+            let request = self
                 .http
                 .post(format!("{ops}/v1/config/apply"))
                 .header("x-team", team)
                 .header("authorization", format!("Bearer ops-{team}"));
-            let answer: Value = call.json(&change).send().await?.json().await?;
-            if answer["verdict"] == "accepted" {
+            let response: Value = request.json(&change).send().await?.json().await?;
+            if response["verdict"] == "accepted" {
                 return Ok(());
             }
-            if start.elapsed() > PATIENCE {
-                return Err(StageError::Refused(answer.to_string()));
+            if start.elapsed() > READY_TIMEOUT {
+                return Err(DemoError::Rejected(response.to_string()));
             }
             tokio::time::sleep(Duration::from_millis(50)).await;
         }
     }
 
     /// Waits until every daemon serves every route and the service.
-    async fn wait_served(&self) -> Result<(), StageError> {
+    async fn wait_served(&self) -> Result<(), DemoError> {
         for entry in &self.entries {
-            for ask in probes(entry) {
-                let what = format!("{:?}", ask.operation);
-                let reply = ask
+            for request in probes(entry) {
+                let operation = format!("{:?}", request.operation);
+                let response = request
                     .clone()
                     .send_with_retries(self.http.clone(), Arc::default())
                     .await;
-                if !reply.is_complete(&ask) {
-                    return Err(StageError::NotServed(format!("{what}: {reply:?}")));
+                if !response.is_complete(&request) {
+                    return Err(DemoError::NotServed(format!(
+                        "{operation}: {response:?}"
+                    )));
                 }
             }
         }
@@ -274,7 +279,7 @@
     }
 }
 
-/// A request for each thing that is declared, sent to one entry.
+/// One request for each declared route and for the service, to be sent to one entry.
 fn probes(entry: &str) -> Vec<CallerRequest> {
     let completion = |(route, model): &(&str, &str)| {
         Operation::Completion(Completion {
@@ -287,70 +292,72 @@
             chat: false,
         })
     };
-    let seats = Operation::Service {
+    let read_seats = Operation::Service {
         name: "box-office".into(),
         path: "/seats".into(),
         method: "GET".into(),
         body: String::new(),
     };
-    let booking = Operation::Service {
+    let book_seat = Operation::Service {
         name: "box-office".into(),
         path: "/book".into(),
         method: "POST".into(),
         body: "ready?".into(),
     };
-    let forms = ROUTES.iter().map(completion).chain([seats, booking]);
-    let number = forms.enumerate().map(|(index, form)| CallerRequest {
+    let operations = ROUTES.iter().map(completion).chain([read_seats, book_seat]);
+    let requests = operations.enumerate().map(|(index, operation)| CallerRequest {
         base_urls: vec![entry.to_owned()],
         caller: "portal".into(),
         idempotency_key: Some(format!(
             "ready-{index}-{}",
             entry.rsplit(':').next().unwrap_or("")
         )),
-        operation: form,
+        operation,
         kind: None,
         deadline_ms: None,
         idempotent: false,
-        wait_limit: PATIENCE,
-        attempt_timeout: PATIENCE,
+        wait_limit: READY_TIMEOUT,
+        attempt_timeout: READY_TIMEOUT,
     });
-    number.collect()
+    requests.collect()
 }
 
-/// A temporary folder, removed when this is dropped.
-struct Folder(PathBuf);
+/// A temporary directory, removed on drop.
+struct TempDir(PathBuf);
 
-impl Folder {
-    fn new() -> Result<Self, StageError> {
+impl TempDir {
+    fn new() -> Result<Self, DemoError> {
         let name = format!("chestnutlane-demo-{}", std::process::id());
         let path = std::env::temp_dir().join(name);
-        create(&path).map_err(|error| StageError::Files(error.to_string()))?;
+        create_private_dir(&path).map_err(|error| DemoError::Files(error.to_string()))?;
         Ok(Self(path))
     }
 }
 
-/// Creates a folder that nobody else may read, for it holds a private key.
-fn create(path: &Path) -> std::io::Result<()> {
+/// Creates a directory that only the owner can read, since it will hold a private key.
+fn create_private_dir(path: &Path) -> std::io::Result<()> {
     use std::os::unix::fs::DirBuilderExt;
     std::fs::DirBuilder::new().mode(0o700).create(path)
 }
 
-impl Drop for Folder {
+impl Drop for TempDir {
     fn drop(&mut self) {
         if let Err(error) = std::fs::remove_dir_all(&self.0) {
-            eprintln!("{} remains ({error}); remove it", self.0.display());
+            eprintln!("can't remove {} ({error}); remove it manually", self.0.display());
         }
     }
 }
 
-fn started(handle: std::io::Result<ServerHandle>) -> Result<ServerHandle, StageError> {
-    handle.map_err(|error| StageError::Start(error.to_string()))
+fn check_started(
+    handle: std::io::Result<ServerHandle>,
+) -> Result<ServerHandle, DemoError> {
+    handle.map_err(|error| DemoError::Start(error.to_string()))
 }
 
-fn domain(index: usize) -> &'static str {
+fn domain_of(index: usize) -> &'static str {
     DOMAINS[index % DOMAINS.len()]
 }
 
-fn any() -> SocketAddr {
+fn any_port() -> SocketAddr {
     SocketAddr::from((Ipv4Addr::LOCALHOST, 0))
 }
--- a/crates/demo/src/platform/stage.rs
+++ b/crates/demo/src/platform/cluster.rs
@@ -1,4 +1,4 @@
-//! The platform's stand-ins and the daemons before them.
+//! Starts the platform's stand-ins and the daemons.
 
 use std::net::{Ipv4Addr, SocketAddr};
 use std::sync::Arc;
@@ -14,26 +14,26 @@
 use tokio::task::JoinSet;
 use tokio::time::sleep;
 
-use crate::error::StageError;
+use crate::error::DemoError;
 
-/// The daemons, each with the failure domain that its VM is in.
+/// The daemons' VMs, each with its failure domain.
 const DAEMONS: [(&str, &str); 3] =
     [("entry-1", "north"), ("entry-2", "north"), ("entry-3", "south")];
 
-/// The runners and the models that they hold at first.
+/// The runners, each with the model that is loaded initially.
 const RUNNERS: [(&str, &str); 3] =
     [("runner-1", "red"), ("runner-2", "red"), ("runner-3", "blue")];
 
 /// The servers of the plain service.
 const SERVERS: [&str; 2] = ["ledger-1", "ledger-2"];
 
-/// How long to wait for everything to be served.
-const PATIENCE: Duration = Duration::from_secs(60);
+/// How long to wait until everything is served.
+const READY_TIMEOUT: Duration = Duration::from_secs(60);
 
-/// How often to look whether everything is served.
-const LOOK: Duration = Duration::from_millis(50);
+/// The interval between checks whether everything is served.
+const READY_POLL_INTERVAL: Duration = Duration::from_millis(50);
 
-/// The times and bounds of the daemons, as users' deployments set them.
+/// The bounds of the daemons, as in users' deployments.
 const BOUNDS: Bounds = Bounds {
     stop: Duration::from_secs(8),
     directory: Duration::from_secs(5),
@@ -49,24 +49,24 @@
 };
 
 /// The running stand-ins and daemons.
-pub struct Stage {
-    /// Model runners.
+pub struct Cluster {
+    /// The model runners.
     pub runners: Vec<Runner>,
-    /// Servers of the plain service.
+    /// The servers of the plain service.
     pub servers: Vec<PlainServer>,
-    /// Where callers ask which address to use.
+    /// The addresses where callers query the directory of entries.
     pub directories: Vec<SocketAddr>,
-    /// Where daemons show metrics and their state.
+    /// The addresses where daemons serve metrics and their state.
     metrics: Vec<SocketAddr>,
-    /// Declares what is served.
+    /// Declares models and services while it is alive.
     _operator: Operator,
     store: Store,
     daemons: JoinSet<Result<(), String>>,
 }
 
-impl Stage {
-    /// Starts everything and waits until all that is declared is served.
-    pub async fn start(caller: &Caller) -> Result<Self, StageError> {
+impl Cluster {
+    /// Starts everything and waits until everything that is declared is served.
+    pub async fn start(caller: &Caller) -> Result<Self, DemoError> {
         let store = Store::start().await;
         let operator = Operator::start(&store);
         let mut runners = Vec::new();
@@ -77,7 +77,7 @@
         for name in SERVERS {
             servers.push(PlainServer::start(&store, name).await);
         }
-        let mut stage = Self {
+        let mut cluster = Self {
             runners,
             servers,
             directories: Vec::new(),
@@ -87,15 +87,18 @@
             daemons: JoinSet::new(),
         };
         for (vm, domain) in DAEMONS {
-            stage.start_daemon(vm, domain)?;
+            cluster.start_daemon(vm, domain)?;
         }
-        stage.wait_served(caller).await?;
-        Ok(stage)
+        cluster.wait_served(caller).await?;
+        Ok(cluster)
     }
 
-    /// Commands to try.
-    pub fn explain(&self) -> String {
-        let mut lines = vec!["\nIt stays up; end it with Ctrl-C. Try:\n".to_owned()];
+    /// Commands to try, as text for the user.
+    pub fn example_commands(&self) -> String {
+        let mut lines = vec![
+            "\nThe demo keeps running; stop it with Ctrl-C. Commands to try:\n"
+                .to_owned(),
+        ];
         lines.push(Caller::directory_command(self.directories[0]));
         for addr in &self.metrics {
             lines.push(format!("curl http://{addr}/metrics"));
@@ -105,23 +108,23 @@
         lines.join("\n")
     }
 
-    /// How often an attempt ran, by its name.
+    /// The number of runs of an attempt, by its request id.
     pub fn runs(&self, id: &str) -> usize {
-        let streams = self.runners.iter().flat_map(Runner::runs);
-        let plain = self.servers.iter().flat_map(PlainServer::runs);
-        let streams = streams.filter(|(ran, _)| ran == id).count();
-        streams + plain.filter(|(ran, _)| ran == id).count()
+        let stream_runs = self.runners.iter().flat_map(Runner::runs);
+        let plain_runs = self.servers.iter().flat_map(PlainServer::runs);
+        let stream_count = stream_runs.filter(|(run_id, _)| run_id == id).count();
+        stream_count + plain_runs.filter(|(run_id, _)| run_id == id).count()
     }
 
-    fn start_daemon(&mut self, vm: &str, domain: &str) -> Result<(), StageError> {
+    fn start_daemon(&mut self, vm: &str, domain: &str) -> Result<(), DemoError> {
         let mut ports = [free_addr().port(), free_addr().port()];
         ports.sort_unstable();
         let (directory, metrics) = (free_addr(), free_addr());
-        let named =
-            |error: chestnut_base::NameError| StageError::Start(error.to_string());
+        let invalid_name =
+            |error: chestnut_base::NameError| DemoError::Start(error.to_string());
         let settings = Settings {
-            vm: VmName::try_from(vm).map_err(named)?,
-            domain: DomainName::try_from(domain).map_err(named)?,
+            vm: VmName::try_from(vm).map_err(invalid_name)?,
+            domain: DomainName::try_from(domain).map_err(invalid_name)?,
             ip: Ipv4Addr::LOCALHOST.into(),
             callers: free_addr(),
             readiness: free_addr(),
@@ -137,24 +140,27 @@
         self.directories.push(directory);
         self.metrics.push(metrics);
         self.daemons.spawn(async move {
-            let ended =
+            let result =
                 run::run(settings, Arc::new(Platform), Arc::new(SystemClock), log);
-            ended.await.map_err(|report| format!("{report:#}"))
+            result.await.map_err(|report| format!("{report:#}"))
         });
         Ok(())
     }
 
-    /// Waits until every daemon is in the directory and serves every model and service.
-    async fn wait_served(&mut self, caller: &Caller) -> Result<(), StageError> {
-        let limit = Instant::now() + PATIENCE;
+    /// Waits until every daemon is in the directory and serves every model and the
+    /// service.
+    async fn wait_served(&mut self, caller: &Caller) -> Result<(), DemoError> {
+        let deadline = Instant::now() + READY_TIMEOUT;
         while !self.is_served(caller).await {
-            if let Some(ended) = self.daemons.try_join_next() {
-                return Err(StageError::Start(format!("{ended:?}")));
+            if let Some(result) = self.daemons.try_join_next() {
+                return Err(DemoError::Start(format!("{result:?}")));
             }
-            if Instant::now() > limit {
-                return Err(StageError::NotServed("no answer to a probe".into()));
+            if Instant::now() > deadline {
+                return Err(DemoError::NotServed(
+                    "a probe got no complete response".into(),
+                ));
             }
-            sleep(LOOK).await;
+            sleep(READY_POLL_INTERVAL).await;
         }
         Ok(())
     }
--- a/crates/demo/src/platform/mod.rs
+++ b/crates/demo/src/platform/mod.rs
@@ -1,7 +1,7 @@
-//! The system on the users' platform, before embedded stand-ins of it.
+//! The system on the users' platform, with embedded stand-ins for it.
 //!
-//! 1. [`stage`] starts the store, runners, plain servers and three daemons,
-//! 2. [`burst`] sends a mix of requests and counts what came of them.
+//! 1. [`cluster`] starts the store, runners, plain servers and three daemons.
+//! 2. [`burst`] sends a mix of requests and counts the results.
 
 pub mod burst;
-pub mod stage;
+pub mod cluster;
--- a/crates/demo/src/tally.rs
+++ b/crates/demo/src/tally.rs
@@ -1,4 +1,4 @@
-//! What the callers received and what really ran.
+//! Counts of what the callers received and what actually ran.
 
 use std::fmt::{self, Display, Formatter};
 use std::time::Duration;
@@ -6,93 +6,97 @@
 use indexmap::IndexMap;
 use serde::Serialize;
 
-/// How a request ended for its caller.
+/// The outcome of a request for its caller.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Ending {
-    /// With a whole answer of its own.
-    Whole,
-    /// With what belongs to another request.
+pub enum RequestOutcome {
+    /// A complete response to this request.
+    Complete,
+    /// A response to another request.
     Foreign,
-    /// Refused as not run.
+    /// Refused with the statement that it has not run.
     Refused {
-        /// Whether it ran all the same.
+        /// Whether it ran nevertheless.
         ran: bool,
     },
-    /// With neither a whole answer nor a refusal.
+    /// Neither a complete response nor a refusal.
     Broken,
 }
 
-/// What became of one request.
+/// The result of one request.
 #[derive(Debug, Clone, Copy)]
-pub struct Seen {
-    /// Its kind.
+pub struct RequestResult {
+    /// The kind of the request.
     pub kind: &'static str,
-    /// How it ended.
-    pub end: Ending,
-    /// How long its caller waited.
-    pub took: Duration,
-    /// The time in which an answer is useful.
+    /// The outcome for the caller.
+    pub outcome: RequestOutcome,
+    /// How long the caller waited.
+    pub duration: Duration,
+    /// The time within which a response is useful.
     pub deadline: Duration,
-    /// Whether its caller came back at least once.
+    /// Whether the caller retried.
     pub retried: bool,
-    /// Whether it must run once and ran more often.
-    pub doubled: bool,
+    /// Whether it must run at most once but ran more often.
+    pub ran_twice: bool,
 }
 
-/// What the callers received, of all kinds and by kind.
+/// Counts for all requests and by kind.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize)]
 pub struct Tally {
-    /// Of all kinds together.
+    /// Counts for all kinds together.
     #[serde(flatten)]
-    pub total: Line,
-    /// By kind.
-    pub kinds: IndexMap<String, Line>,
+    pub total: TallyRow,
+    /// Counts by kind.
+    pub kinds: IndexMap<String, TallyRow>,
 }
 
-/// What the callers of a kind received.
+/// Counts for a set of requests.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Serialize)]
-pub struct Line {
-    /// Requests that were sent; a request sent to two entries counts twice.
+pub struct TallyRow {
+    /// Requests sent; a request sent to two entries counts twice.
     pub sent: u64,
-    /// Whole answers.
+    /// Complete responses.
     pub served: u64,
-    /// Whole answers within the deadline.
+    /// Complete responses within the deadline.
     pub in_deadline: u64,
-    /// Requests that were refused in the end.
+    /// Requests finally refused.
     pub refused: u64,
-    /// Requests whose caller came back at least once.
+    /// Requests whose caller retried.
     pub retried: u64,
-    /// Requests that must run once and ran more often.
+    /// Requests that must run at most once but ran more often.
     pub doubled: u64,
-    /// Answers that belong to another request.
+    /// Responses to another request.
     pub foreign: u64,
-    /// Requests with neither a whole answer nor a refusal.
+    /// Requests with neither a complete response nor a refusal.
     pub broken: u64,
-    /// Requests that were refused as not run and ran.
+    /// Requests refused as not run that ran nevertheless.
     pub untrue: u64,
-    /// The time that half of the whole answers took at most, in milliseconds.
+    /// The median latency of complete responses, in milliseconds; 0 without any.
     pub p50_ms: u64,
-    /// The time that 99 in 100 of the whole answers took at most, in milliseconds.
+    /// The 99th percentile of the latency of complete responses, in milliseconds; 0
+    /// without any.
     pub p99_ms: u64,
 }
 
 impl Tally {
-    /// Counts what became of a burst.
-    pub fn count(burst: &[Seen]) -> Self {
-        let mut tally = Self { total: line(burst.iter()), ..Self::default() };
-        for one in burst {
-            let of_kind = burst.iter().filter(|seen| seen.kind == one.kind);
-            tally.kinds.entry(one.kind.to_owned()).or_insert_with(|| line(of_kind));
+    /// Counts the results of a burst.
+    pub fn count(results: &[RequestResult]) -> Self {
+        let mut tally = Self { total: count_row(results.iter()), ..Self::default() };
+        for result in results {
+            let of_kind = results.iter().filter(|other| other.kind == result.kind);
+            tally
+                .kinds
+                .entry(result.kind.to_owned())
+                .or_insert_with(|| count_row(of_kind));
         }
         tally
     }
 
-    /// Whether every answer was whole and its own caller's, nothing ran twice that
-    /// must not, and no refusal was untrue.
-    pub fn is_fine(&self) -> bool {
+    /// Whether at least one request was served, every response was complete and belonged
+    /// to its request, no request ran twice that must not, and no refused request ran.
+    pub fn is_correct(&self) -> bool {
         let total = &self.total;
-        let faults = total.doubled + total.foreign + total.broken + total.untrue;
-        total.served > 0 && faults == 0
+        let violations = total.doubled + total.foreign + total.broken + total.untrue;
+        total.served > 0 && violations == 0
     }
 }
 
@@ -115,55 +119,55 @@
             "p99 ms",
         )?;
         let total = ("all".to_owned(), self.total);
-        let kinds = self.kinds.iter().map(|(kind, line)| (kind.clone(), *line));
-        for (kind, line) in kinds.chain([total]) {
+        let kinds = self.kinds.iter().map(|(kind, row)| (kind.clone(), *row));
+        for (kind, row) in kinds.chain([total]) {
             writeln!(
                 f,
                 "{kind:<11}{:>6}{:>8}{:>13}{:>9}{:>9}{:>9}{:>9}{:>8}{:>8}{:>9}{:>9}",
-                line.sent,
-                line.served,
-                line.in_deadline,
-                line.refused,
-                line.retried,
-                line.doubled,
-                line.foreign,
-                line.broken,
-                line.untrue,
-                line.p50_ms,
-                line.p99_ms,
+                row.sent,
+                row.served,
+                row.in_deadline,
+                row.refused,
+                row.retried,
+                row.doubled,
+                row.foreign,
+                row.broken,
+                row.untrue,
+                row.p50_ms,
+                row.p99_ms,
             )?;
         }
         Ok(())
     }
 }
 
-fn line<'a>(burst: impl Iterator<Item = &'a Seen>) -> Line {
-    let mut line = Line::default();
-    let mut times = Vec::new();
-    for one in burst {
-        line.sent += 1;
-        line.retried += u64::from(one.retried);
-        line.doubled += u64::from(one.doubled);
-        match one.end {
-            Ending::Whole => {
-                line.served += 1;
-                line.in_deadline += u64::from(one.took <= one.deadline);
-                times.push(one.took);
+fn count_row<'a>(results: impl Iterator<Item = &'a RequestResult>) -> TallyRow {
+    let mut row = TallyRow::default();
+    let mut latencies = Vec::new();
+    for result in results {
+        row.sent += 1;
+        row.retried += u64::from(result.retried);
+        row.doubled += u64::from(result.ran_twice);
+        match result.outcome {
+            RequestOutcome::Complete => {
+                row.served += 1;
+                row.in_deadline += u64::from(result.duration <= result.deadline);
+                latencies.push(result.duration);
             }
-            Ending::Foreign => line.foreign += 1,
-            Ending::Refused { ran } => {
-                line.refused += 1;
-                line.untrue += u64::from(ran);
+            RequestOutcome::Foreign => row.foreign += 1,
+            RequestOutcome::Refused { ran } => {
+                row.refused += 1;
+                row.untrue += u64::from(ran);
             }
-            Ending::Broken => line.broken += 1,
+            RequestOutcome::Broken => row.broken += 1,
         }
     }
-    times.sort();
-    let at = |share: usize| {
-        let index = (times.len() * share).div_ceil(100).saturating_sub(1);
-        times.get(index).map_or(0, |time| time.as_millis() as u64)
+    latencies.sort();
+    let percentile_ms = |percent: usize| {
+        let index = (latencies.len() * percent).div_ceil(100).saturating_sub(1);
+        latencies.get(index).map_or(0, |latency| latency.as_millis() as u64)
     };
-    line.p50_ms = at(50);
-    line.p99_ms = at(99);
-    line
+    row.p50_ms = percentile_ms(50);
+    row.p99_ms = percentile_ms(99);
+    row
 }
