--- a/crates/lab/src/config/testbed.rs
+++ b/crates/lab/src/config/testbed.rs
@@ -7,8 +7,8 @@
 
 use chestnut_base::{Revision, SystemClock};
 use chestnut_config::{Settings, keys};
-use chestnut_fake::weights::WeightSpeed;
-use chestnut_fake::{Handle, platform};
+use chestnut_fake::weights::WeightStoreConfig;
+use chestnut_fake::{ServerHandle, platform};
 use chestnut_node::logs;
 use chestnut_node::run::{self, Daemon};
 use reqwest::Client;
@@ -25,7 +25,7 @@
 
 /// The fake platform and the daemons of the experiment.
 pub struct Testbed {
-    platform: Handle,
+    platform: ServerHandle,
     daemons: Vec<Daemon>,
     /// Traffic with the table, by daemon.
     byte_counters: Vec<Arc<ByteCounter>>,
@@ -60,7 +60,7 @@
     /// Starts the platform and the daemons, and declares all files.
     pub async fn start(options: &Options) -> Self {
         let any_port = SocketAddr::from(([127, 0, 0, 1], 0));
-        let platform = platform::start(any_port, WeightSpeed::default()).await;
+        let platform = platform::start(any_port, WeightStoreConfig::default()).await;
         let platform = platform.expect("a free port");
         let http =
             Client::builder().no_proxy().build().expect("the HTTP client is valid");
--- a/crates/lab/src/slopes/testbed.rs
+++ b/crates/lab/src/slopes/testbed.rs
@@ -8,7 +8,9 @@
 
 use chestnut_base::SystemClock;
 use chestnut_config::Settings;
-use chestnut_fake::{EngineConfig, Handle, WeightSpeed, certs, engine, platform};
+use chestnut_fake::{
+    EngineConfig, ServerHandle, WeightStoreConfig, certs, engine, platform,
+};
 use chestnut_node::logs;
 use chestnut_node::run::{self, Daemon};
 use chestnut_plat::{PlatformError, TableClient};
@@ -67,8 +69,8 @@
     pub daemons: Vec<Daemon>,
     /// The harness's own HTTP client.
     pub http: Client,
-    platform: Handle,
-    engines: Vec<Handle>,
+    platform: ServerHandle,
+    engines: Vec<ServerHandle>,
     /// Certificates and keys of the daemons; removed on drop.
     certs_folder: PathBuf,
     /// The `times` in the daemons' settings.
@@ -87,7 +89,11 @@
         };
         let daemon_runtime = runtime(DAEMON_THREADS)?;
         let harness_runtime = runtime(HARNESS_THREADS)?;
-        let speed = WeightSpeed { rate: 100.0, parallel: 8, bytes: 400e9 };
+        let speed = WeightStoreConfig {
+            loads_per_second: 100.0,
+            parallel_loads: 8,
+            bytes_per_second: 400e9,
+        };
         let platform = harness_runtime.block_on(platform::start(any_port(), speed))?;
         let table = TableClient::new(platform.url(), HARNESS_TIMEOUT)?;
         let certs_folder = std::env::temp_dir().join(format!(
--- a/tests/support/cluster.rs
+++ b/tests/support/cluster.rs
@@ -49,7 +49,7 @@
     /// Facts about each of the latest responses.
     pub last_facts: Vec<Vec<String>>,
     /// All requests with their replies.
-    pub replies: Vec<(Ask, Reply)>,
+    pub replies: Vec<(CallerRequest, CallerResponse)>,
     /// Operators whose commands run, by name.
     pub operators: IndexMap<String, Operator>,
     /// Number of declaration changes sent so far; used for their ids.
@@ -59,11 +59,11 @@
 /// A request without an awaited response.
 pub struct SentRequest {
     /// The request as sent.
-    pub request: Ask,
+    pub request: CallerRequest,
     /// Number of tokens that have arrived.
     pub token_count: Arc<AtomicUsize>,
     /// Task that returns the reply.
-    pub reply: JoinHandle<Reply>,
+    pub reply: JoinHandle<CallerResponse>,
 }
 
 impl Cluster {
@@ -349,8 +349,10 @@
             let request = request::parse(&options, vec![self.base(name)?])?;
             let start = std::time::Instant::now();
             loop {
-                let reply = request.clone().run(self.http.clone(), Arc::default()).await;
-                if reply.is_whole(&request) {
+                let reply = request.clone()
+                    .send_with_retries(self.http.clone(), Arc::default())
+                    .await;
+                if reply.is_complete(&request) {
                     break;
                 }
                 if start.elapsed() > TIMEOUT {
--- a/tests/support/invariants.rs
+++ b/tests/support/invariants.rs
@@ -25,7 +25,7 @@
 /// Checks all invariants.
 pub async fn check(cluster: &Cluster) -> Result<(), Failure> {
     for (request, reply) in &cluster.replies {
-        if let Some(reason) = reply.wrong(request) {
+        if let Some(reason) = reply.mismatch(request) {
             return Err(format!("{request:?} got {reason}"));
         }
     }
@@ -79,10 +79,12 @@
         add(&mut self.prompts, &counts["prompts"]);
     }
 
-    fn runs_of(&self, request: &Ask) -> u64 {
-        let count = match (&request.form, &request.key) {
-            (Form::Completion(completion), _) => self.prompts.get(&completion.prompt),
-            (Form::Service { .. }, Some(key)) => self.calls.get(key),
+    fn runs_of(&self, request: &CallerRequest) -> u64 {
+        let count = match (&request.operation, &request.idempotency_key) {
+            (Operation::Completion(completion), _) => {
+                self.prompts.get(&completion.prompt)
+            }
+            (Operation::Service { .. }, Some(key)) => self.calls.get(key),
             _ => None,
         };
         count.copied().unwrap_or(0)
@@ -133,12 +135,12 @@
 }
 
 /// Number of distinct requests of the scenario that share this prompt or service key.
-fn distinct_keys(cluster: &Cluster, request: &Ask) -> u64 {
+fn distinct_keys(cluster: &Cluster, request: &CallerRequest) -> u64 {
     let mut keys: Vec<_> = cluster
         .replies
         .iter()
         .filter(|(other, _)| is_same_run(request, other))
-        .map(|(other, _)| (&other.caller, &other.key))
+        .map(|(other, _)| (&other.caller, &other.idempotency_key))
         .collect();
     keys.sort();
     keys.dedup();
@@ -154,7 +156,7 @@
             .count();
         // Another request with the same text, or an earlier attempt of this one, may have
         // run.
-        let is_only_send = same_count == 1 && request.patience.is_zero();
+        let is_only_send = same_count == 1 && request.wait_limit.is_zero();
         if is_only_send && run_counts.runs_of(request) > 0 {
             return Err(format!("{request:?} was refused as not run and ran"));
         }
@@ -162,16 +164,17 @@
     Ok(())
 }
 
-fn is_not_run(reply: &Reply) -> bool {
+fn is_not_run(reply: &CallerResponse) -> bool {
     reply.outcome.as_deref() == Some("not_run")
 }
 
-fn is_same_run(first: &Ask, other: &Ask) -> bool {
-    match (&first.form, &other.form) {
-        (Form::Completion(first), Form::Completion(other)) => {
+fn is_same_run(first: &CallerRequest, other: &CallerRequest) -> bool {
+    match (&first.operation, &other.operation) {
+        (Operation::Completion(first), Operation::Completion(other)) => {
             first.prompt == other.prompt
         }
-        (Form::Service { .. }, Form::Service { .. }) => first.key == other.key,
+        (Operation::Service { .. }, Operation::Service { .. }) => first.idempotency_key == other.idempotency_key
+        }
         _ => false,
     }
 }
--- a/tests/support/request.rs
+++ b/tests/support/request.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-pub use chestnut_fake::caller::{Ask, Completion, Form, Reply};
+pub use chestnut_fake::caller::{CallerRequest, CallerResponse, Completion, Operation};
 
 use super::command::Options;
 use super::{Failure, TIMEOUT};
@@ -13,72 +13,72 @@
 
 /// Builds a request from a command's options; `bases` are the URLs of the daemons to send
 /// it to.
-pub fn parse(options: &Options, bases: Vec<String>) -> Result<Ask, Failure> {
+pub fn parse(options: &Options, bases: Vec<String>) -> Result<CallerRequest, Failure> {
     let text = |name: &str| options.text(name).map(str::to_owned);
     let form = if let Some(name) = text("svc") {
-        Form::Service {
+        Operation::Service {
             name,
             path: options.text_or("path", "/").to_owned(),
             method: options.text_or("method", "POST").to_owned(),
             body: options.text_or("body", "").to_owned(),
         }
     } else if let Some(raw) = text("raw") {
-        Form::Raw(raw)
+        Operation::Raw(raw)
     } else if let Some(key) = text("outcome") {
-        Form::Outcome(key)
+        Operation::Outcome(key)
     } else {
         let route = options.text_or("route", "draft").to_owned();
-        Form::Completion(Completion {
+        Operation::Completion(Completion {
             model: options.text_or("model", engine_model_name(&route)).to_owned(),
-            former: text("former"),
+            previous_model: text("former"),
             route,
             prompt: options.text_or("prompt", "hello").to_owned(),
-            tokens: options.number_or("tokens", 8)? as u32,
+            max_tokens: options.number_or("tokens", 8)? as u32,
             stream: options.is_set("stream"),
             chat: options.is_set("chat"),
         })
     };
-    let mut request = Ask {
-        bases,
+    let mut request = CallerRequest {
+        base_urls: bases,
         caller: options.text_or("caller", "portal").to_owned(),
-        key: text("key"),
-        form,
+        idempotency_key: text("key"),
+        operation: form,
         kind: text("kind"),
-        deadline: text("deadline"),
-        patience: if options.is_set("patient") { TIMEOUT } else { Duration::ZERO },
-        give_up: Duration::from_millis(
+        deadline_ms: text("deadline"),
+        wait_limit: if options.is_set("patient") { TIMEOUT } else { Duration::ZERO },
+        attempt_timeout: Duration::from_millis(
             options.number_or("give_up", DEFAULT_CLIENT_TIMEOUT_MS)? as u64,
         ),
-        safe: false,
+        idempotent: false,
     };
-    request.safe = is_idempotent(&request);
+    request.idempotent = is_idempotent(&request);
     Ok(request)
 }
 
 /// Whether running the request twice has the same effect as running it once.
-pub fn is_idempotent(request: &Ask) -> bool {
+pub fn is_idempotent(request: &CallerRequest) -> bool {
     let kind = request.kind.as_deref();
     let has_effects = |kind: &str| kind == "letter" || kind == "booking";
-    match &request.form {
-        Form::Completion(completion) => {
+    match &request.operation {
+        Operation::Completion(completion) => {
             !kind.map_or(completion.route == "letter", has_effects)
         }
-        Form::Service { method, .. } => method == "GET" || !kind.is_none_or(has_effects),
-        Form::Raw(_) | Form::Outcome(_) => true,
+        Operation::Service { method, .. } => method == "GET" || !kind.is_none_or(has_effects),
+        Operation::Raw(_) | Operation::Outcome(_) => true,
     }
 }
 
 /// Facts about a reply, as words that a scenario can expect.
-pub fn facts(reply: &Reply, request: &Ask) -> Vec<String> {
+pub fn facts(reply: &CallerResponse, request: &CallerRequest) -> Vec<String> {
     let mut facts = Vec::new();
     facts.extend(reply.status.map(|status| status.to_string()));
     facts.extend(reply.outcome.clone());
     facts.extend(reply.code.clone());
-    facts.extend(reply.fault.map(str::to_owned));
-    if reply.retry.is_some() && reply.header {
+    facts.extend(reply.failure.map(str::to_owned));
+    if reply.retry_after.is_some() && reply.has_retry_after_header {
         facts.push("retry".into());
     }
-    if reply.is_whole(request) {
+    if reply.is_complete(request) {
         facts.push("whole".into());
     }
     for name in ["state", "verdict", "reason"] {
@@ -87,7 +87,7 @@
     if let Some(run) = reply.body["run"].as_u64() {
         facts.push(format!("run={run}"));
     }
-    facts.push(format!("tries={}", reply.tries));
+    facts.push(format!("tries={}", reply.attempts));
     facts
 }
 
