--- a/tests/support/cluster.rs
+++ b/tests/support/cluster.rs
@@ -16,7 +16,7 @@
 use super::command::{Options, ProcessKind};
 use super::operator::Operator;
 use super::process::Process;
-use super::request::{self, Ask, Reply};
+use super::request::{self, CallerRequest, CallerResponse};
 use super::{Failure, TIMEOUT};
 
 /// Teams whose operators the daemons know; each one's key is `ops-TEAM`.
@@ -349,7 +349,8 @@
             let request = request::parse(&options, vec![self.base(name)?])?;
             let start = std::time::Instant::now();
             loop {
-                let reply = request.clone()
+                let reply = request
+                    .clone()
                     .send_with_retries(self.http.clone(), Arc::default())
                     .await;
                 if reply.is_complete(&request) {
--- a/tests/support/invariants.rs
+++ b/tests/support/invariants.rs
@@ -14,7 +14,7 @@
 use super::Failure;
 use super::cluster::Cluster;
 use super::command::ProcessKind;
-use super::request::{Ask, Form, Reply, is_idempotent};
+use super::request::{CallerRequest, CallerResponse, Operation, is_idempotent};
 
 /// Attempts to read a stand-in's counts.
 const COUNT_ATTEMPTS: u32 = 15;
@@ -173,7 +173,8 @@
         (Operation::Completion(first), Operation::Completion(other)) => {
             first.prompt == other.prompt
         }
-        (Operation::Service { .. }, Operation::Service { .. }) => first.idempotency_key == other.idempotency_key
+        (Operation::Service { .. }, Operation::Service { .. }) => {
+            first.idempotency_key == other.idempotency_key
         }
         _ => false,
     }
--- a/tests/support/request.rs
+++ b/tests/support/request.rs
@@ -63,7 +63,9 @@
         Operation::Completion(completion) => {
             !kind.map_or(completion.route == "letter", has_effects)
         }
-        Operation::Service { method, .. } => method == "GET" || !kind.is_none_or(has_effects),
+        Operation::Service { method, .. } => {
+            method == "GET" || !kind.is_none_or(has_effects)
+        }
         Operation::Raw(_) | Operation::Outcome(_) => true,
     }
 }
--- a/tests/support/steps.rs
+++ b/tests/support/steps.rs
@@ -9,7 +9,7 @@
 use super::cluster::{Cluster, SentRequest};
 use super::command::{Command, Comparison, Options, ProcessKind, Signal, StateQuery};
 use super::operator::{self, Operator};
-use super::request::{self, Ask};
+use super::request::{self, CallerRequest};
 use super::{Failure, TIMEOUT};
 
 /// Interval at which conditions are polled.
@@ -179,7 +179,9 @@
     for index in 0..count {
         let request = if single { base.clone() } else { base.numbered(index) };
         let token_count = Arc::default();
-        let run = request.clone().send_with_retries(cluster.http.clone(), Arc::clone(&token_count));
+        let run = request
+            .clone()
+            .send_with_retries(cluster.http.clone(), Arc::clone(&token_count));
         let sent = SentRequest { request, token_count, reply: tokio::spawn(run) };
         cluster.sent.entry(name.to_owned()).or_default().push(sent);
     }
@@ -201,7 +203,8 @@
             waited.map_err(|_| "no response arrived")?.map_err(|e| e.to_string())?;
         let mut facts = request::facts(&reply, &sent_request.request);
         // The last entry is for the reader of a failure; no scenario can expect it.
-        let (form, text, body) = (&sent_request.request.operation, &reply.text, &reply.body);
+        let (form, text, body) =
+            (&sent_request.request.operation, &reply.text, &reply.body);
         facts.push(format!("(sent {form:?}, received text {text:?} body {body})"));
         cluster.last_facts.push(facts);
         cluster.replies.push((sent_request.request, reply));
