--- a/crates/demo/src/lib.rs
+++ b/crates/demo/src/lib.rs
@@ -20,7 +20,7 @@
 pub use self::error::DemoError;
 use self::tally::Tally;
 
-/// The exit code if a caller received a wrong response or a request ran twice.
+/// The exit code if [`Tally::is_correct`] is false.
 const EXIT_CHECK_FAILED: u8 = 1;
 
 /// The exit code if the demo could not be completed.
--- a/crates/demo/src/platform/cluster.rs
+++ b/crates/demo/src/platform/cluster.rs
@@ -58,7 +58,7 @@
     pub directories: Vec<SocketAddr>,
     /// The addresses where daemons serve metrics and their state.
     metrics: Vec<SocketAddr>,
-    /// Declares models and services while it is alive.
+    /// The publisher of the declarations.
     _operator: Operator,
     store: Store,
     daemons: JoinSet<Result<(), String>>,
--- a/crates/fake/src/engine/mod.rs
+++ b/crates/fake/src/engine/mod.rs
@@ -1,8 +1,8 @@
 //! A model engine with continuous batching.
 //!
-//! A request is received by [`http`], waits and runs in the [`batch`] and uses the prefix
+//! A request is received by `http`, waits and runs in the [`batch`] and uses the prefix
 //! [`cache`]. The generated [`text`] depends only on the model and the prompt, and a
-//! [`response`] sends it to the reader. [`orders`] change what is loaded into [`memory`].
+//! `response` sends it to the reader. `orders` change what is loaded into [`memory`].
 //! Batch, cache and memory form the [`core`], which stand-ins with other protocols use
 //! too.
 
@@ -35,7 +35,7 @@
 /// How often a frozen engine checks whether the fault was cleared.
 const FREEZE_POLL_INTERVAL: Duration = Duration::from_millis(10);
 
-/// The number of distinct prompts counted.
+/// The maximum number of distinct prompts counted.
 const MAX_COUNTED_PROMPTS: usize = 100_000;
 
 /// The configuration of an engine.
