--- a/crates/base/src/outcome.rs
+++ b/crates/base/src/outcome.rs
@@ -93,7 +93,7 @@
     }
 
     /// Whether the request would fail again if it were resent unchanged.
-    pub fn is_final(self) -> bool {
+    pub fn is_permanent(self) -> bool {
         matches!(
             self,
             Self::UnknownModel
--- a/crates/base/src/request.rs
+++ b/crates/base/src/request.rs
@@ -94,7 +94,7 @@
 
 impl RequestSpec {
     /// The maximum number of KV cache tokens that the request occupies on a runner.
-    pub fn tokens(&self) -> u64 {
+    pub fn max_kv_tokens(&self) -> u64 {
         u64::from(self.prompt_tokens) + u64::from(self.max_output_tokens)
     }
 }
--- a/crates/edge/src/call.rs
+++ b/crates/edge/src/call.rs
@@ -30,16 +30,18 @@
 /// The size of a generation, in tokens.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct GenerationSize {
-    /// Tokens of the prompt.
-    pub prompt: u32,
-    /// The maximum number of output tokens.
-    pub output: u32,
+    /// The length of the prompt.
+    #[serde(rename = "prompt")]
+    pub prompt_tokens: u32,
+    /// The maximum length of the output.
+    #[serde(rename = "output")]
+    pub max_output_tokens: u32,
 }
 
 impl GenerationSize {
     /// The maximum number of KV cache tokens that the generation occupies.
-    pub fn tokens(self) -> u64 {
-        u64::from(self.prompt) + u64::from(self.output)
+    pub fn max_kv_tokens(self) -> u64 {
+        u64::from(self.prompt_tokens) + u64::from(self.max_output_tokens)
     }
 }
 
@@ -68,7 +70,7 @@
     /// The size of the generation; zero if the caller states none.
     pub size: GenerationSize,
     /// The caller's estimate of the number of output tokens; often inaccurate.
-    pub estimated_output: Option<u32>,
+    pub estimated_output_tokens: Option<u32>,
     /// The segments of the prompt, in order; the last one is specific to the caller's
     /// session.
     pub parts: Vec<PromptPart>,
--- a/crates/edge/src/store.rs
+++ b/crates/edge/src/store.rs
@@ -55,7 +55,7 @@
     }
 
     /// Deletes a row.
-    pub fn remove(mut self, table: &str, key: &str) -> Self {
+    pub fn delete(mut self, table: &str, key: &str) -> Self {
         self.writes.push(Write { table: table.into(), key: key.into(), value: None });
         self
     }
@@ -65,7 +65,7 @@
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum TransactionOutcome {
     /// The transaction was committed.
-    Done {
+    Committed {
         /// The new version of the written rows.
         version: u64,
     },
--- a/crates/gate/src/admission.rs
+++ b/crates/gate/src/admission.rs
@@ -89,7 +89,7 @@
             .retain(|_, entry| entry.decision.is_none_or(|(_, at)| is_recent(at)));
         self.last_ticket += 1;
         let ticket = Ticket(self.last_ticket);
-        let (uncached_tokens, reply) = (request.size.prompt, Some(reply));
+        let (uncached_tokens, reply) = (request.size.prompt_tokens, Some(reply));
         let entry = AdmissionEntry {
             ticket,
             request,
@@ -177,7 +177,7 @@
     state.prefill_queue.push(QueuedPrompt {
         ticket,
         prefill_time,
-        kv_tokens: request.size.tokens(),
+        kv_tokens: request.size.max_kv_tokens(),
         urgency: request.urgency,
         target: now + request.target_time,
         deadline: now + request.wait_limit,
--- a/crates/gate/src/claims.rs
+++ b/crates/gate/src/claims.rs
@@ -116,7 +116,7 @@
         changes.iter().map(|change| may_order_at_once(shared, change)).collect();
     let transaction = changes.iter().fold(Transaction::default(), add_change);
     match store::commit(shared, &transaction).await {
-        Ok(TransactionOutcome::Done { version }) => {
+        Ok(TransactionOutcome::Committed { version }) => {
             table_sync::record_own_writes(shared, &transaction, version);
             for (change, at_once) in changes.into_iter().zip(at_once) {
                 record_change(shared, change, version, at_once);
--- a/crates/gate/src/job.rs
+++ b/crates/gate/src/job.rs
@@ -117,10 +117,13 @@
     /// The demand that the request adds for its model.
     pub fn demand(&self) -> DemandCounts {
         let size = self.call.size;
-        let estimate =
-            self.call.estimated_output.map_or(f64::from(size.output), f64::from);
-        let output = (estimate * MEAN_TO_MEDIAN_OUTPUT).min(size.output.into());
-        let prompt = f64::from(size.prompt);
+        let estimate = self
+            .call
+            .estimated_output_tokens
+            .map_or(f64::from(size.max_output_tokens), f64::from);
+        let output =
+            (estimate * MEAN_TO_MEDIAN_OUTPUT).min(size.max_output_tokens.into());
+        let prompt = f64::from(size.prompt_tokens);
         DemandCounts {
             requests: 1.0,
             prompt_tokens: prompt,
@@ -135,9 +138,9 @@
         let size = self.call.size;
         let estimate = self
             .call
-            .estimated_output
-            .map_or(size.output, |estimate| estimate.saturating_mul(2));
-        GenerationSize { output: size.output.min(estimate), ..size }
+            .estimated_output_tokens
+            .map_or(size.max_output_tokens, |estimate| estimate.saturating_mul(2));
+        GenerationSize { max_output_tokens: size.max_output_tokens.min(estimate), ..size }
     }
 
     /// A key for requests that profit from the same runner: those with the same adapter, or
@@ -169,7 +172,7 @@
         info!(self.shared.log, "request ended"; "id" => self.id(), "end" => end.outcome,
             "why" => end.reason, "route" => &route.name, "server" => end.server,
             "revision" => self.declarations.revision.0, "ms" => millis(time),
-            "prompt" => self.call.size.prompt, "output" => self.call.size.output,
+            "prompt" => self.call.size.prompt_tokens, "output" => self.call.size.max_output_tokens,
             "events" => timing.map(|timing| timing.events),
             "first_ms" => timing.and_then(|timing| timing.first_after_send).map(millis),
             "begun_ms" => timing.and_then(|timing| timing.first_after_arrival).map(millis),
--- a/crates/gate/src/members.rs
+++ b/crates/gate/src/members.rs
@@ -150,7 +150,7 @@
     let value = serde_json::to_vec(row).map_err(|error| error.to_string())?;
     let transaction = Transaction::default().put(SYSTEM_TABLE, &row_key(vm), value);
     match store::commit(shared, &transaction).await {
-        Ok(TransactionOutcome::Done { version }) => {
+        Ok(TransactionOutcome::Committed { version }) => {
             table_sync::record_own_writes(shared, &transaction, version);
             let vm = shared.settings.vm.clone();
             shared.membership().members.insert(vm, (row.clone(), version));
@@ -300,7 +300,7 @@
         // A daemon without a row is sent no heartbeats, so it can't judge others.
         let Some(transaction) = require_own_row(shared, transaction) else { return };
         match store::commit(shared, &transaction).await {
-            Ok(TransactionOutcome::Done { .. }) => {}
+            Ok(TransactionOutcome::Committed { .. }) => {}
             Ok(outcome) => {
                 info!(shared.log, "row not removed"; "why" => format!("{outcome:?}"))
             }
@@ -361,5 +361,5 @@
     let row_key = row_key(vm.as_str());
     Transaction::default()
         .require_version(SYSTEM_TABLE, &row_key, version)
-        .remove(SYSTEM_TABLE, &row_key)
+        .delete(SYSTEM_TABLE, &row_key)
 }
--- a/crates/gate/src/persisted_timings.rs
+++ b/crates/gate/src/persisted_timings.rs
@@ -108,7 +108,7 @@
 
 async fn write_row(shared: Arc<Shared>, transaction: Transaction) {
     match store::commit(&shared, &transaction).await {
-        Ok(TransactionOutcome::Done { .. }) => {}
+        Ok(TransactionOutcome::Committed { .. }) => {}
         Ok(outcome) => warn!(shared.log, "failed to persist engine timings";
             "answer" => format!("{outcome:?}")),
         Err(error) => warn!(shared.log, "failed to persist engine timings";
--- a/crates/lab/src/slopes/state.rs
+++ b/crates/lab/src/slopes/state.rs
@@ -195,8 +195,12 @@
     let mut totals = [0; 4];
     for daemon in &testbed.daemons {
         let traffic: &TrafficCounters = daemon.node().shared.table.traffic();
-        let counters =
-            [&traffic.reads, &traffic.commits, &traffic.received, &traffic.sent];
+        let counters = [
+            &traffic.reads,
+            &traffic.commits,
+            &traffic.received_bytes,
+            &traffic.sent_bytes,
+        ];
         for (total, counter) in totals.iter_mut().zip(counters) {
             *total += counter.load(Ordering::Relaxed);
         }
--- a/crates/node/src/config_sync.rs
+++ b/crates/node/src/config_sync.rs
@@ -278,11 +278,11 @@
 }
 
 async fn send_commit(shared: &Shared, commit: Transaction) -> Event {
-    let mut txn =
-        Txn::new().absent(rows::table_for(&commit.verdict_key), commit.verdict_key);
+    let mut txn = Txn::new()
+        .require_absent(rows::table_for(&commit.verdict_key), commit.verdict_key);
     txn = match commit.head_version {
-        Some(version) => txn.version(rows::CONFIG_TABLE, rows::HEAD_KEY, version),
-        None => txn.absent(rows::CONFIG_TABLE, rows::HEAD_KEY),
+        Some(version) => txn.require_version(rows::CONFIG_TABLE, rows::HEAD_KEY, version),
+        None => txn.require_absent(rows::CONFIG_TABLE, rows::HEAD_KEY),
     };
     for (key, value) in commit.writes {
         txn = txn.put(rows::table_for(&key), key, value);
--- a/crates/node/src/journal.rs
+++ b/crates/node/src/journal.rs
@@ -114,11 +114,13 @@
     for condition in &batch.conditions {
         txn = match condition {
             Condition::Claim { slot, version } => {
-                txn.version(CLAIMS, ClaimKey::Slot(*slot).to_string(), *version)
+                txn.require_version(CLAIMS, ClaimKey::Slot(*slot).to_string(), *version)
+            }
+            Condition::Absent { slot, id } => {
+                txn.require_absent(JOURNAL, row_key(*slot, id))
             }
-            Condition::Absent { slot, id } => txn.absent(JOURNAL, row_key(*slot, id)),
             Condition::Version { slot, id, version } => {
-                txn.version(JOURNAL, row_key(*slot, id), *version)
+                txn.require_version(JOURNAL, row_key(*slot, id), *version)
             }
         };
     }
--- a/crates/node/src/members.rs
+++ b/crates/node/src/members.rs
@@ -225,7 +225,7 @@
         let mut txn = Txn::new().put(LEASES, vm, json!(lease));
         match current {
             // Conflicts if this daemon's row was removed; it then joins again.
-            Some((_, version)) => txn = txn.version(MEMBERS, vm, version),
+            Some((_, version)) => txn = txn.require_version(MEMBERS, vm, version),
             None => txn = txn.put(MEMBERS, vm, json!(self.own_row(leaving))),
         }
         let response = self.shared.table.commit(&txn).await?;
@@ -270,8 +270,8 @@
             };
             let key = vm.as_str();
             let txn = Txn::new()
-                .version(MEMBERS, key, *version)
-                .idle(LEASES, key, term + chestnut_member::lease::EXPIRY_MARGIN)
+                .require_version(MEMBERS, key, *version)
+                .require_idle(LEASES, key, term + chestnut_member::lease::EXPIRY_MARGIN)
                 .delete(MEMBERS, key)
                 .delete(LEASES, key);
             if let TxnResponse::Committed { .. } = self.shared.table.commit(&txn).await? {
@@ -319,7 +319,7 @@
         return Ok(());
     };
     let txn = Txn::new()
-        .version(MEMBERS, vm, row.version)
+        .require_version(MEMBERS, vm, row.version)
         .delete(MEMBERS, vm)
         .delete(LEASES, vm);
     shared.table.commit(&txn).await.map(drop)
--- a/crates/node/src/members/claims.rs
+++ b/crates/node/src/members/claims.rs
@@ -44,8 +44,8 @@
         for change in changes {
             let key = change.key.to_string();
             txn = match change.expected_version {
-                0 => txn.absent(CLAIMS, key.clone()),
-                version => txn.version(CLAIMS, key.clone(), version),
+                0 => txn.require_absent(CLAIMS, key.clone()),
+                version => txn.require_version(CLAIMS, key.clone(), version),
             };
             txn = txn.put(CLAIMS, key, json!(change.row));
         }
--- a/crates/node/src/members/vms.rs
+++ b/crates/node/src/members/vms.rs
@@ -26,7 +26,8 @@
         self.check_own_vm(&list);
         let servers: IndexMap<ServerName, Server> =
             list.iter().filter_map(backend_server).collect();
-        let mut txn = Txn::new().version(CLAIMS, ClaimKey::Vms.to_string(), version);
+        let mut txn =
+            Txn::new().require_version(CLAIMS, ClaimKey::Vms.to_string(), version);
         for (name, server) in &servers {
             if self.rows.servers.get(name) != Some(server) {
                 txn = txn.put(SERVERS, name.as_str(), json!(server));
--- a/crates/node/src/orders/runner.rs
+++ b/crates/node/src/orders/runner.rs
@@ -278,13 +278,13 @@
         let Ok(value) = serde_json::to_value(next) else { return };
         let key = self.name.as_str();
         let claim = ClaimKey::Server(self.name.clone()).to_string();
-        let mut txn = Txn::new().version(CLAIMS, claim, self.claim.version);
+        let mut txn = Txn::new().require_version(CLAIMS, claim, self.claim.version);
         txn = match version {
-            0 => txn.absent(LEDGER, key),
-            version => txn.version(LEDGER, key, version),
+            0 => txn.require_absent(LEDGER, key),
+            version => txn.require_version(LEDGER, key, version),
         };
         for (name, version) in witnesses {
-            txn = txn.version(LEDGER, name.as_str(), version);
+            txn = txn.require_version(LEDGER, name.as_str(), version);
         }
         let txn = txn.put(LEDGER, key, value);
         match self.shared.table.commit(&txn).await {
--- a/crates/node/src/planner.rs
+++ b/crates/node/src/planner.rs
@@ -265,7 +265,7 @@
     ) -> Result<(), PlatformError> {
         for chunk in txns.chunks(MAX_MERGED_TXNS) {
             let claim = ClaimKey::Pool(pool.clone()).to_string();
-            let mut txn = Txn::new().version(CLAIMS, claim, self.claim.version);
+            let mut txn = Txn::new().require_version(CLAIMS, claim, self.claim.version);
             txn.writes = chunk.iter().flat_map(|txn| txn.writes.clone()).collect();
             if let TxnResponse::Conflict { .. } = shared.table.commit(&txn).await? {
                 // Another daemon has claimed the pool.
--- a/crates/node/src/poison.rs
+++ b/crates/node/src/poison.rs
@@ -384,7 +384,7 @@
 }
 
 fn remove(txn: Txn, row: &Row) -> Txn {
-    txn.version(POISON, &row.key, row.version).delete(POISON, &row.key)
+    txn.require_version(POISON, &row.key, row.version).delete(POISON, &row.key)
 }
 
 async fn write_changes(node: &Node) -> Result<(), PlatformError> {
--- a/crates/node/src/relay.rs
+++ b/crates/node/src/relay.rs
@@ -143,7 +143,7 @@
                 (lead_deadline, RETRY_DELAY)
             };
             let retryable =
-                is_transient(refusal.code) || partial && !refusal.code.is_final();
+                is_transient(refusal.code) || partial && !refusal.code.is_permanent();
             if !retryable || !self.may_retry_later() || now >= until {
                 break refusal;
             }
--- a/crates/plat/src/table.rs
+++ b/crates/plat/src/table.rs
@@ -102,13 +102,18 @@
     }
 
     /// Requires that the row does not exist.
-    pub fn absent(mut self, table: &str, key: impl Into<String>) -> Self {
+    pub fn require_absent(mut self, table: &str, key: impl Into<String>) -> Self {
         self.checks.push(Precondition::Absent { table: table.into(), key: key.into() });
         self
     }
 
     /// Requires that the row has exactly this version.
-    pub fn version(mut self, table: &str, key: impl Into<String>, version: u64) -> Self {
+    pub fn require_version(
+        mut self,
+        table: &str,
+        key: impl Into<String>,
+        version: u64,
+    ) -> Self {
         self.checks.push(Precondition::Version {
             table: table.into(),
             key: key.into(),
@@ -118,7 +123,12 @@
     }
 
     /// Requires that the row does not exist or was not written for at least `age`.
-    pub fn idle(mut self, table: &str, key: impl Into<String>, age: Duration) -> Self {
+    pub fn require_idle(
+        mut self,
+        table: &str,
+        key: impl Into<String>,
+        age: Duration,
+    ) -> Self {
         let millis = age.as_millis() as u64;
         self.checks.push(Precondition::Idle {
             table: table.into(),
@@ -263,9 +273,9 @@
     /// Reads that were sent.
     pub reads: AtomicU64,
     /// Bytes of request bodies.
-    pub sent: AtomicU64,
+    pub sent_bytes: AtomicU64,
     /// Bytes of response bodies.
-    pub received: AtomicU64,
+    pub received_bytes: AtomicU64,
 }
 
 impl TableClient {
@@ -348,12 +358,12 @@
         if path != COMMIT_PATH {
             self.traffic.reads.fetch_add(1, Ordering::Relaxed);
         }
-        self.traffic.sent.fetch_add(body.len() as u64, Ordering::Relaxed);
+        self.traffic.sent_bytes.fetch_add(body.len() as u64, Ordering::Relaxed);
         let request = self.http.post(url).header("content-type", "application/json");
         let response = request.body(body).send().await?;
         check_status(response.status())?;
         let bytes = response.bytes().await.map_err(response_lost)?;
-        self.traffic.received.fetch_add(bytes.len() as u64, Ordering::Relaxed);
+        self.traffic.received_bytes.fetch_add(bytes.len() as u64, Ordering::Relaxed);
         parse_json(&bytes)
     }
 }
--- a/crates/plat/tests/clients.rs
+++ b/crates/plat/tests/clients.rs
@@ -24,7 +24,7 @@
 }
 
 fn create_row(value: &str) -> Txn {
-    Txn::new().absent("t", "k").put("t", "k", json!(value))
+    Txn::new().require_absent("t", "k").put("t", "k", json!(value))
 }
 
 #[tokio::test]
@@ -41,7 +41,7 @@
         panic!("the row exists: {response:?}")
     };
     assert_eq!((row.value, row.version), (json!("one"), version));
-    let txn = Txn::new().version("t", "k", version).delete("t", "k");
+    let txn = Txn::new().require_version("t", "k", version).delete("t", "k");
     assert!(matches!(table.commit(&txn).await, Ok(TxnResponse::Committed { .. })));
     let delta = table.scan("t", "", version).await.unwrap();
     assert_eq!((delta.rows.len(), delta.deleted), (0, vec!["k".to_owned()]));
--- a/crates/pool/src/choose.rs
+++ b/crates/pool/src/choose.rs
@@ -109,7 +109,7 @@
 ///
 /// `token_time` is the prefill time of one token.
 pub fn estimate_wait_ms(usage: Usage, size: GenerationSize, token_time: Duration) -> f64 {
-    let pending = usage.pending_prompt_tokens as f64 + f64::from(size.prompt);
+    let pending = usage.pending_prompt_tokens as f64 + f64::from(size.prompt_tokens);
     pending * millis(token_time) + f64::from(usage.requests) * RUNNING_REQUEST_COST_MS
 }
 
@@ -186,7 +186,7 @@
     service_time: Duration,
 ) -> f64 {
     let requests = f64::from(usage.requests + ahead.requests + 1);
-    let tokens = (usage.kv_tokens + ahead.kv_tokens + size.tokens()) as f64;
+    let tokens = (usage.kv_tokens + ahead.kv_tokens + size.max_kv_tokens()) as f64;
     // Running streams end evenly over one service time, so the wait for a share of the
     // capacity is the same share of the service time.
     let shortage =
--- a/crates/pool/src/runner.rs
+++ b/crates/pool/src/runner.rs
@@ -181,7 +181,7 @@
     /// Prompt tokens of a request that the runner has to prefill.
     pub fn uncached_tokens(&self, request: &GenerationRequest) -> u32 {
         let cached = self.prefix_cache.cached_tokens(&request.target, &request.parts);
-        request.size.prompt.saturating_sub(cached)
+        request.size.prompt_tokens.saturating_sub(cached)
     }
 
     /// Estimated time that the runner takes to prefill a request's prompt.
--- a/crates/pool/src/usage.rs
+++ b/crates/pool/src/usage.rs
@@ -29,11 +29,11 @@
 
 impl From<InFlightRequest> for Usage {
     fn from(request: InFlightRequest) -> Self {
-        let prompt = u64::from(request.size.prompt);
+        let prompt = u64::from(request.size.prompt_tokens);
         Self {
             requests: 1,
             pending_prompt_tokens: if request.responding { 0 } else { prompt },
-            kv_tokens: prompt + u64::from(request.size.output),
+            kv_tokens: prompt + u64::from(request.size.max_output_tokens),
         }
     }
 }
--- a/crates/pool/tests/choose.rs
+++ b/crates/pool/tests/choose.rs
@@ -22,7 +22,7 @@
 fn request(target: chestnut_edge::TargetModel, prompt: u32) -> GenerationRequest {
     GenerationRequest {
         target,
-        size: GenerationSize { prompt, output: 150 },
+        size: GenerationSize { prompt_tokens: prompt, max_output_tokens: 150 },
         parts: Vec::new(),
         urgency: 0,
         target_time: Duration::from_millis(800),
--- a/crates/pool/tests/servers.rs
+++ b/crates/pool/tests/servers.rs
@@ -82,7 +82,7 @@
     // A runner crashes and restarts under its name. The usage of its previous incarnation
     // is gone, and the end of an old request must not be subtracted from the new one.
     let (mut fleet, now) = (Fleet::default(), Instant::now());
-    let size = GenerationSize { prompt: 100, output: 10 };
+    let size = GenerationSize { prompt_tokens: 100, max_output_tokens: 10 };
     let request = InFlightRequest { size, responding: false };
     let previous = fleet.update(entry("r1", 1, Phase::Ready));
     fleet.begin_request(previous, request);
