--- a/crates/base/src/clock.rs
+++ b/crates/base/src/clock.rs
@@ -50,7 +50,7 @@
 #[derive(Debug)]
 pub struct ManualClock {
     start: Instant,
-    offset: Mutex<Duration>,
+    elapsed: Mutex<Duration>,
     suspended: Mutex<Duration>,
 }
 
@@ -60,14 +60,14 @@
     pub fn new() -> Self {
         Self {
             start: Instant::now(),
-            offset: Mutex::default(),
+            elapsed: Mutex::default(),
             suspended: Mutex::default(),
         }
     }
 
     /// Advances the monotonic and the wall-clock time.
-    pub fn advance(&self, by: Duration) {
-        *self.offset.lock().expect("clock lock is not poisoned") += by;
+    pub fn advance(&self, duration: Duration) {
+        *self.elapsed.lock().expect("clock lock is not poisoned") += duration;
     }
 
     /// Simulates a suspension of the VM: adds to the suspended time only.
@@ -75,9 +75,9 @@
         *self.suspended.lock().expect("clock lock is not poisoned") += duration;
     }
 
-    /// By how much the clock was advanced since it was created.
+    /// The total time by which the clock has been advanced.
     pub fn elapsed(&self) -> Duration {
-        *self.offset.lock().expect("clock lock is not poisoned")
+        *self.elapsed.lock().expect("clock lock is not poisoned")
     }
 }
 
--- a/crates/base/src/id.rs
+++ b/crates/base/src/id.rs
@@ -54,7 +54,7 @@
 )]
 pub struct OrderId(pub u64);
 
-/// A partition of the request ids; one daemon at a time journals each.
+/// A partition of the request ids, with a journal that one daemon at a time writes.
 #[derive(
     Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
@@ -90,7 +90,7 @@
     }
 }
 
-/// The slot, out of `count`, that journals the request id.
+/// The slot, out of `count`, whose journal records the request; a count of 0 counts as 1.
 pub fn slot_of(id: &RequestId, count: u16) -> SlotId {
     let mut hash_input = String::from(id.caller.as_str());
     hash_input.push('\n');
@@ -111,10 +111,11 @@
 
 /// The rank of `member` for `key` in weighted rendezvous hashing; the highest wins.
 ///
-/// Each member owns a fraction of the keys in proportion to its weight. Members of equal
-/// weight have the same order as by [`rendezvous_rank`].
+/// Each member owns a fraction of the keys in proportion to its weight; a weight of 0
+/// counts as 1. Members of equal weight have the same order as by [`rendezvous_rank`].
 pub fn weighted_rendezvous_rank(key: &str, member: &str, weight: u32) -> f64 {
-    // Strictly between 0 and 1, so that the logarithm is finite and not 0.
+    // Between 0 and 1, so that the logarithm is finite and negative. The 1024 highest of
+    // the 2^64 ranks are rounded to 1; their result is negative infinity.
     let uniform = (rendezvous_rank(key, member) as f64 + 1.0) / (u64::MAX as f64 + 2.0);
     f64::from(weight.max(1)) / -uniform.ln()
 }
--- a/crates/base/src/lib.rs
+++ b/crates/base/src/lib.rs
@@ -3,8 +3,8 @@
 //! - [`name`]: validated names of declared objects,
 //! - [`id`]: identifiers that the system generates, and hashes for placement,
 //! - [`clock`]: the time source, which tests replace,
-//! - [`request`]: the description of a request for queueing and routing,
-//! - [`outcome`]: errors that callers receive.
+//! - [`request`]: the metadata of a request, for queueing and routing,
+//! - [`outcome`]: error responses to callers.
 
 pub mod clock;
 pub mod id;
--- a/crates/base/src/outcome.rs
+++ b/crates/base/src/outcome.rs
@@ -1,4 +1,4 @@
-//! Errors that callers receive instead of a response.
+//! Error responses to callers.
 
 use std::fmt::{self, Display, Formatter};
 use std::time::Duration;
@@ -10,7 +10,7 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Outcome {
-    /// No attempt was handed to a connection to a backend server.
+    /// No backend server has run the request or will run it.
     NotRun,
     /// A backend server ran the request.
     Ran,
@@ -40,15 +40,15 @@
     Deadline,
     /// All queues that accept such requests are full.
     Overloaded,
-    /// The caller has used up its quota.
+    /// The caller exceeds its share of an overloaded backend server.
     CallerLimit,
     /// The entry has reached its memory limit.
     EntryFull,
     /// The model is declared, but not loaded on any runner yet.
     NotResident,
-    /// No backend server is available.
+    /// No backend server, or no daemon that holds the required claim, is available.
     Unavailable,
-    /// The journal can't be written, which must precede a non-idempotent request.
+    /// The journal, which a non-idempotent request requires, can't be read or written.
     JournalDown,
     /// The request id was used before with a different target or body.
     IdReused,
@@ -56,11 +56,12 @@
     Started,
     /// The request has crashed backend servers repeatedly and is rejected permanently.
     Poison,
-    /// The daemon is shutting down or has a stale view; use another address.
+    /// The daemon is shutting down or starting, or can't confirm its configuration; use
+    /// another address.
     Leaving,
     /// The deadline passed after the request was sent to a backend server.
     Late,
-    /// The backend server broke off the response.
+    /// A backend server's response was interrupted.
     Broken,
     /// The caller cancelled the request.
     Cancelled,
@@ -119,7 +120,7 @@
     pub code: RefusalCode,
     /// An explanation for people, including what they can do about it.
     pub message: String,
-    /// How long to wait before a retry; `None` if a retry is of no use.
+    /// How long to wait before a retry; `None` if the refusal suggests no retry.
     #[serde(rename = "retry_after_ms")]
     #[serde_as(as = "Option<DurationMilliSeconds<u64>>")]
     pub retry_after: Option<Duration>,
--- a/crates/base/src/request.rs
+++ b/crates/base/src/request.rs
@@ -1,4 +1,4 @@
-//! The description of a caller's request, by which it is queued and routed.
+//! The metadata of a caller's request, used to queue and route it.
 
 use std::time::Duration;
 
--- a/crates/edge/src/call.rs
+++ b/crates/edge/src/call.rs
@@ -92,7 +92,7 @@
         match self {
             Self::Missing(name) => write!(f, "the header {name} is missing; send it"),
             Self::Malformed(name) => {
-                write!(f, "the header {name} can't be read; send it as documented")
+                write!(f, "the header {name} is malformed; send it as documented")
             }
         }
     }
@@ -126,7 +126,7 @@
     pub not_run: bool,
     /// Whether the address now belongs to another server.
     pub misdirected: bool,
-    /// Whether the response carries a runner's signature.
+    /// Whether the response carries a backend server's signature.
     pub signed: bool,
     /// How long the server keeps an idle connection open, if it announces it.
     pub keep_alive: Option<Duration>,
--- a/crates/edge/src/declared.rs
+++ b/crates/edge/src/declared.rs
@@ -68,14 +68,15 @@
     pub kind: RouteKind,
     /// The maximum time until a caller has the complete response.
     pub timeout: Duration,
-    /// The time to the response, or to a stream's first event, that counts as on time.
+    /// The longest time to the response, or to a stream's first event, that counts as on
+    /// time.
     pub objective: Duration,
     /// How long callers wait for the first or next event of a stream before they
     /// disconnect.
     pub wait_limit: Duration,
     /// The priority of requests; 0 is the highest.
     pub priority: u8,
-    /// The maximum number of backend servers that may run one attempt.
+    /// The maximum number of backend servers that may run one request of a caller.
     pub max_attempts: u32,
     /// How requests are split between services; never empty.
     pub shares: Vec<TrafficShare>,
@@ -153,7 +154,8 @@
 }
 
 impl Default for RequestLimits {
-    /// The limits until the first declarations have been read.
+    /// The limits until the first declarations have been read, and for declarations that
+    /// state none.
     fn default() -> Self {
         Self {
             head_bytes: 16 * 1024,
--- a/crates/edge/src/dialect.rs
+++ b/crates/edge/src/dialect.rs
@@ -1,7 +1,7 @@
 //! The traits that a deployment's adapter implements.
 //!
 //! Each method translates one message and has no side effects: it doesn't wait, retry
-//! or decide. The daemon only uses what these types convey.
+//! or decide. The daemon knows of a message only what the returned types contain.
 
 use std::fmt::{self, Display, Formatter};
 
@@ -53,7 +53,8 @@
     /// `id` is the caller's id for the attempt; `None` if it could not be parsed.
     fn write_refusal(&self, refusal: &Refusal, id: Option<&str>) -> Response<Bytes>;
 
-    /// Parses the query of a directory request; returns the requested name.
+    /// Parses the query of a directory request; returns the requested name, or `None` if
+    /// the query has none.
     fn read_directory_query(&self, query: &str) -> Option<String>;
 
     /// Builds the response to a directory request: the addresses to connect to, valid
@@ -110,8 +111,8 @@
         body: &Bytes,
     ) -> Result<TransactionOutcome, DecodeError>;
 
-    /// Builds the request for the rows of a table with keys after `after`, or from the
-    /// first row on.
+    /// Builds the request for the rows of a table with keys after `after`; `None` starts
+    /// at the first row.
     fn write_scan(&self, table: &str, after: Option<&str>) -> Request<Bytes>;
 
     /// Decodes the response to a scan.
--- a/crates/edge/src/order.rs
+++ b/crates/edge/src/order.rs
@@ -42,7 +42,7 @@
 pub enum OrderResponse {
     /// The engine has started to execute the order.
     Accepted,
-    /// The engine is already in the requested state.
+    /// The state that the order asks for already holds.
     Holds,
     /// Another order is in progress, or [`Order::expected_orders`] does not match.
     Conflict,
@@ -74,7 +74,7 @@
     }
 }
 
-/// The state that an engine reports; a few hundred milliseconds old.
+/// The state that an engine reports, which lags by a few hundred milliseconds.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct EngineReport {
     /// The loaded models.
@@ -83,9 +83,9 @@
     pub busy: bool,
     /// The number of orders accepted since the server started.
     pub accepted_orders: u64,
-    /// Requests that wait in the engine's queue.
+    /// The number of requests in the engine's queue.
     pub queued: u32,
-    /// Requests that are running.
+    /// The number of running requests.
     pub active: u32,
     /// Tokens in the KV cache that can't be evicted.
     pub kv_tokens_used: u64,
--- a/crates/edge/src/server.rs
+++ b/crates/edge/src/server.rs
@@ -13,8 +13,8 @@
 pub enum Phase {
     /// It accepts new requests.
     Ready,
-    /// It finishes its running requests and shuts down. Holds the time until the
-    /// server is gone if the shutdown is at short notice.
+    /// It finishes its running requests and shuts down. If the shutdown is at short
+    /// notice, holds the time until the server stops.
     Leaving(Option<Duration>),
 }
 
@@ -50,7 +50,7 @@
     pub slots: u32,
     /// Whether the server accepts new requests.
     pub phase: Phase,
-    /// The rest of the warm-up after the start, during which the server is slow.
+    /// The remaining time of the warm-up after a start, during which the server is slow.
     #[serde(rename = "cold")]
     pub warmup_remaining: Duration,
     /// The number of orders accepted since the server started.
--- a/crates/plat/src/error.rs
+++ b/crates/plat/src/error.rs
@@ -22,7 +22,7 @@
             Self::Unavailable(reason) => {
                 write!(
                     f,
-                    "the platform is unavailable and did nothing ({reason}); try again later"
+                    "the platform is unavailable; the call had no effect ({reason}); try again later"
                 )
             }
             Self::OutcomeUnknown(reason) => {
@@ -33,7 +33,7 @@
             }
             Self::Protocol(reason) => write!(
                 f,
-                "the platform's response is invalid ({reason}); check the service's address"
+                "the platform rejected the call, or a message is malformed ({reason}); check the service's address"
             ),
         }
     }
--- a/crates/plat/src/lib.rs
+++ b/crates/plat/src/lib.rs
@@ -2,8 +2,8 @@
 //!
 //! The platform stores all durable state: rows in the transactional table service
 //! ([`table`]) and larger values in the object store ([`object`]). It also provides the
-//! list of VMs ([`vms`]), which is eventually consistent. The error of a failed call
-//! tells whether the call may have taken effect ([`PlatformError`]).
+//! list of VMs ([`vms`]), which is eventually consistent. A [`PlatformError`] states
+//! whether the failed call may have taken effect.
 
 pub mod error;
 pub mod object;
--- a/crates/plat/src/table.rs
+++ b/crates/plat/src/table.rs
@@ -390,7 +390,7 @@
 }
 
 /// Maps a status to an error. 429 and 503 count as rejections without effect: the
-/// services return 503 before they do anything.
+/// services return 503 before they process a call.
 pub(crate) fn check_status(status: StatusCode) -> Result<(), PlatformError> {
     if status.is_success() {
         Ok(())
--- a/crates/plat/src/vms.rs
+++ b/crates/plat/src/vms.rs
@@ -14,7 +14,7 @@
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case", tag = "role")]
 pub enum VmRole {
-    /// This system's daemon.
+    /// A daemon of this system.
     Entry,
     /// A model engine.
     Runner {
@@ -32,7 +32,7 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum VmState {
-    /// The VM keeps running.
+    /// The VM is not about to be stopped.
     Live,
     /// The VM is about to be stopped and must not get new work.
     #[serde(rename = "leaving")]
--- a/crates/plat/tests/clients.rs
+++ b/crates/plat/tests/clients.rs
@@ -8,8 +8,8 @@
 use chestnut_plat::{ObjectStore, PlatformError, TableClient, Txn, TxnResponse};
 use serde_json::{Value, json};
 
-/// Longer than any call in these tests takes to be answered.
-const TIMEOUT: Duration = Duration::from_secs(20);
+/// The clients' timeout, longer than any call in these tests takes.
+const CALL_TIMEOUT: Duration = Duration::from_secs(20);
 
 async fn start_platform() -> Handle {
     let any_port = SocketAddr::from((Ipv4Addr::LOCALHOST, 0));
@@ -30,7 +30,7 @@
 #[tokio::test]
 async fn commit_checks_and_writes_atomically() {
     let platform = start_platform().await;
-    let table = TableClient::new(platform.url(), TIMEOUT).unwrap();
+    let table = TableClient::new(platform.url(), CALL_TIMEOUT).unwrap();
     let TxnResponse::Committed { version, .. } =
         table.commit(&create_row("one")).await.unwrap()
     else {
@@ -50,7 +50,7 @@
 #[tokio::test]
 async fn get_reads_the_exact_key_only() {
     let platform = start_platform().await;
-    let table = TableClient::new(platform.url(), TIMEOUT).unwrap();
+    let table = TableClient::new(platform.url(), CALL_TIMEOUT).unwrap();
     table.commit(&Txn::new().put("t", "slot:11", json!(11))).await.unwrap();
     assert_eq!(table.get("t", "slot:1").await.unwrap(), None);
     assert_eq!(table.get("t", "slot:11").await.unwrap().unwrap().value, json!(11));
@@ -63,7 +63,7 @@
 #[tokio::test]
 async fn lost_response_is_outcome_unknown() {
     let platform = start_platform().await;
-    let table = TableClient::new(platform.url(), TIMEOUT).unwrap();
+    let table = TableClient::new(platform.url(), CALL_TIMEOUT).unwrap();
     inject_fault(&platform, json!({"table": {"lose_acks": 1}})).await;
     let error = table.commit(&create_row("one")).await.unwrap_err();
     assert!(matches!(error, PlatformError::OutcomeUnknown(_)), "{error}");
@@ -91,7 +91,7 @@
 #[tokio::test]
 async fn rejection_and_closed_port_are_unavailable() {
     let platform = start_platform().await;
-    let table = TableClient::new(platform.url(), TIMEOUT).unwrap();
+    let table = TableClient::new(platform.url(), CALL_TIMEOUT).unwrap();
     inject_fault(&platform, json!({"table": {"down": true}})).await;
     let error = table.commit(&create_row("one")).await.unwrap_err();
     assert!(matches!(error, PlatformError::Unavailable(_)), "{error}");
@@ -110,7 +110,7 @@
 #[tokio::test]
 async fn create_only_keeps_existing_object() {
     let platform = start_platform().await;
-    let objects = ObjectStore::new(platform.url(), TIMEOUT).unwrap();
+    let objects = ObjectStore::new(platform.url(), CALL_TIMEOUT).unwrap();
     let (first, second) = (Bytes::from_static(b"one"), Bytes::from_static(b"two"));
     assert!(objects.put("a/b c", first.clone(), true).await.unwrap());
     assert!(!objects.put("a/b c", second, true).await.unwrap());
--- a/crates/wire/src/frame.rs
+++ b/crates/wire/src/frame.rs
@@ -6,7 +6,8 @@
 
 /// The maximum length of an encoded message that is sent or accepted, in bytes.
 ///
-/// The daemon's settings limit a request's body to half of it.
+/// The daemon's settings limit a request's body separately, by default to a quarter of
+/// this.
 pub const MAX_FRAME_BYTES: usize = 4 * 1024 * 1024;
 
 /// The length of the prefix: a little-endian `u32`.
--- a/crates/wire/src/message.rs
+++ b/crates/wire/src/message.rs
@@ -1,5 +1,7 @@
 //! The messages between daemons.
 //!
+//! The lead of a backend server or slot is the daemon that holds the claim on it.
+//!
 //! `postcard` encodes variants and fields by their position: reordering them breaks
 //! compatibility.
 
@@ -13,15 +15,15 @@
 /// A request from one daemon to another.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub enum PeerRequest {
-    /// Run a request on a backend server that the receiver leads.
+    /// Runs an attempt on a backend server that the receiver leads.
     Run(AttemptRequest),
-    /// Run a non-idempotent request whose slot the receiver leads.
+    /// Runs a non-idempotent request whose slot the receiver leads.
     Once(OnceRequest),
-    /// Look up the state of a non-idempotent request.
+    /// Looks up the state of a non-idempotent request.
     Lookup(RequestId),
-    /// Get the changes to the configuration after a revision.
+    /// Requests the changes to the configuration after a revision.
     Config(Revision),
-    /// Get the receiver's status.
+    /// Requests the receiver's status.
     Status,
     /// Announces that a daemon is shutting down and releases its claims.
     #[serde(rename = "Leaving")]
@@ -96,21 +98,22 @@
 /// A frame of the response to a [`PeerRequest`].
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub enum PeerResponse {
-    /// The request is still in progress; sent when no other frame was for a while.
+    /// The request is still in progress; sent while there is no other frame to send.
     #[serde(rename = "Alive")]
     Heartbeat,
     /// The request was admitted and waits to be dispatched.
     Queued,
-    /// The request was not dispatched and will not be by the sender.
+    /// The request was refused or failed.
     ///
     /// Final.
     Refused {
-        /// The reason and the retry delay.
+        /// The reason, the retry delay, and whether the request may have run.
         refusal: Refusal,
         /// Whether to retry at another backend server, and the load of this one.
         hint: RetryHint,
     },
-    /// The request was handed to a connection to the backend server.
+    /// The request is about to be sent to the backend server, so that it may run from now
+    /// on.
     Dispatched,
     /// The backend server sent the head of its response.
     Head {
@@ -130,9 +133,9 @@
     },
     /// Part of the body of a plain service's response.
     Chunk(Bytes),
-    /// The response is complete.
+    /// The backend server's response is complete.
     ///
-    /// Final. A response that ends without this frame was truncated.
+    /// Final. A response without this frame was truncated.
     End {
         /// The engine's finish reason; empty for plain services.
         reason: String,
@@ -148,8 +151,8 @@
         /// Whether the backend server crashed.
         crashed: bool,
     },
-    /// The attempt was cancelled in favour of a more urgent request; the caller's daemon
-    /// is to resume it after the tokens that were sent.
+    /// The attempt was cancelled in favour of a more urgent request; the requesting daemon
+    /// is to resume it after the tokens that it has received.
     ///
     /// Final.
     Preempted {
@@ -160,7 +163,8 @@
     ///
     /// Final.
     Once(OnceState),
-    /// The response to [`PeerRequest::Config`], encoded by the `config` crate.
+    /// The response to [`PeerRequest::Config`]: the changes as JSON. Never `None`; the
+    /// `Option` is part of the encoding.
     ///
     /// Final.
     Config(Option<Bytes>),
@@ -208,7 +212,7 @@
     pub running: u32,
     /// Requests that are queued at the lead.
     pub queued: u32,
-    /// The maximum number of tokens that running and queued requests occupy.
+    /// The maximum number of KV cache tokens that running and queued requests occupy.
     pub tokens: u64,
     /// The estimated queueing time of a new request of normal urgency, in milliseconds.
     pub wait_ms: u32,
