--- a/crates/edge/src/store.rs
+++ b/crates/edge/src/store.rs
@@ -34,7 +34,7 @@
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct Transaction {
     /// All of these must hold at commit.
-    pub checks: Vec<Precondition>,
+    pub preconditions: Vec<Precondition>,
     /// Applied together if the preconditions hold.
     pub writes: Vec<Write>,
 }
@@ -43,7 +43,11 @@
     /// Requires that the row has the version at commit; 0 requires that it does not
     /// exist.
     pub fn require_version(mut self, table: &str, key: &str, version: u64) -> Self {
-        self.checks.push(Precondition { table: table.into(), key: key.into(), version });
+        self.preconditions.push(Precondition {
+            table: table.into(),
+            key: key.into(),
+            version,
+        });
         self
     }
 
@@ -101,7 +105,7 @@
     /// The rows, in order of their keys.
     pub rows: Vec<Change>,
     /// Whether more rows follow.
-    pub more: bool,
+    pub has_more: bool,
     /// The store's newest version when the page was read.
     pub version: u64,
     /// The store's monotonic clock when the page was read.
--- a/crates/gate/src/store.rs
+++ b/crates/gate/src/store.rs
@@ -55,7 +55,7 @@
         let page = rows_after(shared, table, after.as_deref()).await?;
         // The first page is the oldest; changes made after it are read again later.
         let version = *version.get_or_insert(page.version);
-        let more = page.more && !page.rows.is_empty();
+        let more = page.has_more && !page.rows.is_empty();
         rows.extend(page.rows);
         if !more {
             return Ok((rows, version));
--- a/crates/wire/src/message.rs
+++ b/crates/wire/src/message.rs
@@ -57,7 +57,7 @@
     pub request: RequestSpec,
     /// The HTTP request to the backend server.
     pub call: HttpCall,
-    /// Where to resume if an earlier attempt broke off.
+    /// Where to resume if an earlier attempt was interrupted.
     pub resume: Option<ResumePoint>,
     /// Whether a backend server crashed during an earlier attempt.
     pub suspect: bool,
@@ -76,7 +76,7 @@
     pub body: Bytes,
 }
 
-/// The part of a broken response that the caller has already received.
+/// The part of an interrupted response that the caller has already received.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ResumePoint {
     /// The number of tokens.
@@ -142,7 +142,7 @@
         /// The load of the backend server after the request.
         load: ServerLoad,
     },
-    /// The attempt was sent to the backend server and broke off.
+    /// The attempt was sent to the backend server and was interrupted.
     ///
     /// Final.
     Broken {
