--- a/crates/gate/src/attempt.rs
+++ b/crates/gate/src/attempt.rs
@@ -21,10 +21,11 @@
 use crate::shared::Shared;
 use crate::{planner, usage_reports};
 
-/// How long a server may take to respond, as a multiple of the route's objective.
+/// How long after its arrival a request waits for the response of one server before another
+/// is tried, as a multiple of the route's objective.
 ///
-/// Slow servers take up to eight times as long as they should, and that is half of the
-/// objective or less.
+/// A server normally responds within half of the objective; slow servers take up to eight
+/// times as long.
 const ABANDON_AFTER_OBJECTIVES: u32 = 4;
 
 /// A request in flight; stops being counted when dropped.
@@ -120,7 +121,7 @@
     pub key: ServerKey,
     /// The name in the registry.
     pub name: ServerName,
-    /// When its current incarnation started, in Unix milliseconds.
+    /// When its current incarnation started, in Unix milliseconds; `None` if unknown.
     pub started_at: Option<u64>,
     /// The address that it listens on.
     pub addr: std::net::SocketAddr,
@@ -136,7 +137,7 @@
     }
 }
 
-/// A response of which the head has arrived.
+/// A response whose head has arrived.
 pub struct ServerResponse {
     /// The HTTP head.
     pub head: response::Parts,
@@ -257,7 +258,7 @@
     let mut early = None;
     if let Some(timeout_after) = abandon_timeout(job) {
         early = timeout(timeout_after, &mut sending).await.ok();
-        // It keeps waiting if the retry budget is used up.
+        // If the retry budget is used up, the attempt continues until the deadline.
         if early.is_none() && job.shared.try_take_retry(&job.service) {
             return Err(AttemptError::Silent);
         }
@@ -274,8 +275,8 @@
     let (head, body) = response.into_parts();
     let metadata = shared.dialect.read_response_head(&head);
     if metadata.id.is_some() && metadata.id != job.call.id {
-        // This is the response to an earlier request on the connection. The fate of the
-        // current request is unknown.
+        // This is the response to an earlier request on the connection. Whether the current
+        // request runs is unknown.
         return Err(AttemptError::Lost("the response is for another request".into()));
     }
     if metadata.not_run || metadata.misdirected {
--- a/crates/gate/src/backoff.rs
+++ b/crates/gate/src/backoff.rs
@@ -1,9 +1,10 @@
 //! Backoff of a daemon's calls to a store that fails.
 //!
-//! The load that it bounds: the store is down for eight seconds while 78 daemons follow
-//! three tables each. Two calls a second by each would be 470 calls a second, all of them
-//! paid for and all in vain. Once the store is back, one response serves all daemons, since
-//! they tell each other. So a few daemons call often and the others rarely.
+//! It bounds the number of calls, which are billed even if they fail. In an outage of eight
+//! seconds, 78 daemons that sync three tables each would make 470 calls a second if each
+//! made two calls a second per table. Once the store has recovered, one response suffices,
+//! since daemons announce changes to each other. So a few daemons call often and the others
+//! rarely.
 
 use std::time::{Duration, Instant};
 
@@ -12,20 +13,20 @@
 
 /// The longest delay of the daemons that call often.
 ///
-/// The others learn of the store's return within another second. VMs count as connected
-/// three seconds after it.
+/// The others learn of the store's recovery within another second. VMs count as connected
+/// again three seconds after the recovery.
 const MAX_FREQUENT_DELAY: Duration = Duration::from_millis(500);
 
 /// How many daemons call often.
 ///
 /// More than one, since the store may reject single daemons, and daemons may be suspended
-/// or dead.
+/// or have failed.
 const FREQUENT_CALLERS: u32 = 4;
 
 /// The longest delay of any daemon.
 ///
-/// Daemons that call this rarely learn of the store's return from others. A daemon that is
-/// partitioned from the others has the first rank among those it can see and calls often.
+/// A daemon with this delay learns of the store's recovery from others. A daemon that is
+/// partitioned from the others has rank 0 among those that it can reach, and calls often.
 const MAX_DELAY: Duration = Duration::from_secs(30);
 
 /// Decides when the store may be called again.
--- a/crates/gate/src/events.rs
+++ b/crates/gate/src/events.rs
@@ -4,8 +4,8 @@
 
 /// The largest event, in bytes.
 ///
-/// Some hundred times the size of an event of a few tokens. It bounds the memory that an
-/// endless event of a faulty server takes.
+/// Some hundred times the size of an event of a few tokens. Bounds the memory that an event
+/// without an end, sent by a faulty server, can take.
 const MAX_EVENT_BYTES: usize = 64 * 1024;
 
 /// A complete event, including the empty line that ends it.
@@ -32,7 +32,7 @@
     last: Option<u64>,
 }
 
-/// The caller already has an event.
+/// An event that the caller already has.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct DuplicateEvent {
     /// The number of the duplicate.
@@ -52,7 +52,7 @@
         self.last
     }
 
-    /// Moves on to an event that is about to be sent; fails if the caller already has it.
+    /// Advances to an event that is about to be sent; fails if the caller already has it.
     pub fn accept(&mut self, event: &Event) -> Result<(), DuplicateEvent> {
         if let (Some(last), Some(id)) = (self.last, event.id)
             && id <= last
--- a/crates/gate/src/job.rs
+++ b/crates/gate/src/job.rs
@@ -14,7 +14,7 @@
 use crate::metrics::Span;
 use crate::shared::{ActiveRequests, Shared};
 
-/// The mean output length divided by callers' estimates, which match the median.
+/// The ratio of the mean output length to callers' estimates, which match the median.
 const MEAN_TO_MEDIAN_OUTPUT: f64 = 1.5;
 
 /// How a request ended.
@@ -140,8 +140,8 @@
         GenerationSize { output: size.output.min(estimate), ..size }
     }
 
-    /// A key for requests that profit from the same runner: those with the same adapter, or
-    /// with the same beginning of the prompt.
+    /// A key shared by requests that benefit from the same runner: those with the same adapter,
+    /// or without an adapter and with the same first part of the prompt.
     pub fn affinity(&self) -> String {
         let target = self.call.target.as_ref();
         let target = target.map(|target| target.to_string()).unwrap_or_default();
@@ -200,8 +200,8 @@
 }
 
 impl Drop for Job {
-    /// Records that the caller left, unless another end was recorded: when the connection
-    /// closes, the task that serves the request is dropped.
+    /// Records that the caller left, unless another end was recorded. When the caller closes
+    /// the connection, the future that serves the request is dropped.
     fn drop(&mut self) {
         if !self.end_recorded.load(Ordering::Relaxed) {
             let reason = "before the response started";
--- a/crates/gate/src/lib.rs
+++ b/crates/gate/src/lib.rs
@@ -3,15 +3,15 @@
 //! Stages of a request, one module each:
 //!
 //! 1. [`listener`] accepts the caller's connection,
-//! 2. [`read`] reads the request and matches its route; from then on it is a [`job`],
-//! 3. [`serve`] has a server [`pick`]ed and tries others within the retry limits,
+//! 2. [`read`] reads the request, matches its route and makes it a [`job`],
+//! 3. [`serve`] has [`pick`] choose a server, and retries within the retry limits,
 //! 4. [`attempt`] sends it to one server and waits for the response head,
 //! 5. [`relay`] relays the response, and lets another server continue where a
 //!    stream of numbered [`events`] breaks.
 //!
-//! A runner is picked by requesting bids ([`bidding`]) from the daemons that hold the
-//! runners' claims, a plain service's server by requesting a permit ([`permit`]) from
-//! the service's [`permit_queue`]. [`members`] and [`claims`] determine the holders. The
+//! To pick a runner, a daemon requests bids ([`bidding`]), which estimate the time to the
+//! first event, from the daemons that hold the runners' claims. To pick a plain service's
+//! server, it requests a permit ([`permit`]) from the service's [`permit_queue`]. [`members`] and [`claims`] determine the holders. The
 //! [`holder`] of a runner collects [`usage_reports`], decides on [`admission`], and sends
 //! orders with its [`driver`]. The [`planner`] assigns models to runners and writes
 //! [`persisted_timings`]. Daemons exchange datagrams: [`message`], [`peers`],
--- a/crates/gate/src/listener.rs
+++ b/crates/gate/src/listener.rs
@@ -18,7 +18,7 @@
 use crate::serve;
 use crate::shared::Shared;
 
-/// The delay after a failed accept, as when file descriptors run out.
+/// The delay after a failed accept, for example when no file descriptor is free.
 const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(50);
 
 /// How much longer than the declared idle timeout a connection stays open.
--- a/crates/gate/src/pick.rs
+++ b/crates/gate/src/pick.rs
@@ -1,10 +1,11 @@
 //! Picks the server that a request is sent to.
 //!
-//! A plain request waits for a permit from its service's queue. If the queue does not
-//! respond, the request goes to the server with the fewest requests of this daemon in
-//! flight. A generation goes to the runner whose holder estimates the earliest first event,
-//! and requests admission there. While it waits it regularly compares all runners again. It
-//! is refused once none can start it before its caller times out.
+//! A plain request waits for a permit from its service's queue. If the queue's holder does
+//! not respond, the request goes to the server with the fewest requests of this daemon in
+//! flight. For a generation, the daemon requests admission at the runner with the lowest
+//! estimated cost ([`bidding`]). While the request waits for admission, it regularly compares
+//! the runners again. The request is refused once no runner can start it before its caller
+//! times out.
 
 use std::time::Duration;
 
@@ -18,24 +19,25 @@
 use crate::job::Job;
 use crate::permit::{self, PermitDecision};
 
-/// The delay before the second retry at the same server; it doubles with each further one.
+/// The delay before the first retry at the same server; it doubles with each further one.
 ///
-/// Plain requests run for 30 to 60 ms in some six slots, so that one is free every 10 ms.
+/// Plain requests run for 30 to 60 ms in some six slots, so that a slot becomes free every
+/// 10 ms.
 const INITIAL_RETRY_DELAY: Duration = Duration::from_millis(20);
 
 /// The longest wait for a server that has the request's model.
 ///
-/// A load from the weight store takes one to two seconds. One that was due when the request
-/// arrived has finished after four.
+/// A load from the weight store takes one to two seconds. A load that was due when the
+/// request arrived has finished after four seconds.
 const MAX_RESIDENCY_WAIT: Duration = Duration::from_secs(4);
 
 /// The fraction of the caller's wait limit that a request waits for a server with its model.
 ///
-/// A request held for longer fails when its caller leaves, though the model may be loaded a
-/// second later. Refused by then, the caller retries.
+/// If it waited to the end, its caller would leave, though the model may be loaded a second
+/// later. Refused before that, the caller retries.
 const RESIDENCY_WAIT_FRACTION: f64 = 0.5;
 
-/// How many permits a request asks for if the granted servers turn out to be unusable.
+/// How many permits are requested for one request if this daemon can't use the granted ones.
 const MAX_PERMIT_REQUESTS: usize = 3;
 
 /// Why no server was picked.
@@ -47,7 +49,7 @@
     Full(Duration),
 }
 
-/// Picks a server; waits for one if none can accept the request.
+/// Picks a server. A generation waits for a runner if none can accept it.
 ///
 /// `missing_adapter` is a server that has just rejected the request for lack of its adapter.
 /// Servers in `tried` failed to serve the request and are used only as a last resort.
@@ -105,9 +107,9 @@
                 target.number = Some(number);
                 return Ok(target);
             }
-            // Only this daemon knows what it has in flight there. If such runners were
-            // avoided, those whose holders have just started would get no requests until
-            // the holders have joined.
+            // Without a verdict, the request is sent by this daemon's own counts. If such
+            // runners were avoided, those whose holders have just started would get no
+            // requests until the holders have joined.
             Admission::Silent | Admission::Moved => return Ok(target),
             Admission::Denied => avoid.push(target.name),
             Admission::Again if job.shared.now() < job.wait_deadline() => {}
@@ -119,7 +121,7 @@
 /// Waits for a permit from the service's queue; without one, picks by this daemon's own
 /// counts.
 async fn pick_plain(job: &Job, avoid: &mut Vec<ServerName>) -> Result<Target, PickError> {
-    // Each unusable permit excludes a server that this daemon knows to be shutting down.
+    // After a permit for a server that accepts no requests, that server is avoided.
     for _ in 0..MAX_PERMIT_REQUESTS {
         match permit::request_permit(job, avoid).await {
             PermitDecision::Send(number, server) => {
@@ -164,7 +166,7 @@
     let fleet = shared.fleet();
     let available = || fleet.available(&job.service, now);
     let untried = available().filter(|(_, server)| !avoid.contains(&server.entry.name));
-    // If all servers have rejected the request, one of them may have room by now.
+    // If all servers have rejected the request, one of them may have free capacity by now.
     choose(untried, domain, now).or_else(|| choose(available(), domain, now))
 }
 
@@ -182,15 +184,15 @@
     Some(Target { key: chosen.key, name, started_at, addr, number: None })
 }
 
-/// Delays a retry at a server that has failed to serve the request more than once.
+/// Delays a retry at a server that has already failed to serve the request.
 ///
-/// A full server has room when one of its requests ends. Retried at once, a request uses up
-/// its attempts, and part of the retry budget, within milliseconds.
+/// A full server has a free slot only when one of its requests ends. Retried at once, a
+/// request would use up its attempts, and part of the retry budget, within milliseconds.
 ///
 /// The request keeps its permit during the delay: a server that rejects requests would not
 /// run another one in its place.
 pub async fn wait_before_retry(server: &ServerName, tried: &[ServerName]) {
-    let failures = tried.iter().filter(|one| *one == server).count() as u32;
+    let failures = tried.iter().filter(|failed| *failed == server).count() as u32;
     if let Some(doublings) = failures.checked_sub(1) {
         tokio::time::sleep(INITIAL_RETRY_DELAY * 2u32.pow(doublings)).await;
     }
--- a/crates/gate/src/read.rs
+++ b/crates/gate/src/read.rs
@@ -108,7 +108,7 @@
             declared.wait_for(Option::is_some).await.is_ok()
                 && listed.wait_for(|count| *count > 0).await.is_ok()
         };
-        // A timeout shows as missing declarations, which the caller of this refuses.
+        // If the declarations are still missing after a timeout, the request is refused.
         let _ = timeout(STARTUP_WAIT, available).await;
     }
     shared.declarations()
@@ -121,13 +121,14 @@
 
 fn find_route(declarations: &Declarations, call: &Call) -> Option<usize> {
     let route = declarations.match_route(&call.host, &call.path)?;
-    declarations.routes.iter().position(|one| std::ptr::eq(one, route))
+    declarations.routes.iter().position(|candidate| std::ptr::eq(candidate, route))
 }
 
 fn not_ready(shared: &Shared) -> Refusal {
     let message =
         "the daemon has just started and has no routes yet; use another address";
-    // While the store is unavailable, callers wait as long as servers have to register again.
+    // While the store is unavailable, callers retry after the time that servers have to
+    // register again.
     let store_unavailable = shared.uptime() > STORE_TIMEOUT;
     let retry_after = if store_unavailable { RELIST_GRACE } else { STARTUP_WAIT };
     Refusal::not_run(RefusalCode::Leaving, message).with_retry_after(retry_after)
--- a/crates/gate/src/relay.rs
+++ b/crates/gate/src/relay.rs
@@ -88,7 +88,9 @@
             if let Some(server) = job.shared.fleet().get_mut(response.target.key) {
                 server.health.record_failure(now);
             }
-            let message = format!("the server's response was interrupted ({why})");
+            let message = format!(
+                "the server's response was interrupted ({why}); retry the request if it may run twice"
+            );
             Refusal::in_doubt(RefusalCode::Broken, message)
         }
         Err(_) => {
@@ -138,7 +140,7 @@
     /// The server that responded last.
     server: ServerName,
     decoder: EventDecoder,
-    /// The events that the caller has.
+    /// The caller's position in the stream.
     sequence: Sequence,
     timing: StreamTiming,
     /// The tokens per event; `None` for a plain service.
@@ -219,7 +221,9 @@
             };
             match frame {
                 None if self.decoder.has_partial_event() => {
-                    return StreamItem::Interrupted("it ended within an event".into());
+                    return StreamItem::Interrupted(
+                        "the stream ended within an event".into(),
+                    );
                 }
                 None => return StreamItem::End,
                 Some(Err(error)) => return StreamItem::Interrupted(error.to_string()),
--- a/crates/gate/src/serve.rs
+++ b/crates/gate/src/serve.rs
@@ -1,8 +1,8 @@
 //! Serves one request from its head to the end of its response.
 //!
-//! The request is read ([`read`]), a server is picked, and the request is sent to it. While
-//! no server has run the request, or it may run again, it is retried. The response of a
-//! server is passed to the caller unchanged.
+//! The request is read ([`read`]), a server is picked, and the request is sent to it. After a
+//! failed attempt it is retried if it has not run or may run again. The body of the server's
+//! response is passed to the caller unchanged.
 
 use std::convert::Infallible;
 use std::sync::Arc;
@@ -41,7 +41,7 @@
 
 /// The longest retry delay sent to callers.
 ///
-/// Streams stay at a runner for some three seconds; after that there is room again.
+/// A stream occupies a runner for some three seconds; then its capacity is free again.
 const MAX_RETRY_DELAY: Duration = Duration::from_secs(3);
 
 /// Serves one request; all failures become responses.
@@ -66,7 +66,8 @@
     Ok(close_if_shutting_down(&shared, response))
 }
 
-/// Has callers connect to another daemon when this one is shutting down.
+/// Closes the caller's connection after the response if the daemon is shutting down, so that
+/// the caller connects to another one.
 fn close_if_shutting_down(
     shared: &Shared,
     mut response: Response<ResponseBody>,
@@ -78,6 +79,7 @@
     response
 }
 
+/// The refusal of a request, and its job to record the end.
 type Refused = (Refusal, Box<Job>);
 
 async fn run(job: Job) -> Result<Response<ResponseBody>, Refused> {
@@ -112,7 +114,7 @@
             "server" => target.name.to_string(), "why" => format!("{error:?}"));
         let decision = job.attempts.record(target.incarnation(), error.outcome());
         match error {
-            // The server may have evicted the adapter. One that lacks it twice is avoided.
+            // The server may have evicted the adapter; only a second rejection excludes it.
             AttemptError::Rejected(MISDIRECTED_STATUS)
                 if !misdirected.contains(&target.name) =>
             {
@@ -187,8 +189,7 @@
             Refusal::in_doubt(RefusalCode::Late, message)
         }
         AttemptError::Lost(_) => {
-            let message =
-                "the connection to the server was lost; the request may have run";
+            let message = "the connection to the server was lost; retry the request if it may run twice";
             Refusal::in_doubt(RefusalCode::Broken, message)
         }
         AttemptError::Unreachable(_)
