--- a/crates/gate/src/bidding.rs
+++ b/crates/gate/src/bidding.rs
@@ -43,35 +43,36 @@
 /// How long a request waits for admission to one runner before all are compared again.
 ///
 /// The queue is ordered by when requests have to be served, not by arrival, so that a request
-/// that returns has lost nothing.
+/// that joins it again keeps its position.
 const ADMISSION_WAIT: Duration = Duration::from_millis(400);
 
-/// The number of runners that are asked for bids on one request.
-const SHORTLIST: usize = 8;
+/// The number of runners that are compared for one request.
+const SHORTLIST_LEN: usize = 8;
 
-/// How many of the shortlist are chosen by affinity; the others are random.
-const AFFINE: usize = 4;
+/// How many runners of the shortlist are chosen by affinity; the others are random.
+const AFFINE_LEN: usize = 4;
 
 /// Consecutive admission requests without a response after which a holder counts as
 /// unresponsive.
-const MAX_TRIES: usize = 3;
+const MAX_UNANSWERED: usize = 3;
 
 /// A runner that could serve a request.
 struct Runner {
     key: ServerKey,
     name: ServerName,
-    /// The wait in ms, estimated by this daemon's own counts.
+    /// The wait in milliseconds, estimated by this daemon's own counts.
     own_wait_ms: f64,
-    /// What this daemon adds to any bid, in ms.
+    /// The cost in milliseconds that this daemon adds to the bid, for the runner's failure
+    /// domain and for failures that it observed.
     local_cost_ms: f64,
 }
 
-/// Runners grouped by who holds their claims; without those that nobody holds.
+/// Runners grouped by the holders of their claims; runners without a holder are left out.
 #[derive(Default)]
 struct ByHolder {
     /// Runners whose claims this daemon holds.
     local: Vec<ServerName>,
-    /// Runners by the other daemon that holds their claims.
+    /// Runners whose claims other daemons hold, by daemon and its address.
     remote: IndexMap<(MemberId, SocketAddr), Vec<ServerName>>,
 }
 
@@ -143,17 +144,17 @@
 /// some at random.
 ///
 /// All daemons choose the same runners by affinity, so that requests with the same adapter
-/// or prompt stay together. The random ones take the overflow. Asking all of a hundred
-/// runners would cost more than it gains.
+/// or prompt stay together. The random ones take the overflow. Requesting bids for all of a
+/// hundred runners would cost more than it gains.
 fn shortlist(job: &Job, mut runners: Vec<Runner>) -> Vec<Runner> {
-    if runners.len() <= SHORTLIST {
+    if runners.len() <= SHORTLIST_LEN {
         return runners;
     }
     let affinity = job.affinity();
     runners
         .sort_by_key(|runner| Reverse(rendezvous_rank(&affinity, runner.name.as_str())));
-    let mut rest = runners.split_off(AFFINE);
-    for _ in AFFINE..SHORTLIST {
+    let mut rest = runners.split_off(AFFINE_LEN);
+    for _ in AFFINE_LEN..SHORTLIST_LEN {
         let index = rand::random_range(0..rest.len());
         runners.push(rest.swap_remove(index));
     }
@@ -189,16 +190,16 @@
 }
 
 fn group_by_holder(shared: &Shared, runners: &[Runner]) -> ByHolder {
-    let known = shared.membership();
+    let membership = shared.membership();
     let mut by_holder = ByHolder::default();
     for runner in runners {
-        let claim = known.claims.get(&ClaimKey::Server(runner.name.clone()));
+        let claim = membership.claims.get(&ClaimKey::Server(runner.name.clone()));
         let Some(holder) = claim.and_then(|(row, _)| row.holder) else { continue };
         if holder == shared.peers.me {
             by_holder.local.push(runner.name.clone());
             continue;
         }
-        if let Some(row) = known.member_row(holder) {
+        if let Some(row) = membership.member_row(holder) {
             let servers = by_holder.remote.entry((holder, row.peer_addr)).or_default();
             servers.push(runner.name.clone());
         }
@@ -249,10 +250,10 @@
     Denied,
     /// The runner's holder does not respond.
     Silent,
-    /// The daemon that holds the claim is not aware of it: it has just started, or the claim
-    /// has moved.
+    /// The daemon that received the request does not hold the claim: it has just started, or
+    /// the claim has moved.
     Moved,
-    /// It has waited for a while; another runner may be sooner by now.
+    /// It was not decided within the wait limit; another runner may be faster by now.
     Again,
 }
 
@@ -311,10 +312,17 @@
     ) -> Admission {
         let shared = &self.job.shared;
         let (sender, receiver) = oneshot::channel();
-        let Some(want) = self.job.generation_request() else { return Admission::Denied };
-        let asker = (shared.peers.me, self.number);
-        let question = AdmissionRequest { key: asker, request: want, adapter_missing };
-        admission::request_admission(shared, holder, question, ReplyTo::Local(sender));
+        let Some(request) = self.job.generation_request() else {
+            return Admission::Denied;
+        };
+        let key = (shared.peers.me, self.number);
+        let admission_request = AdmissionRequest { key, request, adapter_missing };
+        admission::request_admission(
+            shared,
+            holder,
+            admission_request,
+            ReplyTo::Local(sender),
+        );
         let Ok(verdict) = timeout(ADMISSION_WAIT, receiver).await else {
             return Admission::Again;
         };
@@ -336,7 +344,7 @@
         let shared = &self.job.shared;
         let mut unanswered = 0;
         let limit = shared.now() + ADMISSION_WAIT;
-        while unanswered < MAX_TRIES {
+        while unanswered < MAX_UNANSWERED {
             if shared.now() >= limit {
                 return Admission::Again;
             }
--- a/crates/gate/src/permit.rs
+++ b/crates/gate/src/permit.rs
@@ -1,8 +1,8 @@
 //! Requests a permit to send a request to a server of a plain service.
 //!
-//! The daemon that holds the service's queue decides which server a request goes to. Permit
-//! requests are sent again while it does not respond. If that does not help, the request is
-//! sent by this daemon's own counts, as if nobody held the queue.
+//! The daemon that holds the service's queue decides which server a request goes to. If it
+//! does not respond, the permit request is sent again. If it stays unresponsive, this daemon
+//! picks a server by its own counts, as if nobody held the queue.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -33,7 +33,7 @@
 
 /// Consecutive permit requests without a response after which the holder counts as
 /// unresponsive.
-const MAX_TRIES: usize = 2;
+const MAX_UNANSWERED: usize = 2;
 
 /// The delay before a release is sent a second time.
 ///
@@ -42,11 +42,11 @@
 /// seventh of all permits.
 const RELEASE_REPEAT_DELAY: Duration = Duration::from_millis(10);
 
-/// How long an unresponsive holder is not asked.
+/// How long an unresponsive holder is sent no permit requests.
 ///
 /// A request loses 60 ms on an unresponsive holder. After two seconds another daemon takes
 /// over the queue of a holder that died.
-const UNRESPONSIVE_TIME: Duration = Duration::from_millis(1000);
+const UNRESPONSIVE_HOLDER_BACKOFF: Duration = Duration::from_millis(1000);
 
 /// The result of a permit request.
 ///
@@ -108,9 +108,9 @@
 
 /// The daemon that holds a service's queue, and where it receives datagrams.
 fn holder(shared: &Shared, service: &ServiceName) -> Option<(MemberId, SocketAddr)> {
-    let known = shared.membership();
-    let (claim, _) = known.claims.get(&pool_key(service)?)?;
-    let row = known.member_row(claim.holder?)?;
+    let membership = shared.membership();
+    let (claim, _) = membership.claims.get(&pool_key(service)?)?;
+    let row = membership.member_row(claim.holder?)?;
     Some((row.member, row.peer_addr))
 }
 
@@ -135,7 +135,7 @@
     if decision == PermitDecision::Silent {
         shared.mark_queue_holder_unresponsive(
             &job.service,
-            shared.now() + UNRESPONSIVE_TIME,
+            shared.now() + UNRESPONSIVE_HOLDER_BACKOFF,
         );
     }
     shared.metrics.count(Step::Turn, decision.label());
@@ -150,15 +150,15 @@
     let now = job.shared.now();
     let fleet = job.shared.fleet();
     let servers = fleet.iter().filter(|(_, server)| server.entry.service == job.service);
-    let closed = servers.filter(|(_, server)| !fleet.accepts_requests(server, now));
-    let closed = closed.map(|(_, server)| server.entry.name.clone());
+    let unavailable = servers.filter(|(_, server)| !fleet.accepts_requests(server, now));
+    let unavailable = unavailable.map(|(_, server)| server.entry.name.clone());
     let target_time = job.arrived_at + job.route().objective;
     PlainRequest {
         urgency: job.route().priority,
         target_time: target_time.saturating_duration_since(now),
         wait_limit: job.deadline.saturating_duration_since(now),
         domain: job.shared.settings.domain.clone(),
-        avoid: avoid.iter().cloned().chain(closed).collect(),
+        avoid: avoid.iter().cloned().chain(unavailable).collect(),
     }
 }
 
@@ -199,7 +199,7 @@
         let (shared, number) = (&self.job.shared, self.number);
         let service = &self.job.service;
         let mut unanswered = 0;
-        while unanswered < MAX_TRIES {
+        while unanswered < MAX_UNANSWERED {
             let (service, request) = (service.clone(), request.clone());
             shared.peers.send(addr, Message::PermitRequest { number, service, request });
             unanswered += 1;
@@ -210,7 +210,7 @@
                     break;
                 };
                 let Some(decision) = self.decision(verdict) else {
-                    // A queued request is asked for again as often as necessary.
+                    // The permit for a queued request is requested as often as necessary.
                     (unanswered, wait) = (0, QUEUED_TIMEOUT);
                     continue;
                 };
--- a/crates/gate/src/permit_queue.rs
+++ b/crates/gate/src/permit_queue.rs
@@ -1,7 +1,7 @@
 //! The permit queue of a plain service, held by one daemon for all daemons.
 //!
-//! Daemons request permits, repeat their requests while they wait, and release their permits.
-//! Lost requests are thus sent again. A permit whose release is lost becomes free when its
+//! Daemons request permits, repeat their requests while they wait, which covers lost
+//! datagrams, and release their permits. A permit whose release is lost becomes free when its
 //! caller's wait limit ends.
 
 use std::sync::{Arc, Mutex, MutexGuard, Weak};
@@ -23,10 +23,10 @@
 /// The longest time between two checks of the queue.
 const MAX_CHECK_INTERVAL: Duration = Duration::from_millis(100);
 
-/// How long the list of servers is used without a change of the registry.
+/// How long the list of servers is used if the registry does not change.
 ///
 /// The grace period of a server during an outage of the registry ends without such a change.
-const SERVER_LIST_AGE: Duration = Duration::from_millis(100);
+const SERVER_LIST_TTL: Duration = Duration::from_millis(100);
 
 /// The permit queue of a plain service whose claim this daemon holds.
 pub struct ServiceQueue {
@@ -41,18 +41,18 @@
     queue: PermitQueue,
     /// Where the decisions on queued requests are sent.
     replies: IndexMap<RequestKey, ReplyTo<PermitVerdict>>,
-    /// The version of the registry that the servers were last taken from, and when; `None`
-    /// before the first time.
+    /// The value of [`Shared::server_updates`] when the queue's servers were last updated, and
+    /// when that was; `None` before the first update.
     listed: Option<(u64, Instant)>,
 }
 
 impl State {
     /// Adds a request to the queue; returns a reply that is due at once.
     ///
-    /// One lock covers adding the request and adding its reply. With two, another thread
-    /// could decide on the request in between. Its decision would not be sent, and a request
-    /// of this daemon would keep its permit and wait until its caller left. That happened to
-    /// 2 to 20 of 1,400 plain requests sent at once.
+    /// The request and its reply are added under one lock. Under two, another thread could
+    /// decide on the request in between. The decision would not be sent, and a request of this
+    /// daemon would keep its permit and wait until its caller left. Of 1,400 plain requests
+    /// sent at once, that affects 2 to 20.
     fn enqueue(
         &mut self,
         key: RequestKey,
@@ -98,7 +98,7 @@
         queues.extract_if(.., |service, _| !held.contains(service)).map(|q| q.1).collect()
     };
     for queue in lost {
-        // Daemons with queued requests ask the next holder.
+        // Daemons send their queued requests by their own counts.
         let replies = std::mem::take(&mut queue.state().replies);
         for (key, reply) in replies {
             send_verdict(shared, key, reply, PermitVerdict::Moved);
@@ -109,9 +109,9 @@
 /// The plain services whose claims this daemon holds.
 fn held_services(shared: &Shared) -> Vec<ServiceName> {
     let Some(declared) = shared.declarations() else { return Vec::new() };
-    let known = shared.membership();
+    let membership = shared.membership();
     let is_held = |service: &ServiceName| {
-        let claim = pool_key(service).and_then(|key| known.claims.get(&key));
+        let claim = pool_key(service).and_then(|key| membership.claims.get(&key));
         claim.is_some_and(|(row, _)| row.holder == Some(shared.peers.me))
     };
     let plain = declared.services.iter().filter(|(_, service)| service.engine.is_none());
@@ -200,18 +200,19 @@
 /// Updates the queue's servers from the registry if the list has changed or is too old.
 fn update_servers(shared: &Shared, queue: &ServiceQueue, now: Instant) {
     let version = *shared.server_updates.borrow();
-    let too_old = |at: Instant| now.saturating_duration_since(at) >= SERVER_LIST_AGE;
+    let too_old = |at: Instant| now.saturating_duration_since(at) >= SERVER_LIST_TTL;
     if queue.state().listed.is_some_and(|(used, at)| used == version && !too_old(at)) {
         return;
     }
     let listed: Vec<ListedServer> = {
         let fleet = shared.fleet();
-        let servers = fleet.iter().filter(|(_, one)| one.entry.service == queue.service);
-        let listed = servers.filter(|(_, one)| fleet.is_listed(one, now));
-        let listed = listed.map(|(_, one)| ListedServer {
-            name: one.entry.name.clone(),
-            slots: one.entry.slots,
-            domain: one.entry.domain.clone(),
+        let servers =
+            fleet.iter().filter(|(_, server)| server.entry.service == queue.service);
+        let listed = servers.filter(|(_, server)| fleet.is_listed(server, now));
+        let listed = listed.map(|(_, server)| ListedServer {
+            name: server.entry.name.clone(),
+            slots: server.entry.slots,
+            domain: server.entry.domain.clone(),
         });
         listed.collect()
     };
