--- a/crates/gate/src/admission.rs
+++ b/crates/gate/src/admission.rs
@@ -1,7 +1,7 @@
 //! Admits requests of all daemons to a runner.
 //!
-//! A daemon requests admission, repeats its request while it waits, and is told to send
-//! or that this runner is not available. Lost messages are covered by the repetition; a
+//! A daemon requests admission, and repeats its request until it receives the verdict: the
+//! request may be sent to the runner, or it may not. The repetition covers lost messages; a
 //! repeated request that was already decided gets the same verdict again.
 
 use std::sync::{Arc, Weak};
@@ -22,7 +22,7 @@
 use crate::peers::ReplyTo;
 use crate::shared::Shared;
 
-/// How long a decided request is remembered.
+/// How long a decided request is retained.
 ///
 /// Daemons repeat a request within a fraction of a second, and first events arrive later.
 const DECISION_TTL: Duration = Duration::from_secs(3);
@@ -31,11 +31,11 @@
 /// daemons decay in the meantime.
 const MAX_CHECK_INTERVAL: Duration = Duration::from_millis(250);
 
-/// The largest share of a prompt that may be uncertainly cached if its prefill time is to
-/// count as a measurement.
+/// The largest share of a prompt's uncached tokens that the runner may have cached without
+/// this daemon's knowledge, for the time to the first event to count as a measurement.
 ///
-/// It makes prefill look faster by half that share at most. With a smaller share, prompts
-/// of many sessions, whose prefixes few requests have in common, provide next to no
+/// The uncertainty makes prefill look faster by half that share at most. With a smaller share,
+/// prompts of many sessions, whose prefixes few requests have in common, provide next to no
 /// measurements.
 const MAX_UNCERTAIN_SHARE: f64 = 0.15;
 
@@ -122,8 +122,8 @@
     reply: ReplyTo<AdmissionVerdict>,
 ) {
     let AdmissionRequest { key, request, adapter_missing } = admission;
-    let known_verdict = runner.admissions().verdict(key);
-    if let Some(verdict) = known_verdict {
+    let previous_verdict = runner.admissions().verdict(key);
+    if let Some(verdict) = previous_verdict {
         return send_verdict(shared, key.1, reply, verdict);
     }
     let Some(engine) = shared.engine_of(&runner.server) else {
@@ -272,8 +272,8 @@
 
 /// Denies all queued requests, because the runner accepts no new ones.
 ///
-/// A request that waited out the runner's notice would reach it after the time within
-/// which all daemons must stop sending.
+/// A request that stayed queued while the runner drains could be sent after the time within
+/// which all daemons must stop sending to it.
 fn deny_all(shared: &Shared, runner: &HeldRunner) {
     let queued = runner.admissions().undecided();
     for ticket in queued {
--- a/crates/gate/src/claims.rs
+++ b/crates/gate/src/claims.rs
@@ -1,8 +1,9 @@
-//! Which daemon sends orders to a runner, and which plans for a service.
+//! Assigns each runner and each service to a daemon, the holder of its claim.
 //!
-//! A claim is a row with the holder and its fence. A daemon takes a claim in a
-//! transaction that checks the row's version, and only after the former holder's own row
-//! was removed; engines refuse orders with an older fence.
+//! The holder of a runner's claim sends its orders; that of a service's claim plans the
+//! service or runs its queue. A claim is a row of the store with the holder and its fence. A
+//! daemon takes a claim in a transaction that checks the row's version, and only after the
+//! former holder's own row was removed; engines refuse orders with an older fence.
 
 use std::sync::Arc;
 use std::time::{Duration, Instant};
@@ -19,7 +20,8 @@
 /// Prefix of the keys of claims; the claim's name follows.
 pub const KEY_PREFIX: &str = "claim:";
 
-/// How long a daemon waits after its start before it takes claims without a holder.
+/// How long after its start a daemon takes no claims, unless it replaces an earlier process on
+/// its VM.
 ///
 /// When all daemons start at once, the first would otherwise take every claim and hand
 /// most of them over again.
@@ -171,8 +173,8 @@
     shared.now() + shared.bounds.borrow().turn + HANDOVER_MARGIN
 }
 
-/// All claims there should be: one for each listed runner and one for each service, whose
-/// holder plans it or runs its queue.
+/// The keys of all claims that should exist: one for each runner in the registry and one for
+/// each service.
 fn claim_keys(shared: &Shared) -> Vec<ClaimKey> {
     let Some(declared) = shared.declarations() else { return Vec::new() };
     let engines: Vec<&ServiceName> = declared
--- a/crates/gate/src/driver.rs
+++ b/crates/gate/src/driver.rs
@@ -52,8 +52,8 @@
 
 /// How long after the start of its move a model's load may be ordered.
 ///
-/// Loads from the weight store are paced at the time of planning; loads that waited for
-/// memory would coincide with later ones.
+/// The planner limits the rate of loads from the weight store; loads that waited for memory
+/// would coincide with later ones.
 const MAX_LOAD_DELAY: Duration = Duration::from_millis(1500);
 
 /// Rounds of orders for one adapter: unloading another, loading, and both once more after
@@ -69,8 +69,8 @@
 }
 
 impl Driver<'_> {
-    /// Has an adapter loaded; returns the time until it is ready, or `None` if it can't
-    /// be loaded.
+    /// Orders the load of an adapter; returns the time until it is ready, or `None` if it
+    /// can't be loaded.
     pub async fn load_adapter(
         &self,
         target: &TargetModel,
@@ -117,7 +117,7 @@
         }
         let is_late = self.shared.now().duration_since(started_at) > MAX_LOAD_DELAY;
         match &planned.load {
-            // The load was paced for an earlier time; the planner plans it again.
+            // The load was planned for an earlier time; the planner plans it again.
             Some(_) if is_late => true,
             Some(model) => self.load_model(model).await,
             None => true,
@@ -136,7 +136,7 @@
         matches!(response, Some(OrderResponse::Accepted | OrderResponse::Holds))
     }
 
-    /// Has a model unloaded and waits until the requests on it have ended.
+    /// Orders the unload of a model and waits until the requests on it have ended.
     async fn unload_model(&self, model: &ModelName) -> bool {
         let response =
             self.send(OrderAction::Unload(model.clone()), UNLOAD_POLL_PERIOD).await;
@@ -295,7 +295,7 @@
             OrderResponse::Accepted => {
                 self.runner.state().record_accepted(action, duration, now);
                 if matches!(action, OrderAction::UnloadAdapter(..)) {
-                    // Requests still use the adapter; its slot is free once a report
+                    // Requests may still use the adapter; its slot is free once a report
                     // shows that.
                     self.runner.state().forget_order_count();
                 }
--- a/crates/gate/src/holder.rs
+++ b/crates/gate/src/holder.rs
@@ -1,6 +1,6 @@
-//! What this daemon does for a runner whose claim it holds.
+//! The runners whose claims this daemon holds.
 //!
-//! It adds up the usage that all daemons report, admits requests
+//! A runner's holder adds up the usage that all daemons report, admits requests
 //! ([`admission`](crate::admission)), and sends the runner its orders
 //! ([`driver`](crate::driver)).
 
@@ -69,8 +69,8 @@
         self.admissions.lock().expect("no holder of the lock panics")
     }
 
-    /// Has an adapter loaded; returns the time until it is ready, or `None` if it can't
-    /// be loaded.
+    /// Orders the load of an adapter; returns the time until it is ready, or `None` if it
+    /// can't be loaded.
     pub async fn load_adapter(
         &self,
         target: TargetModel,
--- a/crates/gate/src/members.rs
+++ b/crates/gate/src/members.rs
@@ -2,8 +2,8 @@
 //!
 //! Each daemon has a row in the store from its start to its end. Daemons exchange
 //! heartbeats. When none receives a daemon's heartbeats any more, those that watch it
-//! remove its row, and only then may others take over its claims. All daemons go by the
-//! removal of the row, since heartbeats lost on one link prove nothing.
+//! remove its row, and only then may others take over its claims: heartbeats lost on one
+//! link don't prove that a daemon has failed.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -89,7 +89,7 @@
 /// still alive.
 pub async fn run_heartbeats(shared: Arc<Shared>) {
     loop {
-        // Detects a suspension of the daemon before the heartbeat goes out.
+        // Detects a suspension of the daemon before the heartbeat is sent.
         shared.is_resuming();
         send_heartbeat(&shared);
         sleep(HEARTBEAT_PERIOD).await;
@@ -189,7 +189,7 @@
     let now = shared.now();
     let heartbeat = Heartbeat {
         shutting_down: *shared.shutting_down.borrow(),
-        heard_from: shared.peers.alive_members(now),
+        alive_members: shared.peers.alive_members(now),
         tables: table_sync::announcements(shared),
     };
     let addrs: Vec<SocketAddr> = shared.neighbours().addrs.values().copied().collect();
@@ -201,9 +201,8 @@
 /// Announces changed table replicas to a few neighbours at once.
 ///
 /// Each of them announces them to a few more, which reaches most daemons within a few
-/// hops; the rest learn of them from the next heartbeat. When every daemon announced each
-/// change to all its neighbours, that was more than three quarters of the traffic between
-/// daemons.
+/// hops; the rest learn of them from the next heartbeat. Announcing each change to all
+/// neighbours would make up more than three quarters of the traffic between daemons.
 pub fn announce_tables(shared: &Shared) {
     let announcements = table_sync::announcements(shared);
     let outdated: Vec<SocketAddr> = {
@@ -217,7 +216,8 @@
     }
 }
 
-/// Announces to all daemons that this one shuts down, so that none directs callers to it.
+/// Announces to all daemons that this one is shutting down, so that none directs callers to
+/// it.
 pub fn announce_shutdown(shared: &Shared) {
     let heartbeat = Heartbeat { shutting_down: true, ..Heartbeat::default() };
     for (_, addr) in other_daemons(shared) {
@@ -287,8 +287,8 @@
 
 /// Removes the rows of unresponsive daemons.
 ///
-/// Not right after a suspension of this daemon: it received no heartbeats meanwhile, and
-/// others would lose their claims for no reason.
+/// Does nothing right after a suspension of this daemon: it received no heartbeats in the
+/// meantime, and live daemons would lose their claims.
 async fn remove_unresponsive(shared: &Shared) {
     if shared.is_resuming() {
         return;
@@ -297,7 +297,7 @@
         info!(shared.log, "daemon is unresponsive, removing its row"; "member" => vm.to_string(),
             "version" => version, "id" => row.member.to_string());
         let transaction = row_removal(&vm, version);
-        // A daemon without a row is sent no heartbeats, so it can't judge others.
+        // A daemon without a row is sent no heartbeats, so it can't tell which others are alive.
         let Some(transaction) = require_own_row(shared, transaction) else { return };
         match store::commit(shared, &transaction).await {
             Ok(TransactionOutcome::Done { .. }) => {}
@@ -325,16 +325,18 @@
     let peers = &shared.peers;
     let membership = shared.membership();
     let is_unresponsive = |member| match peers.peer_state(member) {
-        Some(heard) => now.saturating_duration_since(heard.last_heard) > FAILURE_TIMEOUT,
-        // It has just joined, or was gone before this daemon started.
+        Some(peer) => {
+            now.saturating_duration_since(peer.last_received_at) > FAILURE_TIMEOUT
+        }
+        // It has just joined, or had failed before this daemon started.
         None => membership.is_stable(member, now, FAILURE_TIMEOUT * 2),
     };
     watched_vms(&membership, &shared.settings.vm)
         .into_iter()
         .filter_map(|vm| {
             let (row, version) = membership.members.get(&vm)?;
-            let is_down =
-                is_unresponsive(row.member) && !peers.is_heard_by_others(row.member, now);
+            let is_down = is_unresponsive(row.member)
+                && !peers.is_alive_for_others(row.member, now);
             is_down.then(|| (vm, row.clone(), *version))
         })
         .collect()
--- a/crates/gate/src/message.rs
+++ b/crates/gate/src/message.rs
@@ -45,12 +45,12 @@
         #[serde(rename = "begun")]
         first_event: Option<FirstEvent>,
     },
-    /// Asks for the estimated waits at runners that the receiver holds.
+    /// Requests bids for runners that the receiver holds.
     #[serde(rename = "Ask")]
     BidRequest {
         /// Identifies the response.
         number: u64,
-        /// The runners to estimate.
+        /// The runners to bid for.
         servers: Vec<ServerName>,
         /// What the request needs.
         #[serde(rename = "want")]
@@ -60,10 +60,10 @@
     Bids {
         /// The number of the `BidRequest`.
         number: u64,
-        /// The estimates; runners that the sender does not hold are left out.
+        /// The bids; runners that the sender does not hold are left out.
         bids: Vec<(ServerName, Bid)>,
     },
-    /// Asks for admission of a request to a runner that the receiver holds.
+    /// Requests admission of a request to a runner that the receiver holds.
     ///
     /// Sent again until it is decided.
     #[serde(rename = "Take")]
@@ -96,7 +96,7 @@
         /// The runner.
         server: ServerName,
     },
-    /// Asks for a permit at a server of a plain service whose queue the receiver holds.
+    /// Requests a permit at a server of a plain service whose queue the receiver holds.
     ///
     /// Sent again until it is decided.
     #[serde(rename = "Enqueue")]
@@ -142,16 +142,17 @@
         /// Servers that the sender can't connect to.
         #[serde(rename = "lost")]
         unreachable: Vec<ServerName>,
-        /// Timings of its runners, if they changed since it last sent them.
+        /// The engine timings that the sender has learned; `None` if they have not changed or
+        /// were sent recently.
         #[serde(rename = "learnt")]
         learned: Option<LearnedTimings>,
     },
-    /// Asks the holder of a runner to load or unload a model; sent by the planner.
+    /// Requests a load or unload of models from the holder of a runner; sent by the planner.
     Move(Move),
-    /// Tells the planner that the holder could not carry out a move.
+    /// Reports to the planner that the holder could not carry out a move.
     #[serde(rename = "Failed")]
     MoveFailed(Move),
-    /// The sender's view of the store's tables, sent at once when it changes.
+    /// The sender's view of the store's tables, sent to a few daemons at once when it changes.
     #[serde(rename = "News")]
     TableUpdate(Vec<TableFreshness>),
 }
@@ -193,18 +194,18 @@
     Moved,
 }
 
-/// Shows that a daemon is alive, and what it has heard.
+/// Shows that a daemon is alive, and reports its view of other daemons and of the store.
 #[derive(Debug, Clone, Default, PartialEq, Serialize, Deserialize)]
 pub struct Heartbeat {
-    /// Whether the daemon was told to stop.
+    /// Whether the daemon is shutting down.
     #[serde(rename = "leaving")]
     pub shutting_down: bool,
-    /// All daemons that it has heard from within the heartbeat timeout.
+    /// The daemons that sent it anything within the heartbeat timeout.
     ///
-    /// Daemons that were recently cut off from the store disagree on who watches whom.
-    /// Without the reports of the others they would remove each other's rows.
+    /// Daemons that were recently partitioned from the store disagree on which daemon watches
+    /// which. Without these reports they would remove each other's rows.
     #[serde(rename = "heard")]
-    pub heard_from: Vec<MemberId>,
+    pub alive_members: Vec<MemberId>,
     /// Its view of the store's tables, in a fixed order.
     pub tables: Vec<TableFreshness>,
 }
--- a/crates/gate/src/peers.rs
+++ b/crates/gate/src/peers.rs
@@ -24,7 +24,7 @@
 #[derive(Debug, Clone)]
 pub struct PeerState {
     /// When its last datagram arrived.
-    pub last_heard: Instant,
+    pub last_received_at: Instant,
     /// Its last heartbeat; `None` if none has arrived yet.
     pub heartbeat: Option<Heartbeat>,
     /// Its last view of the store's tables; empty if none has arrived yet.
@@ -83,7 +83,7 @@
 
     /// Sends a message; drops it if the socket is not ready.
     ///
-    /// Lost messages are sent again or not needed, so that a full socket must not delay a
+    /// Lost messages are sent again or not needed, so a full send buffer need not delay a
     /// request.
     pub fn send(&self, to: SocketAddr, message: Message) {
         let packet = Packet { from: self.me, message };
@@ -100,7 +100,7 @@
         let mut buffer = vec![0; MAX_PACKET_BYTES];
         loop {
             let Ok((len, from)) = self.socket.recv_from(&mut buffer).await else {
-                // The error belongs to an earlier datagram that its receiver rejected.
+                // The error reports that an earlier datagram could not be delivered.
                 continue;
             };
             if let Ok(packet) = postcard::from_bytes::<Packet>(&buffer[..len]) {
@@ -143,7 +143,7 @@
     pub fn is_alive(&self, member: MemberId, now: Instant) -> bool {
         let state = self.peer_state(member);
         state.is_some_and(|state| {
-            now.saturating_duration_since(state.last_heard) < HEARTBEAT_TIMEOUT
+            now.saturating_duration_since(state.last_received_at) < HEARTBEAT_TIMEOUT
         })
     }
 
@@ -160,20 +160,22 @@
     pub fn alive_members(&self, now: Instant) -> Vec<MemberId> {
         let states = self.states.lock().expect("no holder of the lock panics");
         let is_alive = |state: &PeerState| {
-            now.saturating_duration_since(state.last_heard) < HEARTBEAT_TIMEOUT
+            now.saturating_duration_since(state.last_received_at) < HEARTBEAT_TIMEOUT
         };
         states.iter().filter(|(_, state)| is_alive(state)).map(|(id, _)| *id).collect()
     }
 
     /// Whether another daemon that is alive reports that `member` is alive.
-    pub fn is_heard_by_others(&self, member: MemberId, now: Instant) -> bool {
+    pub fn is_alive_for_others(&self, member: MemberId, now: Instant) -> bool {
         let states = self.states.lock().expect("no holder of the lock panics");
         states.iter().any(|(id, state)| {
             let is_alive =
-                now.saturating_duration_since(state.last_heard) < HEARTBEAT_TIMEOUT;
-            let heard =
-                state.heartbeat.as_ref().is_some_and(|h| h.heard_from.contains(&member));
-            *id != member && is_alive && heard
+                now.saturating_duration_since(state.last_received_at) < HEARTBEAT_TIMEOUT;
+            let reports_alive = state
+                .heartbeat
+                .as_ref()
+                .is_some_and(|heartbeat| heartbeat.alive_members.contains(&member));
+            *id != member && is_alive && reports_alive
         })
     }
 
@@ -182,11 +184,11 @@
         let mut states = self.states.lock().expect("no holder of the lock panics");
         let now = self.clock.now();
         let entry = states.entry(packet.from).or_insert(PeerState {
-            last_heard: now,
+            last_received_at: now,
             heartbeat: None,
             tables: Vec::new(),
         });
-        entry.last_heard = now;
+        entry.last_received_at = now;
         match &packet.message {
             Message::Heartbeat(heartbeat) => {
                 entry.tables.clone_from(&heartbeat.tables);
@@ -195,8 +197,10 @@
             Message::TableUpdate(tables) => entry.tables.clone_from(tables),
             _ => {}
         }
-        // Restarted daemons have new ids; the old ones are evicted.
-        let limit = Duration::from_secs(60);
-        states.retain(|_, state| now.saturating_duration_since(state.last_heard) < limit);
+        // Restarted daemons have new ids; the states of the old ones are evicted.
+        let retention = Duration::from_secs(60);
+        states.retain(|_, state| {
+            now.saturating_duration_since(state.last_received_at) < retention
+        });
     }
 }
--- a/crates/gate/src/receive.rs
+++ b/crates/gate/src/receive.rs
@@ -43,10 +43,9 @@
             let reply = ReplyTo::Remote(from);
             match shared.held_runner(&server) {
                 Some(holder) => {
-                    let asker = (packet.from, number);
-                    let question =
-                        AdmissionRequest { key: asker, request, adapter_missing };
-                    admission::request_admission(shared, &holder, question, reply);
+                    let key = (packet.from, number);
+                    let admission = AdmissionRequest { key, request, adapter_missing };
+                    admission::request_admission(shared, &holder, admission, reply);
                 }
                 None => {
                     let verdict = AdmissionVerdict::Moved;
@@ -91,11 +90,11 @@
                 unreachable,
             );
         }
-        Message::Move(change) => {
-            if let Some(holder) = shared.held_runner(&change.server) {
-                holder.request_move(change, Some(from), shared.now());
+        Message::Move(planned) => {
+            if let Some(holder) = shared.held_runner(&planned.server) {
+                holder.request_move(planned, Some(from), shared.now());
             }
         }
-        Message::MoveFailed(change) => planner::record_failed_move(shared, &change),
+        Message::MoveFailed(planned) => planner::record_failed_move(shared, &planned),
     }
 }
--- a/crates/gate/src/usage_reports.rs
+++ b/crates/gate/src/usage_reports.rs
@@ -15,11 +15,13 @@
 /// How often usage other than zero is reported again.
 ///
 /// After a lost datagram the holder's total is wrong for up to this long, and a new
-/// holder of a claim has all reports after it.
+/// holder of a claim has received all reports after this time.
 const REPEAT_PERIOD: Duration = Duration::from_secs(1);
 
-/// Reports this daemon's current usage of a runner to its holder. `target` is the model
-/// of a request that was just sent, `first_event` that of an admitted request.
+/// Reports this daemon's current usage of a runner to its holder.
+///
+/// `target` is the model of a request that was just sent, and `first_event` the first event
+/// of an admitted request; `None` if the report is for another reason.
 pub fn report(
     shared: &Shared,
     key: ServerKey,
