--- a/crates/gate/src/claims.rs
+++ b/crates/gate/src/claims.rs
@@ -3,7 +3,10 @@
 //! The holder of a runner's claim sends its orders; that of a service's claim plans the
 //! service or runs its queue. A claim is a row of the store with the holder and its fence. A
 //! daemon takes a claim in a transaction that checks the row's version, and only after the
-//! former holder's own row was removed; engines refuse orders with an older fence.
+//! former holder's own row was removed. Where [`Bounds::fenced`] is set, engines refuse
+//! orders with an older fence.
+//!
+//! [`Bounds::fenced`]: crate::settings::Bounds::fenced
 
 use std::sync::Arc;
 use std::time::{Duration, Instant};
--- a/crates/gate/src/client.rs
+++ b/crates/gate/src/client.rs
@@ -1,7 +1,7 @@
 //! The daemon's HTTP client: a connection pool, and calls on its connections.
 //!
-//! The users of this module decide whether to retry a request. For that, errors tell whether
-//! any byte of the request was handed to a connection.
+//! The users of this module decide whether to retry a request. For that, errors distinguish
+//! whether any byte of the request was handed to a connection.
 
 use std::collections::VecDeque;
 use std::fmt::{self, Display, Formatter};
@@ -24,8 +24,8 @@
 
 /// How long connecting may take.
 ///
-/// Links take 3 ms at most, so that a live server responds long before this. A lost SYN
-/// packet is sent again only after a second.
+/// Links have a latency of 3 ms at most, so a live server responds long before this. A lost
+/// SYN packet is sent again only after a second.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(400);
 
 /// How long sent bytes may stay unacknowledged before the connection is closed.
@@ -37,7 +37,7 @@
 /// The idle time before the first TCP keepalive probe, and the interval between probes.
 const KEEPALIVE_INTERVAL: Duration = Duration::from_secs(1);
 
-/// How long an idle connection stays in the pool if the server does not say.
+/// How long an idle connection stays in the pool if the server announces no idle timeout.
 const DEFAULT_IDLE_TIMEOUT: Duration = Duration::from_secs(4);
 
 /// How long the body of a response may take after its head.
@@ -145,23 +145,23 @@
 
     /// Sends a request and reads the complete response.
     ///
-    /// `wait` limits the time to the response head; the body may take longer. `limit` is the
-    /// largest body in bytes.
+    /// `head_timeout` limits the time to the response head; the body has its own time limit.
+    /// `max_bytes` is the size of the largest body that is read.
     pub async fn call(
         &self,
         addr: SocketAddr,
         request: Request<Bytes>,
-        limit: usize,
-        wait: Duration,
+        max_bytes: usize,
+        head_timeout: Duration,
     ) -> Result<Response<Bytes>, SendError> {
-        let timed_out = |what, wait: Duration| {
-            SendError::Lost(format!("no {what} within {} ms", wait.as_millis()))
+        let timed_out = |missing, limit: Duration| {
+            SendError::Lost(format!("no {missing} within {} ms", limit.as_millis()))
         };
-        let head = timeout(wait, self.send_on_connection(addr, request)).await;
+        let head = timeout(head_timeout, self.send_on_connection(addr, request)).await;
         let (response, connection) =
-            head.unwrap_or_else(|_| Err(timed_out("response", wait)))?;
+            head.unwrap_or_else(|_| Err(timed_out("response", head_timeout)))?;
         let (head, body) = response.into_parts();
-        let body = timeout(BODY_TIMEOUT, Limited::new(body, limit).collect()).await;
+        let body = timeout(BODY_TIMEOUT, Limited::new(body, max_bytes).collect()).await;
         let body = body.map_err(|_| timed_out("end of the response", BODY_TIMEOUT))?;
         let body = body.map_err(|error| SendError::Lost(error.to_string()))?;
         self.release(addr, connection, None);
@@ -182,8 +182,8 @@
         let mut pools = self.idle.lock().expect("no holder of the lock panics");
         let pool = pools.get_mut(&addr)?;
         pool.retain(|idle| now < idle.expires_at && !idle.connection.sender.is_closed());
-        let ready = pool.iter().rposition(|idle| idle.connection.sender.is_ready())?;
-        pool.remove(ready).map(|idle| idle.connection)
+        let index = pool.iter().rposition(|idle| idle.connection.sender.is_ready())?;
+        pool.remove(index).map(|idle| idle.connection)
     }
 }
 
@@ -219,7 +219,7 @@
     Ok(Connection { sender, task })
 }
 
-/// Sets the socket options that detect a peer that is gone without a reset.
+/// Sets the socket options that detect a peer that disappeared without a reset.
 ///
 /// Failures are ignored, since requests have their own deadlines.
 pub fn configure_socket(stream: &TcpStream) {
--- a/crates/gate/src/directory.rs
+++ b/crates/gate/src/directory.rs
@@ -18,7 +18,7 @@
 
 /// How long callers may cache a response.
 ///
-/// Short, so that callers leave a daemon that stops or dies within one to three seconds;
+/// Short, so that callers leave a daemon that stops or fails within one to three seconds;
 /// a request costs about 30 µs.
 const RESPONSE_TTL: Duration = Duration::from_secs(1);
 
@@ -69,8 +69,8 @@
     if !ready.is_empty() {
         return ready;
     }
-    // All have just started, or none receives heartbeats of others. Any daemon may serve;
-    // one that can't gives the caller a retry delay.
+    // All daemons have just started, or none receives heartbeats of others. Any of them may
+    // be able to serve; one that can't sends the caller a retry delay.
     let joined = addresses(&|row| membership.accepts_claims(row));
     if !joined.is_empty() {
         return joined;
@@ -103,8 +103,8 @@
     let table = tables.into_iter().find(|candidate| candidate.name == table);
     let changes = table.and_then(|table| table.replica().changes_since(after));
     match changes.map(|changes| postcard::to_allocvec(&changes)) {
-        // If some sixty daemons fetch a large configuration from one over its thin link,
-        // they get it long after the deadline. The store's link is wide.
+        // Some sixty daemons that fetch a large configuration over the link of one daemon
+        // would get it too late. The store's link has more bandwidth.
         Some(Ok(bytes)) if bytes.len() > max_bytes => {
             StatusCode::PAYLOAD_TOO_LARGE.into_response()
         }
--- a/crates/gate/src/introspection.rs
+++ b/crates/gate/src/introspection.rs
@@ -99,7 +99,7 @@
 pub struct ServerState {
     /// The service it belongs to.
     pub service: String,
-    /// The phase from its entry, such as starting, serving or leaving.
+    /// The phase from its entry: `Ready`, or `Leaving` with the time left if it is known.
     pub phase: String,
     /// Whether new requests may be sent to it.
     #[serde(rename = "open")]
@@ -114,10 +114,10 @@
 pub struct HeldRunnerState {
     /// The models that it holds, according to this daemon's view.
     pub models: Vec<String>,
-    /// The number of orders that it has accepted; unknown after a lost response.
+    /// The number of orders that it has accepted; `None` if unknown, as after a lost response.
     #[serde(rename = "orders")]
     pub accepted_orders: Option<u64>,
-    /// The remaining time of its last order.
+    /// How much longer its last order is expected to be in progress.
     #[serde(rename = "busy_ms")]
     #[serde_as(as = "DurationMilliSeconds<u64>")]
     pub order_time_left: Duration,
--- a/crates/gate/src/persisted_timings.rs
+++ b/crates/gate/src/persisted_timings.rs
@@ -1,11 +1,11 @@
 //! Persists learned engine timings for daemons that start.
 //!
 //! Without timings, a daemon that has just started sends prompts at a rate that suits no
-//! engine until it has learned their prefill rates. After a power loss all daemons start
-//! at once, while all callers return. The planner of a service therefore writes its
-//! timings to the store, at a limited rate and only when they have changed; a daemon gets
-//! them with its first read of the table. Holders of runners send the planner what they
-//! have learned.
+//! engine until it has learned the engines' prefill rates. After a power loss all daemons
+//! start at once, just when all callers send requests again. The planner of a service
+//! therefore writes its timings to the store, at a limited rate and only when they have
+//! changed; a daemon gets them with its first read of the table. Holders of runners send the
+//! planner what they have learned.
 
 use std::sync::Arc;
 use std::time::{Duration, Instant};
--- a/crates/gate/src/planner.rs
+++ b/crates/gate/src/planner.rs
@@ -28,9 +28,9 @@
 /// How often moves are planned and daemons send their demand to the planner.
 const PLAN_PERIOD: Duration = Duration::from_millis(250);
 
-/// The number of models in one datagram of a demand report.
+/// The largest number of models in one datagram of a demand report.
 ///
-/// With names of 16 bytes that is 8 KB, beside as much for learned engine timings.
+/// With names of 16 bytes they take 8 KB, and learned engine timings as much again.
 const MODELS_PER_PART: usize = 128;
 
 /// The demand of this daemon's callers since its start, by service and model.
--- a/crates/gate/src/run.rs
+++ b/crates/gate/src/run.rs
@@ -40,7 +40,8 @@
 /// How often a daemon that shuts down checks whether its requests have ended.
 const DRAIN_POLL_PERIOD: Duration = Duration::from_millis(20);
 
-/// The part of the time to stop that is reserved for the exit of the process.
+/// The part of [`Bounds::stop`](crate::settings::Bounds::stop) that is reserved for the exit
+/// of the process.
 const EXIT_MARGIN: Duration = Duration::from_millis(400);
 
 /// How often the settings file is read again.
@@ -49,7 +50,7 @@
 /// How often idle connections and servers missing from the registry are removed.
 const PRUNE_PERIOD: Duration = Duration::from_secs(1);
 
-/// Reason for which a daemon could not be started.
+/// Why a daemon could not be started.
 #[derive(Debug)]
 pub enum StartError {
     /// The address can't be bound.
@@ -80,8 +81,7 @@
     clock: Arc<dyn Clock>,
     log: Logger,
 ) -> Result<(), Report<StartError>> {
-    // Signals are handled before anything else is set up; before that they end the
-    // process.
+    // Signal handlers are installed first, since an unhandled signal ends the process.
     let mut sigterm =
         signal(SignalKind::terminate()).change_context(StartError::Signals)?;
     let mut sighup = signal(SignalKind::hangup()).change_context(StartError::Signals)?;
@@ -156,11 +156,12 @@
     }
 }
 
-/// Stops accepting requests after a while, and waits for those in progress.
+/// Refuses requests after [`DRAIN_TIME`], waits for those in progress, and removes the daemon's
+/// row.
 async fn shut_down(shared: &Shared) {
     info!(shared.log, "leaving");
     shared.shutting_down.send_replace(true);
-    // From now on its claims are assigned to others.
+    // From now on its claims are assigned to other daemons.
     shared.membership().leaving.insert(shared.peers.me);
     members::announce_shutdown(shared);
     let stop_time = shared.bounds.borrow().stop;
--- a/crates/gate/src/settings.rs
+++ b/crates/gate/src/settings.rs
@@ -12,7 +12,7 @@
 use serde::Deserialize;
 use serde_with::{DurationMilliSeconds, DurationSecondsWithFrac, serde_as};
 
-/// Reason for which settings are rejected.
+/// Why settings are rejected.
 #[derive(Debug)]
 pub enum SettingsError {
     /// The file can't be read.
@@ -116,7 +116,7 @@
     pub directory: Duration,
     /// Retries allowed per request of a service.
     pub retry_ratio: f64,
-    /// Retries allowed beyond the ratio, over all daemons.
+    /// Retries of a service allowed per window beyond the ratio, in all daemons together.
     pub retry_slack: f64,
     /// The window in which requests and retries are counted.
     #[serde(rename = "retry_window_s")]
@@ -142,7 +142,7 @@
     #[serde(rename = "load_window_s")]
     #[serde_as(as = "DurationSecondsWithFrac<f64>")]
     pub load_window: Duration,
-    /// How many times the declared rate the loads of a window may reach; at least 1.
+    /// The largest ratio of the loads in a window to those at the declared rate; at least 1.
     #[serde(default = "no_overshoot")]
     pub load_overshoot: f64,
 }
--- a/crates/gate/src/shared.rs
+++ b/crates/gate/src/shared.rs
@@ -223,7 +223,7 @@
         self.engine_timings.lock().expect("no holder of the lock panics")
     }
 
-    /// Locks the engine timings in the store, by service.
+    /// Locks the persisted engine timings, by service.
     pub fn persisted_timings(
         &self,
     ) -> MutexGuard<'_, IndexMap<ServiceName, PersistedTimings>> {
--- a/crates/gate/src/store.rs
+++ b/crates/gate/src/store.rs
@@ -19,13 +19,13 @@
 /// a row a third longer.
 const MAX_RESPONSE_BYTES: usize = 8 << 20;
 
-/// Reason for a failed call. A transaction may have taken effect nonetheless.
+/// Why a call failed. A transaction may have taken effect nonetheless.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct StoreError(pub String);
 
 impl Display for StoreError {
     fn fmt(&self, f: &mut Formatter<'_>) -> fmt::Result {
-        write!(f, "the store did not respond ({}); the call is retried", self.0)
+        write!(f, "the call to the store failed ({}); it is retried", self.0)
     }
 }
 
--- a/crates/gate/src/table_replica.rs
+++ b/crates/gate/src/table_replica.rs
@@ -73,8 +73,8 @@
 
     /// Applies changes up to `version`; returns those that were new.
     ///
-    /// A row with a newer version is left alone: a delayed response must not bring back
-    /// what was replaced.
+    /// A row of the same or a newer version is kept: a delayed response must not restore a
+    /// replaced or removed row.
     pub fn apply(&mut self, changes: Vec<Change>, version: u64) -> Vec<Change> {
         let applied: Vec<Change> =
             changes.into_iter().filter(|change| self.apply_change(change)).collect();
@@ -84,10 +84,10 @@
 
     /// Applies a row that this daemon has written itself; the replica's version stays.
     ///
-    /// A snapshot shows a removal by leaving the row out, which is noticed only for rows
-    /// that the replica holds. Without its own row here, a daemon whose row had been
-    /// removed went on as if it stood: the others sent it no heartbeats, and it took them
-    /// for unresponsive and removed their rows, four times a second, without end.
+    /// A snapshot lacks removed rows, so it reveals a removal only if the replica holds the
+    /// row. If a daemon's own row were not applied here, the daemon could miss its removal.
+    /// It would then receive no heartbeats, consider the other daemons unresponsive, and
+    /// remove their rows four times a second without end.
     pub fn apply_own_write(&mut self, change: &Change) {
         self.apply_change(change);
     }
--- a/crates/gate/src/table_sync.rs
+++ b/crates/gate/src/table_sync.rs
@@ -2,8 +2,8 @@
 //!
 //! One daemon, the reader of a table, long-polls the store, which responds as soon as a
 //! row changes. The others learn from heartbeats that a newer version exists and fetch
-//! the changes from the daemon that has it, at no cost to the store. A daemon polls the
-//! store itself when no daemon has lately reported that the store confirmed the replica's
+//! the changes from the daemon that has it, without calls to the store. A daemon polls the
+//! store itself when no daemon has recently reported that the store confirmed the replica's
 //! version: the reader may be down, suspended or partitioned, and changes must still be
 //! in force in time. A daemon that can't reach the store gets changes from others.
 
@@ -25,15 +25,15 @@
 use crate::table_replica::{TableChanges, TableReplica};
 use crate::{claims, members, persisted_timings};
 
-/// [`freshness_limit`] divided by this is how long the store may hold the reader's long
-/// poll. The rest is for the heartbeat period and the delay of the response.
+/// The store may hold the reader's long poll for [`freshness_limit`] divided by this. The
+/// rest of the limit is for the heartbeat period and the delay of the response.
 const HOLD_DIVISOR: u32 = 3;
 
 /// How long after the end of its hold a long poll's response may arrive.
 const HOLD_RESPONSE_MARGIN: Duration = Duration::from_millis(300);
 
-/// The share of the time in which changes must be in force for which a replica counts as
-/// current after a confirmation by the store.
+/// How long a replica counts as current after a confirmation by the store, as a share of the
+/// time within which changes must be in force.
 ///
 /// A direct read takes a daemon a few milliseconds. A confirmation takes up to the hold
 /// of a long poll and, among thousands of daemons, three or four heartbeats.
@@ -70,8 +70,8 @@
 /// Delay after a failed read, during which other daemons may announce changes.
 const ERROR_DELAY: Duration = Duration::from_millis(60);
 
-/// Age of a replica from which on the store counts as unreachable, and its return is
-/// reported to the handler.
+/// Age of a replica above which the store counts as unreachable. The handler is notified of
+/// its recovery.
 ///
 /// Entries of servers expire after three of their heartbeats without the store.
 const OUTAGE_THRESHOLD: Duration = Duration::from_millis(2500);
@@ -163,7 +163,7 @@
         backoff: Backoff::default(),
     };
     loop {
-        sync.step().await;
+        sync.sync_once().await;
     }
 }
 
@@ -193,7 +193,7 @@
 }
 
 impl<F: ChangeHandler> TableSync<F> {
-    async fn step(&mut self) {
+    async fn sync_once(&mut self) {
         self.detect_outage();
         let result = match self.choose_source() {
             Source::Store(hold) => self.read_store(hold).await,
@@ -224,7 +224,7 @@
             let first = Source::Store(Duration::ZERO);
             return if may_call { first } else { Source::Idle };
         }
-        // Right after its start a daemon has seen no others and would take itself for the
+        // Right after its start a daemon may not know the others and would consider itself the
         // reader.
         let past_startup = self.shared.uptime() > STARTUP_TIME;
         if rank == 0 && past_startup && may_call {
