--- a/crates/gate/src/admission.rs
+++ b/crates/gate/src/admission.rs
@@ -27,7 +27,7 @@
 /// Daemons repeat a request within a fraction of a second, and first events arrive later.
 const DECISION_TTL: Duration = Duration::from_secs(3);
 
-/// The longest time between two checks of the prefill queue; usage reports of dead
+/// The longest time between two checks of the prefill queue; usage reports of failed
 /// daemons decay in the meantime.
 const MAX_CHECK_INTERVAL: Duration = Duration::from_millis(250);
 
--- a/crates/gate/src/attempt.rs
+++ b/crates/gate/src/attempt.rs
@@ -249,21 +249,22 @@
     let shared = &job.shared;
     let deadline = tokio::time::Instant::from_std(job.deadline);
     let connected = timeout_at(deadline, shared.client.connect(target.addr)).await;
-    let connected =
-        connected.map_err(|_| AttemptError::Unreachable("deadline passed".into()))?;
+    let connected = connected.map_err(|_| {
+        AttemptError::Unreachable("the deadline passed while connecting".into())
+    })?;
     let connection =
         connected.map_err(|error| AttemptError::Unreachable(error.to_string()))?;
     let request = build_request(job, target, resume_after);
     let mut sending = pin!(connection.send(request));
-    let mut early = None;
-    if let Some(timeout_after) = abandon_timeout(job) {
-        early = timeout(timeout_after, &mut sending).await.ok();
+    let mut early_result = None;
+    if let Some(abandon_after) = abandon_timeout(job) {
+        early_result = timeout(abandon_after, &mut sending).await.ok();
         // If the retry budget is used up, the attempt continues until the deadline.
-        if early.is_none() && job.shared.try_take_retry(&job.service) {
+        if early_result.is_none() && job.shared.try_take_retry(&job.service) {
             return Err(AttemptError::Silent);
         }
     }
-    let result = match early {
+    let result = match early_result {
         Some(result) => result,
         None => timeout_at(deadline, sending).await.map_err(|_| AttemptError::Late)?,
     };
--- a/crates/gate/src/driver.rs
+++ b/crates/gate/src/driver.rs
@@ -166,8 +166,8 @@
         let engine = self.engine();
         let declared = engine.as_ref().and_then(|engine| engine.models.get(model));
         let entry = self.entry();
-        let known_model = declared.zip(entry);
-        known_model.map_or(RESPONSE_TIMEOUT, |(declared, entry)| {
+        let declared_and_entry = declared.zip(entry);
+        declared_and_entry.map_or(RESPONSE_TIMEOUT, |(declared, entry)| {
             entry.load_time(model, declared)
         })
     }
--- a/crates/gate/src/lib.rs
+++ b/crates/gate/src/lib.rs
@@ -11,16 +11,16 @@
 //!
 //! To pick a runner, a daemon requests bids ([`bidding`]), which estimate the time to the
 //! first event, from the daemons that hold the runners' claims. To pick a plain service's
-//! server, it requests a permit ([`permit`]) from the service's [`permit_queue`]. [`members`] and [`claims`] determine the holders. The
-//! [`holder`] of a runner collects [`usage_reports`], decides on [`admission`], and sends
-//! orders with its [`driver`]. The [`planner`] assigns models to runners and writes
-//! [`persisted_timings`]. Daemons exchange datagrams: [`message`], [`peers`],
-//! [`receive`].
+//! server, it requests a permit ([`permit`]) from the service's [`permit_queue`].
+//! [`members`] and [`claims`] determine the holders. The [`holder`] of a runner collects
+//! [`usage_reports`], decides on [`admission`], and sends orders with its [`driver`]. The
+//! [`planner`] assigns models to runners and writes [`persisted_timings`]. Daemons exchange
+//! datagrams: [`message`], [`peers`], [`receive`].
 //!
 //! [`table_sync`] keeps a [`table_replica`] of each of the [`store`]'s tables, from which
-//! [`registry`] reads declarations and backend servers. [`directory`] tells callers where
-//! to connect; [`introspection`] serves [`metrics`] and the daemon's state. All requests
-//! go through one [`client`]; modules share their state in [`shared`].
+//! [`registry`] reads declarations and backend servers. [`directory`] serves the addresses
+//! that callers connect to; [`introspection`] serves [`metrics`] and the daemon's state. All
+//! requests go through one [`client`]; modules share their state in [`shared`].
 
 pub mod admission;
 pub mod attempt;
--- a/crates/gate/src/permit.rs
+++ b/crates/gate/src/permit.rs
@@ -2,7 +2,7 @@
 //!
 //! The daemon that holds the service's queue decides which server a request goes to. If it
 //! does not respond, the permit request is sent again. If it stays unresponsive, this daemon
-//! picks a server by its own counts, as if nobody held the queue.
+//! picks a server by its own counts, as if no daemon held the queue.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -45,7 +45,7 @@
 /// How long an unresponsive holder is sent no permit requests.
 ///
 /// A request loses 60 ms on an unresponsive holder. After two seconds another daemon takes
-/// over the queue of a holder that died.
+/// over the queue of a holder that failed.
 const UNRESPONSIVE_HOLDER_BACKOFF: Duration = Duration::from_millis(1000);
 
 /// The result of a permit request.
@@ -59,7 +59,7 @@
     Full(Duration),
     /// No server accepts requests.
     Nowhere,
-    /// Nobody holds the queue, or its holder does not respond.
+    /// No daemon holds the queue, or its holder does not respond.
     Silent,
 }
 
--- a/crates/gate/src/pick.rs
+++ b/crates/gate/src/pick.rs
@@ -52,15 +52,15 @@
 /// Picks a server. A generation waits for a runner if none can accept it.
 ///
 /// `missing_adapter` is a server that has just rejected the request for lack of its adapter.
-/// Servers in `tried` failed to serve the request and are used only as a last resort.
+/// Servers in `failed` could not serve the request and are used only as a last resort.
 pub async fn pick(
     job: &Job,
     missing_adapter: Option<ServerName>,
-    tried: &[ServerName],
+    failed: &[ServerName],
 ) -> Result<Target, PickError> {
     let limit = Instant::from_std(residency_deadline(job));
     let mut listed = job.shared.server_updates.subscribe();
-    let mut avoid = tried.to_vec();
+    let mut avoid = failed.to_vec();
     loop {
         listed.borrow_and_update();
         match pick_now(job, &mut avoid, missing_adapter.as_ref()).await {
@@ -100,7 +100,7 @@
         if job.shared.now() + wait > job.wait_deadline() {
             return Err(PickError::Full(wait));
         }
-        let mut target = target(job, chosen).ok_or(PickError::NoServer)?;
+        let mut target = build_target(job, chosen).ok_or(PickError::NoServer)?;
         let missing = missing_adapter == Some(&target.name);
         match bidding::request_admission(job, &target.name, missing).await {
             Admission::Send(number) => {
@@ -135,7 +135,7 @@
         }
     }
     let chosen = pick_by_own_usage(job, avoid).ok_or(PickError::NoServer)?;
-    target(job, chosen).ok_or(PickError::NoServer)
+    build_target(job, chosen).ok_or(PickError::NoServer)
 }
 
 /// The server that a permit is for; releases the permit if the server accepts no requests.
@@ -151,7 +151,7 @@
             Candidate { key, bid: Bid { wait_ms: 0.0, cost_ms: 0.0, requests } }
         })
     };
-    let target = chosen.and_then(|chosen| target(job, chosen));
+    let target = chosen.and_then(|chosen| build_target(job, chosen));
     if target.is_none() {
         permit::Permit { service: job.service.clone(), number }
             .release(&job.shared, PermitOutcome::Unused);
@@ -165,12 +165,12 @@
     let (now, domain) = (shared.now(), &shared.settings.domain);
     let fleet = shared.fleet();
     let available = || fleet.available(&job.service, now);
-    let untried = available().filter(|(_, server)| !avoid.contains(&server.entry.name));
+    let preferred = available().filter(|(_, server)| !avoid.contains(&server.entry.name));
     // If all servers have rejected the request, one of them may have free capacity by now.
-    choose(untried, domain, now).or_else(|| choose(available(), domain, now))
+    choose(preferred, domain, now).or_else(|| choose(available(), domain, now))
 }
 
-fn target(job: &Job, chosen: Candidate) -> Option<Target> {
+fn build_target(job: &Job, chosen: Candidate) -> Option<Target> {
     let fleet = job.shared.fleet();
     let server = fleet.get(chosen.key)?;
     let (name, started_at) = (server.entry.name.clone(), server.entry.started_at_ms);
@@ -190,9 +190,9 @@
 /// request would use up its attempts, and part of the retry budget, within milliseconds.
 ///
 /// The request keeps its permit during the delay: a server that rejects requests would not
-/// run another one in its place.
-pub async fn wait_before_retry(server: &ServerName, tried: &[ServerName]) {
-    let failures = tried.iter().filter(|failed| *failed == server).count() as u32;
+/// run another one instead.
+pub async fn wait_before_retry(server: &ServerName, failed: &[ServerName]) {
+    let failures = failed.iter().filter(|name| *name == server).count() as u32;
     if let Some(doublings) = failures.checked_sub(1) {
         tokio::time::sleep(INITIAL_RETRY_DELAY * 2u32.pow(doublings)).await;
     }
--- a/crates/gate/src/planner.rs
+++ b/crates/gate/src/planner.rs
@@ -210,8 +210,8 @@
     }
 }
 
-/// Runners that can't be sent orders now: the holder of their claim is gone, or has just
-/// taken the claim and must wait before its first order.
+/// Runners that can't be sent orders now: their claim has no live holder, or its holder has
+/// just taken it and must wait before the first order.
 fn locked_runners(shared: &Shared, runners: &[ServerEntry]) -> Vec<ServerName> {
     let now = shared.now();
     let accepts_no_orders = |name: &&ServerName| {
--- a/crates/gate/src/relay.rs
+++ b/crates/gate/src/relay.rs
@@ -127,9 +127,11 @@
 }
 
 fn is_event_stream(head: &response::Parts) -> bool {
-    let kind = head.headers.get(CONTENT_TYPE).and_then(|value| value.to_str().ok());
+    let content_type =
+        head.headers.get(CONTENT_TYPE).and_then(|value| value.to_str().ok());
     head.status.is_success()
-        && kind.is_some_and(|kind| kind.starts_with("text/event-stream"))
+        && content_type
+            .is_some_and(|content_type| content_type.starts_with("text/event-stream"))
 }
 
 /// Relays an event stream to a caller and resumes it at another server if interrupted.
--- a/crates/gate/src/serve.rs
+++ b/crates/gate/src/serve.rs
@@ -88,21 +88,21 @@
     if let Some(target) = &job.call.target {
         planner::record_demand(&job.shared, &job.service, &target.model, job.demand());
     }
-    let mut tried = Vec::new();
+    let mut failed = Vec::new();
     let mut missing_adapter: Option<ServerName> = None;
     let mut misdirected = Vec::new();
     for _ in 0..MAX_ATTEMPTS {
-        let target = match pick(&job, missing_adapter.take(), &tried).await {
+        let target = match pick(&job, missing_adapter.take(), &failed).await {
             Ok(target) => target,
             Err(PickError::NoServer) => return Err((no_server(&job), job)),
             Err(PickError::Full(wait)) => return Err((overloaded(&job, wait), job)),
         };
-        wait_before_retry(&target.name, &tried).await;
+        wait_before_retry(&target.name, &failed).await;
         job.sent_at = job.shared.now();
         let error = match attempt(&job, &target, job.call.resume_after).await {
             Ok(response) => match retry_server_error(&mut job, &response) {
                 true => {
-                    tried.push(target.name);
+                    failed.push(target.name);
                     continue;
                 }
                 false => return relay::forward(job, response).await,
@@ -122,7 +122,7 @@
                 missing_adapter = Some(target.name);
             }
             AttemptError::Rejected(_) | AttemptError::Lost(_) | AttemptError::Silent => {
-                tried.push(target.name);
+                failed.push(target.name);
             }
             AttemptError::Unreachable(_) | AttemptError::Late => {}
         }
@@ -200,7 +200,8 @@
 
 fn no_server(job: &Job) -> Refusal {
     if job.shared.now() >= job.deadline {
-        let message = "timed out before a server could accept the request";
+        let message =
+            "timed out before a server could accept the request; allow more time";
         return match job.attempts.may_have_run() {
             true => Refusal::in_doubt(RefusalCode::Late, message),
             false => Refusal::not_run(RefusalCode::Deadline, message)
--- a/crates/gate/tests/attempts.rs
+++ b/crates/gate/tests/attempts.rs
@@ -2,7 +2,7 @@
 //! resumed, reject requests, interrupt streams, and restart under the same name.
 //!
 //! The simulated servers count what they run, including requests that they read long after
-//! the daemon has abandoned the attempt. What the caller is told has to match that count.
+//! the daemon has abandoned the attempt. The caller's result has to match that count.
 
 use std::collections::HashSet;
 use std::time::Duration;
--- a/crates/gate/tests/backoff.rs
+++ b/crates/gate/tests/backoff.rs
@@ -71,7 +71,7 @@
 #[test]
 fn a_partitioned_daemon_calls_at_once() {
     // The store rejects the calls of all 78 daemons. A moment later it is back, and one of
-    // the last daemons is partitioned from the others. No other daemon tells it of changes,
+    // the last daemons is partitioned from the others. No other daemon sends it changes,
     // so it must not wait out the delay of a daemon that learns from others.
     let now = Instant::now();
     let mut backoff = Backoff::default();
