--- a/crates/gate/src/holder.rs
+++ b/crates/gate/src/holder.rs
@@ -1,7 +1,7 @@
 //! The runners whose claims this daemon holds.
 //!
 //! A runner's holder adds up the usage that all daemons report, admits requests
-//! ([`admission`](crate::admission)), and sends the runner its orders
+//! ([`admission`]), and sends the runner its orders
 //! ([`driver`](crate::driver)).
 
 use std::net::SocketAddr;
--- a/crates/gate/src/relay.rs
+++ b/crates/gate/src/relay.rs
@@ -89,7 +89,8 @@
                 server.health.record_failure(now);
             }
             let message = format!(
-                "the server's response was interrupted ({why}); retry the request if it may run twice"
+                "the server's response was interrupted ({why}); retry the request \
+                 if it may run twice"
             );
             Refusal::in_doubt(RefusalCode::Broken, message)
         }
--- a/crates/gate/src/serve.rs
+++ b/crates/gate/src/serve.rs
@@ -189,7 +189,8 @@
             Refusal::in_doubt(RefusalCode::Late, message)
         }
         AttemptError::Lost(_) => {
-            let message = "the connection to the server was lost; retry the request if it may run twice";
+            let message = "the connection to the server was lost; retry the request \
+                if it may run twice";
             Refusal::in_doubt(RefusalCode::Broken, message)
         }
         AttemptError::Unreachable(_)
