--- a/crates/gate/src/attempt.rs
+++ b/crates/gate/src/attempt.rs
@@ -21,10 +21,11 @@
 use crate::shared::Shared;
 use crate::{planner, usage_reports};
 
-/// How long a server may take to respond, as a multiple of the route's objective.
+/// How long after its arrival a request waits for the response of one server before another
+/// is tried, as a multiple of the route's objective.
 ///
-/// Slow servers take up to eight times as long as they should, and that is half of the
-/// objective or less.
+/// A server normally responds within half of the objective; slow servers take up to eight
+/// times as long.
 const ABANDON_AFTER_OBJECTIVES: u32 = 4;
 
 /// A request in flight; stops being counted when dropped.
@@ -120,7 +121,7 @@
     pub key: ServerKey,
     /// The name in the registry.
     pub name: ServerName,
-    /// When its current incarnation started, in Unix milliseconds.
+    /// When its current incarnation started, in Unix milliseconds; `None` if unknown.
     pub started_at: Option<u64>,
     /// The address that it listens on.
     pub addr: std::net::SocketAddr,
@@ -136,7 +137,7 @@
     }
 }
 
-/// A response of which the head has arrived.
+/// A response whose head has arrived.
 pub struct ServerResponse {
     /// The HTTP head.
     pub head: response::Parts,
@@ -248,21 +249,22 @@
     let shared = &job.shared;
     let deadline = tokio::time::Instant::from_std(job.deadline);
     let connected = timeout_at(deadline, shared.client.connect(target.addr)).await;
-    let connected =
-        connected.map_err(|_| AttemptError::Unreachable("deadline passed".into()))?;
+    let connected = connected.map_err(|_| {
+        AttemptError::Unreachable("the deadline passed while connecting".into())
+    })?;
     let connection =
         connected.map_err(|error| AttemptError::Unreachable(error.to_string()))?;
     let request = build_request(job, target, resume_after);
     let mut sending = pin!(connection.send(request));
-    let mut early = None;
-    if let Some(timeout_after) = abandon_timeout(job) {
-        early = timeout(timeout_after, &mut sending).await.ok();
-        // It keeps waiting if the retry budget is used up.
-        if early.is_none() && job.shared.try_take_retry(&job.service) {
+    let mut early_result = None;
+    if let Some(abandon_after) = abandon_timeout(job) {
+        early_result = timeout(abandon_after, &mut sending).await.ok();
+        // If the retry budget is used up, the attempt continues until the deadline.
+        if early_result.is_none() && job.shared.try_take_retry(&job.service) {
             return Err(AttemptError::Silent);
         }
     }
-    let result = match early {
+    let result = match early_result {
         Some(result) => result,
         None => timeout_at(deadline, sending).await.map_err(|_| AttemptError::Late)?,
     };
@@ -274,8 +276,8 @@
     let (head, body) = response.into_parts();
     let metadata = shared.dialect.read_response_head(&head);
     if metadata.id.is_some() && metadata.id != job.call.id {
-        // This is the response to an earlier request on the connection. The fate of the
-        // current request is unknown.
+        // This is the response to an earlier request on the connection. Whether the current
+        // request runs is unknown.
         return Err(AttemptError::Lost("the response is for another request".into()));
     }
     if metadata.not_run || metadata.misdirected {
