--- a/crates/lab/src/logs.rs
+++ b/crates/lab/src/logs.rs
@@ -19,7 +19,7 @@
 /// Name of the thread that logs the requests.
 const SERVING: &str = "serving";
 
-/// Time at the end in which the writer drains its queue.
+/// Time that the writer thread has at the end to drain its queue.
 const DRAIN_TIME: Duration = Duration::from_millis(300);
 
 /// Poll interval of a blocked output.
--- a/crates/lab/src/moves/deployment.rs
+++ b/crates/lab/src/moves/deployment.rs
@@ -14,7 +14,7 @@
     Gwiazdozbior,
 }
 
-/// What counts more in the score.
+/// Which of attainment and moves weighs more in the score.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Weighting {
     /// A percentage point of attainment weighs twice as much as a move per hour and runner.
--- a/crates/lab/src/policies/bound.rs
+++ b/crates/lab/src/policies/bound.rs
@@ -80,13 +80,13 @@
 fn allocate(free: &mut [Vec<f64>], first: usize, last: usize, cost: f64) -> f64 {
     let mut allocated = cost;
     for row in &free[..=first] {
-        for &left in &row[last..] {
-            allocated = allocated.min(left);
+        for &available in &row[last..] {
+            allocated = allocated.min(available);
         }
     }
     for row in &mut free[..=first] {
-        for left in &mut row[last..] {
-            *left -= allocated;
+        for available in &mut row[last..] {
+            *available -= allocated;
         }
     }
     allocated
--- a/crates/lab/src/policies/scenario.rs
+++ b/crates/lab/src/policies/scenario.rs
@@ -96,7 +96,7 @@
     }
 }
 
-/// The name of no known variant.
+/// A name that matches no deployment or load pattern; lists the valid names.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct UnknownName {
     valid: Vec<String>,
@@ -138,7 +138,7 @@
     pub urgency: Urgency,
     /// Fraction of all requests.
     pub fraction: f64,
-    /// Time from sending in which the response is due.
+    /// Time from sending until the response is due.
     pub deadline: Duration,
     /// Range of prompt lengths, both ends included.
     pub prompt_tokens: (u32, u32),
@@ -182,7 +182,7 @@
 }
 
 impl DeploymentSpec {
-    /// The parameters of a deployment.
+    /// Returns the parameters of a deployment.
     pub fn of(deployment: Deployment) -> Self {
         match deployment {
             Deployment::Adenta => Self {
