--- a/crates/lab/src/causes.rs
+++ b/crates/lab/src/causes.rs
@@ -74,10 +74,12 @@
 struct LogLine {
     msg: String,
     id: String,
+    /// Response to an admission request, such as `Denied`.
     #[serde(rename = "turn")]
     admission: String,
     end: String,
     route: String,
+    /// Time from the arrival of the request to its end.
     #[serde(rename = "ms")]
     total_ms: u64,
     objective_ms: u64,
@@ -145,8 +147,9 @@
     serde_json::from_str(&line[start..]).ok()
 }
 
-/// Classifies the end of a request; `admission` is the last response of a runner to its
-/// admission request, empty if there was none.
+/// Classifies the end of a request.
+///
+/// `admission` is the last response to its admission requests, empty if there was none.
 fn classify(line: &LogLine, admission: &str) -> Cause {
     match line.end.as_str() {
         "answered" => classify_served(line),
--- a/crates/lab/src/config.rs
+++ b/crates/lab/src/config.rs
@@ -1,4 +1,5 @@
-//! Measures how soon accepted declarations are in force and what that costs.
+//! Measures the delay until accepted declarations are in force at all daemons, the table
+//! traffic of the daemons and the time to check declarations.
 //!
 //! Runs real daemons with an embedded fake platform, over HTTP and QUIC on loopback.
 //! Each daemon reaches the table through a relay that counts bytes.
@@ -26,10 +27,11 @@
 /// Teams in the largest system that is supported.
 const TEAMS: usize = 100;
 
-/// Upper bound of the latency histograms, in microseconds; longer ones count as this.
+/// Upper bound of the latency histograms, in microseconds; longer latencies are
+/// recorded as this value.
 const MAX_LATENCY_US: u64 = 600_000_000;
 
-/// Measures how soon accepted declarations are in force and what that costs.
+/// Measures the delay until accepted declarations are in force, and the table traffic.
 #[derive(Debug, Clone, Bpaf)]
 pub struct Options {
     /// Number of daemons.
@@ -55,9 +57,9 @@
     delay: u64,
 }
 
-/// Prints the cost of a check, then the results at each rate, as JSON lines.
+/// Prints the time of a declaration check, then the results at each rate, as JSON lines.
 pub fn run(options: &Options) {
-    println!("{}", measure_check());
+    println!("{}", measure_declaration_check());
     let runtime = tokio::runtime::Runtime::new().expect("the runtime starts");
     runtime.block_on(async {
         let mut testbed = Testbed::start(options).await;
@@ -72,18 +74,20 @@
     });
 }
 
-/// Applies `rate` changes a day and returns latencies and the traffic of each daemon.
+/// Applies `rate` changes a day and returns the latencies and the mean table traffic per
+/// daemon.
 async fn measure_rate(testbed: &mut Testbed, options: &Options, rate: f64) -> Value {
     let before = testbed.table_traffic().await;
     let start = Instant::now();
     let end = start + Duration::from_secs(options.seconds);
     let interval = Duration::from_secs_f64(SECONDS_PER_DAY / rate.max(1.0));
     let mut changes = Vec::new();
-    let mut next = start + interval.min(Duration::from_secs(options.seconds)) / 2;
-    while rate > 0.0 && next < end {
-        tokio::time::sleep_until(next.into()).await;
+    let mut next_change_at =
+        start + interval.min(Duration::from_secs(options.seconds)) / 2;
+    while rate > 0.0 && next_change_at < end {
+        tokio::time::sleep_until(next_change_at.into()).await;
         changes.push(testbed.apply_change(options.size).await);
-        next += interval;
+        next_change_at += interval;
     }
     tokio::time::sleep_until(end.into()).await;
     let after = testbed.table_traffic().await;
@@ -111,7 +115,7 @@
 }
 
 /// Times the check of all declarations of the largest supported system, best of 5.
-fn measure_check() -> Value {
+fn measure_declaration_check() -> Value {
     let mut teams = IndexMap::new();
     let models_per_team = MODELS / TEAMS;
     let mut bytes = 0;
@@ -161,6 +165,7 @@
     time.as_micros() as u64
 }
 
+/// Quantiles in milliseconds, of a histogram in microseconds; null if it is empty.
 fn quantiles(times: &Histogram<u64>) -> Value {
     if times.is_empty() {
         return Value::Null;
--- a/crates/lab/src/config/testbed.rs
+++ b/crates/lab/src/config/testbed.rs
@@ -18,9 +18,9 @@
 use super::relay::{self, ByteCounter};
 
 const TEAM: &str = "team";
-const KEY: &str = "key";
+const OPERATOR_KEY: &str = "key";
 
-/// The revisions that a daemon put in force, each with the time when it did.
+/// The revisions that a daemon put in force, each with the time.
 type RevisionLog = Mutex<Vec<(Revision, Instant)>>;
 
 /// The fake platform and the daemons of the experiment.
@@ -32,19 +32,19 @@
     /// Revisions in force over time, by daemon.
     revision_logs: Vec<Arc<RevisionLog>>,
     http: Client,
-    /// Declaration files, at least one.
+    /// Number of declaration files, at least one.
     file_count: usize,
-    /// Changes that were sent, each of which made a revision.
+    /// Number of changes sent so far; each created a revision.
     change_count: usize,
 }
 
 /// An accepted change.
 pub struct AcceptedChange {
-    /// When the daemon was called.
+    /// When the change was sent to the daemon.
     pub sent_at: Instant,
     /// When the daemon's response arrived.
     pub accepted_at: Instant,
-    /// The revision that the change made.
+    /// The revision that the change created.
     pub revision: Revision,
 }
 
@@ -104,7 +104,7 @@
                 "cert": file("daemon.pem"), "key": file("daemon.key"),
                 "trust": file("trust.pem"),
             },
-            "operators": { TEAM: keys::sha256_hex(KEY) },
+            "operators": { TEAM: keys::sha256_hex(OPERATOR_KEY) },
             "times": { "poll_ms": options.poll },
         });
         let settings = Settings::parse("the experiment's settings", &text.to_string());
@@ -126,7 +126,7 @@
         self.revision_logs.push(revision_log);
     }
 
-    /// Replaces the next file through the next daemon, with a text of `size` bytes.
+    /// Replaces a file with a new text of `size` bytes; cycles through files and daemons.
     pub async fn apply_change(&mut self, size: usize) -> AcceptedChange {
         let number = self.change_count;
         self.change_count += 1;
@@ -139,7 +139,7 @@
                        file_text(number, number % self.file_count, size) },
         });
         let url = format!("http://{}/v1/config/apply", daemon.addresses.ops);
-        let call = self.http.post(url).header("x-team", TEAM).bearer_auth(KEY);
+        let call = self.http.post(url).header("x-team", TEAM).bearer_auth(OPERATOR_KEY);
         let response = call.json(&change).send().await.expect("the daemon responds");
         let response: Value = response.json().await.expect("the response is JSON");
         let revision = response["revision"].as_u64();
--- a/crates/lab/src/decisions.rs
+++ b/crates/lab/src/decisions.rs
@@ -29,7 +29,8 @@
 #[derive(Debug, Clone, Bpaf)]
 #[bpaf(generate(options))]
 pub struct Options {
-    /// Number of routing decisions per measurement; admission and permits take a tenth.
+    /// Number of routing decisions per measurement; admission and permits are measured
+    /// with a tenth of it.
     #[bpaf(argument("N"), fallback(20_000))]
     pub rounds: u32,
 }
@@ -108,8 +109,8 @@
     start.elapsed().as_nanos() / u128::from(rounds)
 }
 
-/// Mean nanoseconds of an offer and its withdrawal, with 32 running and `waiting` queued
-/// requests.
+/// Mean nanoseconds of offering a request and cancelling it, with 32 running and `waiting`
+/// queued requests.
 fn time_admission(waiting: u32, rounds: u32) -> u128 {
     let now = Instant::now();
     let limits = Limits {
@@ -133,7 +134,10 @@
 }
 
 /// Mean nanoseconds of permit decisions for one arrival and one completion at a plain
-/// service, with nine permits of ten in use or with `waiting` requests queued.
+/// service.
+///
+/// Nine of ten server slots are in use if `waiting` is 0. Otherwise all permits are in use
+/// and at least `waiting` requests are queued.
 fn time_permits(servers: u64, waiting: u64, rounds: u32) -> u128 {
     let now = Instant::now();
     let mut queue = PermitQueue::default();
@@ -144,8 +148,8 @@
     };
     queue.update_servers((0..servers).map(listed).collect(), now);
     let request_key = |number: u64| (MemberId(number % 100), number);
-    let permits = servers * u64::from(SERVER_SLOTS);
-    let initial = if waiting > 0 { permits * 2 + waiting } else { permits * 9 / 10 };
+    let slots = servers * u64::from(SERVER_SLOTS);
+    let initial = if waiting > 0 { slots * 2 + waiting } else { slots * 9 / 10 };
     let mut running = VecDeque::new();
     for number in 0..initial {
         queue.push(request_key(number), plain_request(number), now);
@@ -206,7 +210,7 @@
     start.elapsed().as_micros() / u128::from(PLANS)
 }
 
-/// An engine that serves `models` models of 16 to 34 GB, two or three of which fit into its
+/// An engine that serves `models` models of 16 to 34 GB, two to five of which fit into its
 /// memory.
 fn engine(models: usize) -> Engine {
     let model = |index: usize| {
--- a/crates/lab/src/journal.rs
+++ b/crates/lab/src/journal.rs
@@ -1,8 +1,8 @@
 //! Measures the latency and the writes of the journal of non-idempotent requests.
 //!
 //! Each simulated daemon owns a real [`Journal`](chestnut_once::Journal) and calls an
-//! embedded fake table service over HTTP. A run of a request takes no time, so that
-//! only the journal's share is measured.
+//! embedded fake table service over HTTP. Running a request takes no time, so
+//! that only the journal's share of the latency is measured.
 
 mod daemon;
 
@@ -47,7 +47,7 @@
     /// Length of a table outage that starts after a third of the time, in seconds.
     #[bpaf(argument("S"), fallback(0), display_fallback)]
     outage: u64,
-    /// Only measure how long a slot with this many finished ids takes to open.
+    /// Only measure how long a slot with this many finished requests takes to open.
     #[bpaf(argument("NUMBER"), fallback(0), display_fallback)]
     recover: usize,
 }
@@ -60,12 +60,12 @@
 
 async fn measure(options: &Options) {
     let listen = SocketAddr::from(([127, 0, 0, 1], 0));
-    let speed = WeightStoreConfig {
+    let weight_store = WeightStoreConfig {
         loads_per_second: 1.0,
         parallel_loads: 1,
         bytes_per_second: 1e9,
     };
-    let platform = platform::start(listen, speed).await.expect("a free port");
+    let platform = platform::start(listen, weight_store).await.expect("a free port");
     let url = platform.url();
     let table = TableClient::new(&url, PLATFORM_TIMEOUT).expect("a client");
     let objects = ObjectStore::new(&url, PLATFORM_TIMEOUT).expect("a client");
@@ -105,7 +105,8 @@
     print_results(options, &totals, start, outage_end);
 }
 
-/// Prints how long a slot with many finished ids takes to open, and its memory.
+/// Prints how long a slot with many finished requests takes to open, and the memory that
+/// this adds.
 async fn measure_recovery(
     table: &TableClient,
     objects: ObjectStore,
@@ -116,10 +117,10 @@
     daemon::write_finished_requests(table, SlotId(0), options.recover).await;
     set_table_faults(url, json!({ "delay_ms": options.delay })).await;
     let mut daemon = Daemon::new(0, 1, table.clone(), objects, claims);
-    let (start, initial_kb) = (Instant::now(), resident_kb());
+    let (start, initial_kib) = (Instant::now(), resident_kib());
     daemon.open_slots().await;
     let line = json!({
-        "grown_kb": resident_kb().saturating_sub(initial_kb),
+        "grown_kb": resident_kib().saturating_sub(initial_kib),
         "ids": options.recover,
         "delay_ms": options.delay,
         "open_ms": millis(start.elapsed()),
@@ -147,7 +148,7 @@
 }
 
 /// Resident memory of this process, the fake platform included, in KiB.
-fn resident_kb() -> u64 {
+fn resident_kib() -> u64 {
     let status = std::fs::read_to_string("/proc/self/status").unwrap_or_default();
     let line = status.lines().find_map(|line| line.strip_prefix("VmRSS:"));
     let number = line.and_then(|line| line.split_whitespace().next()?.parse().ok());
--- a/crates/lab/src/journal/daemon.rs
+++ b/crates/lab/src/journal/daemon.rs
@@ -23,18 +23,19 @@
 /// How long a daemon waits for pending requests after the last new one.
 const DRAIN_TIMEOUT: Duration = Duration::from_secs(30);
 
-/// Upper bound of the latency histograms, in microseconds; longer ones count as this.
+/// Upper bound of the latency histograms, in microseconds; longer latencies are
+/// recorded as this value.
 const MAX_LATENCY_US: u64 = 60_000_000;
 
 /// Counts and latencies of one daemon or of several.
 pub struct Measurements {
     /// Submitted requests, without retries.
     pub requests: u64,
-    /// Requests that got a response.
+    /// Requests that received a response.
     pub responses: u64,
     /// Refusals; a refused request is retried after the delay that the refusal gives.
     pub refusals: u64,
-    /// Changes in all transactions that were sent.
+    /// Row changes in all transactions that were sent.
     pub rows_written: u64,
     /// When each transaction was sent to the table.
     pub commit_times: Vec<Instant>,
@@ -153,19 +154,20 @@
         }
     }
 
-    /// Request ids that the journal holds in memory.
+    /// Number of request ids that the journal holds in memory.
     pub fn id_count(&self) -> usize {
         self.journal.id_count()
     }
 
     /// Submits a request every `interval` for `duration`, then waits for pending ones.
     ///
-    /// Gives up pending requests after [`DRAIN_TIMEOUT`].
+    /// Abandons pending requests after [`DRAIN_TIMEOUT`].
     pub async fn run(mut self, interval: Duration, duration: Duration) -> Measurements {
         self.open_slots().await;
         let start = Instant::now();
         // Staggers the daemons' requests within the interval.
-        let mut next = start + interval.mul_f64(f64::from(self.index % 7) / 7.0);
+        let mut next_submission =
+            start + interval.mul_f64(f64::from(self.index % 7) / 7.0);
         let mut number = 0;
         loop {
             let now = Instant::now();
@@ -174,14 +176,15 @@
             if !submitting && (done || now > start + duration + DRAIN_TIMEOUT) {
                 return self.measurements;
             }
-            while submitting && next <= Instant::now() {
+            while submitting && next_submission <= Instant::now() {
                 number += 1;
-                next += interval;
+                next_submission += interval;
                 self.submit_new(number);
             }
             self.submit_retries();
             let deadline = self.journal.next_deadline().unwrap_or(now + interval);
-            let deadline = if submitting { deadline.min(next) } else { deadline };
+            let deadline =
+                if submitting { deadline.min(next_submission) } else { deadline };
             let retry_at = self.retries.peek().map_or(deadline, |Reverse((at, _))| *at);
             tokio::select! {
                 event = self.events.recv() => {
@@ -233,6 +236,7 @@
 
     fn handle(&mut self, event: Event) {
         let now = Instant::now();
+        // The simulated daemon stores no lease; each event extends it to 6 s from now.
         self.journal.handle(Event::LeaseExpiry(now + Duration::from_secs(6)), now);
         self.journal.handle(event, now);
         self.run_effects();
--- a/crates/lab/src/lib.rs
+++ b/crates/lab/src/lib.rs
@@ -2,10 +2,10 @@
 //!
 //! - [`causes`]: why requests were late or not served, from the logs of daemons,
 //! - [`policies`]: admission and routing under load, compared with baselines and an upper bound,
-//! - [`config`]: delay and cost of bringing accepted declarations into force,
+//! - [`config`]: delay until accepted declarations are in force, and the table traffic,
 //! - [`decisions`]: computing time of single decisions,
 //! - [`journal`]: latency and writes that the journal of non-idempotent requests adds,
-//! - [`logs`]: processor time of logging a request,
+//! - [`logs`]: CPU time of logging a request,
 //! - [`moves`]: placement of models under shifting demand, compared with baselines,
 //! - [`slopes`]: resource use of real daemons as the system grows.
 
@@ -36,13 +36,13 @@
     /// Measures the computing time of single decisions.
     #[bpaf(command)]
     Decisions(#[bpaf(external(decisions::options))] decisions::Options),
-    /// Measures the delay and the cost of bringing accepted declarations into force.
+    /// Measures the delay until accepted declarations are in force, and the table traffic.
     #[bpaf(command)]
     Config(#[bpaf(external(config::options))] config::Options),
     /// Measures the journal of non-idempotent requests.
     #[bpaf(command)]
     Journal(#[bpaf(external(journal::options))] journal::Options),
-    /// Measures the processor time of logging a request.
+    /// Measures the CPU time of logging a request.
     #[bpaf(command)]
     Logs(#[bpaf(external(logs::options))] logs::Options),
     /// Compares placement policies under shifting demand, in virtual time.
--- a/crates/lab/src/logs.rs
+++ b/crates/lab/src/logs.rs
@@ -1,8 +1,9 @@
-//! Measures the processor time of logging requests, with and without a blocked output.
+//! Measures the CPU time of logging requests, with and without a blocked output.
 //!
-//! A request that is served at once logs three lines: the selected server, its admission and
-//! its end. The gate's logger logs them here at a fixed rate, with fields of typical length.
-//! The processor time of the serving thread and of the writer thread is measured separately.
+//! A request that is served without queueing logs three lines: the selected server, the
+//! admission and the end of the request. The gate's logger logs them here at a fixed rate,
+//! with fields of typical length. The CPU time of the serving thread and of the writer
+//! thread is measured separately.
 
 use std::io::{self, Write};
 use std::sync::Arc;
@@ -17,13 +18,13 @@
 use crate::resource_usage;
 
 /// Name of the thread that logs the requests.
-const SERVING: &str = "serving";
+const SERVING_THREAD: &str = "serving";
 
-/// Time at the end in which the writer drains its queue.
+/// Time after the last request in which the writer thread drains its queue.
 const DRAIN_TIME: Duration = Duration::from_millis(300);
 
-/// Poll interval of a blocked output.
-const POLL_INTERVAL: Duration = Duration::from_millis(5);
+/// Interval at which a blocked output checks whether it is still blocked.
+const BLOCKED_POLL_INTERVAL: Duration = Duration::from_millis(5);
 
 /// Sets the rate and the duration of the measurement.
 #[derive(Debug, Clone, Bpaf)]
@@ -41,14 +42,14 @@
     *value > 0
 }
 
-/// Where the log lines go; the variants are names in the output.
+/// Where the log lines go; the names of the variants are printed.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum Sink {
     /// Discarded without formatting.
     None,
-    /// An output that accepts all lines at once.
+    /// An output that accepts every line immediately.
     Reader,
-    /// An output that blocks.
+    /// An output that blocks until the measurement has ended.
     Stopped,
 }
 
@@ -56,61 +57,62 @@
 pub fn run(options: &Options) {
     for sink in [Sink::None, Sink::Reader, Sink::Stopped] {
         let output = Output::default();
-        output.stopped.store(sink == Sink::Stopped, Ordering::Relaxed);
+        output.blocked.store(sink == Sink::Stopped, Ordering::Relaxed);
         let log = match sink {
             Sink::None => Logger::root(Discard, o!()),
             Sink::Reader | Sink::Stopped => logger_to(output.clone(), "vm-1"),
         };
-        let usage = measure(&log, options);
+        let time = measure(&log, options);
         // A logger that is dropped waits for its writer thread, which must not stay blocked.
-        output.stopped.store(false, Ordering::Relaxed);
+        output.blocked.store(false, Ordering::Relaxed);
         let requests = f64::from(options.rate * options.seconds);
         // The sum over no threads is -0.0; `abs` removes the sign.
         let micros = |seconds: f64| seconds.abs() * 1e6 / requests;
         println!(
             "{{\"sink\":\"{sink:?}\",\"serving_us\":{:.2},\"writing_us\":{:.2},\
              \"slowest_us\":{},\"bytes\":{:.0}}}",
-            micros(usage.serving),
-            micros(usage.writing),
-            usage.slowest.as_micros(),
-            output.written.load(Ordering::Relaxed) as f64 / requests,
+            micros(time.serving_cpu_s),
+            micros(time.writing_cpu_s),
+            time.slowest.as_micros(),
+            output.written_bytes.load(Ordering::Relaxed) as f64 / requests,
         );
     }
 }
 
-/// Resources that logging used.
-struct Usage {
-    /// Processor time of the serving thread, in seconds.
-    serving: f64,
-    /// Processor time of the writer thread, in seconds.
-    writing: f64,
+/// Time that logging took.
+struct LoggingTime {
+    /// CPU time of the serving thread, in seconds.
+    serving_cpu_s: f64,
+    /// CPU time of the writer thread, in seconds.
+    writing_cpu_s: f64,
     /// Longest time for logging one request.
     slowest: Duration,
 }
 
 /// Logs requests at the given rate in a thread of its own.
-fn measure(log: &Logger, options: &Options) -> Usage {
+fn measure(log: &Logger, options: &Options) -> LoggingTime {
     let Options { rate, seconds } = options.clone();
     let log = log.clone();
-    let thread = thread::Builder::new().name(SERVING.to_owned()).spawn(move || {
-        let interval = Duration::from_secs(1) / rate;
-        let start = Instant::now();
-        let mut slowest = Duration::ZERO;
-        for number in 0..rate * seconds {
-            let due = start + interval * number;
-            thread::sleep(due.saturating_duration_since(Instant::now()));
-            let started = Instant::now();
-            log_request(&log, number);
-            slowest = slowest.max(started.elapsed());
-        }
-        thread::sleep(DRAIN_TIME);
-        // Read before the thread ends: ended threads are not counted.
-        Usage {
-            serving: resource_usage::cpu_seconds(SERVING),
-            writing: resource_usage::cpu_seconds(WRITER_THREAD),
-            slowest,
-        }
-    });
+    let thread =
+        thread::Builder::new().name(SERVING_THREAD.to_owned()).spawn(move || {
+            let interval = Duration::from_secs(1) / rate;
+            let start = Instant::now();
+            let mut slowest = Duration::ZERO;
+            for number in 0..rate * seconds {
+                let due = start + interval * number;
+                thread::sleep(due.saturating_duration_since(Instant::now()));
+                let started = Instant::now();
+                log_request(&log, number);
+                slowest = slowest.max(started.elapsed());
+            }
+            thread::sleep(DRAIN_TIME);
+            // Read before the thread ends: ended threads are not counted.
+            LoggingTime {
+                serving_cpu_s: resource_usage::cpu_seconds(SERVING_THREAD),
+                writing_cpu_s: resource_usage::cpu_seconds(WRITER_THREAD),
+                slowest,
+            }
+        });
     let thread = thread.expect("a thread can be started");
     thread.join().expect("logging does not panic")
 }
@@ -128,19 +130,19 @@
         "first_ms" => 169u64, "pause_ms" => 141u64);
 }
 
-/// Counts the bytes written; blocks while it is stopped.
+/// Counts the bytes written; `write` waits while `blocked` is set.
 #[derive(Debug, Clone, Default)]
 struct Output {
-    written: Arc<AtomicU64>,
-    stopped: Arc<AtomicBool>,
+    written_bytes: Arc<AtomicU64>,
+    blocked: Arc<AtomicBool>,
 }
 
 impl Write for Output {
     fn write(&mut self, bytes: &[u8]) -> io::Result<usize> {
-        while self.stopped.load(Ordering::Relaxed) {
-            thread::sleep(POLL_INTERVAL);
+        while self.blocked.load(Ordering::Relaxed) {
+            thread::sleep(BLOCKED_POLL_INTERVAL);
         }
-        self.written.fetch_add(bytes.len() as u64, Ordering::Relaxed);
+        self.written_bytes.fetch_add(bytes.len() as u64, Ordering::Relaxed);
         Ok(bytes.len())
     }
 
--- a/crates/lab/src/moves/demand.rs
+++ b/crates/lab/src/moves/demand.rs
@@ -81,7 +81,8 @@
     const TOKENS_PER_REQUEST: f64 = 200.0;
     let requests = rate * STEP_SECONDS / TOKENS_PER_REQUEST;
     let std_dev = requests.max(0.0).sqrt();
-    // The sum of six uniform variables approximates a normal distribution.
+    // The sum of six uniform variables approximates a normal distribution; 1.41 scales its
+    // variance from 1/2 to 1.
     let normal: f64 = (0..6).map(|_| rng.random_range(-0.5..0.5)).sum::<f64>() * 1.41;
     (requests + std_dev * normal).max(0.0) * TOKENS_PER_REQUEST / STEP_SECONDS
 }
--- a/crates/lab/src/moves/deployment.rs
+++ b/crates/lab/src/moves/deployment.rs
@@ -14,7 +14,7 @@
     Gwiazdozbior,
 }
 
-/// What counts more in the score.
+/// Which weighs more in the score, attainment or moves.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Weighting {
     /// A percentage point of attainment weighs twice as much as a move per hour and runner.
@@ -118,6 +118,7 @@
             domains: 3,
             accelerators: 4,
             memory_gb: RUNNER_MEMORY_GB,
+            // Each of 32 streams generates one token per step.
             runner_throughput: 32.0 / step_s,
             models: (0..models).map(model).collect(),
             max_parallel_loads,
--- a/crates/lab/src/moves/mod.rs
+++ b/crates/lab/src/moves/mod.rs
@@ -191,6 +191,7 @@
         bytes: rng.random_range(8..34),
         replicas: 1,
         load_time: Duration::from_secs(40),
+        // 2.15 is the mean of the random factor.
         demand: mean_demand * 10.0_f64.powf(rng.random_range(-1.0..1.0)) / 2.15,
         placed: Vec::new(),
         loading: 0,
--- a/crates/lab/src/moves/policy.rs
+++ b/crates/lab/src/moves/policy.rs
@@ -46,7 +46,8 @@
 pub struct PolicyState {
     policy: Policy,
     estimates: Vec<DemandEstimate>,
-    /// Step in which each model was last used on each runner; 0 if it never was.
+    /// Step in which each model was last used on each runner, by model, then by runner; 0
+    /// if never.
     last_used: Vec<Vec<u64>>,
     step: u64,
 }
@@ -62,8 +63,10 @@
         }
     }
 
-    /// Returns the next placement, as the runners of each model. `observed` is the demand of
-    /// this step, `placed` the present placement, `loading` the number of loads per model.
+    /// Returns the next placement, as the runners of each model.
+    ///
+    /// `observed` is the demand on each model in this step, in tokens per second, `placed`
+    /// the current placement, and `loading` the number of loads in progress per model.
     pub fn decide(
         &mut self,
         spec: &DeploymentSpec,
@@ -80,10 +83,10 @@
             Policy::Planner => self.run_planner(spec, placed, loading),
             Policy::Static if self.step == 1 => fill_memory(spec),
             Policy::Static => placed.to_vec(),
-            Policy::Greedy => step_from_full(spec, placed, |placement| {
+            Policy::Greedy => update_or_fill(spec, placed, |placement| {
                 place_greedily(spec, observed, placement)
             }),
-            Policy::LeastRecentlyUsed => step_from_full(spec, placed, |placement| {
+            Policy::LeastRecentlyUsed => update_or_fill(spec, placed, |placement| {
                 self.place_by_recency(spec, observed, placement)
             }),
         }
@@ -135,6 +138,7 @@
         let distribution = distribute_load(observed, placement, spec.runners);
         for (model, runners) in placement.iter().enumerate() {
             for (share, runner) in distribution.shares[model].iter().zip(runners) {
+                // Less than 2 % of a runner's throughput doesn't count as use.
                 if *share > 0.02 * spec.runner_throughput {
                     self.last_used[model][*runner] = self.step;
                 }
@@ -158,18 +162,18 @@
     }
 }
 
-/// Applies `step` to the placement. An empty pool gets the static placement instead, so
+/// Applies `update` to the placement. An empty pool gets the static placement instead, so
 /// that all baselines start with full memory.
-fn step_from_full(
+fn update_or_fill(
     spec: &DeploymentSpec,
     placed: &[Vec<usize>],
-    step: impl FnOnce(&mut [Vec<usize>]),
+    update: impl FnOnce(&mut [Vec<usize>]),
 ) -> Vec<Vec<usize>> {
     if placed.iter().all(Vec::is_empty) {
         return fill_memory(spec);
     }
     let mut placement = placed.to_vec();
-    step(&mut placement);
+    update(&mut placement);
     placement
 }
 
@@ -221,7 +225,7 @@
 }
 
 /// The model with the most excess load on its runners; a model without a replica comes
-/// first. `None` if no runner is overloaded.
+/// first. `None` if every model has a replica and no runner is overloaded.
 fn most_overloaded_model(
     spec: &DeploymentSpec,
     observed: &[f64],
--- a/crates/lab/src/moves/pool.rs
+++ b/crates/lab/src/moves/pool.rs
@@ -43,8 +43,11 @@
 /// Result of a run, without the warm-up.
 #[derive(Debug, Clone, Default)]
 pub struct Outcome {
+    /// Demand, summed over the steps, in tokens per second.
     demand: f64,
+    /// Demand served in time, summed likewise.
     served: f64,
+    /// Demand that could be served if every runner held every model, summed likewise.
     servable: f64,
     /// Tokens served in time per second.
     pub tokens_per_s: f64,
@@ -113,6 +116,7 @@
                     started: false,
                 });
                 if step >= WARM_UP_STEPS {
+                    // Divided by the hours at the end of the run.
                     self.outcome.moves_per_hour += 1.0;
                 }
             }
@@ -128,7 +132,10 @@
                 .iter()
                 .for_each(|runner| used[*runner] += self.spec.models[model].memory_gb);
         }
-        assert!(used.iter().all(|used| *used <= self.spec.memory_gb), "overcommitted");
+        assert!(
+            used.iter().all(|used| *used <= self.spec.memory_gb),
+            "the memory of a runner is overcommitted"
+        );
     }
 
     /// Advances all started loads, which share the speed of the weight store equally.
--- a/crates/lab/src/policies/mod.rs
+++ b/crates/lab/src/policies/mod.rs
@@ -87,8 +87,8 @@
     for seed in 0..seeds {
         let traffic = Traffic::generate(&spec, pattern, seed);
         let upper_bound = bound::max_served(&spec, &traffic);
-        let world = Simulation::new(&spec, &traffic, config, seed);
-        aggregator.add(&spec, &traffic, &world.run(), upper_bound);
+        let simulation = Simulation::new(&spec, &traffic, config, seed);
+        aggregator.add(&spec, &traffic, &simulation.run(), upper_bound);
     }
     aggregator.summary(deployment, pattern, config)
 }
--- a/crates/lab/src/policies/results.rs
+++ b/crates/lab/src/policies/results.rs
@@ -13,7 +13,7 @@
 /// Result of one request; times count from the start of the run.
 #[derive(Debug, Clone, Copy, Default, PartialEq)]
 pub struct RequestResult {
-    /// When the caller had the complete response; `None` if it never did.
+    /// When the caller received the complete response; `None` if it never did.
     pub completed_at: Option<Duration>,
     /// When the caller received the first token; `None` if it never did.
     pub first_token_at: Option<Duration>,
--- a/crates/lab/src/policies/scenario.rs
+++ b/crates/lab/src/policies/scenario.rs
@@ -96,7 +96,7 @@
     }
 }
 
-/// The name of no known variant.
+/// Error of parsing a name that is not one of the valid ones.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct UnknownName {
     valid: Vec<String>,
@@ -138,7 +138,7 @@
     pub urgency: Urgency,
     /// Fraction of all requests.
     pub fraction: f64,
-    /// Time from sending in which the response is due.
+    /// Time from the arrival of a request until its response is due.
     pub deadline: Duration,
     /// Range of prompt lengths, both ends included.
     pub prompt_tokens: (u32, u32),
@@ -260,10 +260,10 @@
 fn class(
     urgency: Urgency,
     fraction: f64,
-    deadline: u64,
+    deadline_ms: u64,
     prompt_tokens: (u32, u32),
     output_tokens: (u32, u32),
 ) -> RequestClass {
-    let deadline = Duration::from_millis(deadline);
+    let deadline = Duration::from_millis(deadline_ms);
     RequestClass { urgency, fraction, deadline, prompt_tokens, output_tokens }
 }
--- a/crates/lab/src/policies/simulation/entry.rs
+++ b/crates/lab/src/policies/simulation/entry.rs
@@ -80,12 +80,17 @@
     }
 
     /// Handles a refusal: the entry tries another server.
-    pub(super) fn refused(&mut self, index: usize, server: usize, retry: Option<u64>) {
+    pub(super) fn refused(
+        &mut self,
+        index: usize,
+        server: usize,
+        retry_after_ms: Option<u64>,
+    ) {
         self.end_attempt(index);
         self.record_load(index, server);
-        let retry = retry.map(Duration::from_millis);
+        let retry_after = retry_after_ms.map(Duration::from_millis);
         let progress = &mut self.progress[index];
-        progress.retry_after = match (progress.retry_after, retry) {
+        progress.retry_after = match (progress.retry_after, retry_after) {
             (Some(a), Some(b)) => Some(a.min(b)),
             (a, b) => a.or(b),
         };
--- a/crates/lab/src/policies/simulation/mod.rs
+++ b/crates/lab/src/policies/simulation/mod.rs
@@ -93,7 +93,7 @@
     tried: Vec<usize>,
     /// When the caller last sent it.
     sent_at: Duration,
-    /// Output tokens that the caller has, over all attempts.
+    /// Output tokens that the caller has received, over all attempts.
     received_tokens: u32,
     /// Shortest retry delay that leads gave since the request was sent.
     retry_after: Option<Duration>,
@@ -115,6 +115,7 @@
 
 struct Entry {
     router: Router,
+    /// The router's key of each server.
     keys: Vec<ServerKey>,
     budget: RetryBudget,
 }
@@ -124,15 +125,19 @@
     spec: &'a DeploymentSpec,
     traffic: &'a Traffic,
     config: PolicyConfig,
+    /// Caller and team, by the index of the caller.
     names: Vec<(CallerName, TeamName)>,
     servers: Vec<Server>,
     entries: Vec<Entry>,
     progress: Vec<RequestProgress>,
     results: Vec<RequestResult>,
+    /// Pending events with their times and sequence numbers, earliest first.
     events: BinaryHeap<Reverse<(Duration, u64, Event)>>,
     /// Sequence number of the last event, which orders events of the same time.
     event_sequence: u64,
+    /// Virtual time since the start of the run.
     now: Duration,
+    /// Origin of the instants that routers and leads receive.
     start: Instant,
     /// Requests that have not ended.
     open_requests: usize,
@@ -224,10 +229,10 @@
                 self.select_server(index)
             }
             Event::Offer(index, attempt, server) => self.offer(index, attempt, server),
-            Event::Refused(index, attempt, server, retry)
+            Event::Refused(index, attempt, server, retry_after_ms)
                 if self.is_current(index, attempt) =>
             {
-                self.refused(index, server, retry);
+                self.refused(index, server, retry_after_ms);
             }
             Event::Failed(index, attempt, server) if self.is_current(index, attempt) => {
                 self.failed(index, server);
@@ -237,7 +242,7 @@
             {
                 self.completed(index, server);
             }
-            Event::Step(server, incarnation) => self.step(server, incarnation),
+            Event::Step(server, incarnation) => self.complete_step(server, incarnation),
             Event::Crash(server) => self.crash(server),
             Event::Recovery(server) => self.recover(server),
             Event::Deadline(index) => self.expire(index),
--- a/crates/lab/src/policies/simulation/server.rs
+++ b/crates/lab/src/policies/simulation/server.rs
@@ -65,14 +65,15 @@
             return;
         };
         self.progress[index].state = RequestState::InTransit;
-        let retry = rejection.retry_after.map(|retry| retry.as_millis() as u64);
+        let retry_after_ms = rejection.retry_after.map(|delay| delay.as_millis() as u64);
         if !rejection.reason.may_retry_elsewhere() {
+            // Uses up the offers, so that the entry tries no other server.
             self.progress[index].tried.resize(MAX_REJECTED_OFFERS, server);
         }
         let attempt = self.progress[index].attempt;
         self.schedule_after(
             self.spec.lead_latency,
-            Event::Refused(index, attempt, server, retry),
+            Event::Refused(index, attempt, server, retry_after_ms),
         );
     }
 
@@ -107,7 +108,7 @@
         self.schedule_at(now + time, Event::Step(server, incarnation));
     }
 
-    pub(super) fn step(&mut self, server: usize, incarnation: u32) {
+    pub(super) fn complete_step(&mut self, server: usize, incarnation: u32) {
         if self.servers[server].incarnation != incarnation {
             return;
         }
@@ -188,7 +189,7 @@
         }
     }
 
-    /// Records the tokens that a stream had when it ended early.
+    /// Records the tokens that a stream had generated when it ended early.
     fn save_tokens(&mut self, index: usize, received_tokens: u32) {
         let progress = &mut self.progress[index];
         self.results[index].tokens +=
@@ -199,7 +200,9 @@
     fn step_time_factor(&self, server: usize) -> u32 {
         let faults = self.traffic.faults.iter();
         faults
-            .filter(|t| t.server == server && t.start <= self.now && self.now < t.end)
+            .filter(|fault| {
+                fault.server == server && fault.start <= self.now && self.now < fault.end
+            })
             .find_map(|fault| fault.slowdown)
             .unwrap_or(1)
     }
--- a/crates/lab/src/policies/traffic.rs
+++ b/crates/lab/src/policies/traffic.rs
@@ -51,7 +51,7 @@
         self.prompt_tokens - self.prefix_blocks * BLOCK_TOKENS
     }
 
-    /// Least engine time of the request: full batches and a cached prefix.
+    /// Least engine time of the request, in full batches and with its prefix cached.
     pub fn min_service_time(&self, spec: &DeploymentSpec) -> Duration {
         spec.time_per_token() * (self.output_tokens - 1)
             + spec.prefill_time_per_token * self.unshared_prompt_tokens()
@@ -71,7 +71,7 @@
     pub slowdown: Option<u32>,
 }
 
-/// The requests of one run and what happens to the servers.
+/// The requests and the server faults of one run.
 #[derive(Debug, Clone)]
 pub struct Traffic {
     /// Requests in the order of arrival.
@@ -101,6 +101,7 @@
         match pattern {
             Pattern::Burst => {
                 let cost = mean_class_cost(spec, &spec.classes[0]);
+                // Twice the base load of 0.7, on top of it.
                 let burst_rate = 1.4 * spec.servers as f64 / cost;
                 add_arrivals(burst_rate, 8.0, 12.0, Source::UrgentClass);
                 add_arrivals(burst_rate, 20.0, 24.0, Source::UrgentClass);
@@ -190,6 +191,10 @@
     if pattern == Pattern::LongShort { cost * length_factor } else { cost }
 }
 
+/// Mean engine time of a request of the class, in seconds.
+///
+/// A response has 80 % of the requested length on average; 40 % of a prompt is not in the
+/// shared prefix.
 fn mean_class_cost(spec: &DeploymentSpec, class: &RequestClass) -> f64 {
     let mean = |range: (u32, u32)| f64::from(range.0 + range.1) / 2.0;
     mean(class.output_tokens) * 0.8 * spec.time_per_token().as_secs_f64()
--- a/crates/lab/src/resource_usage.rs
+++ b/crates/lab/src/resource_usage.rs
@@ -3,10 +3,10 @@
 use std::fs;
 
 /// Name prefix of the threads that run daemons.
-pub const DAEMON_THREADS: &str = "daemon";
+pub const DAEMON_THREAD_PREFIX: &str = "daemon";
 
 /// Name prefix of the threads that run the fake platform, engines and callers.
-pub const HARNESS_THREADS: &str = "outside";
+pub const HARNESS_THREAD_PREFIX: &str = "outside";
 
 /// CPU time of all threads whose name starts with `prefix`, in seconds.
 ///
--- a/crates/lab/src/slopes/fit.rs
+++ b/crates/lab/src/slopes/fit.rs
@@ -13,7 +13,7 @@
     max_error: f64,
 }
 
-/// Prints each point and each fit as one JSON object a line.
+/// Prints each point and each fit as one JSON object per line.
 pub fn print_json(points: &[Point]) {
     for point in points {
         let mut row = json!({
--- a/crates/lab/src/slopes/mod.rs
+++ b/crates/lab/src/slopes/mod.rs
@@ -1,10 +1,10 @@
-//! Measures what real daemons cost as the system grows.
+//! Measures the resource use of real daemons as the system grows.
 //!
 //! Daemons and a fake platform run in this process on separate threads, so that only
 //! the daemons' CPU time is counted. The table holds rows of members, runners, claims
-//! and ledgers without any process behind them; to a daemon this looks like a system
-//! of up to 2,100 daemons. Each experiment measures three or more sizes and fits a
-//! line to each value.
+//! and ledgers without any process behind them, so that a daemon observes a system of up
+//! to 2,100 daemons. Each experiment measures three or more sizes and fits a line to each
+//! value.
 
 mod fit;
 mod requests;
@@ -20,12 +20,12 @@
 /// What to measure.
 #[derive(Debug, Clone, Bpaf)]
 pub struct Options {
-    /// Print one JSON object a line
+    /// Print one JSON object per line.
     json: bool,
-    /// Duration of the measurement at each size, in seconds
+    /// Duration of the measurement at each size, in seconds.
     #[bpaf(argument("SECONDS"), fallback(10), display_fallback)]
     seconds: u64,
-    /// Run only this experiment: state, changes or requests
+    /// Run only this experiment: state, changes or requests.
     #[bpaf(argument("NAME"))]
     only: Option<String>,
 }
--- a/crates/lab/src/slopes/requests.rs
+++ b/crates/lab/src/slopes/requests.rs
@@ -9,7 +9,7 @@
 
 use super::Point;
 use super::testbed::{ExperimentError, Testbed, sha256_hex};
-use crate::resource_usage::{self, DAEMON_THREADS};
+use crate::resource_usage::{self, DAEMON_THREAD_PREFIX};
 
 /// Daemons; most requests pass through both, one as the entry and one as the lead.
 const DAEMONS: usize = 2;
@@ -23,7 +23,8 @@
 /// How long to wait until all daemons serve the model.
 const READY_TIMEOUT: Duration = Duration::from_secs(60);
 
-/// Upper bound of the latency histograms, in microseconds; longer ones count as this.
+/// Upper bound of the latency histograms, in microseconds; longer latencies are
+/// recorded as this value.
 const MAX_LATENCY_US: u64 = 60_000_000;
 
 /// Measures CPU time and latency of requests as responses grow longer.
@@ -49,13 +50,13 @@
     tokens: u32,
     seconds: u64,
 ) -> Result<Point, ExperimentError> {
-    let initial_cpu_s = resource_usage::cpu_seconds(DAEMON_THREADS);
+    let initial_cpu_s = resource_usage::cpu_seconds(DAEMON_THREAD_PREFIX);
     let start = Instant::now();
     let until = start + Duration::from_secs(seconds);
     let callers = (0..CALLERS).map(|caller| run_caller(testbed, caller, tokens, until));
     let results = testbed.harness_runtime.block_on(futures::future::join_all(callers));
     let elapsed_s = start.elapsed().as_secs_f64();
-    let cpu_s = resource_usage::cpu_seconds(DAEMON_THREADS) - initial_cpu_s;
+    let cpu_s = resource_usage::cpu_seconds(DAEMON_THREAD_PREFIX) - initial_cpu_s;
     let mut first_token =
         Histogram::<u64>::new_with_bounds(1, MAX_LATENCY_US, 3).expect("valid bounds");
     let mut served = 0;
--- a/crates/lab/src/slopes/rows.rs
+++ b/crates/lab/src/slopes/rows.rs
@@ -14,8 +14,8 @@
 use chestnut_plat::{PlatformError, TableClient, Txn};
 use serde_json::json;
 
-/// Rows in a full transaction.
-const ROWS_PER_TXN: usize = 500;
+/// Maximum number of rows in a transaction.
+const MAX_ROWS_PER_TXN: usize = 500;
 
 /// Models that are resident on each runner.
 const MODELS_PER_RUNNER: usize = 3;
@@ -114,7 +114,7 @@
     writer.commit().await
 }
 
-/// Writes rows in transactions of [`ROWS_PER_TXN`]; `commit` writes the rest.
+/// Writes rows in transactions of [`MAX_ROWS_PER_TXN`]; `commit` writes the rest.
 struct RowWriter<'a> {
     table: &'a TableClient,
     txn: Txn,
@@ -129,7 +129,11 @@
     ) -> Result<(), PlatformError> {
         let txn = std::mem::take(&mut self.txn);
         self.txn = txn.put(table, key, value);
-        if self.txn.writes.len() >= ROWS_PER_TXN { self.commit().await } else { Ok(()) }
+        if self.txn.writes.len() >= MAX_ROWS_PER_TXN {
+            self.commit().await
+        } else {
+            Ok(())
+        }
     }
 
     async fn commit(&mut self) -> Result<(), PlatformError> {
--- a/crates/lab/src/slopes/state.rs
+++ b/crates/lab/src/slopes/state.rs
@@ -11,7 +11,7 @@
 use super::Point;
 use super::rows::{self, MODEL_BYTES, RUNNER_BYTES, SystemSize};
 use super::testbed::{ExperimentError, Testbed};
-use crate::resource_usage::{self, DAEMON_THREADS};
+use crate::resource_usage::{self, DAEMON_THREAD_PREFIX};
 
 /// Runners at each size; the last is the largest supported system.
 const RUNNER_COUNTS: [usize; 4] = [1_500, 3_000, 6_000, 12_000];
@@ -22,8 +22,8 @@
 /// Changed rows a second at each size.
 const CHANGE_RATES: [usize; 4] = [0, 20, 80, 320];
 
-/// Runners in the experiment with changes.
-const RUNNERS_WITH_CHANGES: usize = 3_000;
+/// Runners in the `changes` experiment.
+const CHANGES_RUNNER_COUNT: usize = 3_000;
 
 /// How long a daemon may take to read the whole system.
 const SYNC_TIMEOUT: Duration = Duration::from_secs(60);
@@ -38,23 +38,23 @@
 
 /// Measures CPU time and traffic as the rate of changed rows grows.
 pub fn run_changes(seconds: u64) -> Result<Vec<Point>, ExperimentError> {
-    let size = SystemSize::with_runners(RUNNERS_WITH_CHANGES);
+    let size = SystemSize::with_runners(CHANGES_RUNNER_COUNT);
     let mut testbed = start_testbed(size)?;
     let _renewal = renew_leases_in_background(&testbed, size);
     for _ in 0..DAEMONS {
         start_daemon(&mut testbed, size)?;
     }
     let mut points = Vec::new();
-    let mut next = 0;
+    let mut next_ledger = 0;
     for rate in CHANGE_RATES {
         let usage = measure_usage(&testbed, seconds, |_| {
             testbed.harness_runtime.block_on(rows::rewrite_ledgers(
                 &testbed.table,
                 size,
-                next,
+                next_ledger,
                 rate,
             ))?;
-            next += rate;
+            next_ledger += rate;
             Ok(())
         })?;
         let values = usage.values();
@@ -75,15 +75,17 @@
     // The first daemon also sets up what all daemons of this process share, so its
     // start isn't measured.
     start_daemon(&mut testbed, size)?;
-    let (initial_memory, initial_cpu_s) =
-        (resource_usage::resident_bytes(), resource_usage::cpu_seconds(DAEMON_THREADS));
+    let (initial_memory, initial_cpu_s) = (
+        resource_usage::resident_bytes(),
+        resource_usage::cpu_seconds(DAEMON_THREAD_PREFIX),
+    );
     for _ in 1..DAEMONS {
         start_daemon(&mut testbed, size)?;
     }
     let others = (DAEMONS - 1) as f64;
     let memory = (resource_usage::resident_bytes() - initial_memory) / others;
     let start_cpu_s =
-        (resource_usage::cpu_seconds(DAEMON_THREADS) - initial_cpu_s) / others;
+        (resource_usage::cpu_seconds(DAEMON_THREAD_PREFIX) - initial_cpu_s) / others;
     let usage = measure_usage(&testbed, seconds, |_| Ok(()))?;
     let mut values = vec![("memory_mb", memory / 1e6), ("start_cpu_s", start_cpu_s)];
     values.extend(usage.values());
@@ -110,7 +112,9 @@
             == Err(mpsc::RecvTimeoutError::Timeout)
         {
             if let Err(error) = handle.block_on(rows::renew_leases(&table, size)) {
-                eprintln!("could not renew leases: {error}");
+                eprintln!(
+                    "could not renew leases, retrying at the next interval: {error}"
+                );
             }
         }
     });
@@ -142,7 +146,7 @@
 
 /// Mean usage of one daemon.
 struct DaemonUsage {
-    /// As a fraction of one core.
+    /// CPU time, as a fraction of one core.
     cpu: f64,
     reads_per_s: f64,
     writes_per_s: f64,
@@ -169,7 +173,7 @@
     mut each_second: impl FnMut(u64) -> Result<(), ExperimentError>,
 ) -> Result<DaemonUsage, ExperimentError> {
     let before = traffic_totals(testbed);
-    let initial_cpu_s = resource_usage::cpu_seconds(DAEMON_THREADS);
+    let initial_cpu_s = resource_usage::cpu_seconds(DAEMON_THREAD_PREFIX);
     let start = Instant::now();
     for second in 0..seconds {
         each_second(second)?;
@@ -181,7 +185,7 @@
     let after = traffic_totals(testbed);
     let mean = |n: usize| (after[n] - before[n]) as f64 * per_daemon_second;
     Ok(DaemonUsage {
-        cpu: (resource_usage::cpu_seconds(DAEMON_THREADS) - initial_cpu_s)
+        cpu: (resource_usage::cpu_seconds(DAEMON_THREAD_PREFIX) - initial_cpu_s)
             * per_daemon_second,
         reads_per_s: mean(0),
         writes_per_s: mean(1),
@@ -190,7 +194,7 @@
     })
 }
 
-/// Reads, writes, bytes received and bytes sent, since the start, of all daemons.
+/// Reads, writes, bytes received and bytes sent, summed over all daemons since their start.
 fn traffic_totals(testbed: &Testbed) -> [u64; 4] {
     let mut totals = [0; 4];
     for daemon in &testbed.daemons {
--- a/crates/lab/src/slopes/testbed.rs
+++ b/crates/lab/src/slopes/testbed.rs
@@ -19,10 +19,10 @@
 use sha2::{Digest, Sha256};
 use tokio::runtime::{Builder, Runtime};
 
-use crate::resource_usage::{DAEMON_THREADS, HARNESS_THREADS};
+use crate::resource_usage::{DAEMON_THREAD_PREFIX, HARNESS_THREAD_PREFIX};
 
 /// Worker threads of each of the two runtimes.
-const RUNTIME_THREADS: usize = 4;
+const WORKER_THREADS: usize = 4;
 
 /// Timeout of the harness's calls to the table, and of applying declarations.
 const HARNESS_TIMEOUT: Duration = Duration::from_secs(60);
@@ -73,28 +73,29 @@
     engines: Vec<ServerHandle>,
     /// Certificates and keys of the daemons; removed on drop.
     certs_folder: PathBuf,
-    /// The `times` in the daemons' settings.
+    /// The `times` section of the daemons' settings.
     times: Value,
 }
 
 impl Testbed {
-    /// Starts the platform; `times` are those of the daemons' settings.
+    /// Starts the platform; `times` is the section of that name in the daemons' settings.
     pub fn new(times: Value) -> Result<Self, ExperimentError> {
         let runtime = |name: &str| {
             Builder::new_multi_thread()
-                .worker_threads(RUNTIME_THREADS)
+                .worker_threads(WORKER_THREADS)
                 .thread_name(name)
                 .enable_all()
                 .build()
         };
-        let daemon_runtime = runtime(DAEMON_THREADS)?;
-        let harness_runtime = runtime(HARNESS_THREADS)?;
-        let speed = WeightStoreConfig {
+        let daemon_runtime = runtime(DAEMON_THREAD_PREFIX)?;
+        let harness_runtime = runtime(HARNESS_THREAD_PREFIX)?;
+        let weight_store = WeightStoreConfig {
             loads_per_second: 100.0,
             parallel_loads: 8,
             bytes_per_second: 400e9,
         };
-        let platform = harness_runtime.block_on(platform::start(any_port(), speed))?;
+        let platform =
+            harness_runtime.block_on(platform::start(any_port(), weight_store))?;
         let table = TableClient::new(platform.url(), HARNESS_TIMEOUT)?;
         let certs_folder = std::env::temp_dir().join(format!(
             "chestnutlane-lab-{}-{}",
