--- a/crates/lab/src/policies/results.rs
+++ b/crates/lab/src/policies/results.rs
@@ -273,6 +273,8 @@
 
 /// Jain's fairness index of the callers' shares: requests served in time, divided by the
 /// max-min fair allocation of all requests served in time.
+///
+/// `callers` holds the requests of each caller and how many of them were served in time.
 fn jain_index(callers: &[(f64, f64)]) -> f64 {
     let served: f64 = callers.iter().map(|caller| caller.1).sum();
     let fair_limit = max_min_level(callers, served);
--- a/crates/lab/src/policies/simulation/mod.rs
+++ b/crates/lab/src/policies/simulation/mod.rs
@@ -281,6 +281,7 @@
             self.servers[server].lead.tick(now);
             self.apply_effects(server);
         }
+        // Entries stop routing to a crashed server once they have detected the crash.
         for fault in &self.traffic.faults {
             let is_crash = fault.slowdown.is_none();
             if is_crash
