--- a/crates/lab/src/moves/pool.rs
+++ b/crates/lab/src/moves/pool.rs
@@ -132,10 +132,7 @@
                 .iter()
                 .for_each(|runner| used[*runner] += self.spec.models[model].memory_gb);
         }
-        assert!(
-            used.iter().all(|used| *used <= self.spec.memory_gb),
-            "the memory of a runner is overcommitted"
-        );
+        assert!(used.iter().all(|used| *used <= self.spec.memory_gb), "overcommitted");
     }
 
     /// Advances all started loads, which share the speed of the weight store equally.
