--- a/crates/demo/src/error.rs
+++ b/crates/demo/src/error.rs
@@ -42,7 +42,7 @@
                 write!(f, "can't print the result ({reason}); keep the output open")
             }
             Self::Rejected(reason) => {
-                write!(f, "the declarations were rejected: {reason}")
+                write!(f, "the declarations were rejected ({reason}); report this")
             }
             Self::UnknownKind(kind, known) => {
                 write!(f, "unknown kind of request: {kind}; choose one of {known}")
@@ -50,7 +50,7 @@
             Self::NotServed(reason) => {
                 write!(
                     f,
-                    "not everything was served in time ({reason}); is the VM overloaded?"
+                    "not everything was served in time ({reason}); check the VM's load"
                 )
             }
         }
--- a/crates/demo/src/own/burst.rs
+++ b/crates/demo/src/own/burst.rs
@@ -145,6 +145,7 @@
     let run_counts = RunCounts::read(cluster).await?;
     let mut counted = HashSet::new();
     let evaluate = |exchange: &Exchange| {
+        // Requests sent to two entries share a key; a double run is counted once.
         let is_first = exchange.workload.at_most_once
             && counted.insert((
                 exchange.workload.kind,
--- a/crates/demo/src/own/cluster.rs
+++ b/crates/demo/src/own/cluster.rs
@@ -24,9 +24,9 @@
 /// The failure domains, assigned to VMs in turn.
 const DOMAINS: [&str; 2] = ["accra-a", "accra-b"];
 
-const DAEMONS: usize = 3;
+const DAEMON_COUNT: usize = 3;
 
-const RUNNERS: usize = 4;
+const RUNNER_COUNT: usize = 4;
 
 /// The accelerator memory of a runner, as declared for its pool.
 const RUNNER_MEMORY_BYTES: u64 = 80_000_000_000;
@@ -129,7 +129,7 @@
     }
 
     async fn start_servers(&mut self) -> Result<(), DemoError> {
-        for index in 0..RUNNERS {
+        for index in 0..RUNNER_COUNT {
             let config = EngineConfig {
                 memory_bytes: RUNNER_MEMORY_BYTES,
                 weight_store_url: Some(self.platform.url()),
@@ -154,7 +154,7 @@
     }
 
     async fn start_daemons(&mut self) -> Result<(), DemoError> {
-        for index in 0..DAEMONS {
+        for index in 0..DAEMON_COUNT {
             let name = format!("entry-{}", index + 1);
             let text = self.settings(&name, index).to_string();
             let settings = Settings::parse("the demo's settings", &text)
--- a/crates/fake/src/engine/core.rs
+++ b/crates/fake/src/engine/core.rs
@@ -1,5 +1,5 @@
-//! The engine model shared by all stand-ins for an engine: batch, prefix cache and
-//! memory, without a protocol or a clock.
+//! The simulation shared by all stand-ins for an engine: batch, prefix cache and memory,
+//! without a protocol or a clock.
 
 use std::time::{Duration, Instant};
 
@@ -9,13 +9,13 @@
 use super::cache::PrefixCache;
 use super::memory::Memory;
 
-/// The tokens of a cached block; a token is four bytes of text.
+/// The number of tokens in a cached block; a token is four bytes of text.
 const BLOCK_TOKENS: u32 = (chestnut_base::request::PREFIX_BLOCK_BYTES / 4) as u32;
 
 /// The state of an engine, which a crash discards.
 #[derive(Debug)]
 pub struct EngineCore {
-    /// The requests.
+    /// The waiting, running and finished requests.
     pub batch: Batch,
     /// The cached blocks of prompts.
     pub cache: PrefixCache,
@@ -54,7 +54,8 @@
     }
 }
 
-/// The tokens that a request has to prefill; marks its blocks in the cache as used.
+/// The number of tokens that a request has to prefill; marks its blocks in the cache as
+/// used.
 fn uncached_tokens(
     cache: &mut PrefixCache,
     now: Instant,
--- a/crates/fake/src/engine/http.rs
+++ b/crates/fake/src/engine/http.rs
@@ -110,11 +110,15 @@
     let submitted = {
         let mut state = engine.state();
         if !state.core.memory.is_ready(&request.model) {
-            let message = format!("{} is not loaded", request.model);
+            let message = format!("{} is not loaded; load it first", request.model);
             return reject(StatusCode::NOT_FOUND, "model", &message);
         }
         if state.core.batch.waiting() >= engine.config.max_waiting {
-            return reject(StatusCode::SERVICE_UNAVAILABLE, "full", "the queue is full");
+            return reject(
+                StatusCode::SERVICE_UNAVAILABLE,
+                "full",
+                "the queue is full; retry later",
+            );
         }
         state.core.batch.submit(&id, request.clone())
     };
@@ -125,7 +129,11 @@
             return reject(StatusCode::BAD_REQUEST, "long", message);
         }
         Err(BatchError::DuplicateId) => {
-            return reject(StatusCode::CONFLICT, "id", "the request id is in use");
+            return reject(
+                StatusCode::CONFLICT,
+                "id",
+                "the request id is in use; choose another",
+            );
         }
     };
     engine.work_arrived.notify_one();
--- a/crates/fake/src/engine/mod.rs
+++ b/crates/fake/src/engine/mod.rs
@@ -2,7 +2,7 @@
 //!
 //! A request is received by `http`, waits and runs in the [`batch`] and uses the prefix
 //! [`cache`]. The generated [`text`] depends only on the model and the prompt, and a
-//! `response` sends it to the reader. `orders` change what is loaded into [`memory`].
+//! `response` sends it to the client. `orders` change what is loaded into [`memory`].
 //! Batch, cache and memory form the [`core`], which stand-ins with other protocols use
 //! too.
 
@@ -55,7 +55,7 @@
     pub cache_blocks: usize,
     /// Whether orders with an outdated fence are rejected.
     pub fenced: bool,
-    /// The maximum age of the load in reports.
+    /// The maximum age of the load figures in reports, such as the number of requests.
     pub report_lag: Duration,
     /// The base URL of the weight store; without one, loads take no time.
     pub weight_store_url: Option<String>,
@@ -80,7 +80,7 @@
 /// What an engine did so far, including before its crashes.
 #[derive(Debug, Clone, Default, PartialEq, Serialize, Deserialize)]
 pub struct EngineCounts {
-    /// The number of tokens sent of each request's response, by request id.
+    /// The index after the last token sent of each request's response, by request id.
     pub runs: IndexMap<String, u32>,
     /// The number of times each prompt was started.
     pub prompts: IndexMap<String, u32>,
@@ -203,7 +203,7 @@
         self.state().end_step(&self.config, step);
     }
 
-    /// Discards the state and closes the port for the configured time.
+    /// Discards the state and closes the port for the time set by the fault `restart_ms`.
     fn crash(&self) {
         let outage = Duration::from_millis(self.faults.lock().restart_ms);
         self.crash_switch.crash(outage);
--- a/crates/fake/src/engine/orders.rs
+++ b/crates/fake/src/engine/orders.rs
@@ -44,7 +44,7 @@
 /// Why an order is rejected.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) enum OrderError {
-    /// Its fence is lower than this one.
+    /// Its fence is lower than the highest one so far, which is given.
     Fenced(u64),
     /// The memory's current contents don't permit it.
     Memory(MemoryError),
@@ -53,7 +53,7 @@
 /// The orders that an engine accepted since it started.
 #[derive(Debug, Default)]
 pub(super) struct OrderLog {
-    /// The highest fence of an order so far.
+    /// The highest fence of an accepted order so far.
     highest_fence: u64,
     /// The name and state of each order by id, oldest first.
     orders: IndexMap<u64, (String, OrderState)>,
--- a/tests/demo.rs
+++ b/tests/demo.rs
@@ -8,8 +8,8 @@
     Command::new(env!("CARGO_BIN_EXE_chestnutlane-demo")).args(args).output().unwrap()
 }
 
-/// Every response in the demo is complete and its caller's own, and every request that
-/// may run once runs once.
+/// Every response in the demo is complete and belongs to its request, and no request that
+/// must run at most once runs twice.
 ///
 /// A burst of requests of six kinds goes through three daemons; every fourth of those
 /// that may run once is sent to two entries at the same time.
@@ -30,7 +30,7 @@
 
 /// The same on the users' platform: streams with and without an adapter and plain
 /// requests, idempotent or not, go through three daemons and stand-ins of the platform;
-/// refused callers retry after the time they are given.
+/// refused callers retry after the stated delay.
 #[test]
 fn demo_serves_a_burst_on_the_platform() {
     let output = run_demo(&["--platform", "--json"]);
@@ -47,7 +47,7 @@
 
 /// Guards against lost permits: plain requests at twice the load, where some threads of a
 /// daemon grant permits of the service while others submit requests. Each waiting request
-/// must get its result, and none may wait for as long as its caller does, 2.5 seconds.
+/// must get its result before its caller times out, after 2.5 seconds.
 #[test]
 fn demo_serves_a_burst_of_plain_requests() {
     let kinds = ["--kind", "record", "--kind", "lookup"];
--- a/tests/platform/cluster.rs
+++ b/tests/platform/cluster.rs
@@ -19,20 +19,21 @@
 
 /// Wait limit of all conditions.
 ///
-/// It is generous since a busy machine slows everything down; no test measures this time.
+/// It is generous since a busy machine slows everything down; no test depends on its
+/// length.
 pub const TIMEOUT: Duration = Duration::from_secs(20);
 
 /// A daemon process.
 pub struct Daemon {
     /// Address for requests of callers.
-    pub callers: SocketAddr,
+    pub caller_addr: SocketAddr,
     /// Address of the readiness check.
-    pub readiness: SocketAddr,
+    pub readiness_addr: SocketAddr,
     /// Address of the directory, which lists the daemons to connect to.
-    pub directory: SocketAddr,
+    pub directory_addr: SocketAddr,
     /// Address of metrics and the state page.
-    pub metrics: SocketAddr,
-    /// Settings file.
+    pub metrics_addr: SocketAddr,
+    /// Settings file, reused across restarts.
     pub settings: PathBuf,
     /// Log file, appended to across restarts.
     pub log: PathBuf,
@@ -115,13 +116,13 @@
             cluster.add_server_proxies().await;
         }
         for number in 0..daemons {
-            let store = match with_proxies {
+            let store_addr = match with_proxies {
                 true => cluster.add_store_proxy().await,
                 false => cluster.store.addr,
             };
-            let daemon = cluster.spawn(number, store);
+            let daemon = cluster.start_daemon(number, store_addr);
             if with_proxies {
-                cluster.proxies.callers.push(Proxy::start(daemon.callers).await);
+                cluster.proxies.callers.push(Proxy::start(daemon.caller_addr).await);
             }
             cluster.daemons.push(daemon);
         }
@@ -134,8 +135,8 @@
         let daemon_count = self.daemons.len();
         for daemon in &self.daemons {
             wait_until("a daemon's directory lists all daemons", async || {
-                let listed = self.caller.directory(daemon.directory).await;
-                self.caller.is_ready(daemon.readiness).await
+                let listed = self.caller.directory(daemon.directory_addr).await;
+                self.caller.is_ready(daemon.readiness_addr).await
                     && listed.len() == daemon_count
             })
             .await;
@@ -170,16 +171,17 @@
         addr
     }
 
-    fn spawn(&self, number: usize, store: SocketAddr) -> Daemon {
-        let callers = free_addr();
-        let (readiness, directory, metrics) = (free_addr(), free_addr(), free_addr());
+    fn start_daemon(&self, number: usize, store_addr: SocketAddr) -> Daemon {
+        let caller_addr = free_addr();
+        let (readiness_addr, directory_addr, metrics_addr) =
+            (free_addr(), free_addr(), free_addr());
         let mut ports = [free_addr().port(), free_addr().port()];
         ports.sort_unstable();
         let settings = json!({
             "vm": format!("vm{number}"), "domain": "north", "ip": "127.0.0.1",
-            "callers": callers, "readiness": readiness, "directory": directory,
-            "metrics": metrics,
-            "ports": ports, "store": store,
+            "callers": caller_addr, "readiness": readiness_addr,
+            "directory": directory_addr, "metrics": metrics_addr,
+            "ports": ports, "store": store_addr,
             "bounds": {
                 "stop_s": 8, "directory_s": 5, "retry_ratio": 0.2, "retry_slack": 52,
                 "retry_window_s": 10, "fenced": true, "turn_ms": 300, "load_window_s": 5, "load_overshoot": 1.1,
@@ -188,13 +190,21 @@
         let path = self.dir.join(format!("vm{number}.json"));
         fs::write(&path, settings.to_string()).expect("a file can be written");
         let log = self.dir.join(format!("vm{number}.log"));
-        let child = start(&path, &log);
-        Daemon { callers, readiness, directory, metrics, settings: path, log, child }
+        let child = start_process(&path, &log);
+        Daemon {
+            caller_addr,
+            readiness_addr,
+            directory_addr,
+            metrics_addr,
+            settings: path,
+            log,
+            child,
+        }
     }
 
     /// Sends a request to a daemon.
     pub async fn send(&self, daemon: usize, request: &CallerRequest) -> CallerResponse {
-        self.caller.send(self.daemons[daemon].callers, request).await
+        self.caller.send(self.daemons[daemon].caller_addr, request).await
     }
 
     /// Number of runs of a request at all runners and servers.
@@ -206,9 +216,9 @@
     }
 
     /// The runner whose latest run has an id with this prefix.
-    pub fn runner_of(&self, id_start: &str) -> Option<&Runner> {
+    pub fn runner_of(&self, id_prefix: &str) -> Option<&Runner> {
         self.runners.iter().find(|runner| {
-            runner.runs().last().is_some_and(|(id, _)| id.starts_with(id_start))
+            runner.runs().last().is_some_and(|(id, _)| id.starts_with(id_prefix))
         })
     }
 }
@@ -241,7 +251,7 @@
 
     /// Starts the process again after it has exited, with the same settings and log.
     pub fn restart(&mut self) {
-        self.child = start(&self.settings, &self.log);
+        self.child = start_process(&self.settings, &self.log);
     }
 
     /// Exit status, or none while the process runs.
@@ -269,7 +279,7 @@
     }
 }
 
-fn start(settings: &PathBuf, log: &PathBuf) -> Child {
+fn start_process(settings: &PathBuf, log: &PathBuf) -> Child {
     let log = File::options().create(true).append(true).open(log);
     let log = log.expect("a log can be written");
     Command::new(env!("CARGO_BIN_EXE_chestnutlane-gate"))
@@ -283,10 +293,10 @@
 }
 
 /// Polls a condition until it holds; panics after `TIMEOUT`.
-pub async fn wait_until(what: &str, mut condition: impl AsyncFnMut() -> bool) {
+pub async fn wait_until(description: &str, mut condition: impl AsyncFnMut() -> bool) {
     let deadline = Instant::now() + TIMEOUT;
     while !condition().await {
-        assert!(Instant::now() < deadline, "timed out waiting until {what}");
+        assert!(Instant::now() < deadline, "timed out waiting until {description}");
         sleep(Duration::from_millis(20)).await;
     }
 }
--- a/tests/platform/command_line.rs
+++ b/tests/platform/command_line.rs
@@ -10,7 +10,7 @@
 /// Runs `chestnutctl` with the addresses of all daemons.
 async fn ctl(cluster: &Cluster, words: &[&str]) -> Output {
     let servers: Vec<String> =
-        cluster.daemons.iter().map(|daemon| daemon.metrics.to_string()).collect();
+        cluster.daemons.iter().map(|daemon| daemon.metrics_addr.to_string()).collect();
     let mut command = Command::new(env!("CARGO_BIN_EXE_chestnutctl"));
     command.args(["--output", "json", "--server", &servers.join(",")]).args(words);
     let run = tokio::task::spawn_blocking(move || command.output());
@@ -42,7 +42,7 @@
     let remaining = ctl(&cluster, &["show", "gates"]).await;
     assert_eq!(rows(&remaining).len(), 1);
     let text = String::from_utf8_lossy(&remaining.stderr).into_owned();
-    assert!(text.contains(&cluster.daemons[1].metrics.to_string()), "{text}");
+    assert!(text.contains(&cluster.daemons[1].metrics_addr.to_string()), "{text}");
 }
 
 #[tokio::test]
--- a/tests/platform/main.rs
+++ b/tests/platform/main.rs
@@ -80,11 +80,11 @@
 
 #[tokio::test]
 async fn graceful_stop_completes_running_requests() {
-    // A daemon is told to stop while a stream of two seconds runs. The stream completes,
+    // A daemon receives SIGTERM while a stream of two seconds runs. The stream completes,
     // the directories of the other daemons drop the stopping one at once, requests that
     // still arrive there are served, and the process exits by itself.
     let mut cluster = Cluster::start("stop", 2).await;
-    let (caller, addr) = (cluster.caller.clone(), cluster.daemons[0].callers);
+    let (caller, addr) = (cluster.caller.clone(), cluster.daemons[0].caller_addr);
     let stream = CallerRequest::stream("draft", "red", 100);
     let running = tokio::spawn(async move { caller.send(addr, &stream).await });
     wait_until("the stream runs", async || {
@@ -92,9 +92,13 @@
     })
     .await;
     cluster.daemons[0].signal(Signal::TERM);
-    let stopping = cluster.daemons[0].callers;
+    let stopping = cluster.daemons[0].caller_addr;
     wait_until("the directory drops the stopping daemon", async || {
-        !cluster.caller.directory(cluster.daemons[1].directory).await.contains(&stopping)
+        !cluster
+            .caller
+            .directory(cluster.daemons[1].directory_addr)
+            .await
+            .contains(&stopping)
     })
     .await;
     let late_response = cluster.send(0, &CallerRequest::plain("record")).await;
@@ -116,7 +120,7 @@
     // the claims, which adapter loads depend on. The killed daemon serves again after a
     // restart.
     let mut cluster = Cluster::start("killed", 2).await;
-    let (caller, addr) = (cluster.caller.clone(), cluster.daemons[1].callers);
+    let (caller, addr) = (cluster.caller.clone(), cluster.daemons[1].caller_addr);
     let stream = CallerRequest::stream("draft", "red", 100);
     let running = tokio::spawn(async move { caller.send(addr, &stream).await });
     wait_until("the stream runs", async || {
@@ -132,7 +136,7 @@
             let request = CallerRequest::stream("draft", adapter, 3);
             complete &= cluster.send(1, &request).await.complete;
         }
-        let listed = cluster.caller.directory(cluster.daemons[1].directory).await;
+        let listed = cluster.caller.directory(cluster.daemons[1].directory_addr).await;
         complete && listed.len() == 1
     })
     .await;
@@ -149,7 +153,7 @@
     let cluster = Cluster::start("left", 1).await;
     let request = CallerRequest::stream("draft", "blue", 500);
     let response =
-        cluster.caller.send_until(cluster.daemons[0].callers, &request, 3).await;
+        cluster.caller.send_until(cluster.daemons[0].caller_addr, &request, 3).await;
     assert!(!response.complete);
     wait_until("the run ends", async || {
         cluster.runners[2].cancelled().contains(&response.id)
@@ -188,7 +192,7 @@
     let response = cluster.send(0, &CallerRequest::stream("draft", "blue", 3)).await;
     assert_eq!(response.status, 200);
     let daemon = &cluster.daemons[0];
-    let state = cluster.caller.get_text(daemon.metrics, "/state").await;
+    let state = cluster.caller.get_text(daemon.metrics_addr, "/state").await;
     let state: Value = serde_json::from_str(&state).expect("the state is JSON");
     assert_eq!(state["ready"], true);
     assert_eq!(state["members"].as_array().map(Vec::len), Some(2));
@@ -196,7 +200,7 @@
     assert!(state["claims"]["server:r3"]["fence"].as_u64() > Some(0), "{state}");
     assert!(state["tables"][0]["age_ms"].is_u64(), "{state}");
     wait_until("the end is counted", async || {
-        let metrics = cluster.caller.get_text(daemon.metrics, "/metrics").await;
+        let metrics = cluster.caller.get_text(daemon.metrics_addr, "/metrics").await;
         metrics.contains(r#"chestnut_requests_total{route="draft",end="answered"} 1"#)
             && metrics.contains(r#"chestnut_seconds_count{span="FirstByte"} 1"#)
             && metrics.contains(r#"chestnut_steps_total{step="Store",outcome="200"}"#)
--- a/tests/platform/proxy.rs
+++ b/tests/platform/proxy.rs
@@ -158,5 +158,5 @@
 }
 
 fn reset(stream: &TcpStream) {
-    stream.set_zero_linger().expect("a socket takes its options");
+    stream.set_zero_linger().expect("the socket option can be set");
 }
--- a/tests/platform/servers.rs
+++ b/tests/platform/servers.rs
@@ -40,7 +40,8 @@
         assert_eq!(response.status, 200);
         assert_eq!(cluster.runs(&response), 1);
     }
-    // If both reject, the refusal says truly that nothing ran, and carries Retry-After.
+    // If both reject, the refusal states correctly that nothing ran, and carries
+    // Retry-After.
     cluster.services[1].set_fault(ServerFault::Rejecting);
     let response = cluster.send(0, &CallerRequest::plain("record")).await;
     assert_eq!(response.status, 503);
@@ -74,7 +75,7 @@
 async fn an_unresponsive_server_delays_only_non_idempotent_requests() {
     // One server accepts requests and never responds. A look-up sent to it is retried at
     // the other server well before its deadline; a record that may run once waits for its
-    // response to the end and is not sent again.
+    // response until the deadline and is not sent again.
     let cluster = Cluster::start("silent", 1).await;
     cluster.services[0].set_fault(ServerFault::Unresponsive);
     for _ in 0..4 {
@@ -148,7 +149,8 @@
     let cluster = Cluster::start("nowhere", 1).await;
     cluster.runners.iter().for_each(Runner::drain);
     wait_until("the daemon sees that the runners drain", async || {
-        let state = cluster.caller.get_text(cluster.daemons[0].metrics, "/state").await;
+        let state =
+            cluster.caller.get_text(cluster.daemons[0].metrics_addr, "/state").await;
         state.matches("Leaving").count() == cluster.runners.len()
     })
     .await;
@@ -200,7 +202,7 @@
 /// Index of the daemon that holds a claim.
 async fn holder_of(cluster: &Cluster, claim: &str) -> usize {
     for (holder_index, daemon) in cluster.daemons.iter().enumerate() {
-        let state = cluster.caller.get_text(daemon.metrics, "/state").await;
+        let state = cluster.caller.get_text(daemon.metrics_addr, "/state").await;
         let state: Value = serde_json::from_str(&state).expect("the state is JSON");
         if state["claims"][claim]["holder"] == state["member"] {
             return holder_index;
@@ -231,7 +233,7 @@
     // A runner reports that it drains. From then on requests go to the other runner with
     // the model; the running stream completes.
     let cluster = Cluster::start("leaving", 1).await;
-    let (caller, addr) = (cluster.caller.clone(), cluster.daemons[0].callers);
+    let (caller, addr) = (cluster.caller.clone(), cluster.daemons[0].caller_addr);
     let stream = CallerRequest::stream("draft", "red", 60);
     let running = tokio::spawn(async move { caller.send(addr, &stream).await });
     wait_until("the stream runs", async || cluster.runner_of("leaving").is_some()).await;
--- a/tests/platform/soak.rs
+++ b/tests/platform/soak.rs
@@ -63,7 +63,7 @@
     Proxy(ProxyTarget),
 }
 
-/// The part that a proxy stands in front of.
+/// The part of a cluster whose connections pass through a proxy.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum ProxyTarget {
     Callers(usize),
@@ -140,7 +140,7 @@
 /// Addresses that callers connect to.
 fn caller_addresses(cluster: &Cluster) -> Vec<SocketAddr> {
     match cluster.proxies.callers.is_empty() {
-        true => cluster.daemons.iter().map(|daemon| daemon.callers).collect(),
+        true => cluster.daemons.iter().map(|daemon| daemon.caller_addr).collect(),
         false => cluster.proxies.callers.iter().map(|proxy| proxy.addr).collect(),
     }
 }
--- a/tests/platform/store.rs
+++ b/tests/platform/store.rs
@@ -1,4 +1,4 @@
-//! Outages of the store, lost change history and rows of foreign writers.
+//! Outages of the store, lost change history and rows written by other programs.
 
 use std::time::Duration;
 
@@ -9,7 +9,7 @@
 
 #[tokio::test]
 async fn callers_are_served_during_a_store_outage() {
-    // The store is unresponsive for seconds and returns. Loaded models are served all the
+    // The store is unresponsive for 3 s, then recovers. Loaded models are served all the
     // time; a configuration that was written meanwhile is in force soon after.
     let mut cluster = Cluster::start("outage", 2).await;
     cluster.store.set_fault(StoreFault::Unresponsive);
@@ -37,18 +37,23 @@
 async fn a_daemon_without_configuration_lists_no_addresses() {
     // A daemon is killed and restarted while the store is unresponsive. It has neither
     // routes nor members, and would refuse the callers that its directory sent to itself;
-    // with an empty directory they ask another daemon. Once the store responds it serves.
+    // with an empty directory they query another daemon. Once the store responds it
+    // serves.
     let mut cluster = Cluster::start("blank", 2).await;
     cluster.store.set_fault(StoreFault::Unresponsive);
     cluster.daemons[0].kill();
     cluster.daemons[0].restart();
     wait_until("the daemon is up", async || {
-        !cluster.caller.get_text(cluster.daemons[0].metrics, "/metrics").await.is_empty()
+        !cluster
+            .caller
+            .get_text(cluster.daemons[0].metrics_addr, "/metrics")
+            .await
+            .is_empty()
     })
     .await;
-    assert_eq!(cluster.caller.directory(cluster.daemons[0].directory).await, []);
-    let listed = cluster.caller.directory(cluster.daemons[1].directory).await;
-    assert!(listed.contains(&cluster.daemons[1].callers), "{listed:?}");
+    assert_eq!(cluster.caller.directory(cluster.daemons[0].directory_addr).await, []);
+    let listed = cluster.caller.directory(cluster.daemons[1].directory_addr).await;
+    assert!(listed.contains(&cluster.daemons[1].caller_addr), "{listed:?}");
     cluster.store.set_fault(StoreFault::None);
     cluster.wait_until_ready().await;
 }
@@ -84,7 +89,7 @@
 #[tokio::test]
 async fn invalid_registry_entries_are_ignored() {
     // The registry holds an entry with an unknown state, one whose address is a number,
-    // and one that is no text. None is used, and the valid entries stay in use.
+    // and one that is not valid UTF-8. None is used, and the valid entries stay in use.
     let cluster = Cluster::start("foreign", 1).await;
     let mut foreign = cluster.store.rows("servers")["s1"].clone();
     foreign["state"] = "asleep".into();
--- a/tests/platform_boundary.rs
+++ b/tests/platform_boundary.rs
@@ -1,8 +1,8 @@
 //! The boundary between the project and the platform that it runs on.
 //!
 //! Only the adapter reads and writes the platform's names, so that another platform needs
-//! another adapter and nothing else. A name of the platform's protocol elsewhere is the
-//! first sign of logic on the wrong side.
+//! another adapter and nothing else. A name of the platform's protocol elsewhere
+//! indicates logic that belongs in the adapter.
 
 use std::fs;
 use std::path::{Path, PathBuf};
@@ -33,7 +33,8 @@
     "schema_ver",
 ];
 
-/// Upper bound of the adapter's share of the project's lines; translation alone is small.
+/// Upper bound of the adapter's share of the project's lines; an adapter that only
+/// translates needs few.
 const MAX_ADAPTER_SHARE: f64 = 0.1;
 
 #[test]
--- a/tests/scenarios.rs
+++ b/tests/scenarios.rs
@@ -13,7 +13,8 @@
 
 use libtest_mimic::{Arguments, Failed, Trial};
 
-/// Scenarios that run at the same time; each starts about eight processes.
+/// Maximum number of scenarios that run at the same time; each starts about eight
+/// processes.
 const MAX_PARALLEL: usize = 3;
 
 const CASES_DIR: &str = concat!(env!("CARGO_MANIFEST_DIR"), "/tests/cases");
--- a/tests/support/cluster.rs
+++ b/tests/support/cluster.rs
@@ -19,7 +19,7 @@
 use super::request::{self, CallerRequest, CallerResponse};
 use super::{Failure, TIMEOUT};
 
-/// Teams whose operators the daemons know; each one's key is `ops-TEAM`.
+/// Teams whose operators may send changes to the daemons; the key of each is `ops-TEAM`.
 const TEAMS: [&str; 3] = ["base", "letters", "seats"];
 
 /// Directory of the certificates that the daemons trust; they don't trust those under
@@ -36,7 +36,7 @@
 
 /// Processes and requests of one scenario.
 pub struct Cluster {
-    /// Directory of certificates, settings and logs; removed at the end.
+    /// Directory of certificates, settings and logs; removed on drop.
     pub dir: PathBuf,
     /// Processes by name, also those that were killed.
     pub processes: IndexMap<String, Process>,
@@ -48,8 +48,8 @@
     pub sent: IndexMap<String, Vec<SentRequest>>,
     /// Facts about each of the latest responses.
     pub last_facts: Vec<Vec<String>>,
-    /// All requests with their replies.
-    pub replies: Vec<(CallerRequest, CallerResponse)>,
+    /// All awaited requests with their responses.
+    pub responses: Vec<(CallerRequest, CallerResponse)>,
     /// Operators whose commands run, by name.
     pub operators: IndexMap<String, Operator>,
     /// Number of declaration changes sent so far; used for their ids.
@@ -62,8 +62,8 @@
     pub request: CallerRequest,
     /// Number of tokens that have arrived.
     pub token_count: Arc<AtomicUsize>,
-    /// Task that returns the reply.
-    pub reply: JoinHandle<CallerResponse>,
+    /// Task that sends the request and returns the response.
+    pub response: JoinHandle<CallerResponse>,
 }
 
 impl Cluster {
@@ -86,7 +86,7 @@
             http,
             sent: IndexMap::new(),
             last_facts: Vec::new(),
-            replies: Vec::new(),
+            responses: Vec::new(),
             operators: IndexMap::new(),
             change_count: 0,
         })
@@ -167,8 +167,8 @@
                 row["service"] = options.text_or("service", "desk").into();
             }
         }
-        let url = format!("{}/v1/vms/{name}", self.base("platform")?);
-        self.put(&url, &row).await
+        let url = format!("{}/v1/vms/{name}", self.base_url("platform")?);
+        self.put_json(&url, &row).await
     }
 
     /// Process by name or alias.
@@ -195,7 +195,7 @@
             Some((caller, key)) => format!("slot:{}", slot_number(caller, key)?),
             None => claim.to_owned(),
         };
-        let state = self.get(&format!("{}/debug/state", self.ops(at)?)).await?;
+        let state = self.get_json(&format!("{}/debug/state", self.ops_url(at)?)).await?;
         let holder = &state["view"]["claims"][&claim]["holder"];
         let holder = holder.as_str().ok_or(format!("nobody holds {claim}"))?;
         let vm = state["view"]["members"][holder]["vm"].as_str();
@@ -203,7 +203,7 @@
     }
 
     /// Base URL of a stand-in, or a daemon's base URL for callers.
-    pub fn base(&self, name: &str) -> Result<String, Failure> {
+    pub fn base_url(&self, name: &str) -> Result<String, Failure> {
         let process = self.process(name)?;
         let field =
             if process.kind == ProcessKind::Daemon { "caller" } else { "address" };
@@ -211,26 +211,26 @@
     }
 
     /// Base URL of a daemon for operators.
-    pub fn ops(&self, name: &str) -> Result<String, Failure> {
+    pub fn ops_url(&self, name: &str) -> Result<String, Failure> {
         Ok(format!("http://{}", self.process(name)?.address("ops")?))
     }
 
     /// Names of the processes of a kind, in the order in which they were started.
-    pub fn named(&self, kind: ProcessKind) -> impl Iterator<Item = &str> {
+    pub fn process_names(&self, kind: ProcessKind) -> impl Iterator<Item = &str> {
         let matching =
             self.processes.iter().filter(move |(_, process)| process.kind == kind);
         matching.map(|(name, _)| name.as_str())
     }
 
     /// Gets JSON from a URL.
-    pub async fn get(&self, url: &str) -> Result<Value, Failure> {
+    pub async fn get_json(&self, url: &str) -> Result<Value, Failure> {
         let http_request = self.http.get(url).timeout(Duration::from_secs(5));
         let response = http_request.send().await.map_err(|error| error.to_string())?;
         response.json().await.map_err(|error| error.to_string())
     }
 
     /// Puts JSON to a URL.
-    pub async fn put(&self, url: &str, body: &Value) -> Result<(), Failure> {
+    pub async fn put_json(&self, url: &str, body: &Value) -> Result<(), Failure> {
         let response = self.http.put(url).json(body).send().await;
         let response = response.map_err(|error| error.to_string())?;
         if response.status().is_success() {
@@ -241,7 +241,7 @@
     }
 
     /// Appends the ends of all logs to a failure.
-    pub fn report(&self, reason: &str) -> Failure {
+    pub fn failure_with_logs(&self, reason: &str) -> Failure {
         let mut text = reason.to_owned();
         for (name, process) in &self.processes {
             let log_tail = process.log_tail();
@@ -276,24 +276,24 @@
         }
     }
 
-    /// Sends a change of one file to a daemon, based on the revision `base` or else on
-    /// the one that the daemon has in force.
+    /// Sends a change of one file to a daemon, based on `base_revision` or else on the
+    /// revision that the daemon has in force.
     pub async fn declare(
         &mut self,
         at: &str,
         team: &str,
         file: &str,
         text: Option<String>,
-        base: Option<usize>,
+        base_revision: Option<usize>,
     ) -> Result<(u16, Value), Failure> {
         self.change_count += 1;
-        let ops = self.ops(at)?;
-        let state = self.get(&format!("{ops}/debug/state")).await?;
+        let ops = self.ops_url(at)?;
+        let state = self.get_json(&format!("{ops}/debug/state")).await?;
         let change = json!({
             "id": format!("change-{}", self.change_count),
             "team": team,
             "author": format!("operator of {team}"),
-            "base": base.map_or(state["revision"].clone(), Value::from),
+            "base": base_revision.map_or(state["revision"].clone(), Value::from),
             "edits": {file: text},
         });
         let http_request = self
@@ -315,8 +315,8 @@
         loop {
             let mut replicas = 0;
             for index in 1..=engines {
-                let report = self.base(&format!("r{index}"))? + "/v1/report";
-                let report = self.get(&report).await?;
+                let report_url = self.base_url(&format!("r{index}"))? + "/v1/report";
+                let report = self.get_json(&report_url).await?;
                 let models = report["models"].as_array().into_iter().flatten();
                 let ready = |model: &&Value| {
                     model["model"] == "drafter" && model["state"] == "ready"
@@ -346,19 +346,19 @@
         ];
         for mut options in ready {
             options.0.insert("prompt".into(), "ready?".into());
-            let request = request::parse(&options, vec![self.base(name)?])?;
+            let request = request::parse(&options, vec![self.base_url(name)?])?;
             let start = std::time::Instant::now();
             loop {
-                let reply = request
+                let response = request
                     .clone()
                     .send_with_retries(self.http.clone(), Arc::default())
                     .await;
-                if reply.is_complete(&request) {
+                if response.is_complete(&request) {
                     break;
                 }
                 if start.elapsed() > TIMEOUT {
-                    let facts = request::facts(&reply, &request).join(" ");
-                    let body = &reply.body;
+                    let facts = request::facts(&response, &request).join(" ");
+                    let body = &response.body;
                     return Err(format!(
                         "{name} never served {request:?}: {facts} {body}"
                     ));
@@ -386,7 +386,7 @@
                 defaults.insert("tokens", "100000".to_owned());
                 defaults.insert("streams", "8".to_owned());
                 defaults.insert("step-ms", "5".to_owned());
-                defaults.insert("weights", self.base("platform")?);
+                defaults.insert("weights", self.base_url("platform")?);
                 "engine"
             }
             ProcessKind::Daemon => return Err("a daemon is not a stand-in".into()),
@@ -398,8 +398,8 @@
         }
         let mut args = vec![command.to_owned()];
         for (name, value) in defaults {
-            let flag = value.is_empty();
-            args.push(if flag {
+            let is_flag = value.is_empty();
+            args.push(if is_flag {
                 format!("--{name}")
             } else {
                 format!("--{name}={value}")
@@ -411,18 +411,18 @@
     /// Writes a daemon's settings; an option such as `times.lease_ms` overrides the value
     /// of that field.
     fn write_settings(&self, name: &str, options: &Options) -> Result<PathBuf, Failure> {
-        let platform = self.base("platform")?;
+        let platform = self.base_url("platform")?;
         let keys = self.dir.join(options.text_or("keys", TRUSTED_KEYS));
         let file = |name: &str| keys.join(name).display().to_string();
         let operators: IndexMap<&str, String> = TEAMS
             .iter()
             .map(|team| (*team, sha256_hex(&format!("ops-{team}"))))
             .collect();
-        let any = "127.0.0.1:0";
+        let any_port = "127.0.0.1:0";
         let mut settings = json!({
             "vm": name,
             "domain": options.text_or("domain", "a"),
-            "caller_addr": any, "peer_addr": any, "ops_addr": any,
+            "caller_addr": any_port, "peer_addr": any_port, "ops_addr": any_port,
             "table_url": platform, "object_url": platform, "vms_url": platform,
             "tls": {
                 "cert": file("daemon.pem"),
--- a/tests/support/command.rs
+++ b/tests/support/command.rs
@@ -5,17 +5,18 @@
 
 use super::Failure;
 
-/// A command with its position.
+/// A command with its line number.
 pub struct Step {
     /// Line in the scenario file, counted from 1.
     pub line: usize,
-    /// What the line asks for.
+    /// The parsed command.
     pub command: Command,
 }
 
 /// A command, each with its syntax.
 pub enum Command {
-    /// `world [engines=N] [daemons=N] [services=N]`: starts the default processes and waits until they serve.
+    /// `world [engines=N] [daemons=N] [services=N]`: starts the default processes and
+    /// waits until they serve.
     Cluster(Options),
     /// `start platform|engine|service|daemon NAME [OPTION=VALUE]..`
     Start(ProcessKind, String, Options),
@@ -87,7 +88,7 @@
 pub enum Signal {
     /// SIGKILL: the process ends at once.
     Kill,
-    /// SIGSTOP: the process is suspended without noticing.
+    /// SIGSTOP: the process is suspended and can't react to it.
     Suspend,
     /// SIGCONT: the process resumes.
     Resume,
--- a/tests/support/invariants.rs
+++ b/tests/support/invariants.rs
@@ -1,6 +1,6 @@
 //! Invariants that every scenario has to keep, whatever its faults.
 //!
-//! - No caller gets another's response, and a response with an end mark is complete.
+//! - No caller gets another's response, and a response with an end marker is complete.
 //! - What was refused as not run did not run.
 //! - A non-idempotent request ran at most once.
 //! - No engine was ever ordered to hold more than its memory.
@@ -16,24 +16,24 @@
 use super::command::ProcessKind;
 use super::request::{CallerRequest, CallerResponse, Operation, is_idempotent};
 
-/// Attempts to read a stand-in's counts.
+/// Maximum number of attempts to read a stand-in's counts.
 const COUNT_ATTEMPTS: u32 = 15;
 
 /// Delay between these attempts.
-const RETRY_DELAY: Duration = Duration::from_millis(100);
+const COUNT_RETRY_DELAY: Duration = Duration::from_millis(100);
 
 /// Checks all invariants.
 pub async fn check(cluster: &Cluster) -> Result<(), Failure> {
-    for (request, reply) in &cluster.replies {
-        if let Some(reason) = reply.mismatch(request) {
+    for (request, response) in &cluster.responses {
+        if let Some(reason) = response.mismatch(request) {
             return Err(format!("{request:?} got {reason}"));
         }
     }
     let mut run_counts = RunCounts::default();
-    for name in cluster.named(ProcessKind::Service) {
+    for name in cluster.process_names(ProcessKind::Service) {
         run_counts.add_service(&counts(cluster, name).await);
     }
-    for name in cluster.named(ProcessKind::Engine) {
+    for name in cluster.process_names(ProcessKind::Engine) {
         let counts = counts(cluster, name).await;
         check_memory(name, &counts)?;
         run_counts.add_engine(&counts);
@@ -43,18 +43,19 @@
     check_not_run(cluster, &run_counts)
 }
 
-/// Prefixes of all keys of operators and callers in the scenarios.
-const KEY_PREFIXES: [&str; 5] =
+/// All valid keys of operators and callers in the scenarios.
+const SCENARIO_KEYS: [&str; 5] =
     ["ops-base", "ops-letters", "ops-seats", "key-portal", "key-caseworker"];
 
 /// Checks that the daemons' logs and state dumps contain no keys.
 async fn check_no_keys_leaked(cluster: &Cluster) -> Result<(), Failure> {
-    for name in cluster.named(ProcessKind::Daemon) {
+    for name in cluster.process_names(ProcessKind::Daemon) {
         let log = std::fs::read_to_string(cluster.dir.join(format!("{name}.log")));
         // A killed daemon has no state to dump.
-        let dump = cluster.get(&format!("{}/debug/state", cluster.ops(name)?)).await;
+        let dump =
+            cluster.get_json(&format!("{}/debug/state", cluster.ops_url(name)?)).await;
         let text = format!("{}{}", log.unwrap_or_default(), dump.unwrap_or_default());
-        if let Some(key) = KEY_PREFIXES.iter().find(|key| text.contains(**key)) {
+        if let Some(key) = SCENARIO_KEYS.iter().find(|key| text.contains(**key)) {
             return Err(format!("{name} shows the key {key}"));
         }
     }
@@ -99,13 +100,13 @@
 
 /// Counts of a stand-in; null if it was killed.
 async fn counts(cluster: &Cluster, name: &str) -> Value {
-    let Ok(base) = cluster.base(name) else { return Value::Null };
+    let Ok(base) = cluster.base_url(name) else { return Value::Null };
     for _ in 0..COUNT_ATTEMPTS {
-        if let Ok(counts) = cluster.get(&format!("{base}/counts")).await {
+        if let Ok(counts) = cluster.get_json(&format!("{base}/counts")).await {
             return counts;
         }
         // A crashed stand-in opens its port again soon; a killed one does not.
-        tokio::time::sleep(RETRY_DELAY).await;
+        tokio::time::sleep(COUNT_RETRY_DELAY).await;
     }
     Value::Null
 }
@@ -123,7 +124,7 @@
 
 fn check_at_most_once(cluster: &Cluster, run_counts: &RunCounts) -> Result<(), Failure> {
     for (request, _) in
-        cluster.replies.iter().filter(|(request, _)| !is_idempotent(request))
+        cluster.responses.iter().filter(|(request, _)| !is_idempotent(request))
     {
         let max_runs = distinct_keys(cluster, request);
         let count = run_counts.runs_of(request);
@@ -137,9 +138,9 @@
 /// Number of distinct requests of the scenario that share this prompt or service key.
 fn distinct_keys(cluster: &Cluster, request: &CallerRequest) -> u64 {
     let mut keys: Vec<_> = cluster
-        .replies
+        .responses
         .iter()
-        .filter(|(other, _)| is_same_run(request, other))
+        .filter(|(other, _)| share_run_count(request, other))
         .map(|(other, _)| (&other.caller, &other.idempotency_key))
         .collect();
     keys.sort();
@@ -148,27 +149,30 @@
 }
 
 fn check_not_run(cluster: &Cluster, run_counts: &RunCounts) -> Result<(), Failure> {
-    for (request, _) in cluster.replies.iter().filter(|(_, reply)| is_not_run(reply)) {
+    for (request, _) in
+        cluster.responses.iter().filter(|(_, response)| is_not_run(response))
+    {
         let same_count = cluster
-            .replies
+            .responses
             .iter()
-            .filter(|(other, _)| is_same_run(request, other))
+            .filter(|(other, _)| share_run_count(request, other))
             .count();
         // Another request with the same text, or an earlier attempt of this one, may have
         // run.
         let is_only_send = same_count == 1 && request.wait_limit.is_zero();
         if is_only_send && run_counts.runs_of(request) > 0 {
-            return Err(format!("{request:?} was refused as not run and ran"));
+            return Err(format!("{request:?} was refused as not run but ran"));
         }
     }
     Ok(())
 }
 
-fn is_not_run(reply: &CallerResponse) -> bool {
-    reply.outcome.as_deref() == Some("not_run")
+fn is_not_run(response: &CallerResponse) -> bool {
+    response.outcome.as_deref() == Some("not_run")
 }
 
-fn is_same_run(first: &CallerRequest, other: &CallerRequest) -> bool {
+/// Whether the backend servers count the runs of both requests under the same key.
+fn share_run_count(first: &CallerRequest, other: &CallerRequest) -> bool {
     match (&first.operation, &other.operation) {
         (Operation::Completion(first), Operation::Completion(other)) => {
             first.prompt == other.prompt
--- a/tests/support/mod.rs
+++ b/tests/support/mod.rs
@@ -18,7 +18,7 @@
 use self::cluster::Cluster;
 use self::command::Step;
 
-/// Wait limit of every condition, far longer than it takes.
+/// Wait limit of every condition, far longer than any of them normally takes.
 pub const TIMEOUT: std::time::Duration = std::time::Duration::from_secs(40);
 
 /// Message that explains why a scenario failed.
@@ -31,10 +31,13 @@
     for step in &steps {
         let result = steps::run(&mut cluster, &step.command).await;
         if let Err(reason) = result {
-            return Err(cluster.report(&format!("line {}: {reason}", step.line)));
+            return Err(
+                cluster.failure_with_logs(&format!("line {}: {reason}", step.line))
+            );
         }
     }
     let result = invariants::check(&cluster).await;
-    result
-        .map_err(|reason| cluster.report(&format!("an invariant was violated: {reason}")))
+    result.map_err(|reason| {
+        cluster.failure_with_logs(&format!("an invariant was violated: {reason}"))
+    })
 }
--- a/tests/support/operator.rs
+++ b/tests/support/operator.rs
@@ -34,10 +34,10 @@
         let output = cluster.dir.join(format!("{name}.out"));
         let file = File::create(&output).map_err(to_message)?;
         let mut command = Command::new(env!("CARGO_BIN_EXE_chestnutctl"));
-        let all_daemons = cluster.named(ProcessKind::Daemon).map(str::to_owned);
+        let all_daemons = cluster.process_names(ProcessKind::Daemon).map(str::to_owned);
         let daemons = if at.is_empty() { all_daemons.collect() } else { at.to_vec() };
         for daemon in daemons {
-            command.arg(format!("--server={}", cluster.ops(&daemon)?));
+            command.arg(format!("--server={}", cluster.ops_url(&daemon)?));
         }
         for word in words {
             command.arg(match word.strip_prefix('@') {
--- a/tests/support/parse.rs
+++ b/tests/support/parse.rs
@@ -10,7 +10,7 @@
     Command, Comparison, Options, ProcessKind, Signal, StateQuery, Step,
 };
 
-/// Least number of comment lines at the start of a scenario.
+/// Minimum number of comment lines at the start of a scenario.
 const MIN_HEADER_LINES: usize = 2;
 
 /// Parses a scenario.
@@ -86,9 +86,9 @@
         }
         "until" => Ok(Command::CheckState { wait: true, query: state_query(rest)? }),
         "check" => Ok(Command::CheckState { wait: false, query: state_query(rest)? }),
-        "sleep" => {
-            Ok(Command::Sleep(rest.parse().map_err(|_| "the time is not a number")?))
-        }
+        "sleep" => Ok(Command::Sleep(
+            rest.parse().map_err(|_| "the time in milliseconds is not a number")?,
+        )),
         _ => Err("unknown command".into()),
     }
 }
@@ -151,7 +151,7 @@
 fn parse_operator(rest: &str) -> Result<Command, Failure> {
     let words = split_words(rest)?;
     let [name, team, words @ ..] = &words[..] else {
-        return Err("usage: operate NAME TEAM WORD..".into());
+        return Err("usage: operate NAME TEAM [at=DAEMONS] WORD..".into());
     };
     let (at, words) = match words.split_first() {
         Some((first, rest)) if first.starts_with("at=") => {
--- a/tests/support/request.rs
+++ b/tests/support/request.rs
@@ -11,11 +11,14 @@
 /// address.
 const DEFAULT_CLIENT_TIMEOUT_MS: usize = 30_000;
 
-/// Builds a request from a command's options; `bases` are the URLs of the daemons to send
-/// it to.
-pub fn parse(options: &Options, bases: Vec<String>) -> Result<CallerRequest, Failure> {
+/// Builds a request from a command's options; `base_urls` are those of the daemons to
+/// send it to.
+pub fn parse(
+    options: &Options,
+    base_urls: Vec<String>,
+) -> Result<CallerRequest, Failure> {
     let text = |name: &str| options.text(name).map(str::to_owned);
-    let form = if let Some(name) = text("svc") {
+    let operation = if let Some(name) = text("svc") {
         Operation::Service {
             name,
             path: options.text_or("path", "/").to_owned(),
@@ -39,10 +42,10 @@
         })
     };
     let mut request = CallerRequest {
-        base_urls: bases,
+        base_urls,
         caller: options.text_or("caller", "portal").to_owned(),
         idempotency_key: text("key"),
-        operation: form,
+        operation,
         kind: text("kind"),
         deadline_ms: text("deadline"),
         wait_limit: if options.is_set("patient") { TIMEOUT } else { Duration::ZERO },
@@ -70,26 +73,26 @@
     }
 }
 
-/// Facts about a reply, as words that a scenario can expect.
-pub fn facts(reply: &CallerResponse, request: &CallerRequest) -> Vec<String> {
+/// Facts about a response, as words that a scenario can expect.
+pub fn facts(response: &CallerResponse, request: &CallerRequest) -> Vec<String> {
     let mut facts = Vec::new();
-    facts.extend(reply.status.map(|status| status.to_string()));
-    facts.extend(reply.outcome.clone());
-    facts.extend(reply.code.clone());
-    facts.extend(reply.failure.map(str::to_owned));
-    if reply.retry_after.is_some() && reply.has_retry_after_header {
+    facts.extend(response.status.map(|status| status.to_string()));
+    facts.extend(response.outcome.clone());
+    facts.extend(response.code.clone());
+    facts.extend(response.failure.map(str::to_owned));
+    if response.retry_after.is_some() && response.has_retry_after_header {
         facts.push("retry".into());
     }
-    if reply.is_complete(request) {
+    if response.is_complete(request) {
         facts.push("whole".into());
     }
     for name in ["state", "verdict", "reason"] {
-        facts.extend(reply.body[name].as_str().map(str::to_owned));
+        facts.extend(response.body[name].as_str().map(str::to_owned));
     }
-    if let Some(run) = reply.body["run"].as_u64() {
+    if let Some(run) = response.body["run"].as_u64() {
         facts.push(format!("run={run}"));
     }
-    facts.push(format!("tries={}", reply.attempts));
+    facts.push(format!("tries={}", response.attempts));
     facts
 }
 
--- a/tests/support/steps.rs
+++ b/tests/support/steps.rs
@@ -34,13 +34,13 @@
             operator::write(cluster, dir, file, text.as_deref())
         }
         Command::StartOperator { name, team, at, words } => {
-            let running = Operator::start(cluster, name, team, at, words)?;
-            cluster.operators.insert(name.clone(), running);
+            let operator = Operator::start(cluster, name, team, at, words)?;
+            cluster.operators.insert(name.clone(), operator);
             Ok(())
         }
         Command::AwaitOperator(name) => {
-            let running = cluster.operators.shift_remove(name);
-            let facts = running.ok_or("no such operator")?.await_exit().await?;
+            let operator = cluster.operators.shift_remove(name);
+            let facts = operator.ok_or("no such operator")?.await_exit().await?;
             cluster.last_facts = vec![facts];
             Ok(())
         }
@@ -58,7 +58,7 @@
         Command::Disconnect(name) => {
             let sent =
                 cluster.sent.shift_remove(name).ok_or("nothing of that name was sent")?;
-            sent.iter().for_each(|sent_request| sent_request.reply.abort());
+            sent.iter().for_each(|sent_request| sent_request.response.abort());
             Ok(())
         }
         Command::AwaitTokens(name, count) => await_tokens(cluster, name, *count).await,
@@ -99,7 +99,8 @@
     claim: &str,
     inverted: bool,
 ) -> Result<(), Failure> {
-    let daemons: Vec<_> = cluster.named(ProcessKind::Daemon).map(str::to_owned).collect();
+    let daemons: Vec<_> =
+        cluster.process_names(ProcessKind::Daemon).map(str::to_owned).collect();
     let start = Instant::now();
     let mut holder = Err("no daemon was started".to_owned());
     while start.elapsed() < TIMEOUT {
@@ -122,7 +123,7 @@
 }
 
 async fn set_fault(cluster: &Cluster, name: &str, fault: &Value) -> Result<(), Failure> {
-    let url = format!("{}/faults", cluster.base(name)?);
+    let url = format!("{}/faults", cluster.base_url(name)?);
     let response = cluster.http.post(url).json(fault).send().await;
     let response = response.map_err(|error| error.to_string())?;
     if response.status().is_success() {
@@ -132,13 +133,13 @@
 }
 
 async fn set_vm_state(cluster: &Cluster, name: &str, state: &str) -> Result<(), Failure> {
-    let list = format!("{}/v1/vms", cluster.base("platform")?);
+    let list = format!("{}/v1/vms", cluster.base_url("platform")?);
     let url = format!("{list}/{name}");
     if state == "gone" {
         let response = cluster.http.delete(url).send().await;
         return response.map(drop).map_err(|error| error.to_string());
     }
-    let rows = cluster.get(&list).await?;
+    let rows = cluster.get_json(&list).await?;
     let rows = rows.as_array().ok_or("the list of VMs is not an array")?;
     let mut row = rows
         .iter()
@@ -146,7 +147,7 @@
         .cloned()
         .ok_or("the VM is not on the list")?;
     row["state"] = state.into();
-    cluster.put(&url, &row).await
+    cluster.put_json(&url, &row).await
 }
 
 async fn declare(
@@ -157,11 +158,11 @@
     text: Option<String>,
 ) -> Result<(), Failure> {
     let at = options.text_or("at", "e1");
-    let base = match options.text("base") {
+    let base_revision = match options.text("base") {
         Some(_) => Some(options.number_or("base", 0)?),
         None => None,
     };
-    let (status, response) = cluster.declare(at, team, file, text, base).await?;
+    let (status, response) = cluster.declare(at, team, file, text, base_revision).await?;
     let mut facts = vec![status.to_string()];
     for pointer in ["/verdict", "/reason", "/reason/reason"] {
         let fact = response.pointer(pointer).and_then(Value::as_str);
@@ -173,16 +174,16 @@
 }
 
 fn send(cluster: &mut Cluster, name: &str, options: &Options) -> Result<(), Failure> {
-    let base = build_request(cluster, options)?;
+    let template = build_request(cluster, options)?;
     let count = options.number_or("count", 1)?;
-    let single = !options.is_set("count");
+    let is_single = !options.is_set("count");
     for index in 0..count {
-        let request = if single { base.clone() } else { base.numbered(index) };
+        let request = if is_single { template.clone() } else { template.numbered(index) };
         let token_count = Arc::default();
         let run = request
             .clone()
             .send_with_retries(cluster.http.clone(), Arc::clone(&token_count));
-        let sent = SentRequest { request, token_count, reply: tokio::spawn(run) };
+        let sent = SentRequest { request, token_count, response: tokio::spawn(run) };
         cluster.sent.entry(name.to_owned()).or_default().push(sent);
     }
     Ok(())
@@ -190,24 +191,25 @@
 
 fn build_request(cluster: &Cluster, options: &Options) -> Result<CallerRequest, Failure> {
     let at = options.text_or("at", "e1");
-    let bases = at.split(',').map(|name| cluster.base(name)).collect::<Result<_, _>>()?;
-    request::parse(options, bases)
+    let base_urls =
+        at.split(',').map(|name| cluster.base_url(name)).collect::<Result<_, _>>()?;
+    request::parse(options, base_urls)
 }
 
 async fn await_responses(cluster: &mut Cluster, name: &str) -> Result<(), Failure> {
     let sent = cluster.sent.shift_remove(name).ok_or("nothing of that name was sent")?;
     cluster.last_facts.clear();
     for sent_request in sent {
-        let waited = tokio::time::timeout(2 * TIMEOUT, sent_request.reply).await;
-        let reply =
+        let waited = tokio::time::timeout(2 * TIMEOUT, sent_request.response).await;
+        let response =
             waited.map_err(|_| "no response arrived")?.map_err(|e| e.to_string())?;
-        let mut facts = request::facts(&reply, &sent_request.request);
-        // The last entry is for the reader of a failure; no scenario can expect it.
-        let (form, text, body) =
-            (&sent_request.request.operation, &reply.text, &reply.body);
-        facts.push(format!("(sent {form:?}, received text {text:?} body {body})"));
+        let mut facts = request::facts(&response, &sent_request.request);
+        // The last fact appears only in failure messages; no scenario can expect it.
+        let (operation, text, body) =
+            (&sent_request.request.operation, &response.text, &response.body);
+        facts.push(format!("(sent {operation:?}, received text {text:?} body {body})"));
         cluster.last_facts.push(facts);
-        cluster.replies.push((sent_request.request, reply));
+        cluster.responses.push((sent_request.request, response));
     }
     Ok(())
 }
@@ -215,7 +217,7 @@
 fn check_pending(cluster: &Cluster, name: &str) -> Result<(), Failure> {
     let sent = cluster.sent.get(name).ok_or("nothing of that name was sent")?;
     let arrived =
-        sent.iter().filter(|sent_request| sent_request.reply.is_finished()).count();
+        sent.iter().filter(|sent_request| sent_request.response.is_finished()).count();
     if arrived == 0 {
         Ok(())
     } else {
@@ -281,7 +283,7 @@
 ) -> Result<(), Failure> {
     let start = Instant::now();
     loop {
-        let found = value(cluster, query).await;
+        let found = queried_value(cluster, query).await;
         if let Ok(found) = &found
             && compare(found, query.comparison, &query.expected)
         {
@@ -298,35 +300,35 @@
 }
 
 /// The queried value of one process, or the sum over all engines or services.
-async fn value(cluster: &Cluster, query: &StateQuery) -> Result<Value, Failure> {
+async fn queried_value(cluster: &Cluster, query: &StateQuery) -> Result<Value, Failure> {
     let kind = match query.process.as_str() {
         "engines" => ProcessKind::Engine,
         "services" => ProcessKind::Service,
-        name => return value_at(cluster, name, query).await,
+        name => return queried_value_at(cluster, name, query).await,
     };
     let mut sum = 0.0;
-    for name in cluster.named(kind) {
-        let found = value_at(cluster, name, query).await?;
+    for name in cluster.process_names(kind) {
+        let found = queried_value_at(cluster, name, query).await?;
         sum += found.as_f64().unwrap_or(0.0);
     }
     Ok(json!(sum as u64))
 }
 
-async fn value_at(
+async fn queried_value_at(
     cluster: &Cluster,
     name: &str,
     query: &StateQuery,
 ) -> Result<Value, Failure> {
     let is_daemon = cluster.process(name)?.kind == ProcessKind::Daemon;
     let url = match (query.path.as_str(), is_daemon) {
-        ("", true) => format!("{}/debug/state", cluster.ops(name)?),
-        ("", false) => format!("{}/counts", cluster.base(name)?),
+        ("", true) => format!("{}/debug/state", cluster.ops_url(name)?),
+        ("", false) => format!("{}/counts", cluster.base_url(name)?),
         (path, true) if path.starts_with("/debug") => {
-            format!("{}{path}", cluster.ops(name)?)
+            format!("{}{path}", cluster.ops_url(name)?)
         }
-        (path, _) => format!("{}{path}", cluster.base(name)?),
+        (path, _) => format!("{}{path}", cluster.base_url(name)?),
     };
-    let page = cluster.get(&url).await?;
+    let page = cluster.get_json(&url).await?;
     let Some(pointer) = query.pointer.strip_suffix('#') else {
         return Ok(page.pointer(&query.pointer).cloned().unwrap_or(Value::Null));
     };
