--- a/crates/lab/src/logs.rs
+++ b/crates/lab/src/logs.rs
@@ -20,7 +20,7 @@
 /// Name of the thread that logs the requests.
 const SERVING_THREAD: &str = "serving";
 
-/// Time that the writer thread has at the end to drain its queue.
+/// Time after the last request in which the writer thread drains its queue.
 const DRAIN_TIME: Duration = Duration::from_millis(300);
 
 /// Interval at which a blocked output checks whether it is still blocked.
--- a/crates/lab/src/moves/deployment.rs
+++ b/crates/lab/src/moves/deployment.rs
@@ -14,7 +14,7 @@
     Gwiazdozbior,
 }
 
-/// Which of attainment and moves weighs more in the score, attainment or moves.
+/// Which weighs more in the score, attainment or moves.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Weighting {
     /// A percentage point of attainment weighs twice as much as a move per hour and runner.
--- a/crates/lab/src/policies/scenario.rs
+++ b/crates/lab/src/policies/scenario.rs
@@ -96,7 +96,7 @@
     }
 }
 
-/// A name that matches the deployment or load pattern; lists the valid names.
+/// Error of parsing a name that is not one of the valid ones.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct UnknownName {
     valid: Vec<String>,
@@ -138,7 +138,7 @@
     pub urgency: Urgency,
     /// Fraction of all requests.
     pub fraction: f64,
-    /// Time from the until a request until its response is due.
+    /// Time from the arrival of a request until its response is due.
     pub deadline: Duration,
     /// Range of prompt lengths, both ends included.
     pub prompt_tokens: (u32, u32),
@@ -182,7 +182,7 @@
 }
 
 impl DeploymentSpec {
-    /// Returns the parameters of a deployment.
+    /// The parameters of a deployment.
     pub fn of(deployment: Deployment) -> Self {
         match deployment {
             Deployment::Adenta => Self {
--- a/crates/lab/src/policies/traffic.rs
+++ b/crates/lab/src/policies/traffic.rs
@@ -71,7 +71,7 @@
     pub slowdown: Option<u32>,
 }
 
-/// Requests and server faults of one run.
+/// The requests and the server faults of one run.
 #[derive(Debug, Clone)]
 pub struct Traffic {
     /// Requests in the order of arrival.
